--- a/crates/yuccarackd/src/coordination/routed/entry/tries.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/tries.rs
@@ -18,7 +18,7 @@
 use crate::{
     coordination::{
         entry::fate::Fate,
-        routed::{gate::GateWork, lines::TryEnded},
+        routed::{gate::GateRequest, lines::TryEnded},
     },
     protocol::{
         body::CallBody,
@@ -189,10 +189,10 @@
     async fn send_here(&mut self, gate: &ChosenGate, hop: Hop) -> Ended {
         let parts = self.call.parts.to_head();
         let body = self.call.body.again();
-        let work = GateWork::new(Instant::now(), hop, parts, body);
+        let work = GateRequest::new(Instant::now(), hop, parts, body);
         let local = &self.entry.parts.gate;
         let answer = local.handle(work).await;
-        self.service.told(Instant::now(), gate.key, local.word().load);
+        self.service.told(Instant::now(), gate.key, local.status().load);
         match answer {
             Ok(answer) => Ended::Answered(answer),
             Err(refusal) => Ended::Refused(refusal),
--- a/crates/yuccarackd/src/coordination/routed/gate/cold.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/cold.rs
@@ -12,16 +12,16 @@
 
 impl Gate {
     /// Takes over what the routing table says of cold targets of the service.
-    pub(super) fn follow_cold_bound(&self) {
-        let Some(open) = self.open.read().clone() else { return };
+    pub(super) fn update_cold_bound(&self) {
+        let Some(active) = self.active.read().clone() else { return };
         let Some(routing) = self.parts.routing.current() else { return };
-        let Some(service) = routing.service(&open.view.service) else { return };
+        let Some(service) = routing.service(&active.view.service) else { return };
         let bounds = &self.parts.settings.current().bounds;
         let rate = service.cold_rate_per_1000_s;
         let bound = ColdBound::new(rate, bounds.cold_excess_percent, bounds.cold_slack);
         let cold_start = Duration::from_millis(service.cold_start_ms.into());
-        let cold_from = self.cold_from(&open.view, cold_start);
-        open.slots.change(|queue, _| {
+        let cold_from = self.first_cold_from(&active.view, cold_start);
+        active.slots.change(|queue, _| {
             queue.cold_rate_mut().set_bound(bound);
             cold_from.into_iter().for_each(|from| queue.cold_rate_mut().set_cold_from(from));
         });
@@ -31,7 +31,7 @@
     ///
     /// By the time that is left of it and by the start of the process, since the one may be longer than usual
     /// and the clock of the other may have been set back.
-    fn cold_from(&self, view: &TargetView, cold_start: Duration) -> Option<Instant> {
+    fn first_cold_from(&self, view: &TargetView, cold_start: Duration) -> Option<Instant> {
         if !view.is_cold || cold_start.is_zero() {
             return None;
         }
@@ -42,7 +42,7 @@
                 return None;
             }
         };
-        let born_at = Instant::now().checked_sub(age)?;
-        Some(born_at.min(view.cold_until.checked_sub(cold_start)?))
+        let started_at = Instant::now().checked_sub(age)?;
+        Some(started_at.min(view.cold_until.checked_sub(cold_start)?))
     }
 }
--- /dev/null
+++ b/crates/yuccarackd/src/coordination/routed/gate/health_checks.rs
@@ -0,0 +1,116 @@
+//! Health checks of the own target: its pace, where no answer has reported it for a while, and whether it is cold.
+
+use std::{
+    sync::Arc,
+    time::{Duration, Instant},
+};
+
+use http::{HeaderValue, Request, header};
+use tokio::time::{sleep_until, timeout_at};
+use yuccarack_platform_wire::{headers, load};
+use yuccarack_policy::{
+    pace_looks::{LOOK_TIMEOUT, Looked, PaceLooks},
+    work_queue::WorkQueue,
+};
+
+use super::{ActiveTarget, Gate};
+use crate::{
+    protocol::body::{self, BodyStart},
+    transport::upstream::Freshness,
+};
+
+/// Most bytes of a look's answer that are read.
+const RESPONSE_MAX_BYTES: usize = 4 * 1024;
+
+/// What a target reports in answer to a look.
+struct HealthReport {
+    /// How long work takes there, in percent of the usual time; unset where it doesn't say so.
+    slowdown_percent: Option<u16>,
+    /// Time for which it is still cold.
+    cold_for: Duration,
+}
+
+/// Looks whenever one is due, until `active` ends.
+pub async fn run(gate: Arc<Gate>, active: Arc<ActiveTarget>) {
+    tokio::select! {
+        () = active.stop.cancelled() => {}
+        () = run_checks(&gate, &active) => {}
+    }
+    gate.health_check_upstream.close_idle();
+}
+
+async fn run_checks(gate: &Gate, active: &ActiveTarget) {
+    let mut schedule = PaceLooks::new();
+    loop {
+        let (started, wanted) = (active.slots.started(), active.slots.health_check_wanted());
+        let now = Instant::now();
+        let due_at = active.slots.read(|queue| due_at(gate, &schedule, queue, now));
+        match due_at {
+            None => tokio::select! {
+                () = started => {}
+                () = wanted => {}
+            },
+            Some(at) if at > now => tokio::select! {
+                () = sleep_until(at.into()) => {}
+                () = wanted => {}
+            },
+            Some(_) => {
+                let result = check(gate, active).await;
+                schedule.looked(Instant::now(), result);
+            }
+        }
+    }
+}
+
+/// When the next look is due, for either reason.
+fn due_at(gate: &Gate, schedule: &PaceLooks, queue: &WorkQueue, now: Instant) -> Option<Instant> {
+    let cold_check_at = queue.cold_rate().look_due_at(now);
+    let is_enabled = gate.parts.decisions.pace_looks;
+    let slowdown_check_at = || schedule.due_at(queue.running(), queue.mean_work(), queue.pace());
+    let slowdown_check_at = is_enabled.then(slowdown_check_at).flatten();
+    cold_check_at.into_iter().chain(slowdown_check_at).min()
+}
+
+/// Asks the target once and notes its pace and whether it is cold.
+async fn check(gate: &Gate, active: &ActiveTarget) -> Looked {
+    let sent_at = Instant::now();
+    active.slots.change(|queue, now| queue.cold_rate_mut().looked(now));
+    let Some(path) = gate.load_path(active) else { return Looked::InVain };
+    gate.parts.counters.add("gate.pace_looks");
+    let report = match timeout_at(
+        (sent_at + LOOK_TIMEOUT).into(),
+        fetch_report(gate, active, &path),
+    )
+    .await
+    {
+        Ok(Some(report)) => report,
+        Ok(None) | Err(_) => {
+            gate.parts.counters.add("gate.pace_looks_in_vain");
+            return Looked::InVain;
+        }
+    };
+    active.slots.change(|queue, now| {
+        match report.cold_for.is_zero() {
+            true => queue.cold_rate_mut().set_warm(sent_at),
+            false => queue.cold_rate_mut().set_cold_until(now + report.cold_for),
+        }
+        if let Some(percent) = report.slowdown_percent {
+            queue.pace_reported(now, f64::from(percent) / 100.0);
+        }
+    });
+    if report.slowdown_percent.is_some() { Looked::Told } else { Looked::InVain }
+}
+
+async fn fetch_report(gate: &Gate, active: &ActiveTarget, path: &str) -> Option<HealthReport> {
+    let address = active.view.address;
+    let host = HeaderValue::from_str(&address.to_string()).ok()?;
+    let request = Request::get(path).header(header::HOST, host).body(body::empty()).ok()?;
+    let response = gate.health_check_upstream.send(address, request, Freshness::Kept).await.ok()?;
+    // After a restart another target may stand at the address.
+    let is_own = response.headers().get(headers::TARGET)? == active.view.target.as_str();
+    let slowdown_percent = load::decode(response.headers()).and_then(|load| load.pace_percent);
+    let cold_for = load::decode_cold_for(response.headers());
+    // Read to its end, so that the connection can be used again.
+    BodyStart::read(response.into_body(), RESPONSE_MAX_BYTES).await.ok()?;
+    is_own.then_some(HealthReport { slowdown_percent, cold_for })
+}
--- a/crates/yuccarackd/src/coordination/routed/gate/mod.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/mod.rs
@@ -1,12 +1,12 @@
 //! The gate of one target for routed requests: the only way in.
 
 mod cold;
-mod crashes;
-mod door;
+mod crash_tracker;
 mod exchange;
-mod kept;
-mod looks;
-mod work;
+mod health_checks;
+mod pooled_connections;
+mod request;
+mod server;
 mod work_slots;
 
 use std::{
@@ -25,11 +25,11 @@
 use yuccarack_policy::{cold_rate::ColdRate, placement::GateLoad, work_queue::Refused};
 
 pub use self::{
-    crashes::{Crashes, CrashesParts},
-    door::GateDoor,
-    work::GateWork,
+    crash_tracker::{CrashTracker, CrashTrackerParts},
+    request::GateRequest,
+    server::GateServer,
 };
-use self::{exchange::Exchange, kept::KeptConnections, work_slots::WorkSlots};
+use self::{exchange::Exchange, pooled_connections::PooledConnections, work_slots::WorkSlots};
 use super::{
     events::EventLog,
     lines::{GateRefused, TargetLost, TargetRegained, TargetTakenIn},
@@ -55,16 +55,16 @@
 };
 
 /// When it is worth asking a service again whose target here takes no work.
-const AWAY_RETRY_AFTER: Duration = Duration::from_millis(300);
+const UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// When it is worth coming back with a request of which targets die; it is refused for a minute.
-const BARRED_RETRY_AFTER: Duration = Duration::from_secs(5);
+const QUARANTINED_RETRY_AFTER: Duration = Duration::from_secs(5);
 
 /// Time between two looks at a target that can't be reached; its process needs longer to come back.
-const LOOK_INTERVAL: Duration = Duration::from_millis(200);
+const RECONNECT_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Longest look at such a target, which is on the same machine.
-const LOOK_TIMEOUT: Duration = Duration::from_millis(200);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Group of the gate's refusal counters.
 const REFUSED: &str = "gate.refused";
@@ -80,7 +80,7 @@
     /// The settings.
     pub settings: LiveSettings,
     /// Deaths of targets.
-    pub crashes: Crashes,
+    pub crashes: CrashTracker,
     /// Connections to the target.
     pub upstream: Upstream,
     /// Counters.
@@ -102,25 +102,25 @@
     parts: GateParts,
     /// Connections for looks alone: what a target sends too much on those of requests, or in answer
     /// to a look, reaches no other one.
-    look_upstream: Upstream,
+    health_check_upstream: Upstream,
     started_at: Instant,
-    open: RwLock<Option<Arc<OpenTarget>>>,
+    active: RwLock<Option<Arc<ActiveTarget>>>,
 }
 
 /// A target with its slots.
-struct OpenTarget {
+struct ActiveTarget {
     view: Arc<TargetView>,
     slots: WorkSlots,
     stop: CancellationToken,
     is_unreachable: AtomicBool,
-    kept: KeptConnections,
+    pooled: PooledConnections,
 }
 
 impl Gate {
     /// Makes a gate that knows no target yet.
     pub fn new(parts: GateParts) -> Self {
-        let look_upstream = Upstream::new(parts.background.clone());
-        Self { parts, look_upstream, started_at: Instant::now(), open: RwLock::new(None) }
+        let health_check_upstream = Upstream::new(parts.background.clone());
+        Self { parts, health_check_upstream, started_at: Instant::now(), active: RwLock::new(None) }
     }
 
     /// Follows what the target says until `stop`.
@@ -132,10 +132,10 @@
             let view = changes.borrow_and_update().clone();
             evacuations.borrow_and_update();
             routing.borrow_and_update();
-            if let Some(open) = self.take(view) {
-                self.parts.background.spawn(looks::run(Arc::clone(&self), open));
+            if let Some(active) = self.update_target(view) {
+                self.parts.background.spawn(health_checks::run(Arc::clone(&self), active));
             }
-            self.follow_cold_bound();
+            self.update_cold_bound();
             tokio::select! {
                 () = stop.cancelled() => break,
                 () = self.parts.leaving.cancelled() => break,
@@ -145,96 +145,99 @@
             }
         }
         // Whatever waits goes elsewhere; what runs ends by itself.
-        self.take(None);
+        self.update_target(None);
         stop.cancelled().await;
-        if let Some(open) = self.open.read().as_ref() {
-            open.stop.cancel();
+        if let Some(active) = self.active.read().as_ref() {
+            active.stop.cancel();
         }
     }
 
     /// Requests running on the target.
     pub fn running(&self) -> usize {
-        self.open.read().as_ref().map_or(0, |open| open.slots.running())
+        self.active.read().as_ref().map_or(0, |active| active.slots.running())
     }
 
     /// Answers one request: the target's answer, or a refusal with what is proved.
-    pub async fn handle(&self, mut work: GateWork) -> Result<Response<CallBody>, Refusal> {
-        let result = self.run(&mut work).await;
+    pub async fn handle(&self, mut request: GateRequest) -> Result<Response<CallBody>, Refusal> {
+        let result = self.run(&mut request).await;
         if let Err(refusal) = &result {
-            self.note(&work, refusal);
+            self.log_refusal(&request, refusal);
         }
         result
     }
 
     /// What this gate tells of itself with each answer.
-    pub fn word(&self) -> GateWord {
-        let load = self.open.read().as_ref().map(|open| open.slots.load());
+    pub fn status(&self) -> GateWord {
+        let load = self.active.read().as_ref().map(|active| active.slots.load());
         let idle =
             GateLoad { running: 0, waiting: 0, limit: 1, mean_work: Duration::ZERO, slowness: 1.0 };
         GateWord { load: load.unwrap_or(idle), routing_version: self.parts.routing.version() }
     }
 
     /// Puts what this gate tells of itself into an answer for another daemon.
-    pub fn stamp(&self, answer: &mut Response<CallBody>) {
-        forwarding::set(answer.headers_mut(), GATE_WORD, &self.word().to_string());
+    pub fn add_status_header(&self, response: &mut Response<CallBody>) {
+        forwarding::set(response.headers_mut(), GATE_WORD, &self.status().to_string());
     }
 
-    async fn run(&self, work: &mut GateWork) -> Result<Response<CallBody>, Refusal> {
-        let open = self.open_for(work)?;
-        let fingerprint = work.fingerprint();
+    async fn run(&self, request: &mut GateRequest) -> Result<Response<CallBody>, Refusal> {
+        let active = self.active_target_for(request)?;
+        let fingerprint = request.fingerprint();
         if self.parts.crashes.is_barred(fingerprint) {
-            return Err(Refusal::not_run(Reason::Quarantined).with_retry_after(BARRED_RETRY_AFTER));
+            return Err(
+                Refusal::not_run(Reason::Quarantined).with_retry_after(QUARANTINED_RETRY_AFTER)
+            );
         }
         let offered_at = Instant::now();
-        let lease = open.slots.admit(work.work()).await.map_err(refused)?;
+        let lease = active.slots.admit(request.work()).await.map_err(admission_refusal)?;
         let queued = offered_at.elapsed();
-        work.queued = Some(queued);
+        request.queued = Some(queued);
         self.parts.metrics.queued(queued);
         // The target may have said meanwhile that it leaves, or operators that it is to get nothing.
-        self.check_open(&open)?;
-        let handed_over_at = Instant::now();
-        let answer = Exchange { gate: self, open: &open, lease }.run(work).await;
-        match &answer {
-            Ok(_) => self.parts.crashes.answered(fingerprint),
+        self.check_available(&active)?;
+        let dispatched_at = Instant::now();
+        let response = Exchange { gate: self, active: &active, lease }.run(request).await;
+        match &response {
+            Ok(_) => self.parts.crashes.record_response(fingerprint),
             Err(refusal) if refusal.reason == Reason::Broken => {
-                self.parts.crashes.look(Arc::clone(&open.view), fingerprint);
+                self.parts.crashes.check_target(Arc::clone(&active.view), fingerprint);
             }
             Err(_) => {}
         }
-        self.parts.metrics.target_took(handed_over_at.elapsed());
-        answer
+        self.parts.metrics.target_took(dispatched_at.elapsed());
+        response
     }
 
-    fn open_for(&self, work: &GateWork) -> Result<Arc<OpenTarget>, Refusal> {
-        let away = |reason| Refusal::not_run(reason).with_retry_after(AWAY_RETRY_AFTER);
+    fn active_target_for(&self, request: &GateRequest) -> Result<Arc<ActiveTarget>, Refusal> {
+        let reject = |reason| Refusal::not_run(reason).with_retry_after(UNAVAILABLE_RETRY_AFTER);
         if self.parts.leaving.is_cancelled() {
-            return Err(away(Reason::Draining));
+            return Err(reject(Reason::Draining));
         }
-        let open = self.open.read().clone().ok_or_else(|| away(Reason::NotReady))?;
-        self.check_open(&open)?;
+        let active = self.active.read().clone().ok_or_else(|| reject(Reason::NotReady))?;
+        self.check_available(&active)?;
         if self.is_evacuated() {
-            return Err(away(Reason::Evacuated));
+            return Err(reject(Reason::Evacuated));
         }
-        if open.view.service != work.hop.service {
-            return Err(away(Reason::OtherService));
+        if active.view.service != request.hop.service {
+            return Err(reject(Reason::OtherService));
         }
-        Ok(open)
+        Ok(active)
     }
 
-    fn check_open(&self, open: &OpenTarget) -> Result<(), Refusal> {
-        let away = |reason| Err(Refusal::not_run(reason).with_retry_after(AWAY_RETRY_AFTER));
+    fn check_available(&self, active: &ActiveTarget) -> Result<(), Refusal> {
+        let reject =
+            |reason| Err(Refusal::not_run(reason).with_retry_after(UNAVAILABLE_RETRY_AFTER));
         let current = self.parts.target.current();
         match current {
-            None => return away(Reason::Draining),
-            Some(view) if !view.is_same_life(&open.view) => return away(Reason::NotReady),
-            Some(view) if view.phase == TargetPhase::Draining => return away(Reason::Draining),
+            None => return reject(Reason::Draining),
+            Some(view) if !view.is_same_life(&active.view) => return reject(Reason::NotReady),
+            Some(view) if view.phase == TargetPhase::Draining => return reject(Reason::Draining),
             Some(_) => {}
         }
         if self.is_evacuated() {
-            return away(Reason::Evacuated);
+            return reject(Reason::Evacuated);
         }
-        if open.is_unreachable.load(Ordering::Acquire) {
-            return away(Reason::Unreachable);
+        if active.is_unreachable.load(Ordering::Acquire) {
+            return reject(Reason::Unreachable);
         }
         Ok(())
     }
@@ -243,39 +246,39 @@
     ///
     /// Failure: a target's process hangs with its port open, and each request that finds it so waits
     /// for a connection in vain.
-    fn lost(&self, open: &Arc<OpenTarget>) {
-        if open.is_unreachable.swap(true, Ordering::AcqRel) {
+    fn mark_unreachable(&self, active: &Arc<ActiveTarget>) {
+        if active.is_unreachable.swap(true, Ordering::AcqRel) {
             return;
         }
         self.parts.counters.add("gate.target_unreachable");
         self.parts.events.write(|| TargetLost {
-            target: open.view.target.clone(),
-            address: open.view.address.to_string(),
+            target: active.view.target.clone(),
+            address: active.view.address.to_string(),
         });
-        let (open, events) = (Arc::clone(open), self.parts.events.clone());
+        let (active, events) = (Arc::clone(active), self.parts.events.clone());
         self.parts.background.spawn(async move {
             tokio::select! {
-                () = open.stop.cancelled() => {}
-                () = open.until_reached() => {
-                    open.is_unreachable.store(false, Ordering::Release);
-                    events.write(|| TargetRegained { target: open.view.target.clone() });
+                () = active.stop.cancelled() => {}
+                () = active.wait_until_reachable() => {
+                    active.is_unreachable.store(false, Ordering::Release);
+                    events.write(|| TargetRegained { target: active.view.target.clone() });
                 }
             }
         });
     }
 
     /// Takes in what the target says; returns a target that is new.
-    fn take(&self, view: Option<Arc<TargetView>>) -> Option<Arc<OpenTarget>> {
-        let mut open = self.open.write();
-        let takes_work =
+    fn update_target(&self, view: Option<Arc<TargetView>>) -> Option<Arc<ActiveTarget>> {
+        let mut active = self.active.write();
+        let is_accepting =
             |view: &Arc<TargetView>| view.phase == TargetPhase::Ready && !self.is_evacuated();
-        let Some(view) = view.filter(takes_work) else {
-            if let Some(old) = open.as_ref() {
+        let Some(view) = view.filter(is_accepting) else {
+            if let Some(old) = active.as_ref() {
                 old.slots.change(|queue, now| queue.leave(now));
             }
             return None;
         };
-        if let Some(old) = open.as_ref().filter(|old| old.view.is_same_life(&view)) {
+        if let Some(old) = active.as_ref().filter(|old| old.view.is_same_life(&view)) {
             old.slots.change(|queue, now| {
                 queue.stay();
                 queue.set_slots(now, view.slots);
@@ -286,7 +289,7 @@
             return None;
         }
         let mut cold_rate = ColdRate::new(self.started_at);
-        if let Some(old) = open.take() {
+        if let Some(old) = active.take() {
             old.slots.change(|queue, now| queue.leave(now));
             // A target that starts again at the same address is the same one to the operators' bound.
             cold_rate = old.slots.read(|queue| queue.cold_rate().clone());
@@ -301,15 +304,15 @@
             life: view.life,
             slots: view.slots,
         });
-        let taken_in = Arc::new(self.open_target(view, cold_rate));
-        *open = Some(Arc::clone(&taken_in));
-        Some(taken_in)
+        let added = Arc::new(self.activate_target(view, cold_rate));
+        *active = Some(Arc::clone(&added));
+        Some(added)
     }
 
     /// Path on which the target tells its load, by the routing table.
-    fn load_path(&self, open: &OpenTarget) -> Option<String> {
+    fn load_path(&self, active: &ActiveTarget) -> Option<String> {
         let routing = self.parts.routing.current()?;
-        routing.service(&open.view.service).map(|service| service.load_path.clone())
+        routing.service(&active.view.service).map(|service| service.load_path.clone())
     }
 
     /// Whether operators want the targets of this failure domain to get nothing.
@@ -317,33 +320,33 @@
         self.parts.evacuations.is_evacuated(&self.parts.settings.current().failure_domain)
     }
 
-    fn open_target(&self, view: Arc<TargetView>, cold_rate: ColdRate) -> OpenTarget {
+    fn activate_target(&self, view: Arc<TargetView>, cold_rate: ColdRate) -> ActiveTarget {
         let slots = WorkSlots::new(view.slots, cold_rate, self.parts.decisions);
         let stop = CancellationToken::new();
         self.parts.background.spawn(slots.clone().run_clock(stop.clone()));
-        OpenTarget {
+        ActiveTarget {
             view,
             slots,
             stop,
             is_unreachable: AtomicBool::new(false),
-            kept: KeptConnections::default(),
+            pooled: PooledConnections::default(),
         }
     }
 
-    fn note(&self, work: &GateWork, refusal: &Refusal) {
+    fn log_refusal(&self, request: &GateRequest, refusal: &Refusal) {
         self.parts.counters.add_reason(REFUSED, refusal.reason.as_str());
         self.parts.events.write(|| {
-            let load = self.word().load;
+            let load = self.status().load;
             GateRefused {
-                request: text(work.request_id()),
-                attempt: format!("{:032x}", work.hop.attempt),
-                service: work.hop.service.clone(),
-                rank: work.hop.rank,
+                request: header_text(request.request_id()),
+                attempt: format!("{:032x}", request.hop.attempt),
+                service: request.hop.service.clone(),
+                rank: request.hop.rank,
                 reason: refusal.reason.as_str(),
                 outcome: refusal.outcome.as_str(),
-                left_ms: whole_ms(work.deadline.left(Instant::now())),
-                here_ms: whole_ms(work.came_at.elapsed()),
-                queued_ms: work.queued.map(whole_ms),
+                left_ms: millis(request.deadline.left(Instant::now())),
+                here_ms: millis(request.came_at.elapsed()),
+                queued_ms: request.queued.map(millis),
                 running: load.running,
                 waiting: load.waiting,
                 limit: load.limit,
@@ -353,33 +356,33 @@
     }
 }
 
-impl OpenTarget {
-    async fn until_reached(&self) {
+impl ActiveTarget {
+    async fn wait_until_reachable(&self) {
         loop {
-            sleep(LOOK_INTERVAL).await;
-            if is_listening(self.view.address, LOOK_TIMEOUT).await {
+            sleep(RECONNECT_INTERVAL).await;
+            if is_listening(self.view.address, CONNECT_TIMEOUT).await {
                 return;
             }
         }
     }
 }
 
-fn refused(refused: Refused) -> Refusal {
+fn admission_refusal(refused: Refused) -> Refusal {
     Refusal::not_run(Reason::Admission(refused.reason.as_str()))
         .with_retry_after(refused.retry_after)
 }
 
 /// A time for a log line.
-fn whole_ms(time: Duration) -> u64 {
+fn millis(time: Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
 
 /// A header's value for a log line.
-fn text(value: Option<&http::HeaderValue>) -> String {
+fn header_text(value: Option<&http::HeaderValue>) -> String {
     value.map_or_else(String::new, |value| String::from_utf8_lossy(value.as_bytes()).into_owned())
 }
 
 /// Whether an answer's body is in a form that no target was asked for.
-fn is_encoded(answer: &Response<CallBody>) -> bool {
-    answer.headers().contains_key(header::CONTENT_ENCODING)
+fn is_encoded(response: &Response<CallBody>) -> bool {
+    response.headers().contains_key(header::CONTENT_ENCODING)
 }
--- a/crates/yuccarackd/src/coordination/routed/gate/work.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/request.rs
@@ -17,7 +17,7 @@
 };
 
 /// One routed request at a gate.
-pub struct GateWork {
+pub struct GateRequest {
     /// What its entry says.
     pub hop: Hop,
     /// When nobody waits for it any more.
@@ -34,7 +34,7 @@
     pub body: SendableBody,
 }
 
-impl GateWork {
+impl GateRequest {
     /// Takes a request in that came at `now`.
     pub fn new(now: Instant, hop: Hop, mut parts: Parts, body: SendableBody) -> Self {
         forwarding::strip_hop_by_hop(&mut parts.headers);
--- a/crates/yuccarackd/src/coordination/routed/gate/door.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/server.rs
@@ -4,7 +4,7 @@
 
 use http::{HeaderValue, Request, Response, header, request::Parts};
 
-use super::{Gate, GateWork};
+use super::{Gate, GateRequest};
 use crate::{
     coordination::routed::peers::Peers,
     protocol::{
@@ -17,56 +17,56 @@
 };
 
 /// Largest body that is read before its request is offered to the target.
-pub const KEPT_MAX_BYTES: usize = 64 * 1024;
+pub const BUFFERED_BODY_MAX_BYTES: usize = 64 * 1024;
 
 /// Where other daemons reach the gate.
-pub struct GateDoor {
+pub struct GateServer {
     gate: Arc<Gate>,
     peers: Peers,
 }
 
-impl GateDoor {
+impl GateServer {
     /// Opens `gate` to other daemons and answers their questions from `peers`.
     pub fn new(gate: Arc<Gate>, peers: Peers) -> Self {
         Self { gate, peers }
     }
 
-    async fn run(&self, parts: Parts, body: CallBody) -> Result<Response<CallBody>, Refusal> {
+    async fn forward(&self, parts: Parts, body: CallBody) -> Result<Response<CallBody>, Refusal> {
         let now = Instant::now();
-        let hop = hop(&parts).ok_or(Refusal::not_run(Reason::BadRequest))?;
+        let hop = parse_hop(&parts).ok_or(Refusal::not_run(Reason::BadRequest))?;
         self.peers.heard_version(hop.sender, hop.routing_version);
         self.peers.heard_sender(hop.sender);
-        let read = SendableBody::read(&parts, body, KEPT_MAX_BYTES).await;
+        let read = SendableBody::read(&parts, body, BUFFERED_BODY_MAX_BYTES).await;
         let body = read.map_err(|_| Refusal::not_run(Reason::CallerBodyCut))?;
-        self.gate.handle(GateWork::new(now, hop, parts, body)).await
+        self.gate.handle(GateRequest::new(now, hop, parts, body)).await
     }
 }
 
-impl CallHandler for GateDoor {
+impl CallHandler for GateServer {
     async fn handle(
         self: Arc<Self>,
         _arrival: Arrival,
         request: Request<CallBody>,
     ) -> Response<CallBody> {
-        if let Some(question) = NewsQuestion::from_headers(request.headers()) {
-            return self.peers.answer(question);
+        if let Some(query) = NewsQuestion::from_headers(request.headers()) {
+            return self.peers.answer(query);
         }
-        if let Some(word) = request.headers().get(CRASHED) {
-            self.gate.parts.crashes.heard(word);
+        if let Some(report) = request.headers().get(CRASHED) {
+            self.gate.parts.crashes.receive_report(report);
             return Response::new(crate::protocol::body::empty());
         }
         let (parts, body) = request.into_parts();
-        let answer = self.run(parts, body).await;
-        let mut answer = answer.unwrap_or_else(Refusal::into_routed_answer);
-        self.gate.stamp(&mut answer);
+        let response = self.forward(parts, body).await;
+        let mut response = response.unwrap_or_else(Refusal::into_routed_answer);
+        self.gate.add_status_header(&mut response);
         if self.gate.parts.leaving.is_cancelled() {
             let close = HeaderValue::from_static("close");
-            answer.headers_mut().insert(header::CONNECTION, close);
+            response.headers_mut().insert(header::CONNECTION, close);
         }
-        answer
+        response
     }
 }
 
-fn hop(parts: &Parts) -> Option<Hop> {
+fn parse_hop(parts: &Parts) -> Option<Hop> {
     parts.headers.get(HOP)?.to_str().ok()?.parse().ok()
 }
--- a/crates/yuccarackd/src/coordination/routed/gate/work_slots.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/work_slots.rs
@@ -15,7 +15,7 @@
 };
 
 /// Wait when nothing is due; the next request that waits wakes the clock anyway.
-const IDLE_WAIT: std::time::Duration = std::time::Duration::from_secs(60);
+const IDLE_WAKE_INTERVAL: std::time::Duration = std::time::Duration::from_secs(60);
 
 /// What a waiting request is told.
 type Settlement = Result<RunningKey, Refused>;
@@ -33,7 +33,7 @@
     /// Wakes who waits for work to begin.
     started: Notify,
     /// Wakes who asks the target whether it is cold.
-    look_wanted: Notify,
+    health_check_wanted: Notify,
 }
 
 struct State {
@@ -51,7 +51,7 @@
                 state: Mutex::new(state),
                 changed: Notify::new(),
                 started: Notify::new(),
-                look_wanted: Notify::new(),
+                health_check_wanted: Notify::new(),
             }),
         }
     }
@@ -62,7 +62,7 @@
         let now = Instant::now();
         let result = change(&mut state.queue, now);
         state.settle(now);
-        self.shared.note_look(&state.queue);
+        self.shared.wake_due_health_check(&state.queue);
         result
     }
 
@@ -71,14 +71,14 @@
     /// # Errors
     ///
     /// Why it gets none; nothing of the request has run.
-    pub async fn admit(&self, work: Work) -> Result<WorkLease, Refused> {
+    pub async fn admit(&self, work: Work) -> Result<SlotLease, Refused> {
         let (key, settled) = {
             let mut state = self.shared.state.lock();
             match state.queue.offer(Instant::now(), work) {
                 Offered::Run(key) => {
                     self.shared.started.notify_waiters();
-                    self.shared.note_look(&state.queue);
-                    return Ok(WorkLease::new(self.clone(), key));
+                    self.shared.wake_due_health_check(&state.queue);
+                    return Ok(SlotLease::new(self.clone(), key));
                 }
                 Offered::Refused(refused) => return Err(refused),
                 Offered::Wait(key) => {
@@ -89,7 +89,7 @@
             }
         };
         self.shared.changed.notify_one();
-        Place { slots: self.clone(), key, settled, is_settled: false }.settle().await
+        Waiter { slots: self.clone(), key, settled, is_settled: false }.settle().await
     }
 
     /// The load as other daemons are told.
@@ -97,9 +97,9 @@
         let state = self.shared.state.lock();
         let (queue, now) = (&state.queue, Instant::now());
         GateLoad {
-            running: saturate(queue.running()),
-            waiting: saturate(queue.waiting()),
-            limit: saturate(queue.limit_at(now)),
+            running: saturating_u16(queue.running()),
+            waiting: saturating_u16(queue.waiting()),
+            limit: saturating_u16(queue.limit_at(now)),
             mean_work: queue.mean_work(),
             slowness: queue.pace().at(now),
         }
@@ -116,8 +116,8 @@
     }
 
     /// Waits until the target is to be asked whether it is cold.
-    pub fn look_wanted(&self) -> Notified<'_> {
-        self.shared.look_wanted.notified()
+    pub fn health_check_wanted(&self) -> Notified<'_> {
+        self.shared.health_check_wanted.notified()
     }
 
     /// Requests that run.
@@ -129,7 +129,7 @@
     pub async fn run_clock(self, stop: CancellationToken) {
         loop {
             let next = self.shared.state.lock().queue.next_wake(Instant::now());
-            let due = next.unwrap_or_else(|| Instant::now() + IDLE_WAIT);
+            let due = next.unwrap_or_else(|| Instant::now() + IDLE_WAKE_INTERVAL);
             tokio::select! {
                 () = tokio::time::sleep_until(due.into()) => self.change(|_, _| ()),
                 () = self.shared.changed.notified() => {}
@@ -140,10 +140,10 @@
 }
 
 impl Shared {
-    fn note_look(&self, queue: &WorkQueue) {
+    fn wake_due_health_check(&self, queue: &WorkQueue) {
         let now = Instant::now();
         if queue.cold_rate().look_due_at(now).is_some_and(|due_at| due_at <= now) {
-            self.look_wanted.notify_one();
+            self.health_check_wanted.notify_one();
         }
     }
 }
@@ -156,41 +156,41 @@
             if settled.is_empty() {
                 return;
             }
-            for one in settled {
-                self.tell(now, one);
+            for settled_request in settled {
+                self.notify_waiter(now, settled_request);
             }
         }
     }
 
-    fn tell(&mut self, now: Instant, settled: Settled) {
+    fn notify_waiter(&mut self, now: Instant, settled: Settled) {
         let (waiting, settlement) = match settled {
             Settled::Run(waiting, run) => (waiting, Ok(run)),
             Settled::Refused(waiting, refused) => (waiting, Err(refused)),
         };
-        let untaken = match self.waiting.remove(&waiting) {
+        let undelivered = match self.waiting.remove(&waiting) {
             Some(sender) => sender.send(settlement).err(),
             None => Some(settlement),
         };
-        if let Some(Ok(run)) = untaken {
+        if let Some(Ok(run)) = undelivered {
             self.queue.release(now, run, RunEnd::Other);
         }
     }
 }
 
 /// A place among those that wait, taken back when its caller leaves.
-struct Place {
+struct Waiter {
     slots: WorkSlots,
     key: WaitingKey,
     settled: oneshot::Receiver<Settlement>,
     is_settled: bool,
 }
 
-impl Place {
-    async fn settle(mut self) -> Result<WorkLease, Refused> {
+impl Waiter {
+    async fn settle(mut self) -> Result<SlotLease, Refused> {
         let settlement = (&mut self.settled).await;
         self.is_settled = true;
         match settlement {
-            Ok(Ok(run)) => Ok(WorkLease::new(self.slots.clone(), run)),
+            Ok(Ok(run)) => Ok(SlotLease::new(self.slots.clone(), run)),
             Ok(Err(refused)) => Err(refused),
             // The slots end with their target.
             Err(_) => Err(Refused {
@@ -201,7 +201,7 @@
     }
 }
 
-impl Drop for Place {
+impl Drop for Waiter {
     /// Failure: a caller leaves after its slot was given to it and before it has heard so. Nobody
     /// would know of the slot, and after as many of them as it has a target gets nothing more.
     fn drop(&mut self) {
@@ -220,30 +220,30 @@
 }
 
 /// A slot that a request holds; given back when it is dropped.
-pub struct WorkLease {
+pub struct SlotLease {
     slots: WorkSlots,
     key: RunningKey,
     end: RunEnd,
 }
 
-impl WorkLease {
+impl SlotLease {
     fn new(slots: WorkSlots, key: RunningKey) -> Self {
         Self { slots, key, end: RunEnd::Other }
     }
 
     /// Gives the slot back after a whole answer.
-    pub fn answered(mut self) {
+    pub fn finish(mut self) {
         self.end = RunEnd::Answered;
     }
 }
 
-impl Drop for WorkLease {
+impl Drop for SlotLease {
     fn drop(&mut self) {
         let (key, end) = (self.key, self.end);
         self.slots.change(|queue, now| queue.release(now, key, end));
     }
 }
 
-fn saturate(count: usize) -> u16 {
+fn saturating_u16(count: usize) -> u16 {
     u16::try_from(count).unwrap_or(u16::MAX)
 }
--- a/crates/yuccarackd/src/daemon/routed/wiring.rs
+++ b/crates/yuccarackd/src/daemon/routed/wiring.rs
@@ -14,7 +14,7 @@
         entry::{RoutedEntry, RoutedEntryParts},
         events::EventLog,
         follow::{Follower, StoreAnswers},
-        gate::{Crashes, CrashesParts, Gate, GateDoor, GateParts},
+        gate::{CrashTracker, CrashTrackerParts, Gate, GateParts, GateServer},
         metrics_door::MetricsDoor,
         peers::{Peers, PeersParts},
         publish::Publisher,
@@ -68,7 +68,7 @@
             routing: self.routing.clone(),
             evacuations: self.evacuations.clone(),
             settings: self.settings.clone(),
-            crashes: Crashes::new(CrashesParts {
+            crashes: CrashTracker::new(CrashTrackerParts {
                 settings: self.settings.clone(),
                 members: self.members.clone(),
                 upstream: self.upstream.clone(),
@@ -242,7 +242,7 @@
         self.metrics.tell("members_serving", help, move || count(members.serving()));
         let calls = self.server(listeners.calls, "entry");
         tasks.rest.spawn(calls.run(entry, tasks.calls.clone(), stops.calls.clone()));
-        let door = Arc::new(GateDoor::new(Arc::clone(gate), peers));
+        let door = Arc::new(GateServer::new(Arc::clone(gate), peers));
         let gates = self.server(listeners.gate, "gate");
         tasks.rest.spawn(gates.run(door, tasks.gate.clone(), stops.gate.clone()));
         let control = Arc::new(ControlDoor {
