--- a/crates/yuccarackd/src/coordination/routed/catch_up.rs
+++ b/crates/yuccarackd/src/coordination/routed/catch_up.rs
@@ -6,8 +6,8 @@
 use yuccarack_config::routing::RoutingVersion;
 
 use super::{
-    follow::Follower,
-    peers::{NewerTable, Peers},
+    peers::{NewerTableNotice, Peers},
+    store_follower::StoreFollower,
 };
 use crate::{coordination::jitter::jittered, state::routed::news_source::NewsSource};
 
@@ -27,7 +27,7 @@
 /// link, and neither ends in time.
 pub struct CatchUp {
     peers: Peers,
-    follower: Follower,
+    follower: StoreFollower,
 }
 
 /// Where a table is fetched.
@@ -39,15 +39,15 @@
 
 impl CatchUp {
     /// Fetches from the store that `follower` reads, and from `peers`.
-    pub fn new(peers: Peers, follower: Follower) -> Self {
+    pub fn new(peers: Peers, follower: StoreFollower) -> Self {
         Self { peers, follower }
     }
 
     /// Runs until it is dropped.
     pub async fn run(self) {
         loop {
-            let newer = self.peers.newer_table().await;
-            if !newer.is_left_out && self.follower.news.source() != NewsSource::Nobody {
+            let newer = self.peers.next_newer_table().await;
+            if !newer.is_omitted && self.follower.news.source() != NewsSource::Nobody {
                 self.wait_for_news(newer.version).await;
             }
             self.fetch(newer).await;
@@ -63,8 +63,8 @@
     }
 
     /// Tries until the newest version that is known of is in force.
-    async fn fetch(&self, newer: NewerTable) {
-        let first = if newer.is_left_out { Source::Store } else { Source::Peer };
+    async fn fetch(&self, newer: NewerTableNotice) {
+        let first = if newer.is_omitted { Source::Store } else { Source::Peer };
         let mut source = first;
         let mut address = Some(newer.address);
         let mut retry = RETRY_FIRST;
@@ -73,9 +73,11 @@
             let is_on_its_way = self.follower.transfers.make_progress();
             match source {
                 Source::Store if is_on_its_way => {}
-                Source::Store => self.follower.read_routing().await,
+                Source::Store => self.follower.fetch_routing_table().await,
                 Source::Peer => {
-                    if let Some(address) = address.take().or_else(|| self.peers.any_newer()) {
+                    if let Some(address) =
+                        address.take().or_else(|| self.peers.choose_newer_source())
+                    {
                         self.peers.fetch_routing(address).await;
                     }
                 }
--- a/crates/yuccarackd/src/coordination/routed/control_door.rs
+++ b/crates/yuccarackd/src/coordination/routed/control_server.rs
@@ -18,7 +18,7 @@
 
 use super::{
     events::EventLog,
-    lines::{ClockUnusable, HeartbeatHeard, HeartbeatKeptOut, TargetLeaves},
+    log_lines::{ClockUnusable, HeartbeatReceived, HeartbeatRejected, TargetLeaving},
 };
 use crate::{
     protocol::body::{self, CallBody},
@@ -39,7 +39,7 @@
 const BODY_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Answers the target and the platform.
-pub struct ControlDoor {
+pub struct ControlServer {
     /// The target.
     pub target: RoutedTarget,
     /// The routing table in force.
@@ -52,7 +52,7 @@
     pub leaving: CancellationToken,
 }
 
-impl CallHandler for ControlDoor {
+impl CallHandler for ControlServer {
     async fn handle(
         self: Arc<Self>,
         _arrival: Arrival,
@@ -75,7 +75,7 @@
     }
 }
 
-impl ControlDoor {
+impl ControlServer {
     fn readiness(&self) -> StatusCode {
         if self.leaving.is_cancelled() || self.routing.version() == 0 {
             return StatusCode::SERVICE_UNAVAILABLE;
@@ -88,7 +88,7 @@
             Ok(heartbeat) => heartbeat,
             Err(error) => {
                 self.counters.add("heartbeat.unreadable");
-                self.events.write(|| HeartbeatKeptOut { cause: error.to_string() });
+                self.events.write(|| HeartbeatRejected { cause: error.to_string() });
                 return StatusCode::BAD_REQUEST;
             }
         };
@@ -101,7 +101,7 @@
         if heard == Heard::Same {
             return StatusCode::OK;
         }
-        self.events.write(|| HeartbeatHeard {
+        self.events.write(|| HeartbeatReceived {
             target,
             life,
             sequence,
@@ -133,12 +133,12 @@
             Ok(leave) => leave,
             Err(error) => {
                 self.counters.add("heartbeat.unreadable");
-                self.events.write(|| HeartbeatKeptOut { cause: error.to_string() });
+                self.events.write(|| HeartbeatRejected { cause: error.to_string() });
                 return StatusCode::BAD_REQUEST;
             }
         };
         let is_present = self.target.left(self.last_life(), &leave);
-        self.events.write(|| TargetLeaves { target: leave.target, life: leave.life, is_present });
+        self.events.write(|| TargetLeaving { target: leave.target, life: leave.life, is_present });
         StatusCode::OK
     }
 }
--- a/crates/yuccarackd/src/coordination/routed/deadline.rs
+++ b/crates/yuccarackd/src/coordination/routed/deadline.rs
@@ -10,24 +10,24 @@
 /// was slept through since the request came is taken off.
 #[derive(Clone, Copy, Debug)]
 pub struct CallDeadline {
-    by: Instant,
+    deadline: Instant,
     suspended_before: Duration,
 }
 
 impl CallDeadline {
-    /// A deadline at `by`, as seen now.
-    pub fn new(by: Instant) -> Self {
-        Self { by, suspended_before: suspended() }
+    /// A deadline at `deadline`, as seen now.
+    pub fn new(deadline: Instant) -> Self {
+        Self { deadline, suspended_before: suspended() }
     }
 
     /// When it is, with what was slept through taken off.
     pub fn at(&self) -> Instant {
-        let slept = suspended().saturating_sub(self.suspended_before);
-        self.by.checked_sub(slept).unwrap_or(self.by)
+        let suspended_since = suspended().saturating_sub(self.suspended_before);
+        self.deadline.checked_sub(suspended_since).unwrap_or(self.deadline)
     }
 
     /// Time left at `now`.
-    pub fn left(&self, now: Instant) -> Duration {
+    pub fn remaining(&self, now: Instant) -> Duration {
         self.at().saturating_duration_since(now)
     }
 }
--- a/crates/yuccarackd/src/coordination/routed/entry/call.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/call.rs
@@ -91,7 +91,7 @@
             attempt,
             service: self.service.clone(),
             kind: self.kind,
-            left_ms: millis(self.deadline.left(now)),
+            left_ms: millis(self.deadline.remaining(now)),
             on_time_left_ms: millis(self.on_time_by.saturating_duration_since(now)),
             rank: self.rank,
             is_repeatable: self.is_repeatable,
--- a/crates/yuccarackd/src/coordination/routed/entry/story.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/story.rs
@@ -7,7 +7,7 @@
 
 use super::{REFUSED, RoutedEntry, asked_gates::AskedGates};
 use crate::{
-    coordination::routed::lines::{CallAnswered, CallFailed},
+    coordination::routed::log_lines::{CallAnswered, CallFailed},
     protocol::{body::CallBody, refusal::Refusal},
 };
 
--- a/crates/yuccarackd/src/coordination/routed/entry/tries.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/tries.rs
@@ -18,7 +18,7 @@
 use crate::{
     coordination::{
         entry::fate::Fate,
-        routed::{gate::GateRequest, lines::TryEnded},
+        routed::{gate::GateRequest, log_lines::AttemptEnded},
     },
     protocol::{
         body::CallBody,
@@ -141,12 +141,12 @@
             is_repeatable: self.call.is_repeatable,
             ran_on: self.ran_on,
             targets_max: self.call.targets_max,
-            left: self.call.deadline.left(now),
+            left: self.call.deadline.remaining(now),
         });
         let is_again = decision.is_ok() && self.call.body.can_be_sent();
         let next = decision.err().map_or("another_gate", |no_more| no_more.as_str());
         if bad != EndedBadly::Refused {
-            self.entry.parts.events.write(|| TryEnded {
+            self.entry.parts.events.write(|| AttemptEnded {
                 request: self.call.id_text(),
                 gate: gate.member.instance.clone(),
                 ended: format!("{bad:?}"),
@@ -214,7 +214,7 @@
         let word: Option<GateWord> = word.and_then(|word| word.to_str().ok()?.parse().ok());
         if let Some(word) = word {
             self.service.told(Instant::now(), gate.key, word.load);
-            self.entry.parts.peers.heard_version(gate.address(), word.routing_version);
+            self.entry.parts.peers.note_version(gate.address(), word.routing_version);
         }
         match refusal_of(&answer) {
             Some(refusal) => Ended::Refused(refusal),
--- a/crates/yuccarackd/src/coordination/routed/events.rs
+++ b/crates/yuccarackd/src/coordination/routed/events.rs
@@ -5,7 +5,7 @@
 use parking_lot::Mutex;
 use slog::{BorrowedKV, Logger, Record, RecordLocation, RecordStatic};
 
-use super::lines::{LinesLeftOut, LogLine};
+use super::log_lines::{LinesDropped, LogLine};
 use crate::state::counters::Counters;
 
 /// Kinds of log lines, each with a number of lines a second of its own.
@@ -16,7 +16,7 @@
     /// A call got an answer of ours, or a target's failure.
     CallFailed,
     /// A try ended without a target's good answer.
-    TryEnded,
+    AttemptEnded,
     /// A gate turned a request away or got no whole answer.
     GateRefused,
     /// A call to or of the target's control interface.
@@ -24,7 +24,7 @@
     /// Another instance serves something else than before.
     MemberChanged,
     /// A routing table could not be fetched.
-    RoutingNotRead,
+    RoutingNotFetched,
     /// A relay tells, or no longer does; lost ones are asked again each second or so.
     Relay,
 }
@@ -32,11 +32,11 @@
 const KINDS: [EventKind; 8] = [
     EventKind::CallAnswered,
     EventKind::CallFailed,
-    EventKind::TryEnded,
+    EventKind::AttemptEnded,
     EventKind::GateRefused,
     EventKind::Heartbeat,
     EventKind::MemberChanged,
-    EventKind::RoutingNotRead,
+    EventKind::RoutingNotFetched,
     EventKind::Relay,
 ];
 
@@ -45,11 +45,11 @@
         match self {
             Self::CallAnswered => "call_answered",
             Self::CallFailed => "call_failed",
-            Self::TryEnded => "try_ended",
+            Self::AttemptEnded => "try_ended",
             Self::GateRefused => "gate_refused",
             Self::Heartbeat => "heartbeat",
             Self::MemberChanged => "member_changed",
-            Self::RoutingNotRead => "routing_not_read",
+            Self::RoutingNotFetched => "routing_not_read",
             Self::Relay => "relay",
         }
     }
@@ -60,8 +60,8 @@
         match self {
             Self::CallAnswered => 5.0,
             Self::CallFailed => 60.0,
-            Self::TryEnded | Self::GateRefused => 40.0,
-            Self::Heartbeat | Self::MemberChanged | Self::RoutingNotRead | Self::Relay => 5.0,
+            Self::AttemptEnded | Self::GateRefused => 40.0,
+            Self::Heartbeat | Self::MemberChanged | Self::RoutingNotFetched | Self::Relay => 5.0,
         }
     }
 }
@@ -107,11 +107,11 @@
     ///
     /// What was left out before is told in a line of its own first.
     pub fn write<L: LogLine>(&self, make: impl FnOnce() -> L) {
-        if let Some(kind) = L::BOUNDED_AS {
+        if let Some(kind) = L::RATE_LIMITED_AS {
             match self.take(kind) {
                 None => return,
                 Some(0) => {}
-                Some(count) => self.put(&LinesLeftOut { of: kind.as_str(), count }),
+                Some(count) => self.put(&LinesDropped { of: kind.as_str(), count }),
             }
         }
         self.put(&make());
--- a/crates/yuccarackd/src/coordination/routed/gate/cold.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/cold.rs
@@ -6,7 +6,7 @@
 
 use super::Gate;
 use crate::{
-    coordination::routed::{control_door::unix_ms, lines::ClockUnusable},
+    coordination::routed::{control_server::unix_ms, log_lines::ClockUnusable},
     state::routed::target::TargetView,
 };
 
--- a/crates/yuccarackd/src/coordination/routed/gate/crash_tracker.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/crash_tracker.rs
@@ -15,7 +15,7 @@
 use crate::{
     coordination::routed::{
         events::EventLog,
-        lines::{GateNotTold, TargetDied},
+        log_lines::{CrashReportNotSent, TargetDied},
     },
     protocol::{body, peer_news::CRASHED},
     state::{
@@ -138,7 +138,7 @@
                 timeout(REPORT_TIMEOUT, self.report_to_gate(member.gate_address, &report));
             if acknowledged.await != Ok(true) {
                 parts.counters.add("crashes.untold");
-                parts.events.write(|| GateNotTold { gate: member.instance.clone() });
+                parts.events.write(|| CrashReportNotSent { gate: member.instance.clone() });
             }
         }
     }
--- a/crates/yuccarackd/src/coordination/routed/gate/mod.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/mod.rs
@@ -32,7 +32,7 @@
 use self::{exchange::Exchange, pooled_connections::PooledConnections, work_slots::WorkSlots};
 use super::{
     events::EventLog,
-    lines::{GateRefused, TargetLost, TargetRegained, TargetTakenIn},
+    log_lines::{GateRefused, TargetAdmitted, TargetReachable, TargetUnreachable},
 };
 use crate::{
     protocol::{
@@ -251,7 +251,7 @@
             return;
         }
         self.parts.counters.add("gate.target_unreachable");
-        self.parts.events.write(|| TargetLost {
+        self.parts.events.write(|| TargetUnreachable {
             target: active.view.target.clone(),
             address: active.view.address.to_string(),
         });
@@ -261,7 +261,7 @@
                 () = active.stop.cancelled() => {}
                 () = active.wait_until_reachable() => {
                     active.is_unreachable.store(false, Ordering::Release);
-                    events.write(|| TargetRegained { target: active.view.target.clone() });
+                    events.write(|| TargetReachable { target: active.view.target.clone() });
                 }
             }
         });
@@ -298,7 +298,7 @@
         if view.is_cold {
             cold_rate.extend_cold_until(view.cold_until);
         }
-        self.parts.events.write(|| TargetTakenIn {
+        self.parts.events.write(|| TargetAdmitted {
             target: view.target.clone(),
             service: view.service.clone(),
             life: view.life,
@@ -344,7 +344,7 @@
                 rank: request.hop.rank,
                 reason: refusal.reason.as_str(),
                 outcome: refusal.outcome.as_str(),
-                left_ms: millis(request.deadline.left(Instant::now())),
+                left_ms: millis(request.deadline.remaining(Instant::now())),
                 here_ms: millis(request.came_at.elapsed()),
                 queued_ms: request.queued.map(millis),
                 running: load.running,
--- a/crates/yuccarackd/src/coordination/routed/gate/request.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/request.rs
@@ -83,7 +83,7 @@
         let map = request.headers_mut();
         map.clone_from(&self.parts.headers);
         forwarding::set(map, headers::MEANT_FOR, target);
-        let left_ms = self.deadline.left(Instant::now()).as_millis();
+        let left_ms = self.deadline.remaining(Instant::now()).as_millis();
         forwarding::set(map, headers::TIME_LEFT_MS, &left_ms.to_string());
         request
     }
--- a/crates/yuccarackd/src/coordination/routed/gate/server.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/server.rs
@@ -34,8 +34,8 @@
     async fn forward(&self, parts: Parts, body: CallBody) -> Result<Response<CallBody>, Refusal> {
         let now = Instant::now();
         let hop = parse_hop(&parts).ok_or(Refusal::not_run(Reason::BadRequest))?;
-        self.peers.heard_version(hop.sender, hop.routing_version);
-        self.peers.heard_sender(hop.sender);
+        self.peers.note_version(hop.sender, hop.routing_version);
+        self.peers.note_sender(hop.sender);
         let read = SendableBody::read(&parts, body, BUFFERED_BODY_MAX_BYTES).await;
         let body = read.map_err(|_| Refusal::not_run(Reason::CallerBodyCut))?;
         self.gate.handle(GateRequest::new(now, hop, parts, body)).await
@@ -49,7 +49,7 @@
         request: Request<CallBody>,
     ) -> Response<CallBody> {
         if let Some(query) = NewsQuestion::from_headers(request.headers()) {
-            return self.peers.answer(query);
+            return self.peers.respond(query);
         }
         if let Some(report) = request.headers().get(CRASHED) {
             self.gate.parts.crashes.receive_report(report);
--- a/crates/yuccarackd/src/coordination/routed/lines/calls.rs
+++ b/crates/yuccarackd/src/coordination/routed/log_lines/calls.rs
@@ -55,7 +55,7 @@
     }
 
     /// A try that may have run brought no good answer.
-    TryEnded = "try_ended", "try ended badly", Info, Some(EventKind::TryEnded);
+    AttemptEnded = "try_ended", "try ended badly", Info, Some(EventKind::AttemptEnded);
     {
         /// The caller's name of the request.
         request: String,
--- a/crates/yuccarackd/src/coordination/routed/lines/news.rs
+++ b/crates/yuccarackd/src/coordination/routed/log_lines/cluster_state.rs
@@ -32,7 +32,7 @@
     }
 
     /// An instance that was out of reach for long is taken for gone.
-    MemberEnded = "member_ended", "member's row ended", Warning, None;
+    MemberRowDeleted = "member_ended", "member's row ended", Warning, None;
     {
         /// The instance.
         member: String,
@@ -41,7 +41,7 @@
     }
 
     /// Its row could not be taken away; the next look tries again.
-    MemberNotEnded = "member_not_ended", "member's row not ended", Warning, None;
+    MemberRowNotDeleted = "member_not_ended", "member's row not ended", Warning, None;
     {
         /// The instance.
         member: String,
@@ -50,7 +50,7 @@
     }
 
     /// A row of the members' table could not be used.
-    MemberKeptOut = "member_kept_out", "member's row kept out", Warning, None;
+    MemberRowRejected = "member_kept_out", "member's row kept out", Warning, None;
     {
         /// The row's key.
         member: String,
@@ -74,7 +74,7 @@
     }
 
     /// Changes of the routing table that a peer sent can't be used; the whole table is fetched.
-    RoutingChangesRejected = "routing_changes_rejected", "changes of the routing table rejected", Warning, Some(EventKind::RoutingNotRead);
+    RoutingChangesRejected = "routing_changes_rejected", "changes of the routing table rejected", Warning, Some(EventKind::RoutingNotFetched);
     {
         /// Address of the peer.
         peer: String,
@@ -85,7 +85,7 @@
     }
 
     /// A field of the operators' document is missing or not understood, and was read in a safe sense.
-    RoutingSubstituted = "routing_substituted", "field of the operators' document substituted", Warning, None;
+    RoutingFieldSubstituted = "routing_substituted", "field of the operators' document substituted", Warning, None;
     {
         /// Version of the document.
         version: RoutingVersion,
@@ -100,7 +100,7 @@
     }
 
     /// The operators' document could not be used.
-    RoutingKeptOut = "routing_kept_out", "operators' document kept out", Warning, None;
+    RoutingDocumentRejected = "routing_kept_out", "operators' document kept out", Warning, None;
     {
         /// Revision of its row.
         revision: Revision,
@@ -111,7 +111,7 @@
     }
 
     /// A newer routing table could not be fetched from the store or a peer.
-    RoutingNotRead = "routing_not_read", "routing table not fetched", Warning, Some(EventKind::RoutingNotRead);
+    RoutingNotFetched = "routing_not_read", "routing table not fetched", Warning, Some(EventKind::RoutingNotFetched);
     {
         /// The store, or the address of a peer.
         from: String,
@@ -128,7 +128,7 @@
     }
 
     /// The store stopped answering.
-    StoreLost = "store_lost", "store lost", Warning, None;
+    StoreUnavailable = "store_lost", "store lost", Warning, None;
     {
         /// The table that was asked for.
         table: &'static str,
@@ -137,14 +137,14 @@
     }
 
     /// The store answers again.
-    StoreRegained = "store_regained", "store regained", Info, None;
+    StoreAvailable = "store_regained", "store regained", Info, None;
     {
         /// The table that was asked for.
         table: &'static str,
     }
 
     /// Another daemon of the failure domain tells of changes from now on.
-    RelayHeard = "relay_heard", "told by a relay", Info, Some(EventKind::Relay);
+    RelayConnected = "relay_heard", "told by a relay", Info, Some(EventKind::Relay);
     {
         /// Its instance.
         relay: String,
@@ -178,14 +178,14 @@
     }
 
     /// The row of this instance is gone.
-    RowTakenAway = "row_taken_away", "member row taken away", Info, None;
+    RowDeleted = "row_taken_away", "member row taken away", Info, None;
     {
         /// Revision of its end.
         revision: Revision,
     }
 
     /// It stands though its instance goes.
-    RowNotTakenAway = "row_not_taken_away", "member row not taken away", Warning, None;
+    RowNotDeleted = "row_not_taken_away", "member row not taken away", Warning, None;
     {
         /// Why.
         cause: String,
--- a/crates/yuccarackd/src/coordination/routed/lines/mod.rs
+++ b/crates/yuccarackd/src/coordination/routed/log_lines/mod.rs
@@ -13,14 +13,14 @@
     /// Its weight.
     const LEVEL: Level;
     /// Whose share of lines it takes; rare lines take none.
-    const BOUNDED_AS: Option<EventKind>;
+    const RATE_LIMITED_AS: Option<EventKind>;
     /// Names of its fields.
     const FIELDS: &'static [&'static str];
 }
 
 /// What of a line is known without its values, for the pages.
 #[derive(Clone, Copy, Debug)]
-pub struct LineForm {
+pub struct LineSchema {
     /// Name of its kind.
     pub event: &'static str,
     /// Names of its fields.
@@ -55,21 +55,21 @@
                 }
             }
 
-            impl $crate::coordination::routed::lines::LogLine for $name {
+            impl $crate::coordination::routed::log_lines::LogLine for $name {
                 const EVENT: &'static str = $event;
                 const TEXT: &'static str = $text;
                 const LEVEL: slog::Level = slog::Level::$level;
-                const BOUNDED_AS: Option<$crate::coordination::routed::events::EventKind> =
+                const RATE_LIMITED_AS: Option<$crate::coordination::routed::events::EventKind> =
                     $bounded_as;
                 const FIELDS: &'static [&'static str] = &[$(stringify!($field)),*];
             }
         )*
 
         /// The forms of these lines.
-        pub(super) const FORMS: &[$crate::coordination::routed::lines::LineForm] = &[
-            $($crate::coordination::routed::lines::LineForm {
-                event: <$name as $crate::coordination::routed::lines::LogLine>::EVENT,
-                fields: <$name as $crate::coordination::routed::lines::LogLine>::FIELDS,
+        pub(super) const SCHEMAS: &[$crate::coordination::routed::log_lines::LineSchema] = &[
+            $($crate::coordination::routed::log_lines::LineSchema {
+                event: <$name as $crate::coordination::routed::log_lines::LogLine>::EVENT,
+                fields: <$name as $crate::coordination::routed::log_lines::LogLine>::FIELDS,
             },)*
         ];
     };
@@ -77,13 +77,15 @@
 
 // After the macro that they use.
 mod calls;
-mod news;
+mod cluster_state;
 mod process;
 mod targets;
 
-pub use self::{calls::*, news::*, process::*, targets::*};
+pub use self::{calls::*, cluster_state::*, process::*, targets::*};
 
 /// All lines that a daemon for routed calls writes.
-pub fn all() -> impl Iterator<Item = &'static LineForm> {
-    [calls::FORMS, targets::FORMS, news::FORMS, process::FORMS].into_iter().flatten()
+pub fn all() -> impl Iterator<Item = &'static LineSchema> {
+    [calls::SCHEMAS, targets::SCHEMAS, cluster_state::SCHEMAS, process::SCHEMAS]
+        .into_iter()
+        .flatten()
 }
--- a/crates/yuccarackd/src/coordination/routed/lines/process.rs
+++ b/crates/yuccarackd/src/coordination/routed/log_lines/process.rs
@@ -2,14 +2,14 @@
 
 log_lines! {
     /// News for a peer could not be written.
-    NewsNotWritten = "news_not_written", "news not written", Warning, None;
+    UpdateNotEncoded = "news_not_written", "news not written", Warning, None;
     {
         /// Why.
         cause: String,
     }
 
     /// Metrics could not be written.
-    MetricsNotTold = "metrics_not_told", "metrics not told", Warning, None;
+    MetricsNotEncoded = "metrics_not_told", "metrics not told", Warning, None;
     {
         /// Why.
         cause: String,
@@ -46,7 +46,7 @@
     {}
 
     /// The time to stop is over.
-    StoppedHard = "stopped_hard", "stopped, and calls were cut off", Warning, None;
+    StoppedForcibly = "stopped_hard", "stopped, and calls were cut off", Warning, None;
     {
         /// Whether calls of callers were cut off.
         calls: bool,
@@ -57,21 +57,21 @@
     }
 
     /// Settings were read anew.
-    SettingsRead = "settings_read", "settings read anew", Info, None;
+    SettingsReloaded = "settings_read", "settings read anew", Info, None;
     {
         /// What changed.
         result: String,
     }
 
     /// Settings could not be read; the old ones hold.
-    SettingsKept = "settings_kept", "settings kept as they were", Warning, None;
+    SettingsNotReloaded = "settings_kept", "settings kept as they were", Warning, None;
     {
         /// Why.
         cause: String,
     }
 
     /// Lines of a kind were left out since its last one.
-    LinesLeftOut = "lines_left_out", "lines left out", Info, None;
+    LinesDropped = "lines_left_out", "lines left out", Info, None;
     {
         /// The kind.
         of: &'static str,
--- a/crates/yuccarackd/src/coordination/routed/lines/targets.rs
+++ b/crates/yuccarackd/src/coordination/routed/log_lines/targets.rs
@@ -6,7 +6,7 @@
 
 log_lines! {
     /// What a target says of itself changed.
-    HeartbeatHeard = "heartbeat", "heartbeat", Info, Some(EventKind::Heartbeat);
+    HeartbeatReceived = "heartbeat", "heartbeat", Info, Some(EventKind::Heartbeat);
     {
         /// The target.
         target: String,
@@ -23,7 +23,7 @@
     }
 
     /// A heartbeat could not be used.
-    HeartbeatKeptOut = "heartbeat_kept_out", "heartbeat kept out", Warning,
+    HeartbeatRejected = "heartbeat_kept_out", "heartbeat kept out", Warning,
         Some(EventKind::Heartbeat);
     {
         /// Why.
@@ -31,7 +31,7 @@
     }
 
     /// A target said that it goes.
-    TargetLeaves = "target_leaves", "target leaves", Info, Some(EventKind::Heartbeat);
+    TargetLeaving = "target_leaves", "target leaves", Info, Some(EventKind::Heartbeat);
     {
         /// The target.
         target: String,
@@ -42,7 +42,7 @@
     }
 
     /// A target is here and takes work.
-    TargetTakenIn = "target_taken_in", "target taken in", Info, None;
+    TargetAdmitted = "target_taken_in", "target taken in", Info, None;
     {
         /// The target.
         target: String,
@@ -55,7 +55,7 @@
     }
 
     /// The target can't be reached.
-    TargetLost = "target_lost", "target lost", Warning, None;
+    TargetUnreachable = "target_lost", "target lost", Warning, None;
     {
         /// The target.
         target: String,
@@ -64,7 +64,7 @@
     }
 
     /// The target can be reached again.
-    TargetRegained = "target_regained", "target regained", Info, None;
+    TargetReachable = "target_regained", "target regained", Info, None;
     {
         /// The target.
         target: String,
@@ -82,14 +82,14 @@
     }
 
     /// A gate could not be told of a death.
-    GateNotTold = "gate_not_told", "gate not told of a death", Info, None;
+    CrashReportNotSent = "gate_not_told", "gate not told of a death", Info, None;
     {
         /// The gate's instance.
         gate: String,
     }
 
     /// The word of a target that leaves is kept in the store.
-    LeavingKept = "leaving_kept", "leaving target kept", Info, None;
+    LeavingStored = "leaving_kept", "leaving target kept", Info, None;
     {
         /// The target; unset where it stays after all.
         target: Option<String>,
@@ -100,14 +100,14 @@
     }
 
     /// It is not kept yet.
-    LeavingNotKept = "leaving_not_kept", "leaving target not kept", Warning, None;
+    LeavingNotStored = "leaving_not_kept", "leaving target not kept", Warning, None;
     {
         /// Why.
         cause: String,
     }
 
     /// It is not known what an earlier process of this daemon was told.
-    LeavingNotLookedUp = "leaving_not_looked_up", "leaving target not looked up", Warning, None;
+    LeavingNotRead = "leaving_not_looked_up", "leaving target not looked up", Warning, None;
     {
         /// Why.
         cause: String,
--- a/crates/yuccarackd/src/coordination/routed/metrics_door.rs
+++ b/crates/yuccarackd/src/coordination/routed/metrics_server.rs
@@ -4,7 +4,7 @@
 
 use http::{HeaderValue, Method, Request, Response, StatusCode, header};
 
-use super::{events::EventLog, lines::MetricsNotTold};
+use super::{events::EventLog, log_lines::MetricsNotEncoded};
 use crate::{
     protocol::body::{self, CallBody},
     state::routed::metrics::Metrics,
@@ -18,14 +18,14 @@
 const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 /// Answers whoever reads metrics.
-pub struct MetricsDoor {
+pub struct MetricsServer {
     /// The metrics.
     pub metrics: Metrics,
     /// Log lines.
     pub events: EventLog,
 }
 
-impl CallHandler for MetricsDoor {
+impl CallHandler for MetricsServer {
     async fn handle(
         self: Arc<Self>,
         _arrival: Arrival,
@@ -42,7 +42,7 @@
                 answer
             }
             Err(error) => {
-                self.events.write(|| MetricsNotTold { cause: error.to_string() });
+                self.events.write(|| MetricsNotEncoded { cause: error.to_string() });
                 with_status(StatusCode::INTERNAL_SERVER_ERROR)
             }
         }
--- a/crates/yuccarackd/src/coordination/routed/mod.rs
+++ b/crates/yuccarackd/src/coordination/routed/mod.rs
@@ -1,18 +1,18 @@
 //! Calls that are routed by host and path: entry, gate, and what both are told.
 
 pub mod catch_up;
-pub mod control_door;
+pub mod control_server;
 pub mod deadline;
 pub mod entry;
 pub mod events;
-pub mod follow;
 pub mod gate;
-pub mod lines;
-pub mod metrics_door;
+pub mod log_lines;
+pub mod metrics_server;
 pub mod peers;
-pub mod publish;
 pub mod relay_follower;
-pub mod relay_lines;
+pub mod relay_stream;
 pub mod routing_packer;
+pub mod row_publisher;
 pub mod store_client;
+pub mod store_follower;
 pub mod sweeper;
--- a/crates/yuccarackd/src/coordination/routed/peers/intake.rs
+++ b/crates/yuccarackd/src/coordination/routed/peers/intake.rs
@@ -8,8 +8,8 @@
 use super::Peers;
 use crate::{
     coordination::routed::{
-        follow::whole_ms,
-        lines::{EvacuationChanged, MemberChanged, RoutingChangesRejected, RoutingInForce},
+        log_lines::{EvacuationChanged, MemberChanged, RoutingChangesRejected, RoutingInForce},
+        store_follower::whole_ms,
     },
     protocol::{
         packed_changes::{PackError, PackedChanges},
--- a/crates/yuccarackd/src/coordination/routed/peers/mod.rs
+++ b/crates/yuccarackd/src/coordination/routed/peers/mod.rs
@@ -2,7 +2,7 @@
 
 mod candidates;
 mod intake;
-mod newer;
+mod newer_table;
 
 use std::{
     net::SocketAddr,
@@ -22,11 +22,11 @@
 use yuccarack_config::ids::Revision;
 use yuccarack_platform::transfer::{TransferError, read_whole};
 
-pub use self::newer::NewerTable;
-use self::newer::NewerTables;
+pub use self::newer_table::NewerTableNotice;
+use self::newer_table::NewerTableNotices;
 use super::{
-    events::EventLog, follow::not_read, lines::NewsNotWritten, relay_lines::RelayLines,
-    routing_packer::RoutingPacker,
+    events::EventLog, log_lines::UpdateNotEncoded, relay_stream::RelayStream,
+    routing_packer::RoutingPacker, store_follower::not_read,
 };
 use crate::{
     coordination::jitter::jittered,
@@ -129,7 +129,7 @@
     packer: RoutingPacker,
     /// Daemons that sent requests here, for one that knows nobody else.
     senders: Mutex<Vec<SocketAddr>>,
-    newer: NewerTables,
+    newer: NewerTableNotices,
     /// Whether the last changes of a peer did not fit the own table; all routes are asked for then.
     asks_for_all_routes: AtomicBool,
     /// Held by the one question that is asked at a time.
@@ -140,7 +140,7 @@
     /// Works with `parts`.
     pub fn new(parts: PeersParts) -> Self {
         let packer = RoutingPacker::new(parts.routing.clone(), parts.events.clone());
-        let newer = NewerTables::new(parts.routing.clone());
+        let newer = NewerTableNotices::new(parts.routing.clone());
         let inner = Inner {
             parts,
             packer,
@@ -153,7 +153,7 @@
     }
 
     /// Takes word of a daemon that sent a request here.
-    pub fn heard_sender(&self, address: SocketAddr) {
+    pub fn note_sender(&self, address: SocketAddr) {
         let mut senders = self.inner.senders.lock();
         if senders.len() < SENDERS_MAX && !senders.contains(&address) {
             senders.push(address);
@@ -203,19 +203,19 @@
     }
 
     /// Answers the question of a peer.
-    pub fn answer(&self, question: Result<NewsQuestion, NewsQuestionError>) -> Response<CallBody> {
+    pub fn respond(&self, question: Result<NewsQuestion, NewsQuestionError>) -> Response<CallBody> {
         let parts = &self.inner.parts;
         let Ok(question) = question else {
             parts.counters.add("peers.unreadable");
             return status_only(StatusCode::BAD_REQUEST);
         };
         if question.is_lasting {
-            return Response::new(RelayLines::new(self.clone(), question).into_body());
+            return Response::new(RelayStream::new(self.clone(), question).into_body());
         }
         match serde_json::to_vec(&self.news_for(&question, parts.news.to_relay())) {
             Ok(text) => Response::new(body::full(text.into())),
             Err(error) => {
-                parts.events.write(|| NewsNotWritten { cause: error.to_string() });
+                parts.events.write(|| UpdateNotEncoded { cause: error.to_string() });
                 status_only(StatusCode::INTERNAL_SERVER_ERROR)
             }
         }
--- a/crates/yuccarackd/src/coordination/routed/relay_follower.rs
+++ b/crates/yuccarackd/src/coordination/routed/relay_follower.rs
@@ -10,11 +10,11 @@
 use yuccarack_policy::relays::{Standing, standing, store_look_interval};
 
 use super::{
-    follow::MEMBERS_TABLE,
-    lines::{RelayHeard, RelayLost},
+    log_lines::{RelayConnected, RelayLost},
     peers::Peers,
-    relay_lines::LINE_INTERVAL,
+    relay_stream::RELAY_KEEPALIVE_INTERVAL,
     store_client::StoreClient,
+    store_follower::MEMBERS_TABLE,
 };
 use crate::{
     coordination::jitter::jittered,
@@ -31,7 +31,7 @@
 
 /// Longest time without a line: two empty ones are missing, and a starved processor had 100 ms.
 const SILENCE_MAX: Duration =
-    LINE_INTERVAL.saturating_mul(2).saturating_add(Duration::from_millis(100));
+    RELAY_KEEPALIVE_INTERVAL.saturating_mul(2).saturating_add(Duration::from_millis(100));
 
 /// Longest wait for a relay's first line. With [`SILENCE_MAX`] it is 1.5 s until the store is asked
 /// again, so that a change is in force in time though the relay died with it.
@@ -292,19 +292,19 @@
             }
             let news: PeerNews = serde_json::from_slice(&line)?;
             let (known, version) = (news.known.clone(), news.routing_version);
-            let is_left_out = news.routing.is_none() && news.changes.is_none();
+            let is_omitted = news.routing.is_none() && news.changes.is_none();
             self.peers.take(address, news);
             // Fetched beside the lines, so that those which follow don't wait.
-            match is_left_out {
-                true => self.peers.note_left_out(address, version),
-                false => self.peers.heard_version(address, version),
+            match is_omitted {
+                true => self.peers.note_omitted_table(address, version),
+                false => self.peers.note_version(address, version),
             }
             // What it knows is true all the same, but there will be no more of it.
             let known = known.ok_or(RelayError::NoRelay)?;
             parts.news.heard_known(known, parts.routing.version() >= version);
             parts.news.set_asks_store(false);
             if parts.news.set_source(NewsSource::Relay) != NewsSource::Relay {
-                parts.events.write(|| RelayHeard { relay: relay.to_owned() });
+                parts.events.write(|| RelayConnected { relay: relay.to_owned() });
             }
             if self.standing() == Standing::Asks {
                 return Ok(());
--- a/crates/yuccarackd/src/coordination/routed/relay_lines.rs
+++ b/crates/yuccarackd/src/coordination/routed/relay_stream.rs
@@ -11,7 +11,7 @@
     time::{sleep, timeout},
 };
 
-use super::{lines::NewsNotWritten, peers::Peers};
+use super::{log_lines::UpdateNotEncoded, peers::Peers};
 use crate::{
     protocol::{
         body::CallBody,
@@ -24,7 +24,7 @@
 ///
 /// Failure: a relay is suspended or cut off, its connection stands, and those that it tells miss a
 /// change that has to be in force within 2 s. An empty line is some 90 bytes with its headers.
-pub const LINE_INTERVAL: Duration = Duration::from_millis(500);
+pub const RELAY_KEEPALIVE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Most routes in a whole table for a daemon that doesn't take changes; a route takes some 200 bytes.
 const WHOLE_ROUTES_MAX: usize = 100;
@@ -43,7 +43,7 @@
 const START_MAX_WITHOUT_ROUTES: Duration = Duration::from_millis(800);
 
 /// Lines for one daemon.
-pub struct RelayLines {
+pub struct RelayStream {
     peers: Peers,
     /// What it doesn't know yet.
     question: NewsQuestion,
@@ -55,7 +55,7 @@
     has_ended: bool,
 }
 
-impl RelayLines {
+impl RelayStream {
     /// Answers `question` from what `peers` knows.
     pub fn new(peers: Peers, question: NewsQuestion) -> Self {
         let parts = peers.parts();
@@ -99,7 +99,7 @@
             }
             Err(error) => {
                 let cause = error.to_string();
-                self.peers.parts().events.write(|| NewsNotWritten { cause });
+                self.peers.parts().events.write(|| UpdateNotEncoded { cause });
                 None
             }
         }
@@ -125,7 +125,7 @@
         let _ = timeout(start_max, started).await;
     }
 
-    /// Waits for something to tell; false if there is nothing within [`LINE_INTERVAL`].
+    /// Waits for something to tell; false if there is nothing within [`RELAY_KEEPALIVE_INTERVAL`].
     async fn changes(&mut self) -> bool {
         let leaving = self.peers.parts().leaving.clone();
         let change = async {
@@ -137,7 +137,7 @@
                 _ = self.source.changed() => {}
             }
         };
-        let is_changed = timeout(LINE_INTERVAL, change).await.is_ok();
+        let is_changed = timeout(RELAY_KEEPALIVE_INTERVAL, change).await.is_ok();
         if is_changed {
             // Not within the time for a change: cut off here, a change that was seen would never be
             // told.
--- a/crates/yuccarackd/src/coordination/routed/routing_packer.rs
+++ b/crates/yuccarackd/src/coordination/routed/routing_packer.rs
@@ -5,7 +5,7 @@
 use parking_lot::Mutex;
 use yuccarack_config::routing::RoutingVersion;
 
-use super::{events::EventLog, lines::NewsNotWritten};
+use super::{events::EventLog, log_lines::UpdateNotEncoded};
 use crate::{
     protocol::{packed_changes::PackedChanges, peer_news::SMALL_CHANGES_MAX_BYTES},
     state::routed::routing_state::RoutingState,
@@ -63,7 +63,7 @@
                 Some(changes)
             }
             Err(error) => {
-                self.events.write(|| NewsNotWritten { cause: error.to_string() });
+                self.events.write(|| UpdateNotEncoded { cause: error.to_string() });
                 None
             }
         }
--- a/crates/yuccarackd/src/coordination/routed/publish.rs
+++ b/crates/yuccarackd/src/coordination/routed/row_publisher.rs
@@ -15,12 +15,12 @@
 
 use super::{
     events::EventLog,
-    follow::MEMBERS_TABLE,
-    lines::{
-        LeavingKept, LeavingNotKept, LeavingNotLookedUp, MemberEnded, MemberNotEnded,
-        RowNotTakenAway, RowNotWritten, RowTakenAway, RowWritten,
+    log_lines::{
+        LeavingNotRead, LeavingNotStored, LeavingStored, MemberRowDeleted, MemberRowNotDeleted,
+        RowDeleted, RowNotDeleted, RowNotWritten, RowWritten,
     },
     store_client::StoreClient,
+    store_follower::MEMBERS_TABLE,
 };
 use crate::{
     coordination::jitter::{generator, jittered},
@@ -60,7 +60,7 @@
 
 /// Writes the row of one instance.
 #[derive(Clone)]
-pub struct Publisher {
+pub struct RowPublisher {
     /// The store.
     pub store: StoreClient,
     /// The row without its service.
@@ -72,10 +72,10 @@
     /// Log lines.
     pub events: EventLog,
     /// Service of the target by the settings, if the whole fleet starts for the first time.
-    pub first_service: Option<ServiceName>,
+    pub initial_service: Option<ServiceName>,
 }
 
-impl Publisher {
+impl RowPublisher {
     /// Writes at each change of what the target serves, until `stop`.
     ///
     /// A write names the revision that it replaces: one whose answer was lost may take effect
@@ -133,7 +133,7 @@
 
     /// Settles what an earlier process of this daemon was told.
     async fn start(&mut self) {
-        if let Some(service) = self.first_service.take()
+        if let Some(service) = self.initial_service.take()
             && self.create(service).await
         {
             self.target.settle(None);
@@ -181,11 +181,11 @@
         let row = match timeout(SETTLE_MAX, row).await {
             Ok(Ok(row)) => row,
             Ok(Err(error)) => {
-                self.events.write(|| LeavingNotLookedUp { cause: error.to_string() });
+                self.events.write(|| LeavingNotRead { cause: error.to_string() });
                 None
             }
             Err(_) => {
-                self.events.write(|| LeavingNotLookedUp { cause: "no answer in time".to_owned() });
+                self.events.write(|| LeavingNotRead { cause: "no answer in time".to_owned() });
                 None
             }
         };
@@ -199,7 +199,7 @@
         match serde_json::from_slice(text) {
             Ok(row) => Some(row),
             Err(error) => {
-                self.events.write(|| LeavingNotLookedUp { cause: error.to_string() });
+                self.events.write(|| LeavingNotRead { cause: error.to_string() });
                 None
             }
         }
@@ -214,7 +214,7 @@
         let value = match row.as_ref().map(serde_json::to_vec).transpose() {
             Ok(value) => value.map(Bytes::from),
             Err(error) => {
-                self.events.write(|| LeavingNotKept { cause: error.to_string() });
+                self.events.write(|| LeavingNotStored { cause: error.to_string() });
                 return;
             }
         };
@@ -230,7 +230,7 @@
             };
             match self.store.write(&write).await {
                 Ok(revision) => {
-                    self.events.write(|| LeavingKept {
+                    self.events.write(|| LeavingStored {
                         target: row.as_ref().map(|row| row.target.clone()),
                         life: row.as_ref().map(|row| row.last_life),
                         revision,
@@ -241,7 +241,7 @@
                     seen_at = stands_at;
                 }
                 Err(error) => {
-                    self.events.write(|| LeavingNotKept { cause: error.to_string() });
+                    self.events.write(|| LeavingNotStored { cause: error.to_string() });
                     sleep(jittered(retry)).await;
                     retry = (retry * 2).min(RETRY_MAX);
                 }
@@ -262,12 +262,12 @@
             match self.store.write(&write).await {
                 Ok(revision) => {
                     self.members.merge(&member, revision, None);
-                    self.events.write(|| MemberEnded { member, revision });
+                    self.events.write(|| MemberRowDeleted { member, revision });
                 }
                 // All that know this instance's row pass over the other one; the next change ends it.
                 Err(error) => {
                     let cause = error.to_string();
-                    self.events.write(|| MemberNotEnded { member, cause });
+                    self.events.write(|| MemberRowNotDeleted { member, cause });
                 }
             }
         }
@@ -293,9 +293,9 @@
             unless_in: None,
         };
         match self.store.write(&write).await {
-            Ok(revision) => self.events.write(|| RowTakenAway { revision }),
+            Ok(revision) => self.events.write(|| RowDeleted { revision }),
             // The process ends; others find out by its closed port.
-            Err(error) => self.events.write(|| RowNotTakenAway { cause: error.to_string() }),
+            Err(error) => self.events.write(|| RowNotDeleted { cause: error.to_string() }),
         }
     }
 
--- a/crates/yuccarackd/src/coordination/routed/follow.rs
+++ b/crates/yuccarackd/src/coordination/routed/store_follower.rs
@@ -12,7 +12,7 @@
 
 use super::{
     events::EventLog,
-    lines::{RoutingNotRead, StoreLost, StoreRegained},
+    log_lines::{RoutingNotFetched, StoreAvailable, StoreUnavailable},
     store_client::StoreClient,
 };
 use crate::{
@@ -79,7 +79,7 @@
 
 /// Follows tables of the store.
 #[derive(Clone)]
-pub struct Follower {
+pub struct StoreFollower {
     /// The store.
     pub store: StoreClient,
     /// The routing table in force.
@@ -95,7 +95,7 @@
     /// Who tells of changes, and up to where they are known.
     pub news: News,
     /// When it answered last.
-    pub answers: StoreAnswers,
+    pub last_response: LastStoreResponse,
     /// Transfers of the routing table.
     pub transfers: Transfers,
     /// When the members are read for the first time.
@@ -104,18 +104,18 @@
 
 /// When the store answered last; clones share it.
 #[derive(Clone, Debug)]
-pub struct StoreAnswers {
+pub struct LastStoreResponse {
     last_at: Arc<Mutex<Instant>>,
 }
 
-impl StoreAnswers {
+impl LastStoreResponse {
     /// Starts with now.
     pub fn new() -> Self {
         Self { last_at: Arc::new(Mutex::new(Instant::now())) }
     }
 
     /// Time since the last answer; up to half a minute of it is usual.
-    pub fn silence(&self) -> Duration {
+    pub fn age(&self) -> Duration {
         self.last_at.lock().elapsed()
     }
 
@@ -124,13 +124,13 @@
     }
 }
 
-impl Default for StoreAnswers {
+impl Default for LastStoreResponse {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl Follower {
+impl StoreFollower {
     /// Follows the operators' document until `stop`.
     pub async fn follow_routing(self, stop: CancellationToken) {
         self.follow(Followed::Routing, stop).await;
@@ -177,7 +177,7 @@
     }
 
     /// Reads the operators' document once.
-    pub async fn read_routing(&self) {
+    pub async fn fetch_routing_table(&self) {
         let started_at = Instant::now();
         let transfer = self.transfers.begin();
         match self.store.read(routing::TABLE, |bytes| transfer.note(bytes)).await {
@@ -268,9 +268,9 @@
     }
 
     fn served(&self, what: Followed) {
-        self.answers.note();
+        self.last_response.note();
         if self.news.set_source(NewsSource::Store) == NewsSource::Nobody {
-            self.events.write(|| StoreRegained { table: table(what) });
+            self.events.write(|| StoreAvailable { table: table(what) });
         }
     }
 
@@ -278,7 +278,7 @@
         self.counters.add("store.failures");
         if self.news.set_source(NewsSource::Nobody) != NewsSource::Nobody {
             let (table, cause) = (table(what), error.to_string());
-            self.events.write(|| StoreLost { table, cause });
+            self.events.write(|| StoreUnavailable { table, cause });
         }
     }
 }
@@ -289,8 +289,8 @@
     routing: &RoutingState,
     started_at: Instant,
     cause: String,
-) -> RoutingNotRead {
-    RoutingNotRead {
+) -> RoutingNotFetched {
+    RoutingNotFetched {
         from: source,
         in_force: routing.version(),
         newest: routing.newest_version(),
--- a/crates/yuccarackd/src/coordination/routed/follow/intake.rs
+++ b/crates/yuccarackd/src/coordination/routed/store_follower/intake.rs
@@ -4,17 +4,17 @@
 use yuccarack_platform::feed::{FeedRow, FeedRows};
 use yuccarack_platform_wire::routing::{self, Substitute};
 
-use super::{Follower, STORE, whole_ms};
+use super::{STORE, StoreFollower, whole_ms};
 use crate::{
-    coordination::routed::lines::{
-        EvacuationChanged, MemberChanged, MemberKeptOut, RoutingInForce, RoutingKeptOut,
-        RoutingSubstituted,
+    coordination::routed::log_lines::{
+        EvacuationChanged, MemberChanged, MemberRowRejected, RoutingDocumentRejected,
+        RoutingFieldSubstituted, RoutingInForce,
     },
     protocol::peer_news::{DatedEvacuation, RoutedMember},
     state::routed::news_source::Followed,
 };
 
-impl Follower {
+impl StoreFollower {
     pub(super) fn take(&self, what: Followed, row: FeedRow) {
         match what {
             Followed::Routing => self.take_routing(row),
@@ -66,7 +66,7 @@
             }
             Err(error) => {
                 self.counters.add("routing.unreadable");
-                self.events.write(|| RoutingKeptOut {
+                self.events.write(|| RoutingDocumentRejected {
                     revision: row.revision,
                     in_force: self.routing.version(),
                     cause: error.to_string(),
@@ -79,7 +79,7 @@
         for substitute in substitutes {
             self.counters.add_many("routing.substituted", substitute.count as u64);
             let Substitute { field, found, taken, count } = substitute;
-            self.events.write(|| RoutingSubstituted { version, field, found, taken, count });
+            self.events.write(|| RoutingFieldSubstituted { version, field, found, taken, count });
         }
     }
 
@@ -101,7 +101,7 @@
                 self.counters.add("members.unreadable");
                 let FeedRow { key: member, revision, .. } = row;
                 let cause = error.to_string();
-                self.events.write(|| MemberKeptOut { member, revision, cause });
+                self.events.write(|| MemberRowRejected { member, revision, cause });
             }
         }
     }
--- a/crates/yuccarackd/src/coordination/routed/sweeper.rs
+++ b/crates/yuccarackd/src/coordination/routed/sweeper.rs
@@ -10,9 +10,9 @@
 
 use super::{
     events::EventLog,
-    follow::MEMBERS_TABLE,
-    lines::{MemberEnded, MemberNotEnded},
+    log_lines::{MemberRowDeleted, MemberRowNotDeleted},
     store_client::StoreClient,
+    store_follower::MEMBERS_TABLE,
 };
 use crate::{
     coordination::jitter::jittered,
@@ -36,7 +36,7 @@
     /// Its failure domain.
     pub failure_domain: DomainName,
     /// Time out of reach after which an instance counts as gone.
-    pub gone_after: Duration,
+    pub remove_after: Duration,
     /// The store.
     pub store: StoreClient,
     /// All members.
@@ -50,11 +50,11 @@
 impl Sweeper {
     /// Runs until it is dropped.
     pub async fn run(self) {
-        let mut absences = Absences::new(self.gone_after);
+        let mut absences = Absences::new(self.remove_after);
         loop {
-            sleep(jittered(self.gone_after / LOOKS)).await;
+            sleep(jittered(self.remove_after / LOOKS)).await;
             if !self.news.asks_store() {
-                absences = Absences::new(self.gone_after);
+                absences = Absences::new(self.remove_after);
                 continue;
             }
             let look = self.look().await;
@@ -101,12 +101,12 @@
         match self.store.write(&write).await {
             Ok(revision) => {
                 self.members.merge(&member, revision, None);
-                self.events.write(|| MemberEnded { member, revision });
+                self.events.write(|| MemberRowDeleted { member, revision });
             }
             // The next look ends it, or another relay has.
             Err(error) => {
                 let cause = error.to_string();
-                self.events.write(|| MemberNotEnded { member, cause });
+                self.events.write(|| MemberRowNotDeleted { member, cause });
             }
         }
     }
--- a/crates/yuccarackd/src/daemon/routed.rs
+++ b/crates/yuccarackd/src/daemon/routed.rs
@@ -21,10 +21,11 @@
     coordination::routed::{
         events::EventLog,
         gate::Gate,
-        lines::{
-            RoutingInForce, Serving, SettingsKept, SettingsRead, Stopped, StoppedHard, Stopping,
+        log_lines::{
+            RoutingInForce, Serving, SettingsNotReloaded, SettingsReloaded, Stopped,
+            StoppedForcibly, Stopping,
         },
-        publish::Publisher,
+        row_publisher::RowPublisher,
     },
     state::{
         counters::Counters,
@@ -59,7 +60,7 @@
     routing: RoutingState,
     events: EventLog,
     gate: Arc<Gate>,
-    publisher: Publisher,
+    publisher: RowPublisher,
     upstream: Upstream,
     tasks: Tasks,
     stops: Stops,
@@ -129,9 +130,9 @@
         match self.settings.reload(file) {
             Ok(reloaded) => {
                 self.take_routing_file();
-                self.events.write(|| SettingsRead { result: format!("{reloaded:?}") });
+                self.events.write(|| SettingsReloaded { result: format!("{reloaded:?}") });
             }
-            Err(error) => self.events.write(|| SettingsKept { cause: error.to_string() }),
+            Err(error) => self.events.write(|| SettingsNotReloaded { cause: error.to_string() }),
         }
     }
 
@@ -147,7 +148,7 @@
                 }
             }
             Ok(None) => {}
-            Err(error) => self.events.write(|| SettingsKept { cause: error.to_string() }),
+            Err(error) => self.events.write(|| SettingsNotReloaded { cause: error.to_string() }),
         }
     }
 
@@ -178,7 +179,7 @@
         stops.rest.cancel();
         let rest_ended = ended_by(&tasks.rest, end_by + CLOSING / 2).await;
         if !(calls_ended && gate_ended && rest_ended) {
-            events.write(|| StoppedHard {
+            events.write(|| StoppedForcibly {
                 calls: !calls_ended,
                 gate: !gate_ended,
                 rest: !rest_ended,
--- a/crates/yuccarackd/src/daemon/routed/wiring.rs
+++ b/crates/yuccarackd/src/daemon/routed/wiring.rs
@@ -10,16 +10,16 @@
 use crate::{
     coordination::routed::{
         catch_up::CatchUp,
-        control_door::ControlDoor,
+        control_server::ControlServer,
         entry::{RoutedEntry, RoutedEntryParts},
         events::EventLog,
-        follow::{Follower, StoreAnswers},
         gate::{CrashTracker, CrashTrackerParts, Gate, GateParts, GateServer},
-        metrics_door::MetricsDoor,
+        metrics_server::MetricsServer,
         peers::{Peers, PeersParts},
-        publish::Publisher,
         relay_follower::RelayFollower,
+        row_publisher::RowPublisher,
         store_client::{ANSWER_TIMEOUT, StoreClient},
+        store_follower::{LastStoreResponse, StoreFollower},
         sweeper::Sweeper,
     },
     daemon::lifetimes::{Stops, Tasks},
@@ -89,7 +89,7 @@
     }
 
     /// Starts what brings news in and out: store and peers.
-    pub(super) fn start_state(&self) -> (Peers, Publisher) {
+    pub(super) fn start_state(&self) -> (Peers, RowPublisher) {
         let platform = PlatformClient::new(self.settings.current().store_address, ANSWER_TIMEOUT);
         let store = StoreClient::new(platform, self.counters.clone());
         let (news, transfers) = (News::new(), Transfers::new());
@@ -110,7 +110,7 @@
         });
         let stop = &self.stops.rest;
         self.spawn_until_stop(peers.clone().run(stop.clone()));
-        let follower = Follower {
+        let follower = StoreFollower {
             store: store.clone(),
             routing: self.routing.clone(),
             members: self.members.clone(),
@@ -118,7 +118,7 @@
             counters: self.counters.clone(),
             events: self.events.clone(),
             news,
-            answers: StoreAnswers::new(),
+            last_response: LastStoreResponse::new(),
             transfers,
             first_read_at: match settings.is_first_start {
                 true => Instant::now() + ROWS_WRITTEN,
@@ -139,12 +139,12 @@
     }
 
     /// Tells with the metrics what is known and how old it is.
-    fn tell_state(&self, follower: &Follower) {
+    fn tell_state(&self, follower: &StoreFollower) {
         let (metrics, routing, age) = (&self.metrics, self.routing.clone(), self.routing.clone());
         let (newest, behind) = (self.routing.clone(), self.routing.clone());
         let (members, target) = (self.members.clone(), self.target.clone());
-        let (news, told, answers) =
-            (follower.news.clone(), follower.news.clone(), follower.answers.clone());
+        let (news, told, last_response) =
+            (follower.news.clone(), follower.news.clone(), follower.last_response.clone());
         metrics.tell("routing_version", "Version of the routing table in force.", move || {
             i64::try_from(routing.version()).unwrap_or(i64::MAX)
         });
@@ -183,7 +183,7 @@
             i64::from(told.source() == NewsSource::Relay)
         });
         metrics.tell("store_silence_seconds", "Time since its last answer.", move || {
-            whole_seconds(answers.silence())
+            whole_seconds(last_response.age())
         });
     }
 
@@ -201,12 +201,12 @@
         });
     }
 
-    fn sweeper(&self, follower: &Follower) -> Sweeper {
+    fn sweeper(&self, follower: &StoreFollower) -> Sweeper {
         let settings = self.settings.current();
         Sweeper {
             instance: settings.instance.clone(),
             failure_domain: settings.failure_domain.clone(),
-            gone_after: Duration::from_millis(settings.bounds.gone_after_ms.into()),
+            remove_after: Duration::from_millis(settings.bounds.gone_after_ms.into()),
             store: follower.store.clone(),
             members: follower.members.clone(),
             news: follower.news.clone(),
@@ -214,9 +214,9 @@
         }
     }
 
-    fn publisher(&self, store: StoreClient) -> Publisher {
+    fn publisher(&self, store: StoreClient) -> RowPublisher {
         let settings = self.settings.current();
-        Publisher {
+        RowPublisher {
             store,
             member: RoutedMember {
                 instance: settings.instance.clone(),
@@ -227,7 +227,7 @@
             target: self.target.clone(),
             members: self.members.clone(),
             events: self.events.clone(),
-            first_service: settings.is_first_start.then(|| settings.service.clone()),
+            initial_service: settings.is_first_start.then(|| settings.service.clone()),
         }
     }
 
@@ -245,14 +245,14 @@
         let door = Arc::new(GateServer::new(Arc::clone(gate), peers));
         let gates = self.server(listeners.gate, "gate");
         tasks.rest.spawn(gates.run(door, tasks.gate.clone(), stops.gate.clone()));
-        let control = Arc::new(ControlDoor {
+        let control = Arc::new(ControlServer {
             target: self.target.clone(),
             routing: self.routing.clone(),
             counters: self.counters.clone(),
             events: self.events.clone(),
             leaving: stops.leaving.clone(),
         });
-        let metrics = MetricsDoor { metrics: self.metrics.clone(), events: self.events.clone() };
+        let metrics = MetricsServer { metrics: self.metrics.clone(), events: self.events.clone() };
         let server = self.server(listeners.metrics, "metrics");
         tasks.rest.spawn(server.run(Arc::new(metrics), tasks.rest.clone(), stops.rest.clone()));
         for listener in [listeners.heartbeats, listeners.readiness] {
--- a/crates/yuccarackd/tests/catch_up.rs
+++ b/crates/yuccarackd/tests/catch_up.rs
@@ -21,9 +21,9 @@
     coordination::routed::{
         catch_up::CatchUp,
         events::EventLog,
-        follow::{Follower, StoreAnswers},
         peers::{Peers, PeersParts},
         store_client::StoreClient,
+        store_follower::{LastStoreResponse, StoreFollower},
     },
     protocol::{
         packed_changes::PackedChanges,
@@ -149,7 +149,7 @@
     });
     let door = Store::new().open_door().await.expect("a door");
     let platform = PlatformClient::new(door.address(), Duration::from_secs(1));
-    let follower = Follower {
+    let follower = StoreFollower {
         store: StoreClient::new(platform, counters.clone()),
         routing: routing.clone(),
         members,
@@ -157,7 +157,7 @@
         counters,
         events,
         news: news.clone(),
-        answers: StoreAnswers::new(),
+        last_response: LastStoreResponse::new(),
         transfers: transfers.clone(),
         first_read_at: tokio::time::Instant::now(),
     };
@@ -171,7 +171,7 @@
     let daemon = fetching(NewsSource::Relay).await;
     daemon.door.set(DoorMode::Refusing);
     let peer = Peer::start(2).await;
-    daemon.peers.heard_version(peer.server.address(), 9);
+    daemon.peers.note_version(peer.server.address(), 9);
     let mut versions = daemon.routing.subscribe();
     tokio::select! {
         () = daemon.catch_up.run() => {}
@@ -190,7 +190,7 @@
     let peer = Peer::start(0).await;
     let transfer = daemon.transfers.begin();
     transfer.note(PROGRESS_MIN_BYTES);
-    daemon.peers.note_left_out(peer.server.address(), 9);
+    daemon.peers.note_omitted_table(peer.server.address(), 9);
     let transferring = async {
         for _ in 0..100 {
             transfer.note(PROGRESS_MIN_BYTES);
@@ -218,7 +218,7 @@
 async fn what_the_news_bring_in_time_is_not_fetched() {
     let daemon = fetching(NewsSource::Store).await;
     let peer = Peer::start(0).await;
-    daemon.peers.heard_version(peer.server.address(), 9);
+    daemon.peers.note_version(peer.server.address(), 9);
     let news = async {
         sleep(Duration::from_millis(200)).await;
         assert!(daemon.routing.offer(table(9, ROUTES)));
@@ -248,7 +248,7 @@
         async move { answer(StatusCode::OK, news) }
     })
     .expect("a server");
-    daemon.peers.heard_version(peer.address(), 9);
+    daemon.peers.note_version(peer.address(), 9);
     let mut versions = daemon.routing.subscribe();
     tokio::select! {
         () = daemon.catch_up.run() => {}
@@ -266,7 +266,7 @@
     let daemon = fetching(NewsSource::Nobody).await;
     daemon.news.set_known(Followed::Members, Some(7));
     let peer = Peer::start(0).await;
-    daemon.peers.heard_sender(peer.server.address());
+    daemon.peers.note_sender(peer.server.address());
     tokio::select! {
         () = daemon.peers.run(CancellationToken::new()) => {}
         () = wait("a question", || async { !peer.questions().is_empty() }) => {}
--- a/crates/yuccarackd/tests/lines.rs
+++ b/crates/yuccarackd/tests/lines.rs
@@ -6,7 +6,7 @@
 use yuccarackd::{
     coordination::routed::{
         events::EventLog,
-        lines::{HeartbeatKeptOut, all},
+        log_lines::{HeartbeatRejected, all},
     },
     state::counters::Counters,
 };
@@ -43,7 +43,7 @@
         let counters = Counters::new();
         let events = EventLog::new(Logger::root(Discard, o!()), counters.clone(), percent);
         for _ in 0..2 {
-            events.write(|| HeartbeatKeptOut { cause: "a form that isn't known".to_owned() });
+            events.write(|| HeartbeatRejected { cause: "a form that isn't known".to_owned() });
         }
         let counted = counters.snapshot().get("log.left_out.heartbeat").copied();
         assert_eq!(counted, Some(left_out), "at {percent} percent");
--- a/crates/yuccarackd/tests/relay_lines.rs
+++ b/crates/yuccarackd/tests/relay_lines.rs
@@ -10,7 +10,7 @@
     coordination::routed::{
         events::EventLog,
         peers::{Peers, PeersParts},
-        relay_lines::{LINE_INTERVAL, RelayLines},
+        relay_stream::{RELAY_KEEPALIVE_INTERVAL, RelayStream},
     },
     protocol::{
         body::CallBody,
@@ -62,13 +62,15 @@
             is_lasting: true,
             changes: ChangesTaken::Small,
         };
-        let lines = RelayLines::new(peers, question).into_body();
+        let lines = RelayStream::new(peers, question).into_body();
         Self { members, news, leaving, lines }
     }
 
     /// The next line; none at the end. An empty one only says that the relay is there.
     async fn next(&mut self) -> Option<Vec<u8>> {
-        let line = timeout(LINE_INTERVAL * 2, self.lines.frame()).await.expect("a line in time");
+        let line = timeout(RELAY_KEEPALIVE_INTERVAL * 2, self.lines.frame())
+            .await
+            .expect("a line in time");
         let data = line?.expect("a line").into_data().expect("data");
         Some(data.to_vec())
     }
@@ -105,7 +107,7 @@
             if first != b"\n" { first } else { relay.next().await.expect("a line") }
         };
         let changing = async {
-            sleep(LINE_INTERVAL - Duration::from_millis(early_ms)).await;
+            sleep(RELAY_KEEPALIVE_INTERVAL - Duration::from_millis(early_ms)).await;
             change_member(&members, &news, 7);
         };
         let (line, ()) = tokio::join!(telling, changing);
