--- a/crates/yuccarack_config/src/faults.rs
+++ b/crates/yuccarack_config/src/faults.rs
@@ -90,7 +90,7 @@
     },
     /// The file was read and is not accepted.
     #[error("{0}")]
-    Faulty(#[from] Faults),
+    Invalid(#[from] Faults),
 }
 
 impl Fault {
--- a/crates/yuccarack_config/src/heartbeat.rs
+++ b/crates/yuccarack_config/src/heartbeat.rs
@@ -10,7 +10,7 @@
 /// Start of a target's process, in ms since 1970 of its own clock; 0 where it says none.
 ///
 /// It tells two processes of one name apart, and which of them is the later one.
-pub type TargetLife = u64;
+pub type TargetIncarnation = u64;
 
 wire_kind! {
     /// Whether a target takes work.
@@ -28,7 +28,7 @@
         /// The target.
         pub target: TargetId,
         /// Its process.
-        pub life: TargetLife,
+        pub life: TargetIncarnation,
         /// Number of the heartbeat within that life; a lower one is older news.
         pub sequence: u64,
         /// Service that it serves.
@@ -50,7 +50,7 @@
         /// The target.
         pub target: TargetId,
         /// Its process, where it says so.
-        pub life: Option<TargetLife>,
+        pub life: Option<TargetIncarnation>,
     }
 
     /// What a target says of its load with an answer.
--- a/crates/yuccarack_config/src/routed_settings.rs
+++ b/crates/yuccarack_config/src/routed_settings.rs
@@ -143,7 +143,7 @@
     }
 
     /// Where other daemons reach the gate.
-    pub fn gate_reached_at(&self) -> SocketAddr {
+    pub fn advertised_gate_address(&self) -> SocketAddr {
         self.gate_told_address.unwrap_or(self.gate_address)
     }
 }
--- a/crates/yuccarack_config/src/routing.rs
+++ b/crates/yuccarack_config/src/routing.rs
@@ -178,7 +178,7 @@
     }
 
     /// The route of exactly this host and prefix.
-    pub fn route_of(&self, host: &str, path_prefix: &str) -> Option<&Route> {
+    pub fn exact_route(&self, host: &str, path_prefix: &str) -> Option<&Route> {
         let index = self.routes_by_prefix.get(host)?.get(path_prefix)?;
         Some(&self.table.routes[*index])
     }
@@ -202,7 +202,7 @@
     ///
     /// Prefixes end with a slash, so only as many starts are looked up as the path has slashes,
     /// whatever the number of routes.
-    pub fn route(&self, host: &str, path: &str) -> Option<(usize, &Route)> {
+    pub fn find_route(&self, host: &str, path: &str) -> Option<(usize, &Route)> {
         let of_host = self.routes_by_prefix.get(&host.to_ascii_lowercase())?;
         let mut start = path;
         while let Some(slash) = start.rfind('/') {
--- a/crates/yuccarack_config/src/routing_changes.rs
+++ b/crates/yuccarack_config/src/routing_changes.rs
@@ -55,9 +55,10 @@
 impl RoutingChanges {
     /// What turns `base` into `routing`.
     pub fn between(base: &Routing, routing: &Routing) -> Self {
-        let is_gone = |route: &&Route| routing.route_of(&route.host, &route.path_prefix).is_none();
+        let is_gone =
+            |route: &&Route| routing.exact_route(&route.host, &route.path_prefix).is_none();
         let is_new =
-            |route: &&Route| base.route_of(&route.host, &route.path_prefix) != Some(*route);
+            |route: &&Route| base.exact_route(&route.host, &route.path_prefix) != Some(*route);
         Self {
             base: base.version(),
             removed: base.routes().filter(is_gone).map(Route::key).collect(),
@@ -67,7 +68,7 @@
     }
 
     /// What turns a table without routes into `routing`.
-    pub fn whole(routing: &Routing) -> Self {
+    pub fn full(routing: &Routing) -> Self {
         Self { routes: routing.routes().cloned().collect(), ..Self::result_of(routing) }
     }
 
@@ -90,7 +91,7 @@
     }
 
     /// Whether they make a whole table, whatever was before.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_full(&self) -> bool {
         self.base == 0
     }
 
@@ -109,7 +110,7 @@
     /// # Errors
     ///
     /// [`ChangesError::Base`] if `later` doesn't start from the version that these lead to.
-    pub fn then(&self, later: &Self) -> Result<Self, ChangesError> {
+    pub fn merged_with(&self, later: &Self) -> Result<Self, ChangesError> {
         if later.base != self.version {
             return Err(ChangesError::Base { base: later.base, version: self.version });
         }
@@ -131,7 +132,7 @@
     ///
     /// [`ChangesError`]; `base` stays valid.
     pub fn apply(&self, base: Option<&Routing>) -> Result<Routing, ChangesError> {
-        let base = base.filter(|_| !self.is_whole());
+        let base = base.filter(|_| !self.is_full());
         let version = base.map_or(0, Routing::version);
         if self.base != version {
             return Err(ChangesError::Base { base: self.base, version });
--- a/crates/yuccarack_config/src/rules.rs
+++ b/crates/yuccarack_config/src/rules.rs
@@ -178,7 +178,7 @@
 
 impl RouteRules {
     /// Whether a request of `method` for `path` is this route's.
-    pub fn takes(&self, method: &str, path: &str) -> bool {
+    pub fn matches(&self, method: &str, path: &str) -> bool {
         let method_fits = self.methods.is_empty() || self.methods.iter().any(|m| m == method);
         method_fits && path.starts_with(&self.path_prefix)
     }
--- a/crates/yuccarack_config/src/rules/check.rs
+++ b/crates/yuccarack_config/src/rules/check.rs
@@ -150,7 +150,7 @@
 }
 
 fn taken_by(earlier: &[Option<RouteRules>], method: &str, path: &str) -> Option<usize> {
-    earlier.iter().position(|other| other.as_ref().is_some_and(|other| other.takes(method, path)))
+    earlier.iter().position(|other| other.as_ref().is_some_and(|other| other.matches(method, path)))
 }
 
 fn items<'a>(group: &'a Value, name: &str) -> &'a [Value] {
--- a/crates/yuccarack_config/src/schema.rs
+++ b/crates/yuccarack_config/src/schema.rs
@@ -62,9 +62,9 @@
     /// An IP number.
     Ip,
     /// An IP number with a port to listen on; port 0 lets the kernel choose.
-    OwnAddress,
-    /// An [`Kind::OwnAddress`] that others are told, so its IP number must be a single one.
-    ToldAddress,
+    ListenAddress,
+    /// An [`Kind::ListenAddress`] that others are told, so its IP number must be a single one.
+    AdvertisedAddress,
     /// An IP number with the port of somebody else.
     PeerAddress,
     /// A list of at least `length_min` and at most `length_max`.
@@ -146,8 +146,8 @@
             ),
             Self::OneOf(words) => write!(f, "one of {}", words.join(", ")),
             Self::Ip => write!(f, "an IP number"),
-            Self::OwnAddress => write!(f, "an IP number and a port"),
-            Self::ToldAddress => write!(f, "the instance's own IP number and a port"),
+            Self::ListenAddress => write!(f, "an IP number and a port"),
+            Self::AdvertisedAddress => write!(f, "the instance's own IP number and a port"),
             Self::PeerAddress => write!(f, "another's IP number and a port from 1 to 65535"),
             Self::List { of, length_min, length_max, .. } => {
                 write!(f, "a list of {length_min} to {length_max}, each {of}")
--- a/crates/yuccarack_config/src/schema/text.rs
+++ b/crates/yuccarack_config/src/schema/text.rs
@@ -23,8 +23,8 @@
             Self::PathPrefix => is_path(text),
             Self::OneOf(words) => words.contains(&text),
             Self::Ip => text.parse::<IpAddr>().is_ok(),
-            Self::OwnAddress => text.parse::<SocketAddr>().is_ok(),
-            Self::ToldAddress => is_address(text, |address| !address.ip().is_unspecified()),
+            Self::ListenAddress => text.parse::<SocketAddr>().is_ok(),
+            Self::AdvertisedAddress => is_address(text, |address| !address.ip().is_unspecified()),
             Self::PeerAddress => {
                 is_address(text, |address| !address.ip().is_unspecified() && address.port() != 0)
             }
--- a/crates/yuccarack_config/tests/examples.rs
+++ b/crates/yuccarack_config/tests/examples.rs
@@ -36,7 +36,7 @@
 
 /// Name of the route that takes a request, and whether the request may run more than once.
 fn route<'a>(service: &'a ServiceRules, method: &str, path: &str) -> (&'a str, bool) {
-    let route = service.routes.iter().find(|route| route.takes(method, path));
+    let route = service.routes.iter().find(|route| route.matches(method, path));
     let route = route.expect("a route for the request");
     (&route.name, route.is_repeatable(method))
 }
@@ -98,7 +98,7 @@
     ] {
         let file = RoutingFile::load(&folder(deployment).join("routing.json")).expect("a file");
         let routing = Routing::new(file.into_table());
-        let (_, route) = routing.route(host, order).expect("a route");
+        let (_, route) = routing.find_route(host, order).expect("a route");
         assert!(!route.is_repeatable && route.targets_max == 1 && route.rank == 0);
         assert_eq!(route.split[0].service, service);
     }
--- a/crates/yuccarack_config/tests/routing_changes.rs
+++ b/crates/yuccarack_config/tests/routing_changes.rs
@@ -69,7 +69,7 @@
     fn holds(first: Routes, second: Routes) -> bool {
         let (first, second) = (first.routing(4), second.routing(9));
         let changed = RoutingChanges::between(&first, &second).apply(Some(&first));
-        let whole = RoutingChanges::whole(&second).apply(Some(&first));
+        let whole = RoutingChanges::full(&second).apply(Some(&first));
         let changed = changed.expect("a table");
         sorted(&changed) == sorted(&second)
             && changed.digest() == second.digest()
@@ -85,8 +85,9 @@
             (tables.0.routing(4), tables.1.routing(9), tables.2.routing(11));
         let one = RoutingChanges::between(&first, &second);
         let other = RoutingChanges::between(&second, &third);
-        let merged = one.then(&other).expect("consecutive changes");
-        let from_whole = RoutingChanges::whole(&second).then(&other).expect("consecutive changes");
+        let merged = one.merged_with(&other).expect("consecutive changes");
+        let from_whole =
+            RoutingChanges::full(&second).merged_with(&other).expect("consecutive changes");
         sorted(&merged.apply(Some(&first)).expect("a table")) == sorted(&third)
             && sorted(&from_whole.apply(None).expect("a table")) == sorted(&third)
     }
@@ -105,7 +106,7 @@
     let differing = Routes(BTreeMap::from([((0, 0), (2, true)), ((0, 1), (0, true))]));
     let other = changes.apply(Some(&differing.routing(4)));
     assert!(matches!(other, Err(ChangesError::Digest { .. })), "{other:?}");
-    assert_eq!(changes.then(&changes), Err(ChangesError::Base { base: 4, version: 9 }));
+    assert_eq!(changes.merged_with(&changes), Err(ChangesError::Base { base: 4, version: 9 }));
 }
 
 /// Guards against a table whose changes can't be told, since two of its routes have one key.
--- a/crates/yuccarack_config/tests/routing_file.rs
+++ b/crates/yuccarack_config/tests/routing_file.rs
@@ -22,7 +22,7 @@
 fn faults(file: &Value) -> Vec<String> {
     match RoutingFile::parse(file.to_string().as_bytes()) {
         Ok(_) => Vec::new(),
-        Err(FileError::Faulty(faults)) => faults.0.into_iter().map(|fault| fault.path).collect(),
+        Err(FileError::Invalid(faults)) => faults.0.into_iter().map(|fault| fault.path).collect(),
         Err(other) => panic!("{other}"),
     }
 }
--- a/crates/yuccarack_config/tests/rules.rs
+++ b/crates/yuccarack_config/tests/rules.rs
@@ -18,7 +18,7 @@
 fn faults(file: &Value) -> Vec<Fault> {
     match RulesFile::parse(file.to_string().as_bytes()) {
         Ok(_) => Vec::new(),
-        Err(FileError::Faulty(faults)) => faults.0,
+        Err(FileError::Invalid(faults)) => faults.0,
         Err(other) => panic!("{other}"),
     }
 }
@@ -167,7 +167,7 @@
             return true;
         };
         let routes = &rules.services[0].routes;
-        let first = |method: &str, path: &str| routes.iter().find(|r| r.takes(method, path));
+        let first = |method: &str, path: &str| routes.iter().find(|r| r.matches(method, path));
         routes.iter().all(|route| {
             let named: Vec<&str> = match route.methods.is_empty() {
                 true => vec!["PATCH"],
--- a/crates/yuccarack_config/tests/settings.rs
+++ b/crates/yuccarack_config/tests/settings.rs
@@ -34,7 +34,7 @@
 fn faults(file: &Value) -> Vec<Fault> {
     match DaemonSettings::parse(file.to_string().as_bytes()) {
         Ok(_) => Vec::new(),
-        Err(FileError::Faulty(faults)) => faults.0,
+        Err(FileError::Invalid(faults)) => faults.0,
         Err(other) => panic!("{other}"),
     }
 }
@@ -186,7 +186,7 @@
         let text = file.to_string();
         match DaemonSettings::parse(text.as_bytes()) {
             Ok(settings) => settings.instance == name,
-            Err(FileError::Faulty(faults)) => {
+            Err(FileError::Invalid(faults)) => {
                 faults.0.iter().all(|fault| !matches!(fault.kind, FaultKind::Syntax { .. }))
             }
             Err(FileError::Unreadable { .. }) => false,
--- a/crates/yuccarack_platform/examples/racing_operators.rs
+++ b/crates/yuccarack_platform/examples/racing_operators.rs
@@ -17,7 +17,7 @@
 use yuccarack_platform::{
     PlatformClient, PlatformError,
     accept::Proposal,
-    messages::{Commit, Condition, Must, Write},
+    messages::{Commit, Condition, Precondition, Write},
     rows::AppliedRow,
 };
 use yuccarack_standins::platform::{Platform, PlatformFaults};
@@ -145,9 +145,9 @@
         object: proposal.object_name(),
         applied_at_unix_ms: 0,
     };
-    let mut commit = proposal.commit(&applied).map_err(PlatformError::Unwritable)?;
+    let mut commit = proposal.commit(&applied).map_err(PlatformError::Unserializable)?;
     if let Way::OneVersion = way {
-        commit.conditions = vec![Condition::new(HEAD_KEY, Must::NotBeNewerThan(based_on))];
+        commit.conditions = vec![Condition::new(HEAD_KEY, Precondition::NotBeNewerThan(based_on))];
         commit.writes.push(Write::put(HEAD_KEY, number.into()));
     }
     Ok(commit)
--- a/crates/yuccarack_platform/src/accept.rs
+++ b/crates/yuccarack_platform/src/accept.rs
@@ -24,7 +24,7 @@
 
 wire_data! {
     /// A file that is in the table.
-    pub struct Accepted {
+    pub struct AcceptedFile {
         /// Revision of the commit that wrote it.
         pub revision: Revision,
         /// What was recorded of it.
@@ -42,12 +42,12 @@
 ///
 /// # Errors
 ///
-/// See [`AcceptError`]; [`AcceptError::Unknown`] only when `deadline` passed.
+/// See [`AcceptError`]; [`AcceptError::UnknownOutcome`] only when `deadline` passed.
 pub async fn accept(
     client: &PlatformClient,
     proposal: &Proposal,
     deadline: Instant,
-) -> Result<Accepted, AcceptError> {
+) -> Result<AcceptedFile, AcceptError> {
     keep_file(client, proposal, deadline).await?;
     let applied = proposal.applied_row();
     let commit = proposal.commit(&applied).map_err(unwritable)?;
@@ -55,7 +55,7 @@
     let mut in_doubt = false;
     loop {
         let error = match client.commit(&commit).await {
-            Ok(committed) => return Ok(Accepted { revision: committed.revision, applied }),
+            Ok(committed) => return Ok(AcceptedFile { revision: committed.revision, applied }),
             Err(PlatformError::Conflict { failed }) => {
                 if failed.iter().all(|failed| failed.key != applied_key(&proposal.apply_id)) {
                     return Err(proposal.conflict(&failed));
@@ -88,10 +88,10 @@
 pub async fn read_back(
     client: &PlatformClient,
     apply_id: &str,
-) -> Result<Option<Accepted>, PlatformError> {
+) -> Result<Option<AcceptedFile>, PlatformError> {
     let Some(row) = client.row(&applied_key(apply_id)).await? else { return Ok(None) };
     let applied = serde_json::from_value(row.value).map_err(PlatformError::Malformed)?;
-    Ok(Some(Accepted { revision: row.revision, applied }))
+    Ok(Some(AcceptedFile { revision: row.revision, applied }))
 }
 
 /// The file goes first: a commit must not name an object that was never kept. Putting it twice
@@ -111,7 +111,7 @@
     }
 }
 
-fn same_file(proposal: &Proposal, accepted: Accepted) -> Result<Accepted, AcceptError> {
+fn same_file(proposal: &Proposal, accepted: AcceptedFile) -> Result<AcceptedFile, AcceptError> {
     if accepted.applied.object == proposal.object_name() {
         return Ok(accepted);
     }
@@ -121,7 +121,7 @@
 
 fn gave_up(proposal: &Proposal, in_doubt: bool, source: PlatformError) -> AcceptError {
     match in_doubt {
-        true => AcceptError::Unknown { apply_id: proposal.apply_id.clone(), source },
+        true => AcceptError::UnknownOutcome { apply_id: proposal.apply_id.clone(), source },
         false => AcceptError::NotAccepted(source),
     }
 }
@@ -130,17 +130,17 @@
 fn is_final(error: &PlatformError) -> bool {
     match error {
         PlatformError::Refused { status } => *status < 500,
-        PlatformError::Unwritable(_) => true,
+        PlatformError::Unserializable(_) => true,
         PlatformError::Conflict { .. }
         | PlatformError::Unreachable
-        | PlatformError::Unknown
+        | PlatformError::UnknownOutcome
         | PlatformError::Stalled { .. }
         | PlatformError::Malformed(_) => false,
     }
 }
 
 fn unwritable(error: serde_json::Error) -> AcceptError {
-    AcceptError::NotAccepted(PlatformError::Unwritable(error))
+    AcceptError::NotAccepted(PlatformError::Unserializable(error))
 }
 
 /// Time since 1970 by this machine's clock, in ms; for operators only, nothing is decided by it.
--- a/crates/yuccarack_platform/src/accept/errors.rs
+++ b/crates/yuccarack_platform/src/accept/errors.rs
@@ -42,7 +42,7 @@
     NotAccepted(#[source] PlatformError),
     /// A write went out and its fate could not be found out in time.
     #[error("unknown whether apply id {apply_id} was accepted: {source}")]
-    Unknown {
+    UnknownOutcome {
         /// The apply id, to ask or to run again with.
         apply_id: String,
         /// Why it could not be found out.
--- a/crates/yuccarack_platform/src/accept/proposal.rs
+++ b/crates/yuccarack_platform/src/accept/proposal.rs
@@ -9,7 +9,7 @@
     now_unix_ms,
 };
 use crate::{
-    messages::{Commit, Condition, FailedCondition, Must, Write},
+    messages::{Commit, Condition, FailedCondition, Precondition, Write},
     rows::{AppliedRow, RULES_PREFIX, RulesRow, applied_key, history_key, rules_key},
 };
 
@@ -45,7 +45,7 @@
     pub fn commit(&self, applied: &AppliedRow) -> Result<Commit, serde_json::Error> {
         let mut commit = Commit::default();
         let key = applied_key(&self.apply_id);
-        commit.conditions.push(Condition::new(&key, Must::BeAbsent));
+        commit.conditions.push(Condition::new(&key, Precondition::BeAbsent));
         let history_key = history_key(applied.applied_at_unix_ms, &self.apply_id);
         for key in [key, history_key] {
             commit.writes.push(Write::put(key, serde_json::to_value(applied)?));
@@ -69,7 +69,9 @@
         commit: &mut Commit,
     ) -> Result<(), serde_json::Error> {
         let key = rules_key(service);
-        commit.conditions.push(Condition::new(&key, Must::NotBeNewerThan(self.rules.based_on)));
+        commit
+            .conditions
+            .push(Condition::new(&key, Precondition::NotBeNewerThan(self.rules.based_on)));
         commit.writes.push(Write::put(key, serde_json::to_value(row)?));
         Ok(())
     }
--- a/crates/yuccarack_platform/src/client.rs
+++ b/crates/yuccarack_platform/src/client.rs
@@ -15,10 +15,10 @@
 
 use crate::{
     errors::PlatformError,
-    escape::escaped,
-    feed::FeedQuestion,
-    messages::{Commit, Committed, Conflicted, Row, Rows},
-    transfer::{TransferError, read_whole},
+    escape::percent_encode,
+    feed::FeedRequest,
+    messages::{Commit, CommitResponse, ConflictResponse, Row, Rows},
+    transfer::{TransferError, read_full},
 };
 
 /// Idle connections kept to the platform.
@@ -68,11 +68,11 @@
     /// # Errors
     ///
     /// [`PlatformError::is_not_written`] tells whether nothing was written for certain.
-    pub async fn commit(&self, commit: &Commit) -> Result<Committed, PlatformError> {
+    pub async fn commit(&self, commit: &Commit) -> Result<CommitResponse, PlatformError> {
         let body = to_json(commit)?;
         let (status, answer) = self.ask(Method::POST, "/table/commit", body).await?;
         if status == StatusCode::CONFLICT {
-            let conflicted: Conflicted = from_json(&answer)?;
+            let conflicted: ConflictResponse = from_json(&answer)?;
             return Err(PlatformError::Conflict { failed: conflicted.failed });
         }
         accepted(status)?;
@@ -85,7 +85,7 @@
     ///
     /// Any [`PlatformError`] but a conflict.
     pub async fn row(&self, key: &str) -> Result<Option<Row>, PlatformError> {
-        let path = format!("/table/row?key={}", escaped(key));
+        let path = format!("/table/row?key={}", percent_encode(key));
         let (status, answer) = self.ask(Method::GET, &path, Bytes::new()).await?;
         if status == StatusCode::NOT_FOUND {
             return Ok(None);
@@ -101,7 +101,7 @@
     ///
     /// Any [`PlatformError`] but a conflict.
     pub async fn rows(&self, prefix: &str) -> Result<Rows, PlatformError> {
-        let path = format!("/table/rows?prefix={}", escaped(prefix));
+        let path = format!("/table/rows?prefix={}", percent_encode(prefix));
         let (status, answer) = self.fetch(&path).await?;
         accepted(status)?;
         from_json(&answer)
@@ -113,7 +113,7 @@
     ///
     /// Any [`PlatformError`] but a conflict.
     pub async fn put_object(&self, name: &str, body: Bytes) -> Result<(), PlatformError> {
-        let path = format!("/objects/{}", escaped(name));
+        let path = format!("/objects/{}", percent_encode(name));
         let (status, _) = self.ask(Method::PUT, &path, body).await?;
         accepted(status)
     }
@@ -124,7 +124,7 @@
     ///
     /// Any [`PlatformError`] but a conflict.
     pub async fn object(&self, name: &str) -> Result<Option<Bytes>, PlatformError> {
-        let path = format!("/objects/{}", escaped(name));
+        let path = format!("/objects/{}", percent_encode(name));
         let (status, answer) = self.fetch(&path).await?;
         if status == StatusCode::NOT_FOUND {
             return Ok(None);
@@ -138,14 +138,14 @@
     ///
     /// # Errors
     ///
-    /// [`PlatformError::Unreachable`], [`PlatformError::Unknown`] and [`PlatformError::Stalled`].
-    pub async fn ask_feed(
+    /// [`PlatformError::Unreachable`], [`PlatformError::UnknownOutcome`] and [`PlatformError::Stalled`].
+    pub async fn send_feed_request(
         &self,
-        question: FeedQuestion,
+        question: FeedRequest,
         answer_timeout: Duration,
         on_bytes: impl FnMut(usize),
     ) -> Result<(StatusCode, Bytes), PlatformError> {
-        let FeedQuestion { method, path, body } = question;
+        let FeedRequest { method, path, body } = question;
         let request = self.request(method, &path, body)?;
         self.transfer(request, answer_timeout, on_bytes).await
     }
@@ -164,10 +164,10 @@
         on_bytes: impl FnMut(usize),
     ) -> Result<(StatusCode, Bytes), PlatformError> {
         let answer = timeout(answer_timeout, self.send(request)).await;
-        let answer = answer.map_err(|_| PlatformError::Unknown)??;
+        let answer = answer.map_err(|_| PlatformError::UnknownOutcome)??;
         let status = answer.status();
-        let body = read_whole(answer.into_body(), on_bytes).await.map_err(|error| match error {
-            TransferError::Cut(_) => PlatformError::Unknown,
+        let body = read_full(answer.into_body(), on_bytes).await.map_err(|error| match error {
+            TransferError::Interrupted(_) => PlatformError::UnknownOutcome,
             TransferError::Stalled { received_bytes } => PlatformError::Stalled { received_bytes },
         })?;
         Ok((status, body))
@@ -192,7 +192,7 @@
         let request = self.request(method, path, body)?;
         match timeout(answer_timeout, self.exchange(request)).await {
             Ok(result) => result,
-            Err(_) => Err(PlatformError::Unknown),
+            Err(_) => Err(PlatformError::UnknownOutcome),
         }
     }
 
@@ -217,7 +217,7 @@
         match self.client.request(request).await {
             Ok(answer) => Ok(answer),
             Err(error) if error.is_connect() => Err(PlatformError::Unreachable),
-            Err(_) => Err(PlatformError::Unknown),
+            Err(_) => Err(PlatformError::UnknownOutcome),
         }
     }
 
@@ -227,7 +227,7 @@
     ) -> Result<(StatusCode, Bytes), PlatformError> {
         let answer = self.send(request).await?;
         let status = answer.status();
-        let body = answer.into_body().collect().await.map_err(|_| PlatformError::Unknown)?;
+        let body = answer.into_body().collect().await.map_err(|_| PlatformError::UnknownOutcome)?;
         Ok((status, body.to_bytes()))
     }
 }
@@ -240,11 +240,11 @@
     if status.is_client_error() || status == StatusCode::SERVICE_UNAVAILABLE {
         return Err(PlatformError::Refused { status: status.as_u16() });
     }
-    Err(PlatformError::Unknown)
+    Err(PlatformError::UnknownOutcome)
 }
 
 fn to_json<T: Serialize>(question: &T) -> Result<Bytes, PlatformError> {
-    serde_json::to_vec(question).map(Bytes::from).map_err(PlatformError::Unwritable)
+    serde_json::to_vec(question).map(Bytes::from).map_err(PlatformError::Unserializable)
 }
 
 fn from_json<T: DeserializeOwned>(answer: &[u8]) -> Result<T, PlatformError> {
--- a/crates/yuccarack_platform/src/errors.rs
+++ b/crates/yuccarack_platform/src/errors.rs
@@ -24,7 +24,7 @@
     Unreachable,
     /// The question went out and no answer came; a write may have taken effect.
     #[error("no answer came; whether a write took effect is unknown")]
-    Unknown,
+    UnknownOutcome,
     /// The answer began and made no progress any more.
     #[error("the answer stalled after {received_bytes} bytes")]
     Stalled {
@@ -36,7 +36,7 @@
     Malformed(#[source] serde_json::Error),
     /// What was to be sent has no form in JSON.
     #[error("the question can't be written")]
-    Unwritable(#[source] serde_json::Error),
+    Unserializable(#[source] serde_json::Error),
 }
 
 impl PlatformError {
@@ -46,8 +46,8 @@
             Self::Conflict { .. }
             | Self::Refused { .. }
             | Self::Unreachable
-            | Self::Unwritable(_) => true,
-            Self::Unknown | Self::Stalled { .. } | Self::Malformed(_) => false,
+            | Self::Unserializable(_) => true,
+            Self::UnknownOutcome | Self::Stalled { .. } | Self::Malformed(_) => false,
         }
     }
 }
--- a/crates/yuccarack_platform/src/escape.rs
+++ b/crates/yuccarack_platform/src/escape.rs
@@ -1,7 +1,7 @@
 //! Texts in paths and queries.
 
 /// Spells every byte but letters, digits and `-._~` as in RFC 3986, section 2.1.
-pub fn escaped(text: &str) -> String {
+pub fn percent_encode(text: &str) -> String {
     let mut escaped = String::with_capacity(text.len());
     for byte in text.bytes() {
         match byte {
--- a/crates/yuccarack_platform/src/feed.rs
+++ b/crates/yuccarack_platform/src/feed.rs
@@ -29,7 +29,7 @@
 
 /// A question as it goes over HTTP.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct FeedQuestion {
+pub struct FeedRequest {
     /// Method.
     pub method: Method,
     /// Path and query.
@@ -46,11 +46,11 @@
     /// Key of the row.
     pub key: String,
     /// Revision at which the row was seen; 0 for none.
-    pub seen_at: Revision,
+    pub expected_revision: Revision,
     /// What it is to hold; none takes it away.
     pub value: Option<Bytes>,
     /// Another table in which no row of this key may stand.
-    pub unless_in: Option<&'static str>,
+    pub absent_in: Option<&'static str>,
 }
 
 /// Why an answer of the store gives no result.
@@ -60,10 +60,10 @@
     #[error("the store has dropped the history that was asked for")]
     HistoryLost,
     /// The row isn't the one that was seen, or one stands where none may; nothing was written.
-    #[error("a row stands at revision {stands_at}")]
+    #[error("a row stands at revision {current_revision}")]
     Conflict {
         /// Revision at which that row stands; 0 for none.
-        stands_at: Revision,
+        current_revision: Revision,
     },
     /// The store answered with another status; nothing was done.
     #[error("the store refused with status {status}")]
@@ -76,5 +76,5 @@
     Malformed(String),
     /// No answer came; a write may have taken effect or may do so later.
     #[error(transparent)]
-    NoAnswer(#[from] crate::errors::PlatformError),
+    NoResponse(#[from] crate::errors::PlatformError),
 }
--- a/crates/yuccarack_platform/src/messages.rs
+++ b/crates/yuccarack_platform/src/messages.rs
@@ -18,12 +18,12 @@
         /// The row's key.
         pub key: String,
         /// What has to hold of it.
-        pub must: Must,
+        pub must: Precondition,
     }
 
     /// What has to hold of one row.
     #[serde(rename_all = "snake_case")]
-    pub enum Must {
+    pub enum Precondition {
         /// The row doesn't exist.
         BeAbsent,
         /// The row was last written by this revision.
@@ -41,7 +41,7 @@
     }
 
     /// Answer to a commit that took effect.
-    pub struct Committed {
+    pub struct CommitResponse {
         /// The commit's revision.
         pub revision: Revision,
     }
@@ -55,7 +55,7 @@
     }
 
     /// Answer to a commit whose conditions did not all hold.
-    pub struct Conflicted {
+    pub struct ConflictResponse {
         /// The conditions that did not hold.
         pub failed: Vec<FailedCondition>,
     }
@@ -93,7 +93,7 @@
 
 impl Condition {
     /// Asks that `must` holds of the row of `key`.
-    pub fn new(key: impl Into<String>, must: Must) -> Self {
+    pub fn new(key: impl Into<String>, must: Precondition) -> Self {
         Self { key: key.into(), must }
     }
 }
--- a/crates/yuccarack_platform/src/transfer.rs
+++ b/crates/yuccarack_platform/src/transfer.rs
@@ -19,7 +19,7 @@
 pub enum TransferError<E> {
     /// It broke off.
     #[error(transparent)]
-    Cut(E),
+    Interrupted(E),
     /// Less than [`PROGRESS_MIN_BYTES`] arrived within [`PROGRESS_INTERVAL`].
     #[error("the transfer stalled after {received_bytes} bytes")]
     Stalled {
@@ -36,7 +36,7 @@
 /// # Errors
 ///
 /// [`TransferError`].
-pub async fn read_whole<B>(
+pub async fn read_full<B>(
     mut body: B,
     mut on_bytes: impl FnMut(usize),
 ) -> Result<Bytes, TransferError<B::Error>>
@@ -50,7 +50,7 @@
         match timeout_at(interval_ends_at, body.frame()).await {
             Ok(None) => return Ok(read.freeze()),
             Ok(Some(frame)) => {
-                if let Ok(data) = frame.map_err(TransferError::Cut)?.into_data() {
+                if let Ok(data) = frame.map_err(TransferError::Interrupted)?.into_data() {
                     on_bytes(data.len());
                     read.extend_from_slice(&data);
                 }
--- a/crates/yuccarack_platform/tests/accept.rs
+++ b/crates/yuccarack_platform/tests/accept.rs
@@ -21,7 +21,7 @@
 };
 use yuccarack_platform::{
     PlatformClient, PlatformError,
-    accept::{AcceptError, Accepted, Proposal, ServiceConflict, accept, read_back},
+    accept::{AcceptError, AcceptedFile, Proposal, ServiceConflict, accept, read_back},
     messages::Commit,
     rows::{AppliedRow, RULES_PREFIX, RulesRow, applied_key, rules_key},
 };
@@ -60,7 +60,7 @@
     proposal
 }
 
-async fn apply(client: &PlatformClient, proposal: &Proposal) -> Result<Accepted, AcceptError> {
+async fn apply(client: &PlatformClient, proposal: &Proposal) -> Result<AcceptedFile, AcceptError> {
     accept(client, proposal, Instant::now() + LONG).await
 }
 
@@ -269,7 +269,7 @@
     let proposal = file(0, &[("conditions", 500)], &[]);
     let deadline = Instant::now() + Duration::from_millis(200);
     let result = accept(&client, &proposal, deadline).await;
-    let Err(AcceptError::Unknown { apply_id, .. }) = result else { panic!("{result:?}") };
+    let Err(AcceptError::UnknownOutcome { apply_id, .. }) = result else { panic!("{result:?}") };
     assert_eq!(apply_id, proposal.apply_id);
     server.crash().await;
 }
--- a/crates/yuccarack_platform/tests/transfer.rs
+++ b/crates/yuccarack_platform/tests/transfer.rs
@@ -10,7 +10,7 @@
 use tokio::time::{Instant, sleep};
 use yuccarack_platform::{
     PlatformClient,
-    transfer::{PROGRESS_INTERVAL, PROGRESS_MIN_BYTES, TransferError, read_whole},
+    transfer::{PROGRESS_INTERVAL, PROGRESS_MIN_BYTES, TransferError, read_full},
 };
 use yuccarack_standins::server::{Cut, Server, listen};
 
@@ -39,7 +39,7 @@
 async fn a_slow_body_is_read_whole_while_it_makes_progress() {
     let mut counted = 0;
     let slow = body(100, 4 * 1024, Duration::from_millis(200));
-    let read = read_whole(slow, |bytes| counted += bytes).await.expect("a whole body");
+    let read = read_full(slow, |bytes| counted += bytes).await.expect("a whole body");
     assert_eq!(read.len(), 400 * 1024);
     assert_eq!(counted, 400 * 1024);
 }
@@ -49,7 +49,7 @@
 async fn a_body_that_trickles_is_given_up() {
     let started_at = Instant::now();
     let trickle = body(10_000, 1, Duration::from_millis(100));
-    let read = read_whole(trickle, |_| ()).await;
+    let read = read_full(trickle, |_| ()).await;
     assert!(matches!(read, Err(TransferError::Stalled { received_bytes: 9..=10 })), "{read:?}");
     assert_eq!(started_at.elapsed(), PROGRESS_INTERVAL);
 }
@@ -65,7 +65,7 @@
         Some((start.frame().await?, (start, sent + 1)))
     }));
     let started_at = Instant::now();
-    let read = read_whole(stopped.boxed_unsync(), |_| ()).await;
+    let read = read_full(stopped.boxed_unsync(), |_| ()).await;
     assert!(matches!(read, Err(TransferError::Stalled { .. })), "{read:?}");
     assert_eq!(started_at.elapsed(), PROGRESS_INTERVAL * 3);
 }
@@ -73,8 +73,8 @@
 #[tokio::test(start_paused = true)]
 async fn a_body_that_breaks_off_is_not_taken_for_whole() {
     let pieces = [Ok(Frame::data(Bytes::from_static(b"half"))), Err(Broken)];
-    let read = read_whole(StreamBody::new(stream::iter(pieces)), |_| ()).await;
-    assert!(matches!(read, Err(TransferError::Cut(Broken))), "{read:?}");
+    let read = read_full(StreamBody::new(stream::iter(pieces)), |_| ()).await;
+    assert!(matches!(read, Err(TransferError::Interrupted(Broken))), "{read:?}");
 }
 
 /// A platform that sends the head of each answer at once and its body in pieces 20 ms apart.
--- a/crates/yuccarack_standins/src/platform/table.rs
+++ b/crates/yuccarack_standins/src/platform/table.rs
@@ -5,7 +5,7 @@
 use serde_json::Value;
 use yuccarack_config::ids::Revision;
 use yuccarack_platform::messages::{
-    Commit, Committed, Condition, Conflicted, FailedCondition, Must, Row, Rows,
+    Commit, CommitResponse, Condition, ConflictResponse, FailedCondition, Precondition, Row, Rows,
 };
 
 /// All rows, in memory.
@@ -21,7 +21,7 @@
     /// # Errors
     ///
     /// The conditions that don't hold.
-    pub fn commit(&mut self, commit: Commit) -> Result<Committed, Conflicted> {
+    pub fn commit(&mut self, commit: Commit) -> Result<CommitResponse, ConflictResponse> {
         let failed: Vec<_> = commit
             .conditions
             .iter()
@@ -32,7 +32,7 @@
             })
             .collect();
         if !failed.is_empty() {
-            return Err(Conflicted { failed });
+            return Err(ConflictResponse { failed });
         }
         self.revision += 1;
         for write in commit.writes {
@@ -41,7 +41,7 @@
                 None => self.rows.remove(&write.key),
             };
         }
-        Ok(Committed { revision: self.revision })
+        Ok(CommitResponse { revision: self.revision })
     }
 
     /// The row of `key`.
@@ -67,9 +67,9 @@
     fn holds(&self, condition: &Condition) -> bool {
         let revision = self.revision_of(&condition.key);
         match condition.must {
-            Must::BeAbsent => revision == 0,
-            Must::BeAt(expected) => revision == expected,
-            Must::NotBeNewerThan(newest) => revision <= newest,
+            Precondition::BeAbsent => revision == 0,
+            Precondition::BeAt(expected) => revision == expected,
+            Precondition::NotBeNewerThan(newest) => revision <= newest,
         }
     }
 
--- a/crates/yuccarackctl/src/commands/apply.rs
+++ b/crates/yuccarackctl/src/commands/apply.rs
@@ -13,7 +13,7 @@
 };
 use yuccarack_platform::{
     PlatformClient,
-    accept::{Accepted, Proposal, accept},
+    accept::{AcceptedFile, Proposal, accept},
     rows::applied_key,
 };
 
@@ -100,7 +100,7 @@
 async fn wait_in_force(
     client: &AdminClient,
     daemons: &[SocketAddr],
-    accepted: &Accepted,
+    accepted: &AcceptedFile,
     deadline: Instant,
 ) -> Vec<SocketAddr> {
     let mut late = daemons.to_vec();
@@ -120,7 +120,7 @@
 }
 
 /// A daemon that doesn't know a service has nothing older of it in force.
-async fn has_in_force(client: &AdminClient, daemon: SocketAddr, accepted: &Accepted) -> bool {
+async fn has_in_force(client: &AdminClient, daemon: SocketAddr, accepted: &AcceptedFile) -> bool {
     let status = client.get::<DaemonRules>(daemon, "/status").await;
     let Ok(Some(status)) = status else { return false };
     let changed = |name: &ServiceName| {
@@ -130,7 +130,7 @@
     known.into_iter().all(|service| service.rules_revision >= accepted.revision)
 }
 
-fn report(accepted: &Accepted, in_force_at: &[SocketAddr]) -> Report {
+fn report(accepted: &AcceptedFile, in_force_at: &[SocketAddr]) -> Report {
     let applied = &accepted.applied;
     let mut text = format!("accepted at revision {} as {}", accepted.revision, applied.apply_id);
     for service in &applied.services {
--- a/crates/yuccarackctl/src/commands/claim.rs
+++ b/crates/yuccarackctl/src/commands/claim.rs
@@ -5,7 +5,7 @@
 use yuccarack_config::ids::Revision;
 use yuccarack_platform::{
     PlatformClient, PlatformError,
-    messages::{Commit, Condition, Must, Row, Write},
+    messages::{Commit, Condition, Precondition, Row, Write},
     rows::{ClaimRow, ClaimState, claim_key, claim_prefix},
 };
 
@@ -71,7 +71,7 @@
     let deadline = Instant::now() + common.timeout();
     let key = claim_key(&found.row.service, &found.row.key);
     let commit = Commit {
-        conditions: vec![Condition::new(&key, Must::BeAt(found.revision))],
+        conditions: vec![Condition::new(&key, Precondition::BeAt(found.revision))],
         writes: vec![Write::delete(&key)],
     };
     let mut in_doubt = false;
--- a/crates/yuccarackctl/src/commands/diff.rs
+++ b/crates/yuccarackctl/src/commands/diff.rs
@@ -93,5 +93,5 @@
 }
 
 fn to_value<T: Serialize>(rules: &T) -> Result<Value, CtlError> {
-    Ok(serde_json::to_value(rules).map_err(PlatformError::Unwritable)?)
+    Ok(serde_json::to_value(rules).map_err(PlatformError::Unserializable)?)
 }
--- a/crates/yuccarackctl/src/commands/show.rs
+++ b/crates/yuccarackctl/src/commands/show.rs
@@ -48,7 +48,7 @@
 }
 
 fn as_file(file: &RulesFile) -> Result<Report, CtlError> {
-    let json = serde_json::to_value(file).map_err(PlatformError::Unwritable)?;
-    let text = serde_json::to_string_pretty(file).map_err(PlatformError::Unwritable)?;
+    let json = serde_json::to_value(file).map_err(PlatformError::Unserializable)?;
+    let text = serde_json::to_string_pretty(file).map_err(PlatformError::Unserializable)?;
     Ok(Report::new(text, json))
 }
--- a/crates/yuccarackctl/src/errors.rs
+++ b/crates/yuccarackctl/src/errors.rs
@@ -131,7 +131,7 @@
     /// The code by which the command ends.
     pub fn exit_status(&self) -> ExitStatus {
         match self {
-            Self::File(FileError::Faulty(_)) | Self::BasedOnFuture { .. } => ExitStatus::Refused,
+            Self::File(FileError::Invalid(_)) | Self::BasedOnFuture { .. } => ExitStatus::Refused,
             Self::File(FileError::Unreadable { .. }) => ExitStatus::Failed,
             Self::Accept(error) => accept_status(error),
             Self::Platform(error) => platform_status(error),
@@ -156,12 +156,12 @@
             "exit_code": self.exit_status() as u8,
         });
         match self {
-            Self::File(FileError::Faulty(faults)) => told["faults"] = json!(faults),
+            Self::File(FileError::Invalid(faults)) => told["faults"] = json!(faults),
             Self::Accept(AcceptError::Conflict { based_on, services }) => {
                 told["based_on"] = json!(based_on);
                 told["services"] = json!(services);
             }
-            Self::Accept(AcceptError::Unknown { apply_id, .. }) => {
+            Self::Accept(AcceptError::UnknownOutcome { apply_id, .. }) => {
                 told["apply_id"] = json!(apply_id);
             }
             Self::NotInForce { revision, daemons } => {
@@ -189,20 +189,20 @@
     match error {
         AcceptError::Conflict { .. } | AcceptError::ApplyIdTaken { .. } => ExitStatus::Conflict,
         AcceptError::NotAccepted(error) => platform_status(error),
-        AcceptError::Unknown { .. } => ExitStatus::OutcomeUnknown,
+        AcceptError::UnknownOutcome { .. } => ExitStatus::OutcomeUnknown,
     }
 }
 
 fn platform_status(error: &PlatformError) -> ExitStatus {
     match error {
-        PlatformError::Unreachable | PlatformError::Unknown | PlatformError::Stalled { .. } => {
-            ExitStatus::PlatformAway
-        }
+        PlatformError::Unreachable
+        | PlatformError::UnknownOutcome
+        | PlatformError::Stalled { .. } => ExitStatus::PlatformAway,
         PlatformError::Refused { status } if *status >= 500 => ExitStatus::PlatformAway,
         PlatformError::Conflict { .. } => ExitStatus::Conflict,
         PlatformError::Refused { .. }
         | PlatformError::Malformed(_)
-        | PlatformError::Unwritable(_) => ExitStatus::Failed,
+        | PlatformError::Unserializable(_) => ExitStatus::Failed,
     }
 }
 
@@ -218,7 +218,7 @@
                 "{lines}\nnothing was applied; compare with `yuccarackctl diff`, then set based_on"
             )
         }
-        AcceptError::Unknown { apply_id, .. } => format!(
+        AcceptError::UnknownOutcome { apply_id, .. } => format!(
             "\nrun the same command again: it is safe, and tells; or look for {apply_id} in \
              `yuccarackctl history`"
         ),
--- a/crates/yuccarackd/src/coordination/claims/batch.rs
+++ b/crates/yuccarackd/src/coordination/claims/batch.rs
@@ -7,7 +7,7 @@
 use yuccarack_config::ids::Revision;
 use yuccarack_platform::{
     PlatformError,
-    messages::{Commit, Condition, FailedCondition, Must, Write},
+    messages::{Commit, Condition, FailedCondition, Precondition, Write},
     rows::ClaimRow,
 };
 
@@ -134,7 +134,7 @@
                 (row_key, revision, Write::put(row_key, row_value(row)?))
             }
         };
-        commit.conditions.push(Condition::new(row_key, Must::BeAt(*revision)));
+        commit.conditions.push(Condition::new(row_key, Precondition::BeAt(*revision)));
         commit.writes.push(write);
         Ok(())
     }
@@ -150,12 +150,12 @@
     ///
     /// # Errors
     ///
-    /// [`PlatformError::Unwritable`] for a row that has no form in JSON.
+    /// [`PlatformError::Unserializable`] for a row that has no form in JSON.
     pub fn commit(&self, fence_key: &str, fence: Revision) -> Result<Commit, PlatformError> {
         let mut commit = Commit::default();
-        commit.conditions.push(Condition::new(fence_key, Must::BeAt(fence)));
+        commit.conditions.push(Condition::new(fence_key, Precondition::BeAt(fence)));
         for claim in &self.claims {
-            commit.conditions.push(Condition::new(&claim.row_key, Must::BeAbsent));
+            commit.conditions.push(Condition::new(&claim.row_key, Precondition::BeAbsent));
             commit.writes.push(Write::put(&claim.row_key, row_value(&claim.row)?));
         }
         for upkeep in &self.upkeep {
@@ -176,5 +176,5 @@
 }
 
 fn row_value(row: &ClaimRow) -> Result<Value, PlatformError> {
-    serde_json::to_value(row).map_err(PlatformError::Unwritable)
+    serde_json::to_value(row).map_err(PlatformError::Unserializable)
 }
--- a/crates/yuccarackd/src/coordination/claims/table.rs
+++ b/crates/yuccarackd/src/coordination/claims/table.rs
@@ -90,7 +90,7 @@
     /// Writes the fence row; no transaction that asked for an earlier one takes effect after.
     async fn raise_fence(&mut self) -> Result<Revision, PlatformError> {
         let row = ClaimFenceRow { raised_at_unix_ms: unix_ms() };
-        let value = serde_json::to_value(row).map_err(PlatformError::Unwritable)?;
+        let value = serde_json::to_value(row).map_err(PlatformError::Unserializable)?;
         // It asks for nothing: one that lands late only makes the next transaction fail once,
         // whose answer then names the revision to go on with.
         let commit =
--- a/crates/yuccarackd/src/coordination/entry/mod.rs
+++ b/crates/yuccarackd/src/coordination/entry/mod.rs
@@ -214,7 +214,7 @@
     now: Instant,
 ) -> Result<(Instant, bool), Refusal> {
     let (method, path) = (parts.method.as_str(), parts.uri.path());
-    let route = rules.routes.iter().find(|route| route.takes(method, path));
+    let route = rules.routes.iter().find(|route| route.matches(method, path));
     let route = route.ok_or(Refusal::not_run(Reason::UnknownRoute))?;
     let repeatable = route.is_repeatable(method);
     if !repeatable && head.key.is_none() {
--- a/crates/yuccarackd/src/coordination/gate/target.rs
+++ b/crates/yuccarackd/src/coordination/gate/target.rs
@@ -77,7 +77,7 @@
     pub fn route(&self, method: &Method, path: &str) -> Result<(usize, &RouteRules), Refusal> {
         let mut routes = self.rules.routes.iter().enumerate();
         routes
-            .find(|(_, route)| route.takes(method.as_str(), path))
+            .find(|(_, route)| route.matches(method.as_str(), path))
             .ok_or(Refusal::not_run(Reason::UnknownRoute))
     }
 }
--- a/crates/yuccarackd/src/coordination/routed/control_server.rs
+++ b/crates/yuccarackd/src/coordination/routed/control_server.rs
@@ -10,7 +10,7 @@
 use http_body_util::BodyExt;
 use tokio::time::timeout;
 use tokio_util::sync::CancellationToken;
-use yuccarack_config::heartbeat::{Heartbeat, TargetLife};
+use yuccarack_config::heartbeat::{Heartbeat, TargetIncarnation};
 use yuccarack_platform_wire::{
     control::{self, ControlCall},
     heartbeat,
@@ -121,10 +121,10 @@
     ///
     /// With a clock that can't be used all processes count, since work for one that has left is worse
     /// than none for one that comes.
-    fn last_life(&self) -> TargetLife {
+    fn last_life(&self) -> TargetIncarnation {
         unix_ms().unwrap_or_else(|error| {
             self.events.write(|| ClockUnusable { cause: error.to_string() });
-            TargetLife::MAX
+            TargetIncarnation::MAX
         })
     }
 
--- a/crates/yuccarackd/src/coordination/routed/entry/mod.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/mod.rs
@@ -118,7 +118,7 @@
         let (Some(host), Some(routing)) = (head::host(head), self.parts.routing.current()) else {
             return false;
         };
-        routing.route(&host, head.uri.path()).is_some_and(|(_, route)| route.is_repeatable)
+        routing.find_route(&host, head.uri.path()).is_some_and(|(_, route)| route.is_repeatable)
     }
 
     async fn handle(
@@ -163,7 +163,7 @@
         let routing = self.parts.routing.current().ok_or_else(no_routing)?;
         story.routing_version = routing.version();
         let (_, route) = routing
-            .route(&head.host, parts.uri.path())
+            .find_route(&head.host, parts.uri.path())
             .ok_or(Refusal::not_run(Reason::UnknownRoute))?;
         story.route.clone_from(&route.name);
         check_size(&routing, &parts)?;
--- a/crates/yuccarackd/src/coordination/routed/entry/tries.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/tries.rs
@@ -169,7 +169,7 @@
         let now = Instant::now();
         let settings = self.entry.parts.settings.current();
         let attempt = rand::rng().random();
-        let hop = self.call.hop(now, attempt, gate.may_wait, settings.gate_reached_at());
+        let hop = self.call.hop(now, attempt, gate.may_wait, settings.advertised_gate_address());
         let ended = if gate.member.instance == settings.instance {
             self.send_here(gate, hop).await
         } else {
--- a/crates/yuccarackd/src/coordination/routed/log_lines/targets.rs
+++ b/crates/yuccarackd/src/coordination/routed/log_lines/targets.rs
@@ -1,6 +1,6 @@
 //! Lines of targets: what they say, and whether they can be reached.
 
-use yuccarack_config::{heartbeat::TargetLife, ids::Revision};
+use yuccarack_config::{heartbeat::TargetIncarnation, ids::Revision};
 
 use crate::coordination::routed::events::EventKind;
 
@@ -11,7 +11,7 @@
         /// The target.
         target: String,
         /// Its process.
-        life: TargetLife,
+        life: TargetIncarnation,
         /// Number of the heartbeat.
         sequence: u64,
         /// The service.
@@ -36,7 +36,7 @@
         /// The target.
         target: String,
         /// Its process.
-        life: Option<TargetLife>,
+        life: Option<TargetIncarnation>,
         /// Whether it is the one that was here.
         is_present: bool,
     }
@@ -49,7 +49,7 @@
         /// The service.
         service: String,
         /// Its process.
-        life: TargetLife,
+        life: TargetIncarnation,
         /// Requests that it runs at once.
         slots: u16,
     }
@@ -76,7 +76,7 @@
         /// The target.
         target: String,
         /// Its process.
-        life: TargetLife,
+        life: TargetIncarnation,
         /// What the request is recognised by.
         fingerprint: String,
     }
@@ -94,7 +94,7 @@
         /// The target; unset where it stays after all.
         target: Option<String>,
         /// Its process.
-        life: Option<TargetLife>,
+        life: Option<TargetIncarnation>,
         /// Revision of the row.
         revision: Revision,
     }
--- a/crates/yuccarackd/src/coordination/routed/peers/mod.rs
+++ b/crates/yuccarackd/src/coordination/routed/peers/mod.rs
@@ -20,7 +20,7 @@
 use tokio::time::{Instant, error::Elapsed, sleep, timeout};
 use tokio_util::sync::CancellationToken;
 use yuccarack_config::ids::Revision;
-use yuccarack_platform::transfer::{TransferError, read_whole};
+use yuccarack_platform::transfer::{TransferError, read_full};
 
 pub use self::newer_table::NewerTableNotice;
 use self::newer_table::NewerTableNotices;
@@ -292,7 +292,7 @@
         let asked = self.send(address, &question, Freshness::Kept);
         let answer = timeout(ANSWER_TIMEOUT, asked).await??;
         let transfer = self.inner.parts.transfers.begin();
-        let text = read_whole(answer.into_body(), |bytes| transfer.note(bytes)).await?;
+        let text = read_full(answer.into_body(), |bytes| transfer.note(bytes)).await?;
         Ok(serde_json::from_slice(&text)?)
     }
 
--- a/crates/yuccarackd/src/coordination/routed/row_publisher.rs
+++ b/crates/yuccarackd/src/coordination/routed/row_publisher.rs
@@ -7,7 +7,7 @@
 use tokio::time::{sleep, timeout};
 use tokio_util::sync::CancellationToken;
 use yuccarack_config::{
-    heartbeat::{TargetId, TargetLife},
+    heartbeat::{TargetId, TargetIncarnation},
     ids::{InstanceId, Revision, ServiceName},
     wire_data,
 };
@@ -54,7 +54,7 @@
         /// Its name.
         target: TargetId,
         /// Its process.
-        last_life: TargetLife,
+        last_life: TargetIncarnation,
     }
 }
 
@@ -218,15 +218,15 @@
                 return;
             }
         };
-        let mut seen_at = 0;
+        let mut expected_revision = 0;
         let mut retry = RETRY_FIRST;
         loop {
             let write = FeedWrite {
                 table: LEAVING_TABLE,
                 key: self.member.instance.clone(),
-                seen_at,
+                expected_revision,
                 value: value.clone(),
-                unless_in: None,
+                absent_in: None,
             };
             match self.store.write(&write).await {
                 Ok(revision) => {
@@ -237,8 +237,10 @@
                     });
                     return;
                 }
-                Err(FeedError::Conflict { stands_at }) if stands_at != seen_at => {
-                    seen_at = stands_at;
+                Err(FeedError::Conflict { current_revision })
+                    if current_revision != expected_revision =>
+                {
+                    expected_revision = current_revision;
                 }
                 Err(error) => {
                     self.events.write(|| LeavingNotStored { cause: error.to_string() });
@@ -251,13 +253,13 @@
 
     /// Takes away the rows of instances that had the address of this one before.
     async fn end_others(&self, others: Vec<(InstanceId, Revision)>) {
-        for (member, seen_at) in others {
+        for (member, expected_revision) in others {
             let write = FeedWrite {
                 table: MEMBERS_TABLE,
                 key: member.clone(),
-                seen_at,
+                expected_revision,
                 value: None,
-                unless_in: None,
+                absent_in: None,
             };
             match self.store.write(&write).await {
                 Ok(revision) => {
@@ -281,16 +283,16 @@
         if !self.target.is_leaving() {
             return;
         }
-        let (seen_at, stands) = self.members.row(&self.member.instance);
+        let (expected_revision, stands) = self.members.row(&self.member.instance);
         if stands.is_none() {
             return;
         }
         let write = FeedWrite {
             table: MEMBERS_TABLE,
             key: self.member.instance.clone(),
-            seen_at,
+            expected_revision,
             value: None,
-            unless_in: None,
+            absent_in: None,
         };
         match self.store.write(&write).await {
             Ok(revision) => self.events.write(|| RowDeleted { revision }),
@@ -311,8 +313,8 @@
                     self.members.merge(&self.member.instance, revision, member);
                     return;
                 }
-                Err(FeedError::Conflict { stands_at }) if stands_at != seen_at => {
-                    seen_at = stands_at;
+                Err(FeedError::Conflict { current_revision }) if current_revision != seen_at => {
+                    seen_at = current_revision;
                 }
                 Err(error) => {
                     self.events.write(|| RowNotWritten { seen_at, cause: error.to_string() });
@@ -331,17 +333,17 @@
     fn row_write(
         &self,
         member: &RoutedMember,
-        seen_at: Revision,
-        unless_in: Option<&'static str>,
+        expected_revision: Revision,
+        absent_in: Option<&'static str>,
     ) -> Result<FeedWrite, FeedError> {
         let malformed = |error: serde_json::Error| FeedError::Malformed(error.to_string());
         let value = serde_json::to_vec(member).map_err(malformed)?;
         Ok(FeedWrite {
             table: MEMBERS_TABLE,
             key: member.instance.clone(),
-            seen_at,
+            expected_revision,
             value: Some(value.into()),
-            unless_in,
+            absent_in,
         })
     }
 }
--- a/crates/yuccarackd/src/coordination/routed/store_client.rs
+++ b/crates/yuccarackd/src/coordination/routed/store_client.rs
@@ -7,7 +7,7 @@
 use yuccarack_config::ids::Revision;
 use yuccarack_platform::{
     PlatformClient,
-    feed::{FeedError, FeedQuestion, FeedRow, FeedRows, FeedWrite},
+    feed::{FeedError, FeedRequest, FeedRow, FeedRows, FeedWrite},
 };
 use yuccarack_platform_wire::store;
 
@@ -105,11 +105,11 @@
 
     async fn ask(
         &self,
-        question: FeedQuestion,
+        question: FeedRequest,
         answer_timeout: Duration,
         on_bytes: impl Fn(usize),
     ) -> Result<(StatusCode, Bytes), FeedError> {
-        Ok(self.client.ask_feed(question, answer_timeout, on_bytes).await?)
+        Ok(self.client.send_feed_request(question, answer_timeout, on_bytes).await?)
     }
 
     fn counted<T>(
--- a/crates/yuccarackd/src/coordination/routed/sweeper.rs
+++ b/crates/yuccarackd/src/coordination/routed/sweeper.rs
@@ -89,13 +89,13 @@
     ///
     /// A daemon that lives after all, behind a link that is cut one way, writes its row again.
     async fn end(&self, member: &str) {
-        let (seen_at, _) = self.members.row(member);
+        let (expected_revision, _) = self.members.row(member);
         let write = FeedWrite {
             table: MEMBERS_TABLE,
             key: member.to_owned(),
-            seen_at,
+            expected_revision,
             value: None,
-            unless_in: None,
+            absent_in: None,
         };
         let member = member.to_owned();
         match self.store.write(&write).await {
--- a/crates/yuccarackd/src/coordination/suspects/recorder.rs
+++ b/crates/yuccarackd/src/coordination/suspects/recorder.rs
@@ -162,5 +162,5 @@
 }
 
 fn to_value(row: &SuspectRow) -> Result<serde_json::Value, PlatformError> {
-    serde_json::to_value(row).map_err(PlatformError::Unwritable)
+    serde_json::to_value(row).map_err(PlatformError::Unserializable)
 }
--- a/crates/yuccarackd/src/coordination/suspects/shared.rs
+++ b/crates/yuccarackd/src/coordination/suspects/shared.rs
@@ -7,7 +7,7 @@
 use yuccarack_config::ids::{Fingerprint, InstanceId, ServiceName};
 use yuccarack_platform::{
     PlatformClient, PlatformError,
-    messages::{Commit, Condition, Must, Row, Write},
+    messages::{Commit, Condition, Precondition, Row, Write},
     rows::SuspectRow,
 };
 
@@ -99,7 +99,10 @@
     ///
     /// The platform's; a conflict when the row was written since.
     pub async fn write_over(&self, found: &Found, write: Write) -> Result<(), PlatformError> {
-        let must = found.row.as_ref().map_or(Must::BeAbsent, |row| Must::BeAt(row.revision));
+        let must = found
+            .row
+            .as_ref()
+            .map_or(Precondition::BeAbsent, |row| Precondition::BeAt(row.revision));
         let conditions = vec![Condition::new(write.key.clone(), must)];
         self.platform.commit(&Commit { conditions, writes: vec![write] }).await?;
         Ok(())
--- a/crates/yuccarackd/src/coordination/table.rs
+++ b/crates/yuccarackd/src/coordination/table.rs
@@ -6,7 +6,7 @@
 use yuccarack_config::ids::Revision;
 use yuccarack_platform::{
     PlatformClient, PlatformError,
-    messages::{Commit, Committed, Condition, Must, Row, Write},
+    messages::{Commit, CommitResponse, Condition, Precondition, Row, Write},
     rows::{MemberRow, RulesRow, member_key, member_prefix, rules_key},
 };
 
@@ -106,7 +106,7 @@
         &self,
         member: &MemberRow,
         seen: Option<Revision>,
-    ) -> Result<Committed, TableError> {
+    ) -> Result<CommitResponse, TableError> {
         let key = member_key(&member.service, &member.instance);
         let write = Write::put(key.clone(), to_value(member)?);
         self.commit(key, write, seen).await
@@ -121,7 +121,7 @@
         &self,
         member: &MemberRow,
         seen: Revision,
-    ) -> Result<Committed, TableError> {
+    ) -> Result<CommitResponse, TableError> {
         let key = member_key(&member.service, &member.instance);
         let write = Write::delete(key.clone());
         self.commit(key, write, Some(seen)).await
@@ -132,8 +132,8 @@
         key: String,
         write: Write,
         seen: Option<Revision>,
-    ) -> Result<Committed, TableError> {
-        let must = seen.map_or(Must::BeAbsent, Must::BeAt);
+    ) -> Result<CommitResponse, TableError> {
+        let must = seen.map_or(Precondition::BeAbsent, Precondition::BeAt);
         let commit = Commit { conditions: vec![Condition::new(key, must)], writes: vec![write] };
         self.counters.add("store.writes");
         let result = self.client.commit(&commit).await;
@@ -167,9 +167,9 @@
         PlatformError::Conflict { .. } => "conflict",
         PlatformError::Refused { .. } => "refused",
         PlatformError::Unreachable => "unreachable",
-        PlatformError::Unknown | PlatformError::Stalled { .. } => "no_answer",
+        PlatformError::UnknownOutcome | PlatformError::Stalled { .. } => "no_answer",
         PlatformError::Malformed(_) => "malformed",
-        PlatformError::Unwritable(_) => "unwritable",
+        PlatformError::Unserializable(_) => "unwritable",
     }
 }
 
@@ -179,5 +179,5 @@
 }
 
 fn to_value<T: Serialize>(value: &T) -> Result<serde_json::Value, TableError> {
-    serde_json::to_value(value).map_err(|error| PlatformError::Unwritable(error).into())
+    serde_json::to_value(value).map_err(|error| PlatformError::Unserializable(error).into())
 }
--- a/crates/yuccarackd/src/daemon/routed/wiring.rs
+++ b/crates/yuccarackd/src/daemon/routed/wiring.rs
@@ -97,7 +97,7 @@
         news.set_asks_store(false);
         let settings = self.settings.current();
         let peers = Peers::new(PeersParts {
-            own_address: settings.gate_reached_at(),
+            own_address: settings.advertised_gate_address(),
             routing: self.routing.clone(),
             members: self.members.clone(),
             evacuations: self.evacuations.clone(),
@@ -221,7 +221,7 @@
             member: RoutedMember {
                 instance: settings.instance.clone(),
                 failure_domain: settings.failure_domain.clone(),
-                gate_address: settings.gate_reached_at(),
+                gate_address: settings.advertised_gate_address(),
                 service: None,
             },
             target: self.target.clone(),
--- a/crates/yuccarackd/src/state/routed/recent_changes.rs
+++ b/crates/yuccarackd/src/state/routed/recent_changes.rs
@@ -40,6 +40,6 @@
         let first = self.changes.iter().position(|changes| changes.base == base)?;
         let mut later = self.changes.iter().skip(first);
         let oldest = later.next()?.clone();
-        later.try_fold(oldest, |merged, changes| merged.then(changes).ok())
+        later.try_fold(oldest, |merged, changes| merged.merged_with(changes).ok())
     }
 }
--- a/crates/yuccarackd/src/state/routed/routing_state.rs
+++ b/crates/yuccarackd/src/state/routed/routing_state.rs
@@ -117,7 +117,7 @@
             return Ok(false);
         }
         let routing = changes.apply(current.as_deref())?;
-        let changes = match (changes.is_whole(), current) {
+        let changes = match (changes.is_full(), current) {
             (false, _) => Some(changes),
             (true, Some(current)) => Some(RoutingChanges::between(&current, &routing)),
             (true, None) => None,
@@ -133,7 +133,7 @@
         if base >= routing.version() {
             return None;
         }
-        let whole = || RoutingChanges::whole(routing);
+        let whole = || RoutingChanges::full(routing);
         Some(recent.since(base).unwrap_or_else(whole))
     }
 
--- a/crates/yuccarackd/src/state/routed/target.rs
+++ b/crates/yuccarackd/src/state/routed/target.rs
@@ -9,7 +9,7 @@
 use parking_lot::Mutex;
 use tokio::sync::watch;
 use yuccarack_config::{
-    heartbeat::{Heartbeat, Leave, TargetId, TargetLife, TargetPhase},
+    heartbeat::{Heartbeat, Leave, TargetId, TargetIncarnation, TargetPhase},
     ids::ServiceName,
 };
 
@@ -23,7 +23,7 @@
 #[derive(Debug, Default)]
 struct State {
     /// Life and name of the latest process that was heard of.
-    latest: Option<(TargetLife, TargetId)>,
+    latest: Option<(TargetIncarnation, TargetId)>,
     /// Highest number of a heartbeat of that process.
     sequence: u64,
     /// Whether that process said that it leaves; it doesn't come back.
@@ -43,13 +43,13 @@
     /// Its name.
     pub target: TargetId,
     /// Processes that started up to then are gone; target and daemon share their machine's clock.
-    pub last_life: TargetLife,
+    pub last_life: TargetIncarnation,
 }
 
 /// A process whose start seems to lie before that of the known one.
 #[derive(Debug)]
 struct Claimant {
-    life: TargetLife,
+    life: TargetIncarnation,
     target: TargetId,
     sequence: u64,
     /// Heartbeats of it, each newer than the one before.
@@ -74,7 +74,7 @@
     /// Its name.
     pub target: TargetId,
     /// Its process.
-    pub life: TargetLife,
+    pub life: TargetIncarnation,
     /// Service that it serves.
     pub service: ServiceName,
     /// Where it takes requests.
--- a/crates/yuccarackd/tests/routing_state.rs
+++ b/crates/yuccarackd/tests/routing_state.rs
@@ -30,7 +30,7 @@
     assert_eq!((changes.base, changes.version, changes.routes.len()), (4, 11, 3));
     assert!(state.changes_since(11).is_none());
     let unknown = state.changes_since(7).expect("the whole table");
-    assert!(unknown.is_whole() && unknown.routes.len() == 1_003);
+    assert!(unknown.is_full() && unknown.routes.len() == 1_003);
 }
 
 /// Guards against an older table that replaces a newer one.
@@ -39,7 +39,7 @@
     let state = RoutingState::new();
     assert!(state.offer(table(9, 3)));
     assert!(!state.offer(table(4, 7)));
-    let older = RoutingChanges::whole(&Routing::new(table(8, 7)));
+    let older = RoutingChanges::full(&Routing::new(table(8, 7)));
     assert_eq!(state.apply(older), Ok(false));
     assert_eq!((state.version(), routes(&state)), (9, 3));
 }
