--- a/crates/yuccarackd/src/coordination/routed/entry/tries.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/attempts.rs
@@ -11,7 +11,7 @@
 
 use super::{
     RoutedEntry,
-    asked_gates::AskedGates,
+    attempted_gates::AttemptedGates,
     call::RoutedCall,
     service::{ChosenGate, RoutedService},
 };
@@ -30,35 +30,35 @@
 };
 
 /// All tries of one call.
-pub struct Tries<'a> {
+pub struct Attempts<'a> {
     entry: &'a RoutedEntry,
     call: RoutedCall,
     service: Arc<RoutedService>,
     fate: &'a Fate,
-    gates: &'a AskedGates,
+    gates: &'a AttemptedGates,
     asked: Asked,
     /// Targets that may have run it.
-    ran_on: u8,
+    targets_run: u8,
     /// Least time after which a gate that was asked has room.
     retry_after: Option<std::time::Duration>,
 }
 
 /// How a try ended.
-enum Ended {
+enum Reply {
     /// The target answered, well or not.
     Answered(Response<CallBody>),
     /// No target answered.
     Refused(Refusal),
 }
 
-impl<'a> Tries<'a> {
+impl<'a> Attempts<'a> {
     /// Prepares the tries of `call`.
     pub fn new(
         entry: &'a RoutedEntry,
         call: RoutedCall,
         service: Arc<RoutedService>,
         fate: &'a Fate,
-        gates: &'a AskedGates,
+        gates: &'a AttemptedGates,
     ) -> Self {
         Self {
             entry,
@@ -67,7 +67,7 @@
             fate,
             gates,
             asked: Asked::default(),
-            ran_on: 0,
+            targets_run: 0,
             retry_after: None,
         }
     }
@@ -79,8 +79,8 @@
     /// The last refusal; its outcome speaks for its own try only.
     pub async fn run(mut self) -> Result<Response<CallBody>, Refusal> {
         let result = self.run_all().await;
-        if result.as_ref().is_err_and(is_for_want_of_room) {
-            self.entry.loads.short(Instant::now(), &self.call.service);
+        if result.as_ref().is_err_and(is_capacity_refusal) {
+            self.entry.stats.record_shortage(Instant::now(), &self.call.service);
         }
         self.entry.parts.metrics.tried(self.asked.count());
         result
@@ -90,171 +90,175 @@
         let mut last = None;
         loop {
             let settings = self.entry.parts.settings.current();
-            self.service.keep_home(&mut self.asked, &self.call.home_regions, &settings);
+            self.service.restrict_to_home_regions(
+                &mut self.asked,
+                &self.call.home_regions,
+                &settings,
+            );
             let Some(gate) = self.service.choose(Instant::now(), &self.asked) else {
                 return last.unwrap_or_else(|| Err(Refusal::not_run(Reason::NoTarget)));
             };
-            let ended = self.send(&gate).await;
-            self.asked.note(gate.key, ended.said(gate.may_wait));
-            let Some(bad) = self.judge(&ended) else {
-                return match ended {
-                    Ended::Answered(answer) => Ok(answer),
-                    Ended::Refused(refusal) => Err(refusal),
+            let reply = self.send(&gate).await;
+            self.asked.note(gate.key, reply.to_said(gate.may_wait));
+            let Some(failure) = self.classify_failure(&reply) else {
+                return match reply {
+                    Reply::Answered(response) => Ok(response),
+                    Reply::Refused(refusal) => Err(refusal),
                 };
             };
-            let is_again = self.is_again(&gate, &ended, bad);
-            last = Some(match (ended, last) {
-                (Ended::Answered(answer), _) => Ok(answer),
+            let is_retried = self.decide_retry(&gate, &reply, failure);
+            last = Some(match (reply, last) {
+                (Reply::Answered(response), _) => Ok(response),
                 // A target's failure says more than that no other one had room.
-                (Ended::Refused(refusal), Some(Ok(failed))) if refusal.is_not_run() => Ok(failed),
-                (Ended::Refused(refusal), _) => Err(self.with_least_wait(refusal)),
+                (Reply::Refused(refusal), Some(Ok(failed))) if refusal.is_not_run() => Ok(failed),
+                (Reply::Refused(refusal), _) => Err(self.with_least_retry_after(refusal)),
             });
-            if !is_again {
+            if !is_retried {
                 return last.unwrap_or_else(|| Err(Refusal::not_run(Reason::NoTarget)));
             }
         }
     }
 
     /// What a further try has to know of a bad end; none after a good one.
-    fn judge(&mut self, ended: &Ended) -> Option<EndedBadly> {
-        match ended {
-            Ended::Answered(answer) if answer.status().is_server_error() => {
-                self.ran_on += 1;
+    fn classify_failure(&mut self, reply: &Reply) -> Option<EndedBadly> {
+        match reply {
+            Reply::Answered(response) if response.status().is_server_error() => {
+                self.targets_run += 1;
                 Some(EndedBadly::Failed)
             }
-            Ended::Answered(_) => None,
-            Ended::Refused(refusal) => Some(match (refusal.outcome, refusal.reason) {
+            Reply::Answered(_) => None,
+            Reply::Refused(refusal) => Some(match (refusal.outcome, refusal.reason) {
                 (Outcome::NotRun, Reason::Shed) => EndedBadly::Shed,
                 (Outcome::NotRun, _) => EndedBadly::Refused,
                 _ => {
-                    self.ran_on += 1;
+                    self.targets_run += 1;
                     EndedBadly::Unknown
                 }
             }),
         }
     }
 
-    fn is_again(&mut self, gate: &ChosenGate, ended: &Ended, bad: EndedBadly) -> bool {
+    fn decide_retry(&mut self, gate: &ChosenGate, reply: &Reply, failure: EndedBadly) -> bool {
         let now = Instant::now();
-        let decision = self.service.decide(BadTry {
-            ended: bad,
+        let decision = self.service.decide_extra_attempt(BadTry {
+            ended: failure,
             is_repeatable: self.call.is_repeatable,
-            ran_on: self.ran_on,
+            ran_on: self.targets_run,
             targets_max: self.call.targets_max,
             left: self.call.deadline.remaining(now),
         });
-        let is_again = decision.is_ok() && self.call.body.can_be_sent();
-        let next = decision.err().map_or("another_gate", |no_more| no_more.as_str());
-        if bad != EndedBadly::Refused {
+        let is_retried = decision.is_ok() && self.call.body.can_be_sent();
+        let next = decision.err().map_or("another_gate", |reason| reason.as_str());
+        if failure != EndedBadly::Refused {
             self.entry.parts.events.write(|| AttemptEnded {
-                request: self.call.id_text(),
+                request: self.call.request_id_text(),
                 gate: gate.member.instance.clone(),
-                ended: format!("{bad:?}"),
-                how: ended.describe(),
+                ended: format!("{failure:?}"),
+                how: reply.describe(),
                 took_ms: now.duration_since(self.call.came_at).as_millis() as u64,
                 next,
             });
         }
         self.entry.parts.counters.add_reason("entry.after_bad_try", next);
-        if is_again && bad != EndedBadly::Refused {
+        if is_retried && failure != EndedBadly::Refused {
             self.entry.parts.counters.add("entry.extra_tries");
         }
-        is_again
+        is_retried
     }
 
-    async fn send(&mut self, gate: &ChosenGate) -> Ended {
-        let slot = SentTry { service: Arc::clone(&self.service), key: gate.key, end: None };
+    async fn send(&mut self, gate: &ChosenGate) -> Reply {
+        let sent = SentAttempt { service: Arc::clone(&self.service), key: gate.key, end: None };
         self.fate.sent();
-        self.gates.ask(&gate.member.instance);
+        self.gates.start(&gate.member.instance);
         let now = Instant::now();
         let settings = self.entry.parts.settings.current();
         let attempt = rand::rng().random();
         let hop = self.call.hop(now, attempt, gate.may_wait, settings.advertised_gate_address());
-        let ended = if gate.member.instance == settings.instance {
-            self.send_here(gate, hop).await
+        let reply = if gate.member.instance == settings.instance {
+            self.send_local(gate, hop).await
         } else {
-            self.send_there(gate, hop).await
+            self.send_remote(gate, hop).await
         };
-        self.gates.said(ended.word());
-        if let Ended::Refused(refusal) = &ended
+        self.gates.finish(reply.label());
+        if let Reply::Refused(refusal) = &reply
             && refusal.is_not_run()
         {
             self.fate.proved_not_run();
-            self.note_wait(refusal);
+            self.record_retry_after(refusal);
         }
-        slot.ended(ended.as_try_end());
-        ended
+        sent.finish(reply.to_try_end());
+        reply
     }
 
-    async fn send_here(&mut self, gate: &ChosenGate, hop: Hop) -> Ended {
-        let parts = self.call.parts.to_head();
+    async fn send_local(&mut self, gate: &ChosenGate, hop: Hop) -> Reply {
+        let parts = self.call.head.to_parts();
         let body = self.call.body.again();
-        let work = GateRequest::new(Instant::now(), hop, parts, body);
+        let request = GateRequest::new(Instant::now(), hop, parts, body);
         let local = &self.entry.parts.gate;
-        let answer = local.handle(work).await;
-        self.service.told(Instant::now(), gate.key, local.status().load);
-        match answer {
-            Ok(answer) => Ended::Answered(answer),
-            Err(refusal) => Ended::Refused(refusal),
+        let response = local.handle(request).await;
+        self.service.record_load(Instant::now(), gate.key, local.status().load);
+        match response {
+            Ok(response) => Reply::Answered(response),
+            Err(refusal) => Reply::Refused(refusal),
         }
     }
 
-    async fn send_there(&mut self, gate: &ChosenGate, hop: Hop) -> Ended {
+    async fn send_remote(&mut self, gate: &ChosenGate, hop: Hop) -> Reply {
         let is_offered = self.entry.parts.settings.current().decisions.offered_bodies;
         let request = self.call.request(&hop, is_offered);
         let upstream = &self.entry.parts.upstream;
         match upstream.send(gate.address(), request, Freshness::Kept).await {
-            Ok(answer) => self.heard(gate, answer),
-            Err(error) => Ended::Refused(unsent(&error)),
+            Ok(response) => self.receive(gate, response),
+            Err(error) => Reply::Refused(send_error_refusal(&error)),
         }
     }
 
-    fn heard(&self, gate: &ChosenGate, mut answer: Response<CallBody>) -> Ended {
-        let word = answer.headers_mut().remove(GATE_WORD);
-        let word: Option<GateWord> = word.and_then(|word| word.to_str().ok()?.parse().ok());
-        if let Some(word) = word {
-            self.service.told(Instant::now(), gate.key, word.load);
-            self.entry.parts.peers.note_version(gate.address(), word.routing_version);
+    fn receive(&self, gate: &ChosenGate, mut response: Response<CallBody>) -> Reply {
+        let status = response.headers_mut().remove(GATE_WORD);
+        let status: Option<GateWord> = status.and_then(|status| status.to_str().ok()?.parse().ok());
+        if let Some(status) = status {
+            self.service.record_load(Instant::now(), gate.key, status.load);
+            self.entry.parts.peers.note_version(gate.address(), status.routing_version);
         }
-        match refusal_of(&answer) {
-            Some(refusal) => Ended::Refused(refusal),
-            None => Ended::Answered(answer),
+        match parse_refusal(&response) {
+            Some(refusal) => Reply::Refused(refusal),
+            None => Reply::Answered(response),
         }
     }
 
-    fn note_wait(&mut self, refusal: &Refusal) {
+    fn record_retry_after(&mut self, refusal: &Refusal) {
         let Some(wait) = refusal.retry_after else { return };
         self.retry_after = Some(self.retry_after.map_or(wait, |least| least.min(wait)));
     }
 
-    fn with_least_wait(&self, refusal: Refusal) -> Refusal {
+    fn with_least_retry_after(&self, refusal: Refusal) -> Refusal {
         Refusal { retry_after: self.retry_after.or(refusal.retry_after), ..refusal }
     }
 }
 
 /// A try that counts at its gate until it ends, however it ends.
-struct SentTry {
+struct SentAttempt {
     service: Arc<RoutedService>,
     key: GateKey,
     end: Option<TryEnd>,
 }
 
-impl SentTry {
-    fn ended(mut self, end: TryEnd) {
+impl SentAttempt {
+    fn finish(mut self, end: TryEnd) {
         self.end = Some(end);
     }
 }
 
-impl Drop for SentTry {
+impl Drop for SentAttempt {
     fn drop(&mut self) {
         let end = self.end.unwrap_or(TryEnd::Cancelled);
-        self.service.ended(Instant::now(), self.key, end);
+        self.service.record_attempt_end(Instant::now(), self.key, end);
     }
 }
 
-impl Ended {
+impl Reply {
     /// What the gate said to a request that could wait or not.
-    fn said(&self, may_wait: bool) -> Said {
+    fn to_said(&self, may_wait: bool) -> Said {
         match self {
             Self::Refused(refusal) if matches!(refusal.reason, Reason::Admission(_)) => {
                 if may_wait { Said::NoPlace } else { Said::NoSlot }
@@ -263,9 +267,9 @@
         }
     }
 
-    fn as_try_end(&self) -> TryEnd {
+    fn to_try_end(&self) -> TryEnd {
         match self {
-            Self::Answered(answer) if answer.status().is_server_error() => TryEnd::Failed,
+            Self::Answered(response) if response.status().is_server_error() => TryEnd::Failed,
             Self::Answered(_) => TryEnd::Answered,
             Self::Refused(refusal) => match (refusal.outcome, refusal.reason) {
                 (
@@ -281,7 +285,7 @@
         }
     }
 
-    fn word(&self) -> &'static str {
+    fn label(&self) -> &'static str {
         match self {
             Self::Answered(_) => "answered",
             Self::Refused(refusal) => refusal.reason.as_str(),
@@ -290,17 +294,17 @@
 
     fn describe(&self) -> String {
         match self {
-            Self::Answered(answer) => answer.status().as_u16().to_string(),
+            Self::Answered(response) => response.status().as_u16().to_string(),
             Self::Refused(refusal) => refusal.reason.as_str().to_owned(),
         }
     }
 }
 
-fn is_for_want_of_room(refusal: &Refusal) -> bool {
+fn is_capacity_refusal(refusal: &Refusal) -> bool {
     refusal.is_not_run() && matches!(refusal.reason, Reason::Admission(_))
 }
 
-fn unsent(error: &SendError) -> Refusal {
+fn send_error_refusal(error: &SendError) -> Refusal {
     match error {
         SendError::Unreachable { .. } => Refusal::not_run(Reason::NoConnection),
         SendError::NothingSent => Refusal::not_run(Reason::Broken),
@@ -309,10 +313,10 @@
 }
 
 /// The refusal that a gate's answer is, if it is one.
-fn refusal_of(answer: &Response<CallBody>) -> Option<Refusal> {
-    let outcome = Outcome::from_headers(answer.headers())?;
-    let reason = Reason::from_headers(answer.headers());
-    let seconds = answer.headers().get(header::RETRY_AFTER).and_then(|value| value.to_str().ok());
+fn parse_refusal(response: &Response<CallBody>) -> Option<Refusal> {
+    let outcome = Outcome::from_headers(response.headers())?;
+    let reason = Reason::from_headers(response.headers());
+    let seconds = response.headers().get(header::RETRY_AFTER).and_then(|value| value.to_str().ok());
     let seconds = seconds.and_then(|text| text.parse().ok());
     let retry_after =
         seconds.and_then(|seconds| std::time::Duration::try_from_secs_f64(seconds).ok());
--- a/crates/yuccarackd/src/coordination/routed/entry/call.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/call.rs
@@ -48,20 +48,20 @@
     /// The routing table by which it goes.
     pub routing_version: RoutingVersion,
     /// Its head, as it goes on.
-    pub parts: OnwardParts,
+    pub head: ForwardedHead,
     /// Its body.
     pub body: SendableBody,
 }
 
 /// A head without what belongs to one connection or to daemons.
 #[derive(Clone, Debug)]
-pub struct OnwardParts {
+pub struct ForwardedHead {
     method: Method,
     uri: Uri,
     headers: HeaderMap,
 }
 
-impl OnwardParts {
+impl ForwardedHead {
     /// Takes what goes on of `parts`, for a target that `caller_service` calls.
     pub fn new(parts: Parts, caller_service: &str) -> Self {
         let uri = origin_form(&parts.uri);
@@ -75,7 +75,7 @@
     }
 
     /// The head of a request for the gate of this daemon.
-    pub fn to_head(&self) -> Parts {
+    pub fn to_parts(&self) -> Parts {
         let mut request = Request::new(());
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
@@ -102,7 +102,7 @@
     }
 
     /// The caller's name of the request, for a log line.
-    pub fn id_text(&self) -> String {
+    pub fn request_id_text(&self) -> String {
         String::from_utf8_lossy(self.request_id.as_bytes()).into_owned()
     }
 
@@ -112,25 +112,25 @@
     /// here for another gate, and none of its bytes were sent for nothing.
     pub fn request(&self, hop: &Hop, is_offered: bool) -> Request<CallBody> {
         let Some(body) = self.body.streamed().filter(|_| is_offered) else {
-            return self.request_with(hop, self.body.take());
+            return self.request_with_body(hop, self.body.take());
         };
         let wanted = Wanted::new();
-        let mut request = self.request_with(hop, body.offer_when(&wanted));
+        let mut request = self.request_with_body(hop, body.offer_when(&wanted));
         request.headers_mut().insert(header::EXPECT, HeaderValue::from_static("100-continue"));
-        on_informational(&mut request, move |answer| {
-            if answer.status() == StatusCode::CONTINUE {
+        on_informational(&mut request, move |response| {
+            if response.status() == StatusCode::CONTINUE {
                 wanted.set();
             }
         });
         request
     }
 
-    fn request_with(&self, hop: &Hop, body: CallBody) -> Request<CallBody> {
+    fn request_with_body(&self, hop: &Hop, body: CallBody) -> Request<CallBody> {
         let mut request = Request::new(body);
-        *request.method_mut() = self.parts.method.clone();
-        *request.uri_mut() = self.parts.uri.clone();
+        *request.method_mut() = self.head.method.clone();
+        *request.uri_mut() = self.head.uri.clone();
         let map = request.headers_mut();
-        map.clone_from(&self.parts.headers);
+        map.clone_from(&self.head.headers);
         forwarding::set(map, HOP, &hop.to_string());
         request
     }
--- a/crates/yuccarackd/src/coordination/routed/entry/story.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/call_trace.rs
@@ -5,14 +5,14 @@
 use http::Response;
 use yuccarack_config::ids::ServiceName;
 
-use super::{REFUSED, RoutedEntry, asked_gates::AskedGates};
+use super::{REFUSED, RoutedEntry, attempted_gates::AttemptedGates};
 use crate::{
     coordination::routed::log_lines::{CallAnswered, CallFailed},
     protocol::{body::CallBody, refusal::Refusal},
 };
 
 /// What is known of a call, for its log line.
-pub struct Story {
+pub struct CallTrace {
     /// When it came.
     pub came_at: Instant,
     /// Who sent it.
@@ -26,10 +26,10 @@
     /// The routing table by which it went.
     pub routing_version: u64,
     /// Gates that were asked.
-    pub gates: AskedGates,
+    pub gates: AttemptedGates,
 }
 
-impl Story {
+impl CallTrace {
     /// Starts with who called and when.
     pub fn new(came_at: Instant, peer: SocketAddr) -> Self {
         Self {
@@ -39,12 +39,12 @@
             route: String::new(),
             service: String::new(),
             routing_version: 0,
-            gates: AskedGates::default(),
+            gates: AttemptedGates::default(),
         }
     }
 
     /// The line of its failure, without what tells why.
-    fn failed(&self, took_ms: u64) -> CallFailed {
+    fn failure_line(&self, took_ms: u64) -> CallFailed {
         CallFailed {
             request: self.request.clone(),
             peer: self.peer.to_string(),
@@ -54,7 +54,7 @@
             reason: None,
             outcome: None,
             retry_after_ms: None,
-            gates: self.gates.text(),
+            gates: self.gates.to_log_text(),
             routing_version: self.routing_version,
             took_ms,
         }
@@ -63,40 +63,48 @@
 
 impl RoutedEntry {
     /// Writes the line of an answer that its target gave.
-    pub(super) fn note_answered(&self, answer: &Response<CallBody>, story: &Story, took_ms: u64) {
-        let status = answer.status().as_u16();
-        if !answer.status().is_success() {
+    pub(super) fn log_response(
+        &self,
+        response: &Response<CallBody>,
+        trace: &CallTrace,
+        took_ms: u64,
+    ) {
+        let status = response.status().as_u16();
+        if !response.status().is_success() {
             let status = Some(status);
-            return self.parts.events.write(|| CallFailed { status, ..story.failed(took_ms) });
+            return self
+                .parts
+                .events
+                .write(|| CallFailed { status, ..trace.failure_line(took_ms) });
         }
         self.parts.events.write(|| CallAnswered {
-            request: story.request.clone(),
-            peer: story.peer.to_string(),
-            route: story.route.clone(),
-            service: story.service.clone(),
+            request: trace.request.clone(),
+            peer: trace.peer.to_string(),
+            route: trace.route.clone(),
+            service: trace.service.clone(),
             status,
-            gates: story.gates.text(),
-            routing_version: story.routing_version,
+            gates: trace.gates.to_log_text(),
+            routing_version: trace.routing_version,
             took_ms,
         });
     }
 
     /// Counts a refusal and writes its line.
-    pub(super) fn note_refused(&self, refusal: &Refusal, story: &Story, took_ms: u64) {
+    pub(super) fn log_refusal(&self, refusal: &Refusal, trace: &CallTrace, took_ms: u64) {
         self.parts.counters.add_reason(REFUSED, refusal.reason.as_str());
         self.parts.events.write(|| CallFailed {
             reason: Some(refusal.reason.as_str()),
             outcome: Some(refusal.outcome.as_str()),
             retry_after_ms: refusal.retry_after.map(|wait| wait.as_millis() as u64),
-            ..story.failed(took_ms)
+            ..trace.failure_line(took_ms)
         });
     }
 }
 
 /// How a call ended, for its histogram.
-pub fn end_of(result: &Result<Response<CallBody>, Refusal>) -> &'static str {
+pub fn end_label(result: &Result<Response<CallBody>, Refusal>) -> &'static str {
     match result {
-        Ok(answer) if answer.status().is_server_error() => "target_failed",
+        Ok(response) if response.status().is_server_error() => "target_failed",
         Ok(_) => "answered",
         Err(refusal) => refusal.outcome.as_str(),
     }
--- a/crates/yuccarackd/src/coordination/routed/entry/mod.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/mod.rs
@@ -1,13 +1,13 @@
 //! The entry for routed calls: finds the route, chooses gates, owns the deadline.
 
-mod asked_gates;
+mod attempted_gates;
+mod attempts;
 mod call;
+mod call_trace;
 mod head;
 mod prober;
-mod route_load;
+mod route_stats;
 mod service;
-mod story;
-mod tries;
 
 use std::{
     collections::HashMap,
@@ -27,13 +27,13 @@
 use yuccarack_policy::{futile_runs::RunResult, split::Split};
 
 use self::{
-    asked_gates::AskedGates,
-    call::{OnwardParts, RoutedCall},
+    attempted_gates::AttemptedGates,
+    attempts::Attempts,
+    call::{ForwardedHead, RoutedCall},
+    call_trace::{CallTrace, end_label},
     head::RoutedHead,
-    route_load::RouteLoads,
-    service::{Followed, RoutedService},
-    story::{Story, end_of},
-    tries::Tries,
+    route_stats::RouteStats,
+    service::{MembershipUpdate, RoutedService},
 };
 use super::{deadline::CallDeadline, events::EventLog, gate::Gate, peers::Peers};
 use crate::{
@@ -56,7 +56,7 @@
 };
 
 /// Largest body that is kept to be sent again; the callers' orders have some 4 kB.
-const KEPT_MAX_BYTES: usize = 64 * 1024;
+const BUFFERED_BODY_MAX_BYTES: usize = 64 * 1024;
 
 /// When it is worth asking a daemon again that knows no routes yet; the store answers in some 10 ms.
 const NO_ROUTING_RETRY_AFTER: Duration = Duration::from_millis(500);
@@ -66,7 +66,7 @@
 
 /// Time before the deadline at which the last word goes out, so that it arrives while its caller
 /// still waits; a way to a caller takes 1 to 8 ms.
-const WAY_BACK: Duration = Duration::from_millis(15);
+const RESPONSE_MARGIN: Duration = Duration::from_millis(15);
 
 /// Group of the entry's refusal counters.
 const REFUSED: &str = "entry.refused";
@@ -102,7 +102,7 @@
     parts: RoutedEntryParts,
     services: Mutex<HashMap<ServiceName, Arc<RoutedService>>>,
     splits: Mutex<HashMap<String, Split>>,
-    loads: RouteLoads,
+    stats: RouteStats,
 }
 
 impl CallHandler for RoutedEntry {
@@ -129,56 +129,56 @@
         let Arrival { peer, came_at } = arrival;
         self.parts.counters.add("entry.calls");
         let (parts, body) = request.into_parts();
-        let mut story = Story::new(came_at, peer);
-        let result = self.answer(parts, body, &mut story).await;
-        self.finish(result, &story)
+        let mut trace = CallTrace::new(came_at, peer);
+        let result = self.process(parts, body, &mut trace).await;
+        self.finish(result, &trace)
     }
 }
 
 impl RoutedEntry {
     /// Makes an entry that has served nothing yet.
     pub fn new(parts: RoutedEntryParts) -> Self {
-        let loads = RouteLoads::new(parts.settings.current().decisions);
-        Self { parts, services: Mutex::default(), splits: Mutex::default(), loads }
+        let stats = RouteStats::new(parts.settings.current().decisions);
+        Self { parts, services: Mutex::default(), splits: Mutex::default(), stats }
     }
 
     /// Looks until `stop` whether gates that could not be reached are back.
-    pub async fn probe(self: Arc<Self>, stop: CancellationToken) {
+    pub async fn probe_unreachable_gates(self: Arc<Self>, stop: CancellationToken) {
         prober::run(&self, stop).await;
     }
 
     /// Gates that can't be reached now; one that serves two services counts once for each.
-    pub fn unreachable(&self) -> usize {
-        self.services.lock().values().map(|service| service.unreachable().len()).sum()
+    pub fn unreachable_gates(&self) -> usize {
+        self.services.lock().values().map(|service| service.unreachable_gates().len()).sum()
     }
 
-    async fn answer(
+    async fn process(
         &self,
         parts: Parts,
         body: CallBody,
-        story: &mut Story,
+        trace: &mut CallTrace,
     ) -> Result<Response<CallBody>, Refusal> {
-        let head = RoutedHead::read(&parts, story.came_at)?;
-        story.request = String::from_utf8_lossy(head.request_id.as_bytes()).into_owned();
+        let head = RoutedHead::parse(&parts, trace.came_at)?;
+        trace.request = String::from_utf8_lossy(head.request_id.as_bytes()).into_owned();
         let routing = self.parts.routing.current().ok_or_else(no_routing)?;
-        story.routing_version = routing.version();
+        trace.routing_version = routing.version();
         let (_, route) = routing
             .find_route(&head.host, parts.uri.path())
             .ok_or(Refusal::not_run(Reason::UnknownRoute))?;
-        story.route.clone_from(&route.name);
+        trace.route.clone_from(&route.name);
         check_size(&routing, &parts)?;
         let kind = kind_of(route);
-        if !self.loads.lets_in(kind) {
+        if !self.stats.admits(kind) {
             return Err(Refusal::not_run(Reason::ShortElsewhere));
         }
-        let call = self.read(&routing, route, head, parts, body, story.came_at).await?;
-        story.service.clone_from(&call.service);
-        let result = self.run(call, &story.gates).await;
-        self.learn(kind, &story.service, &result);
+        let call = self.build_call(&routing, route, head, parts, body, trace.came_at).await?;
+        trace.service.clone_from(&call.service);
+        let result = self.run(call, &trace.gates).await;
+        self.record_result(kind, &trace.service, &result);
         result
     }
 
-    async fn read(
+    async fn build_call(
         &self,
         routing: &Routing,
         route: &Route,
@@ -188,22 +188,23 @@
         came_at: Instant,
     ) -> Result<RoutedCall, Refusal> {
         let wait_by = came_at + Duration::from_millis(route.wait_max_ms.into());
-        let by = head.deadline.map_or(wait_by, |deadline| deadline.min(wait_by));
+        let give_up_at = head.deadline.map_or(wait_by, |deadline| deadline.min(wait_by));
         let kind = kind_of(route);
-        let waited = match head.deadline {
-            Some(by) => {
-                let left = by.saturating_duration_since(came_at);
-                self.loads.waited(came_at, kind, left)
+        let prior_wait = match head.deadline {
+            Some(deadline) => {
+                let left = deadline.saturating_duration_since(came_at);
+                self.stats.prior_wait(came_at, kind, left)
             }
             None => Duration::ZERO,
         };
         let on_time = Duration::from_millis(route.on_time_ms.into());
-        let deadline = CallDeadline::new(by.checked_sub(WAY_BACK).unwrap_or(by));
+        let deadline =
+            CallDeadline::new(give_up_at.checked_sub(RESPONSE_MARGIN).unwrap_or(give_up_at));
         let body = match parts.headers.contains_key(header::CONTENT_LENGTH) {
             true => body,
             false => limited(body, routing.table().caller_limits.body_max_bytes),
         };
-        let reading = SendableBody::read(&parts, body, KEPT_MAX_BYTES);
+        let reading = SendableBody::read(&parts, body, BUFFERED_BODY_MAX_BYTES);
         let body = match timeout_at(deadline.at().into(), reading).await {
             Ok(Ok(body)) => body,
             Ok(Err(_)) => return Err(Refusal::not_run(Reason::CallerBodyCut)),
@@ -212,16 +213,16 @@
         Ok(RoutedCall {
             request_id: head.request_id,
             deadline,
-            on_time_by: came_at + on_time.saturating_sub(waited),
+            on_time_by: came_at + on_time.saturating_sub(prior_wait),
             came_at,
-            service: self.service_of(route)?,
+            service: self.choose_service(route)?,
             kind,
             rank: route.rank,
             home_regions: route.home_regions.clone(),
             is_repeatable: route.is_repeatable,
             targets_max: route.targets_max,
             routing_version: routing.version(),
-            parts: OnwardParts::new(parts, &self.parts.settings.current().service),
+            head: ForwardedHead::new(parts, &self.parts.settings.current().service),
             body,
         })
     }
@@ -229,15 +230,15 @@
     async fn run(
         &self,
         call: RoutedCall,
-        gates: &AskedGates,
+        gates: &AttemptedGates,
     ) -> Result<Response<CallBody>, Refusal> {
         let service = self.service(&call.service);
-        service.earn();
+        service.record_request();
         let fate = Fate::new();
         let deadline = call.deadline.at();
-        let tries = Tries::new(self, call, service, &fate, gates);
-        match timeout_at(deadline.into(), tries.run()).await {
-            Ok(Ok(answer)) => Ok(answer),
+        let attempts = Attempts::new(self, call, service, &fate, gates);
+        match timeout_at(deadline.into(), attempts.run()).await {
+            Ok(Ok(response)) => Ok(response),
             Ok(Err(refusal)) => Err(Refusal { outcome: fate.outcome(), ..refusal }),
             Err(_) => {
                 let outcome = fate.outcome();
@@ -247,19 +248,24 @@
     }
 
     /// Learns from the end of a call of `kind` that goes to `service`.
-    fn learn(&self, kind: u64, service: &str, result: &Result<Response<CallBody>, Refusal>) {
+    fn record_result(
+        &self,
+        kind: u64,
+        service: &str,
+        result: &Result<Response<CallBody>, Refusal>,
+    ) {
         let now = Instant::now();
         match result {
-            Ok(answer) if answer.status().is_server_error() => {
-                self.loads.ran(now, kind, service, RunResult::Failed);
+            Ok(response) if response.status().is_server_error() => {
+                self.stats.record_run(now, kind, service, RunResult::Failed);
             }
-            Ok(_) => self.loads.ran(now, kind, service, RunResult::Good),
-            Err(refusal) if refusal.is_not_run() => self.loads.refused(now, kind),
+            Ok(_) => self.stats.record_run(now, kind, service, RunResult::Good),
+            Err(refusal) if refusal.is_not_run() => self.stats.record_refusal(now, kind),
             Err(_) => {}
         }
     }
 
-    fn service_of(&self, route: &Route) -> Result<ServiceName, Refusal> {
+    fn choose_service(&self, route: &Route) -> Result<ServiceName, Refusal> {
         if let [only] = route.split.as_slice() {
             return Ok(only.service.clone());
         }
@@ -289,12 +295,12 @@
             }
         };
         drop(services);
-        if !service.has_followed(generation) {
+        if !service.has_synced(generation) {
             let mut members = self.parts.members.of_service(name);
             members.retain(|it| !self.parts.evacuations.is_evacuated(&it.failure_domain));
-            let home = &self.parts.settings.current().failure_domain;
+            let local_domain = &self.parts.settings.current().failure_domain;
             let entries = self.parts.members.count();
-            service.follow(generation, Followed { home, members, entries });
+            service.sync_members(generation, MembershipUpdate { local_domain, members, entries });
         }
         service
     }
@@ -303,27 +309,27 @@
     fn finish(
         &self,
         result: Result<Response<CallBody>, Refusal>,
-        story: &Story,
+        trace: &CallTrace,
     ) -> Response<CallBody> {
-        let took = story.came_at.elapsed();
+        let took = trace.came_at.elapsed();
         let took_ms = took.as_millis() as u64;
-        self.parts.metrics.call_ended(end_of(&result), took);
-        let mut answer = match result {
-            Ok(answer) => {
-                self.note_answered(&answer, story, took_ms);
-                answer
+        self.parts.metrics.call_ended(end_label(&result), took);
+        let mut response = match result {
+            Ok(response) => {
+                self.log_response(&response, trace, took_ms);
+                response
             }
             Err(refusal) => {
-                let refusal = with_wait(refusal);
-                self.note_refused(&refusal, story, took_ms);
+                let refusal = with_retry_after_default(refusal);
+                self.log_refusal(&refusal, trace, took_ms);
                 refusal.into_routed_answer()
             }
         };
         if self.parts.leaving.is_cancelled() {
             let close = HeaderValue::from_static("close");
-            answer.headers_mut().insert(header::CONNECTION, close);
+            response.headers_mut().insert(header::CONNECTION, close);
         }
-        answer
+        response
     }
 }
 
@@ -337,12 +343,12 @@
 }
 
 /// What has not run may come back; without a time of its own, as soon as a target may be there.
-fn with_wait(refusal: Refusal) -> Refusal {
-    let is_unrun = refusal.outcome == crate::protocol::refusal::Outcome::NotRun;
+fn with_retry_after_default(refusal: Refusal) -> Refusal {
+    let is_not_run = refusal.outcome == crate::protocol::refusal::Outcome::NotRun;
     match refusal.retry_after {
-        None if is_unrun => refusal.with_retry_after(NO_TARGET_RETRY_AFTER),
+        None if is_not_run => refusal.with_retry_after(NO_TARGET_RETRY_AFTER),
         // Nobody is asked to repeat what may have run.
-        Some(_) if !is_unrun => Refusal { retry_after: None, ..refusal },
+        Some(_) if !is_not_run => Refusal { retry_after: None, ..refusal },
         _ => refusal,
     }
 }
--- a/crates/yuccarackd/src/coordination/routed/entry/prober.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/prober.rs
@@ -40,12 +40,12 @@
         let services: Vec<Arc<RoutedService>> = entry.services.lock().values().cloned().collect();
         let mut unreachable = Vec::new();
         for service in &services {
-            let gates = service.unreachable();
+            let gates = service.unreachable_gates();
             unreachable.extend(gates.iter().map(|(_, address)| *address));
             for (key, address) in gates {
                 if is_due(&mut pauses, address) && is_listening(address, CONNECT_TIMEOUT).await {
                     entry.parts.counters.add("entry.gates_back");
-                    service.reached(key);
+                    service.mark_reachable(key);
                 }
             }
         }
--- a/crates/yuccarackd/src/coordination/routed/entry/route_load.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/route_stats.rs
@@ -16,55 +16,55 @@
 const ROUTES_MAX: usize = 4_096;
 
 /// What is learned by kind of request.
-pub struct RouteLoads {
+pub struct RouteStats {
     decisions: Decisions,
-    by_kind: Mutex<HashMap<u64, RouteLoad>>,
+    by_kind: Mutex<HashMap<u64, KindStats>>,
     shortages: Mutex<Shortages>,
 }
 
 #[derive(Default)]
-struct RouteLoad {
-    patience: Patience,
+struct KindStats {
+    prior_waits: Patience,
     futile_runs: FutileRuns,
 }
 
-impl RouteLoads {
+impl RouteStats {
     /// Starts without knowing anything.
     pub fn new(decisions: Decisions) -> Self {
         Self { decisions, by_kind: Mutex::default(), shortages: Mutex::default() }
     }
 
     /// Time for which the caller of a request that comes `now` has waited before it sent this one.
-    pub fn waited(&self, now: Instant, kind: u64, left: Duration) -> Duration {
+    pub fn prior_wait(&self, now: Instant, kind: u64, left: Duration) -> Duration {
         if !self.decisions.patience {
             return Duration::ZERO;
         }
-        self.with(kind, |load| load.patience.waited(now, left))
+        self.update(kind, |stats| stats.prior_waits.waited(now, left))
     }
 
     /// Whether a request of `kind` is let in.
-    pub fn lets_in(&self, kind: u64) -> bool {
+    pub fn admits(&self, kind: u64) -> bool {
         !self.decisions.futile_runs
-            || self.with(kind, |load| load.futile_runs.lets_in(&mut rand::rng()))
+            || self.update(kind, |stats| stats.futile_runs.lets_in(&mut rand::rng()))
     }
 
     /// Notes that a request of `kind` was refused.
-    pub fn refused(&self, now: Instant, kind: u64) {
-        self.with(kind, |load| load.patience.refused(now));
+    pub fn record_refusal(&self, now: Instant, kind: u64) {
+        self.update(kind, |stats| stats.prior_waits.refused(now));
     }
 
     /// Notes that `service` turned a request away for want of room.
-    pub fn short(&self, now: Instant, service: &str) {
+    pub fn record_shortage(&self, now: Instant, service: &str) {
         self.shortages.lock().refused(now, service);
     }
 
     /// Notes how a run of `kind` at `service` ended.
-    pub fn ran(&self, now: Instant, kind: u64, service: &str, result: RunResult) {
+    pub fn record_run(&self, now: Instant, kind: u64, service: &str, result: RunResult) {
         let is_short = self.shortages.lock().is_another_short(now, service);
-        self.with(kind, |load| load.futile_runs.ended(result, is_short));
+        self.update(kind, |stats| stats.futile_runs.ended(result, is_short));
     }
 
-    fn with<T>(&self, kind: u64, note: impl FnOnce(&mut RouteLoad) -> T) -> T {
+    fn update<T>(&self, kind: u64, note: impl FnOnce(&mut KindStats) -> T) -> T {
         let mut by_kind = self.by_kind.lock();
         if by_kind.len() >= ROUTES_MAX && !by_kind.contains_key(&kind) {
             // Routes that operators took away long ago are among them.
--- a/crates/yuccarackd/src/coordination/routed/entry/service.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/service.rs
@@ -22,7 +22,7 @@
 use crate::protocol::peer_news::RoutedMember;
 
 /// Weight of what a gate tells in the mean time of the service's work.
-const WORK_WEIGHT: f64 = 0.1;
+const SERVICE_TIME_WEIGHT: f64 = 0.1;
 
 /// One service at one entry.
 pub struct RoutedService {
@@ -32,10 +32,10 @@
 struct State {
     generation: u64,
     placement: Placement,
-    known: HashMap<InstanceId, GateKey>,
-    chosen_by: SecondaryMap<GateKey, Arc<RoutedMember>>,
+    key_by_instance: HashMap<InstanceId, GateKey>,
+    member_by_key: SecondaryMap<GateKey, Arc<RoutedMember>>,
     extra_tries: ExtraTries,
-    mean_work: Option<Duration>,
+    mean_service_time: Option<Duration>,
     rng: SmallRng,
 }
 
@@ -58,9 +58,9 @@
 }
 
 /// What a service at an entry has to know of the members.
-pub struct Followed<'a> {
+pub struct MembershipUpdate<'a> {
     /// Failure domain of this entry.
-    pub home: &'a DomainName,
+    pub local_domain: &'a DomainName,
     /// Instances that serve it.
     pub members: Vec<Arc<RoutedMember>>,
     /// All instances; each has an entry.
@@ -68,7 +68,7 @@
 }
 
 /// Work of a service of which nothing is known yet; between today's shortest and longest kinds.
-const WORK_UNKNOWN: Duration = Duration::from_millis(100);
+const DEFAULT_SERVICE_TIME: Duration = Duration::from_millis(100);
 
 impl RoutedService {
     /// Starts without gates.
@@ -77,89 +77,96 @@
         let state = State {
             generation: 0,
             placement: Placement::new().with_decisions(settings.decisions),
-            known: HashMap::new(),
-            chosen_by: SecondaryMap::new(),
+            key_by_instance: HashMap::new(),
+            member_by_key: SecondaryMap::new(),
             extra_tries: ExtraTries::new(bounds.extra_tries_percent, bounds.extra_tries, entries),
-            mean_work: None,
+            mean_service_time: None,
             rng: SmallRng::from_rng(&mut rand::rng()),
         };
         Self { state: Mutex::new(state) }
     }
 
     /// Whether it has followed the members up to `generation`.
-    pub fn has_followed(&self, generation: u64) -> bool {
+    pub fn has_synced(&self, generation: u64) -> bool {
         self.state.lock().generation >= generation
     }
 
     /// Follows who serves it and who calls.
-    pub fn follow(&self, generation: u64, news: Followed<'_>) {
-        let Followed { home, members, entries } = news;
+    pub fn sync_members(&self, generation: u64, update: MembershipUpdate<'_>) {
+        let MembershipUpdate { local_domain, members, entries } = update;
         let state = &mut *self.state.lock();
         if state.generation >= generation {
             return;
         }
         state.generation = generation;
         state.extra_tries.share_among(entries);
-        let mut gone = std::mem::take(&mut state.known);
+        let mut removed = std::mem::take(&mut state.key_by_instance);
         for member in members {
-            let key = match gone.remove(&member.instance) {
+            let key = match removed.remove(&member.instance) {
                 Some(key) => key,
-                None => state.placement.add(member.failure_domain == *home),
+                None => state.placement.add(member.failure_domain == *local_domain),
             };
-            let old = state.chosen_by.insert(key, Arc::clone(&member));
+            let old = state.member_by_key.insert(key, Arc::clone(&member));
             if old.is_some_and(|old| *old != *member) {
                 state.placement.renewed(key);
             }
-            state.known.insert(member.instance.clone(), key);
+            state.key_by_instance.insert(member.instance.clone(), key);
         }
-        for key in gone.into_values() {
+        for key in removed.into_values() {
             state.placement.remove(key);
-            state.chosen_by.remove(key);
+            state.member_by_key.remove(key);
         }
     }
 
     /// Keeps the request of `asked` from the gates of other regions than its homes.
-    pub fn keep_home(&self, asked: &mut Asked, homes: &[RegionName], settings: &RoutedSettings) {
-        if homes.is_empty() {
+    pub fn restrict_to_home_regions(
+        &self,
+        asked: &mut Asked,
+        home_regions: &[RegionName],
+        settings: &RoutedSettings,
+    ) {
+        if home_regions.is_empty() {
             return;
         }
-        let is_home = |member: &RoutedMember| {
-            settings.region_of(&member.failure_domain).is_some_and(|region| homes.contains(region))
+        let is_in_home_region = |member: &RoutedMember| {
+            settings
+                .region_of(&member.failure_domain)
+                .is_some_and(|region| home_regions.contains(region))
         };
         let state = self.state.lock();
-        let outside = state.chosen_by.iter().filter(|(_, member)| !is_home(member));
+        let outside = state.member_by_key.iter().filter(|(_, member)| !is_in_home_region(member));
         asked.bar(outside.map(|(key, _)| key).collect());
     }
 
     /// Notes a request, which earns its share of further tries.
-    pub fn earn(&self) {
+    pub fn record_request(&self) {
         self.state.lock().extra_tries.earn();
     }
 
     /// Chooses a gate for a request that was `asked` for elsewhere before, and counts a request as sent there.
     pub fn choose(&self, now: Instant, asked: &Asked) -> Option<ChosenGate> {
         let state = &mut *self.state.lock();
-        let mean_work = state.mean_work.unwrap_or(WORK_UNKNOWN);
+        let mean_work = state.mean_service_time.unwrap_or(DEFAULT_SERVICE_TIME);
         let placed = state.placement.choose(now, &mut state.rng, asked, mean_work)?;
-        let member = Arc::clone(state.chosen_by.get(placed.gate)?);
+        let member = Arc::clone(state.member_by_key.get(placed.gate)?);
         state.placement.sent(placed.gate);
         Some(ChosenGate { key: placed.gate, member, may_wait: placed.may_wait })
     }
 
     /// Where gates would be that can't be reached.
-    pub fn unreachable(&self) -> Vec<(GateKey, SocketAddr)> {
+    pub fn unreachable_gates(&self) -> Vec<(GateKey, SocketAddr)> {
         let state = self.state.lock();
-        let with_address = |key| Some((key, state.chosen_by.get(key)?.gate_address));
+        let with_address = |key| Some((key, state.member_by_key.get(key)?.gate_address));
         state.placement.unreachable().filter_map(with_address).collect()
     }
 
     /// Notes that a connection to a gate can be made again.
-    pub fn reached(&self, key: GateKey) {
+    pub fn mark_reachable(&self, key: GateKey) {
         self.state.lock().placement.renewed(key);
     }
 
     /// Notes how a try ended.
-    pub fn ended(&self, now: Instant, key: GateKey, end: TryEnd) {
+    pub fn record_attempt_end(&self, now: Instant, key: GateKey, end: TryEnd) {
         let state = &mut *self.state.lock();
         state.placement.ended(now, key, end);
         if end == TryEnd::Answered {
@@ -168,15 +175,15 @@
     }
 
     /// Notes what a gate tells of its load.
-    pub fn told(&self, now: Instant, key: GateKey, load: GateLoad) {
+    pub fn record_load(&self, now: Instant, key: GateKey, load: GateLoad) {
         let state = &mut *self.state.lock();
         state.placement.told(now, key, load);
         if load.mean_work.is_zero() {
             return;
         }
-        let mean = state.mean_work.unwrap_or(load.mean_work);
-        let told = load.mean_work.mul_f64(WORK_WEIGHT);
-        state.mean_work = Some(mean.mul_f64(1.0 - WORK_WEIGHT) + told);
+        let mean = state.mean_service_time.unwrap_or(load.mean_work);
+        let reported = load.mean_work.mul_f64(SERVICE_TIME_WEIGHT);
+        state.mean_service_time = Some(mean.mul_f64(1.0 - SERVICE_TIME_WEIGHT) + reported);
     }
 
     /// Decides on a further try.
@@ -184,7 +191,7 @@
     /// # Errors
     ///
     /// Why none is made.
-    pub fn decide(&self, bad: BadTry) -> Result<(), NoMore> {
-        self.state.lock().extra_tries.decide(bad)
+    pub fn decide_extra_attempt(&self, failure: BadTry) -> Result<(), NoMore> {
+        self.state.lock().extra_tries.decide(failure)
     }
 }
--- a/crates/yuccarackd/src/daemon/routed/wiring.rs
+++ b/crates/yuccarackd/src/daemon/routed/wiring.rs
@@ -234,10 +234,10 @@
     pub(super) fn serve(&self, listeners: Listeners, gate: &Arc<Gate>, peers: Peers) {
         let (tasks, stops) = (&self.tasks, &self.stops);
         let entry = Arc::new(self.entry(Arc::clone(gate), peers.clone()));
-        self.spawn_until_stop(Arc::clone(&entry).probe(stops.rest.clone()));
+        self.spawn_until_stop(Arc::clone(&entry).probe_unreachable_gates(stops.rest.clone()));
         let (of_entry, members) = (Arc::clone(&entry), self.members.clone());
         let help = "Gates that this entry can't reach now.";
-        self.metrics.tell("gates_unreachable", help, move || count(of_entry.unreachable()));
+        self.metrics.tell("gates_unreachable", help, move || count(of_entry.unreachable_gates()));
         let help = "Instances that say what they serve.";
         self.metrics.tell("members_serving", help, move || count(members.serving()));
         let calls = self.server(listeners.calls, "entry");
