--- a/crates/yuccarackd/src/coordination/routed/entry/attempted_gates.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/attempted_gates.rs
@@ -1,31 +1,31 @@
-//! Which gates a call was offered to and what each said, for its log line.
+//! Records the gates that a call was sent to and how each responded, for the call's log line.
 
 use parking_lot::Mutex;
 use yuccarack_config::ids::InstanceId;
 
-/// Word for a gate that had the request when time was over.
+/// Label of a gate that hasn't responded when the call ends.
 const NO_RESPONSE: &str = "no_word";
 
-/// Gates that a call was offered to, in order; it outlives tries that a deadline ends.
+/// Gates that a call was sent to, in order. It outlives the attempts that a deadline cancels.
 #[derive(Debug, Default)]
 pub struct AttemptedGates {
     gates: Mutex<Vec<(InstanceId, &'static str)>>,
 }
 
 impl AttemptedGates {
-    /// Notes that `gate` is asked.
+    /// Records that an attempt at `gate` starts.
     pub fn start(&self, gate: &InstanceId) {
         self.gates.lock().push((gate.clone(), NO_RESPONSE));
     }
 
-    /// Notes what the gate that was asked last said.
+    /// Records how the gate of the last attempt responded.
     pub fn finish(&self, label: &'static str) {
         if let Some(last) = self.gates.lock().last_mut() {
             last.1 = label;
         }
     }
 
-    /// All of them, each as `instance=label`.
+    /// Formats all gates as `instance=label`, separated by spaces.
     pub fn to_log_text(&self) -> String {
         let gates = self.gates.lock();
         let entries = gates.iter().map(|(gate, label)| format!("{gate}={label}"));
--- a/crates/yuccarackd/src/coordination/routed/entry/attempts.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/attempts.rs
@@ -1,4 +1,4 @@
-//! The tries of one routed call: at which gates, and what their ends prove.
+//! The attempts of one routed call: chooses their gates and classifies their results.
 
 use std::{sync::Arc, time::Instant};
 
@@ -29,7 +29,7 @@
     transport::{connection::SendError, upstream::Freshness},
 };
 
-/// All tries of one call.
+/// All attempts of one call.
 pub struct Attempts<'a> {
     entry: &'a RoutedEntry,
     call: RoutedCall,
@@ -37,22 +37,22 @@
     fate: &'a Fate,
     gates: &'a AttemptedGates,
     asked: Asked,
-    /// Targets that may have run it.
+    /// Number of targets that may have run the request.
     targets_run: u8,
-    /// Least time after which a gate that was asked has room.
+    /// Shortest `Retry-After` of the gates that refused the request.
     retry_after: Option<std::time::Duration>,
 }
 
-/// How a try ended.
+/// Result of an attempt.
 enum Reply {
-    /// The target answered, well or not.
+    /// The target responded, with success or an error status.
     Answered(Response<CallBody>),
-    /// No target answered.
+    /// No target responded; a gate refused the request or the connection failed.
     Refused(Refusal),
 }
 
 impl<'a> Attempts<'a> {
-    /// Prepares the tries of `call`.
+    /// Prepares the attempts of `call`.
     pub fn new(
         entry: &'a RoutedEntry,
         call: RoutedCall,
@@ -72,11 +72,11 @@
         }
     }
 
-    /// Tries until there is an answer or no further try is worth it.
+    /// Makes attempts until one succeeds or no further one is allowed.
     ///
     /// # Errors
     ///
-    /// The last refusal; its outcome speaks for its own try only.
+    /// Returns the last refusal, whose outcome holds for its own attempt only.
     pub async fn run(mut self) -> Result<Response<CallBody>, Refusal> {
         let result = self.run_all().await;
         if result.as_ref().is_err_and(is_capacity_refusal) {
@@ -109,7 +109,8 @@
             let is_retried = self.decide_retry(&gate, &reply, failure);
             last = Some(match (reply, last) {
                 (Reply::Answered(response), _) => Ok(response),
-                // A target's failure says more than that no other one had room.
+                // A target's error response is more useful than a later refusal for lack of
+                // capacity.
                 (Reply::Refused(refusal), Some(Ok(failed))) if refusal.is_not_run() => Ok(failed),
                 (Reply::Refused(refusal), _) => Err(self.with_least_retry_after(refusal)),
             });
@@ -119,7 +120,8 @@
         }
     }
 
-    /// What a further try has to know of a bad end; none after a good one.
+    /// Classifies a failed attempt and counts the targets that may have run the request. Returns
+    /// `None` after a success.
     fn classify_failure(&mut self, reply: &Reply) -> Option<EndedBadly> {
         match reply {
             Reply::Answered(response) if response.status().is_server_error() => {
@@ -236,7 +238,7 @@
     }
 }
 
-/// A try that counts at its gate until it ends, however it ends.
+/// A running attempt, which counts at its gate until it is finished or dropped.
 struct SentAttempt {
     service: Arc<RoutedService>,
     key: GateKey,
@@ -257,7 +259,8 @@
 }
 
 impl Reply {
-    /// What the gate said to a request that could wait or not.
+    /// Classifies the reply for the choice of the next gate; `may_wait` is whether the gate may
+    /// queue it.
     fn to_said(&self, may_wait: bool) -> Said {
         match self {
             Self::Refused(refusal) if matches!(refusal.reason, Reason::Admission(_)) => {
@@ -312,7 +315,7 @@
     }
 }
 
-/// The refusal that a gate's answer is, if it is one.
+/// Parses a refusal from a gate's response; `None` if it is a target's response.
 fn parse_refusal(response: &Response<CallBody>) -> Option<Refusal> {
     let outcome = Outcome::from_headers(response.headers())?;
     let reason = Reason::from_headers(response.headers());
--- a/crates/yuccarackd/src/coordination/routed/entry/call.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/call.rs
@@ -1,4 +1,4 @@
-//! One routed call at its entry, ready to be sent once or more.
+//! A routed call at its entry, from which the request of each attempt is built.
 
 use std::{
     net::SocketAddr,
@@ -23,37 +23,37 @@
     },
 };
 
-/// One routed call.
+/// A routed call at its entry.
 pub struct RoutedCall {
-    /// The caller's name of the request.
+    /// Request ID that the caller chose.
     pub request_id: HeaderValue,
-    /// When nobody waits for it any more.
+    /// When the entry gives up on the call.
     pub deadline: CallDeadline,
-    /// Until when its answer is of full use.
+    /// Until when the response has its full value for the caller.
     pub on_time_by: Instant,
-    /// When it came.
+    /// When the call arrived at the entry.
     pub came_at: Instant,
-    /// Service that has to run it.
+    /// Service whose targets may run the call.
     pub service: ServiceName,
-    /// Requests of one kind take alike long.
+    /// Requests of one kind have similar service times.
     pub kind: u64,
-    /// How urgent it is.
+    /// Rank of the call's route, by which gates order their queues.
     pub rank: u8,
-    /// Regions that it may reach; all without one.
+    /// Regions whose targets may run the call; all regions if empty.
     pub home_regions: Vec<RegionName>,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub is_repeatable: bool,
-    /// Most targets that may run it.
+    /// Most targets that may run the request.
     pub targets_max: u8,
-    /// The routing table by which it goes.
+    /// Version of the routing table that the call is routed by.
     pub routing_version: RoutingVersion,
-    /// Its head, as it goes on.
+    /// Request head as forwarded to gates.
     pub head: ForwardedHead,
-    /// Its body.
+    /// Request body, buffered or streamed.
     pub body: SendableBody,
 }
 
-/// A head without what belongs to one connection or to daemons.
+/// A request head without hop-by-hop headers and headers between daemons.
 #[derive(Clone, Debug)]
 pub struct ForwardedHead {
     method: Method,
@@ -62,19 +62,19 @@
 }
 
 impl ForwardedHead {
-    /// Takes what goes on of `parts`, for a target that `caller_service` calls.
+    /// Derives the forwarded head from `parts` of a call by an instance of `caller_service`.
     pub fn new(parts: Parts, caller_service: &str) -> Self {
         let uri = origin_form(&parts.uri);
         let mut map = parts.headers;
         forwarding::strip_hop_by_hop(&mut map);
         forwarding::strip_between_daemons(&mut map);
-        // Whatever a caller says of these, only a daemon knows them.
+        // Only daemons set these headers, so values from the caller are dropped or replaced.
         map.remove(headers::MEANT_FOR);
         forwarding::set(&mut map, headers::CALLER_SERVICE, caller_service);
         Self { method: parts.method, uri, headers: map }
     }
 
-    /// The head of a request for the gate of this daemon.
+    /// Builds the head of a request for the gate in this process.
     pub fn to_parts(&self) -> Parts {
         let mut request = Request::new(());
         *request.method_mut() = self.method.clone();
@@ -85,7 +85,7 @@
 }
 
 impl RoutedCall {
-    /// What a gate is told for a try that goes out at `now`.
+    /// Returns the hop metadata of an attempt that is sent at `now`.
     pub fn hop(&self, now: Instant, attempt: AttemptId, may_wait: bool, sender: SocketAddr) -> Hop {
         Hop {
             attempt,
@@ -101,15 +101,16 @@
         }
     }
 
-    /// The caller's name of the request, for a log line.
+    /// Formats the request ID for a log line.
     pub fn request_id_text(&self) -> String {
         String::from_utf8_lossy(self.request_id.as_bytes()).into_owned()
     }
 
-    /// The request as another daemon gets it.
+    /// Builds the request of an attempt at another daemon's gate.
     ///
-    /// A streamed body goes out when the gate has a slot for it and not before: refused, it is still
-    /// here for another gate, and none of its bytes were sent for nothing.
+    /// If `is_offered`, a streamed body is held back until the gate has a slot for the request and
+    /// responds with `100 Continue`. After a refusal the body is still complete for another gate,
+    /// and no bytes were sent for nothing.
     pub fn request(&self, hop: &Hop, is_offered: bool) -> Request<CallBody> {
         let Some(body) = self.body.streamed().filter(|_| is_offered) else {
             return self.request_with_body(hop, self.body.take());
--- a/crates/yuccarackd/src/coordination/routed/entry/call_trace.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/call_trace.rs
@@ -1,4 +1,4 @@
-//! What is told of a call at its end: its log line and counters.
+//! Trace of a call, from which its log line and counters are written when it ends.
 
 use std::{net::SocketAddr, time::Instant};
 
@@ -11,26 +11,26 @@
     protocol::{body::CallBody, refusal::Refusal},
 };
 
-/// What is known of a call, for its log line.
+/// Attributes of a call for its log line, filled in as they become known.
 pub struct CallTrace {
-    /// When it came.
+    /// When the call arrived at the entry.
     pub came_at: Instant,
-    /// Who sent it.
+    /// Address of the caller.
     pub peer: SocketAddr,
-    /// Its caller's name of it.
+    /// Request ID; empty if the head can't be parsed.
     pub request: String,
-    /// Its route.
+    /// Name of the route; empty if none matches.
     pub route: String,
-    /// Service that had to run it.
+    /// Service that the call was sent to; empty before one is chosen.
     pub service: ServiceName,
-    /// The routing table by which it went.
+    /// Version of the routing table that the call was routed by.
     pub routing_version: u64,
-    /// Gates that were asked.
+    /// Gates that the call was sent to.
     pub gates: AttemptedGates,
 }
 
 impl CallTrace {
-    /// Starts with who called and when.
+    /// Creates a trace of a call from `peer` that arrived at `came_at`.
     pub fn new(came_at: Instant, peer: SocketAddr) -> Self {
         Self {
             came_at,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The line of its failure, without what tells why.
+    /// Returns the log line of a failed call without status, reason and outcome.
     fn failure_line(&self, took_ms: u64) -> CallFailed {
         CallFailed {
             request: self.request.clone(),
@@ -62,7 +62,7 @@
 }
 
 impl RoutedEntry {
-    /// Writes the line of an answer that its target gave.
+    /// Writes the log line of a call that a target responded to.
     pub(super) fn log_response(
         &self,
         response: &Response<CallBody>,
@@ -89,7 +89,7 @@
         });
     }
 
-    /// Counts a refusal and writes its line.
+    /// Counts a refusal and writes its log line.
     pub(super) fn log_refusal(&self, refusal: &Refusal, trace: &CallTrace, took_ms: u64) {
         self.parts.counters.add_reason(REFUSED, refusal.reason.as_str());
         self.parts.events.write(|| CallFailed {
@@ -101,7 +101,7 @@
     }
 }
 
-/// How a call ended, for its histogram.
+/// Returns the histogram label for the end of a call.
 pub fn end_label(result: &Result<Response<CallBody>, Refusal>) -> &'static str {
     match result {
         Ok(response) if response.status().is_server_error() => "target_failed",
--- a/crates/yuccarackd/src/coordination/routed/entry/head.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/head.rs
@@ -1,4 +1,4 @@
-//! What the head of a routed request says.
+//! Parses and validates the head of a routed request.
 
 use std::time::{Duration, Instant};
 
@@ -7,26 +7,27 @@
 
 use crate::protocol::refusal::{Reason, Refusal};
 
-/// Longest time that a caller may give, so that a nonsense value doesn't hold memory for days.
+/// Upper limit of the caller's deadline, so that an absurd value doesn't hold memory for days.
 const TIME_LEFT_MAX: Duration = Duration::from_secs(300);
 
-/// What the head of a routed request says.
+/// Validated head of a routed request.
 #[derive(Clone, Debug)]
 pub struct RoutedHead {
-    /// The caller's name of the request.
+    /// Request ID that the caller chose.
     pub request_id: HeaderValue,
-    /// When its caller gives up, where it says so.
+    /// When the caller gives up; `None` if it sends no deadline.
     pub deadline: Option<Instant>,
-    /// Host without the port.
+    /// Requested host without the port.
     pub host: String,
 }
 
 impl RoutedHead {
-    /// Reads the head of a request that came at `now`.
+    /// Parses the head of a request that arrived at `now`.
     ///
     /// # Errors
     ///
-    /// A refusal; nothing ran.
+    /// Returns a refusal with [`Reason::BadRequest`] if the request ID or the host is missing, if a
+    /// header that must be unique occurs twice, or if the deadline isn't a number of milliseconds.
     pub fn parse(parts: &Parts, now: Instant) -> Result<Self, Refusal> {
         let bad = || Refusal::not_run(Reason::BadRequest);
         let map = &parts.headers;
@@ -42,7 +43,7 @@
     }
 }
 
-/// The one value of a header; two values can't both be meant.
+/// Returns the value of a header that may occur only once; the outer `None` means it occurs twice.
 #[expect(clippy::option_option, reason = "twice, absent and there are three cases")]
 fn single_value<'a>(
     map: &'a HeaderMap,
@@ -62,7 +63,7 @@
     is_time.then(|| Duration::from_secs_f64(ms / 1_000.0).min(TIME_LEFT_MAX))
 }
 
-/// The host that a request names, without the port.
+/// Returns the host of the request URI or else of the `Host` header, without the port.
 pub fn host(parts: &Parts) -> Option<String> {
     if let Some(host) = parts.uri.host() {
         return Some(host.to_owned());
--- a/crates/yuccarackd/src/coordination/routed/entry/mod.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The entry for routed calls: finds the route, chooses gates, owns the deadline.
+//! The entry for routed calls, which finds the route, chooses gates and enforces the deadline.
 
 mod attempted_gates;
 mod attempts;
@@ -55,49 +55,49 @@
     },
 };
 
-/// Largest body that is kept to be sent again; the callers' orders have some 4 kB.
+/// Largest body that is buffered so that it can be sent again. Typical orders have some 4 kB.
 const BUFFERED_BODY_MAX_BYTES: usize = 64 * 1024;
 
-/// When it is worth asking a daemon again that knows no routes yet; the store answers in some 10 ms.
+/// `Retry-After` of a daemon without a routing table yet. The store responds within some 10 ms.
 const NO_ROUTING_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// When it is worth asking again for a service none of whose targets takes work.
+/// `Retry-After` for a service none of whose targets accepts requests.
 const NO_TARGET_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// Time before the deadline at which the last word goes out, so that it arrives while its caller
-/// still waits; a way to a caller takes 1 to 8 ms.
+/// Time before the deadline at which the entry gives up, so that its response arrives while the
+/// caller still waits. The way to a caller takes 1 to 8 ms.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(15);
 
-/// Group of the entry's refusal counters.
+/// Prefix of the entry's refusal counters; the reason follows.
 const REFUSED: &str = "entry.refused";
 
-/// What an entry works with.
+/// Dependencies of a [`RoutedEntry`].
 pub struct RoutedEntryParts {
-    /// The settings.
+    /// The settings in force.
     pub settings: LiveSettings,
-    /// The routing table in force.
+    /// The routing table in force, by which calls find their service.
     pub routing: RoutingState,
-    /// All members.
+    /// All members, whose gates calls may be sent to.
     pub members: Members,
-    /// Failure domains that are evacuated.
+    /// Evacuated failure domains, whose gates get no calls.
     pub evacuations: Evacuations,
-    /// The gate beside this entry.
+    /// The gate in the same process, which is called directly.
     pub gate: Arc<Gate>,
-    /// News of other daemons.
+    /// Versions that other daemons report with their responses.
     pub peers: Peers,
-    /// Connections to other gates.
+    /// Connection pool for requests to other gates.
     pub upstream: Upstream,
-    /// Counters.
+    /// Counters of calls, refusals and attempts.
     pub counters: Counters,
-    /// Histograms.
+    /// Histograms of call durations and attempts.
     pub metrics: Metrics,
-    /// Log lines.
+    /// Log for the end of each call.
     pub events: EventLog,
-    /// Cancelled when this daemon leaves.
+    /// Cancelled when this daemon starts to leave.
     pub leaving: CancellationToken,
 }
 
-/// The entry of one daemon.
+/// The entry of one daemon, which accepts calls and forwards them to gates.
 pub struct RoutedEntry {
     parts: RoutedEntryParts,
     services: Mutex<HashMap<ServiceName, Arc<RoutedService>>>,
@@ -108,8 +108,9 @@
 impl CallHandler for RoutedEntry {
     const TAKES_PIPELINES: bool = true;
 
-    /// Only what may run twice: its caller sends it again when an answer before it closes the
-    /// connection. None while this daemon leaves, which closes connections.
+    /// Allows an early start only for repeatable requests, as the caller sends the request again if
+    /// an earlier response closes the connection. While this daemon leaves it closes connections,
+    /// so none starts early.
     fn may_start_early(&self, head: &Parts) -> bool {
         let is_on = self.parts.settings.current().decisions.early_reads;
         if !is_on || self.parts.leaving.is_cancelled() {
@@ -136,18 +137,18 @@
 }
 
 impl RoutedEntry {
-    /// Makes an entry that has served nothing yet.
+    /// Creates an entry without known services and gates.
     pub fn new(parts: RoutedEntryParts) -> Self {
         let stats = RouteStats::new(parts.settings.current().decisions);
         Self { parts, services: Mutex::default(), splits: Mutex::default(), stats }
     }
 
-    /// Looks until `stop` whether gates that could not be reached are back.
+    /// Probes unreachable gates until `stop` and marks those that accept connections as reachable.
     pub async fn probe_unreachable_gates(self: Arc<Self>, stop: CancellationToken) {
         prober::run(&self, stop).await;
     }
 
-    /// Gates that can't be reached now; one that serves two services counts once for each.
+    /// Returns the number of unreachable gates; a gate of two services counts once for each.
     pub fn unreachable_gates(&self) -> usize {
         self.services.lock().values().map(|service| service.unreachable_gates().len()).sum()
     }
@@ -247,7 +248,7 @@
         }
     }
 
-    /// Learns from the end of a call of `kind` that goes to `service`.
+    /// Updates the statistics of `kind` and `service` with the result of a call.
     fn record_result(
         &self,
         kind: u64,
@@ -281,7 +282,7 @@
     }
 
     fn service(&self, name: &str) -> Arc<RoutedService> {
-        // Both only rise, and so does their sum with each change of either.
+        // Both generations only increase, so a change of either increases their sum.
         let generation = self.parts.members.generation() + self.parts.evacuations.generation();
         let mut services = self.services.lock();
         let service = match services.get(name) {
@@ -305,7 +306,7 @@
         service
     }
 
-    /// Counts and logs the end of a call and puts it into the form that its caller gets.
+    /// Counts and logs the end of a call and converts its result to the caller's response.
     fn finish(
         &self,
         result: Result<Response<CallBody>, Refusal>,
@@ -333,7 +334,7 @@
     }
 }
 
-/// Requests of one route take alike long and are called by alike callers.
+/// Returns the kind of a route's requests, which have similar service times and similar callers.
 fn kind_of(route: &Route) -> u64 {
     xxh3_64(route.name.as_bytes())
 }
@@ -342,12 +343,13 @@
     Refusal::not_run(Reason::NoRouting).with_retry_after(NO_ROUTING_RETRY_AFTER)
 }
 
-/// What has not run may come back; without a time of its own, as soon as a target may be there.
+/// Gives a request that has not run a `Retry-After` if the refusal has none, and removes it
+/// otherwise.
 fn with_retry_after_default(refusal: Refusal) -> Refusal {
     let is_not_run = refusal.outcome == crate::protocol::refusal::Outcome::NotRun;
     match refusal.retry_after {
         None if is_not_run => refusal.with_retry_after(NO_TARGET_RETRY_AFTER),
-        // Nobody is asked to repeat what may have run.
+        // A request that may have run must not be repeated.
         Some(_) if !is_not_run => Refusal { retry_after: None, ..refusal },
         _ => refusal,
     }
--- a/crates/yuccarackd/src/coordination/routed/entry/prober.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/prober.rs
@@ -1,4 +1,4 @@
-//! Looks whether gates that could not be reached are back.
+//! Probes unreachable gates until they accept connections again.
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -8,28 +8,28 @@
 use super::{RoutedEntry, service::RoutedService};
 use crate::{coordination::jitter::jittered, transport::look::is_listening};
 
-/// Time between two rounds.
+/// Mean time between two rounds of probes, which is jittered.
 const ROUND_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Longest time for which a connection is tried; a round trip takes 3 ms at most.
+/// Timeout of a connection attempt. A round trip takes 3 ms at most.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Longest pause between two looks at one gate. Its row may stand for long after its instance has
-/// gone, so each further look in vain doubles the pause.
+/// Longest pause between two probes of one gate. Its row may remain long after its instance is
+/// removed, so each failed probe doubles the pause.
 const PAUSE_MAX: Duration = Duration::from_secs(5);
 
-/// When a gate is looked at next, and the pause after that.
+/// When a gate is probed next, and the pause after that.
 #[derive(Clone, Copy)]
 struct Pause {
     until: Instant,
     next: Duration,
 }
 
-/// Looks until `stop`.
+/// Probes unreachable gates in rounds until `stop`.
 ///
-/// Failure: an instance is gone for good and its row stands. Were a request sent there now and then
-/// to see whether it is back, each such request would wait for a connection in vain, and most of the
-/// calls that services make of each other have little more time than that.
+/// The row of an instance may remain after the instance is removed for good. If requests were used
+/// as probes, each would wait for the full connection timeout, and most calls between services have
+/// little more time than that.
 pub async fn run(entry: &RoutedEntry, stop: CancellationToken) {
     let mut pauses = HashMap::new();
     loop {
--- a/crates/yuccarackd/src/coordination/routed/entry/route_stats.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/route_stats.rs
@@ -1,4 +1,4 @@
-//! What an entry learns of each route's requests while they are many.
+//! Statistics of each route's requests, by which an entry decides on admission under overload.
 
 use std::{
     collections::HashMap,
@@ -12,10 +12,10 @@
     patience::Patience,
 };
 
-/// Most routes of which something is kept; more than an operator's table has for its requests.
+/// Limit of tracked routes, which is above the number of routes in an operator's table.
 const ROUTES_MAX: usize = 4_096;
 
-/// What is learned by kind of request.
+/// Statistics by kind of request, and shortages by service.
 pub struct RouteStats {
     decisions: Decisions,
     by_kind: Mutex<HashMap<u64, KindStats>>,
@@ -29,12 +29,13 @@
 }
 
 impl RouteStats {
-    /// Starts without knowing anything.
+    /// Creates empty statistics; `decisions` switches their uses on.
     pub fn new(decisions: Decisions) -> Self {
         Self { decisions, by_kind: Mutex::default(), shortages: Mutex::default() }
     }
 
-    /// Time for which the caller of a request that comes `now` has waited before it sent this one.
+    /// Estimates how long the caller waited on earlier attempts before this request arrived at
+    /// `now`.
     pub fn prior_wait(&self, now: Instant, kind: u64, left: Duration) -> Duration {
         if !self.decisions.patience {
             return Duration::ZERO;
@@ -42,23 +43,23 @@
         self.update(kind, |stats| stats.prior_waits.waited(now, left))
     }
 
-    /// Whether a request of `kind` is let in.
+    /// Returns whether a request of `kind` is admitted.
     pub fn admits(&self, kind: u64) -> bool {
         !self.decisions.futile_runs
             || self.update(kind, |stats| stats.futile_runs.lets_in(&mut rand::rng()))
     }
 
-    /// Notes that a request of `kind` was refused.
+    /// Records that a request of `kind` was refused.
     pub fn record_refusal(&self, now: Instant, kind: u64) {
         self.update(kind, |stats| stats.prior_waits.refused(now));
     }
 
-    /// Notes that `service` turned a request away for want of room.
+    /// Records that `service` refused a request for lack of capacity.
     pub fn record_shortage(&self, now: Instant, service: &str) {
         self.shortages.lock().refused(now, service);
     }
 
-    /// Notes how a run of `kind` at `service` ended.
+    /// Records how a run of `kind` at `service` ended.
     pub fn record_run(&self, now: Instant, kind: u64, service: &str, result: RunResult) {
         let is_short = self.shortages.lock().is_another_short(now, service);
         self.update(kind, |stats| stats.futile_runs.ended(result, is_short));
@@ -67,7 +68,7 @@
     fn update<T>(&self, kind: u64, note: impl FnOnce(&mut KindStats) -> T) -> T {
         let mut by_kind = self.by_kind.lock();
         if by_kind.len() >= ROUTES_MAX && !by_kind.contains_key(&kind) {
-            // Routes that operators took away long ago are among them.
+            // The map also holds routes that operators have removed.
             by_kind.clear();
         }
         note(by_kind.entry(kind).or_default())
--- a/crates/yuccarackd/src/coordination/routed/entry/service.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/service.rs
@@ -1,4 +1,4 @@
-//! One service as an entry sees it: its gates and the allowance for further tries.
+//! A service at an entry: its gates, their load and the budget for extra attempts.
 
 use std::{
     collections::HashMap,
@@ -21,10 +21,10 @@
 
 use crate::protocol::peer_news::RoutedMember;
 
-/// Weight of what a gate tells in the mean time of the service's work.
+/// Weight of a reported value in the moving average of the service time.
 const SERVICE_TIME_WEIGHT: f64 = 0.1;
 
-/// One service at one entry.
+/// A service at one entry.
 pub struct RoutedService {
     state: Mutex<State>,
 }
@@ -39,39 +39,39 @@
     rng: SmallRng,
 }
 
-/// A gate that was chosen.
+/// A gate chosen for an attempt, which counts as sent there.
 #[derive(Clone, Debug)]
 pub struct ChosenGate {
-    /// Its key at the placement.
+    /// Key of the gate in the placement.
     pub key: GateKey,
-    /// Who it is.
+    /// Member that the gate belongs to.
     pub member: Arc<RoutedMember>,
-    /// Whether the request may wait there.
+    /// Whether the request may be queued there.
     pub may_wait: bool,
 }
 
 impl ChosenGate {
-    /// Where it is reached.
+    /// Returns the address on which the gate is reached.
     pub fn address(&self) -> SocketAddr {
         self.member.gate_address
     }
 }
 
-/// What a service at an entry has to know of the members.
+/// Membership that a service at an entry needs.
 pub struct MembershipUpdate<'a> {
-    /// Failure domain of this entry.
+    /// Failure domain of this entry, whose gates are preferred.
     pub local_domain: &'a DomainName,
-    /// Instances that serve it.
+    /// Instances that run targets of the service.
     pub members: Vec<Arc<RoutedMember>>,
-    /// All instances; each has an entry.
+    /// Number of all instances, each of which has an entry.
     pub entries: usize,
 }
 
-/// Work of a service of which nothing is known yet; between today's shortest and longest kinds.
+/// Mean service time until a gate reports one. It lies between the shortest and the longest kinds.
 const DEFAULT_SERVICE_TIME: Duration = Duration::from_millis(100);
 
 impl RoutedService {
-    /// Starts without gates.
+    /// Creates a service without gates.
     pub fn new(settings: &RoutedSettings, entries: usize) -> Self {
         let bounds = &settings.bounds;
         let state = State {
@@ -86,12 +86,12 @@
         Self { state: Mutex::new(state) }
     }
 
-    /// Whether it has followed the members up to `generation`.
+    /// Returns whether the membership of `generation` or a later one has been applied.
     pub fn has_synced(&self, generation: u64) -> bool {
         self.state.lock().generation >= generation
     }
 
-    /// Follows who serves it and who calls.
+    /// Applies a membership update; one of an older generation has no effect.
     pub fn sync_members(&self, generation: u64, update: MembershipUpdate<'_>) {
         let MembershipUpdate { local_domain, members, entries } = update;
         let state = &mut *self.state.lock();
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Keeps the request of `asked` from the gates of other regions than its homes.
+    /// Bars the request of `asked` from gates outside of its home regions; no regions bar nothing.
     pub fn restrict_to_home_regions(
         &self,
         asked: &mut Asked,
@@ -138,12 +138,13 @@
         asked.bar(outside.map(|(key, _)| key).collect());
     }
 
-    /// Notes a request, which earns its share of further tries.
+    /// Records a request, which adds its share to the budget of extra attempts.
     pub fn record_request(&self) {
         self.state.lock().extra_tries.earn();
     }
 
-    /// Chooses a gate for a request that was `asked` for elsewhere before, and counts a request as sent there.
+    /// Chooses a gate for a request whose earlier attempts are in `asked`, and counts the request
+    /// as sent there.
     pub fn choose(&self, now: Instant, asked: &Asked) -> Option<ChosenGate> {
         let state = &mut *self.state.lock();
         let mean_work = state.mean_service_time.unwrap_or(DEFAULT_SERVICE_TIME);
@@ -153,19 +154,19 @@
         Some(ChosenGate { key: placed.gate, member, may_wait: placed.may_wait })
     }
 
-    /// Where gates would be that can't be reached.
+    /// Returns the unreachable gates with their addresses.
     pub fn unreachable_gates(&self) -> Vec<(GateKey, SocketAddr)> {
         let state = self.state.lock();
         let with_address = |key| Some((key, state.member_by_key.get(key)?.gate_address));
         state.placement.unreachable().filter_map(with_address).collect()
     }
 
-    /// Notes that a connection to a gate can be made again.
+    /// Marks a gate as reachable after a connection to it succeeded.
     pub fn mark_reachable(&self, key: GateKey) {
         self.state.lock().placement.renewed(key);
     }
 
-    /// Notes how a try ended.
+    /// Records how an attempt at a gate ended.
     pub fn record_attempt_end(&self, now: Instant, key: GateKey, end: TryEnd) {
         let state = &mut *self.state.lock();
         state.placement.ended(now, key, end);
@@ -174,7 +175,7 @@
         }
     }
 
-    /// Notes what a gate tells of its load.
+    /// Records the load that a gate reports.
     pub fn record_load(&self, now: Instant, key: GateKey, load: GateLoad) {
         let state = &mut *self.state.lock();
         state.placement.told(now, key, load);
@@ -186,11 +187,11 @@
         state.mean_service_time = Some(mean.mul_f64(1.0 - SERVICE_TIME_WEIGHT) + reported);
     }
 
-    /// Decides on a further try.
+    /// Decides on an extra attempt after a failed one, and takes it from the budget.
     ///
     /// # Errors
     ///
-    /// Why none is made.
+    /// Returns why no further attempt is made.
     pub fn decide_extra_attempt(&self, failure: BadTry) -> Result<(), NoMore> {
         self.state.lock().extra_tries.decide(failure)
     }
--- a/crates/yuccarackd/src/coordination/routed/gate/cold.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/cold.rs
@@ -1,4 +1,4 @@
-//! What a gate knows of a target that may be cold, for the bound of its requests.
+//! Limits the request rate of a cold target by the routing table's bound.
 
 use std::time::{Duration, Instant};
 
@@ -11,7 +11,8 @@
 };
 
 impl Gate {
-    /// Takes over what the routing table says of cold targets of the service.
+    /// Applies the service's bound for cold targets from the routing table and the settings to the
+    /// queue.
     pub(super) fn update_cold_bound(&self) {
         let Some(active) = self.active.read().clone() else { return };
         let Some(routing) = self.parts.routing.current() else { return };
@@ -27,10 +28,11 @@
         });
     }
 
-    /// Start of the first cold time of `view` that this daemon knows of, at the earliest.
+    /// Returns the earliest possible start of the current cold period of `view`.
     ///
-    /// By the time that is left of it and by the start of the process, since the one may be longer than usual
-    /// and the clock of the other may have been set back.
+    /// Takes the earlier of two estimates: the end of the cold period minus the usual cold start
+    /// time, and the start of the target's process. The cold period may last longer than usual, and
+    /// the clock behind the start time may have been set back.
     fn first_cold_from(&self, view: &TargetView, cold_start: Duration) -> Option<Instant> {
         if !view.is_cold || cold_start.is_zero() {
             return None;
--- a/crates/yuccarackd/src/coordination/routed/gate/crash_tracker.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/crash_tracker.rs
@@ -1,4 +1,7 @@
-//! Deaths of targets, told to all gates of the service.
+//! Counts crashes of targets per request fingerprint and reports them to all gates of the service.
+//!
+//! A request that crashed several targets is quarantined at every gate and not only at the one that
+//! saw the crashes.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -25,36 +28,37 @@
     transport::upstream::{Freshness, Upstream},
 };
 
-/// Waits before each look at a target whose connection broke; a dying process closes its port last.
+/// Delays before each check of a target whose connection broke. A dying process closes its port
+/// last, so the first check may still find it open.
 const CHECK_DELAYS: [Duration; 3] =
     [Duration::from_millis(2), Duration::from_millis(20), Duration::from_millis(80)];
 
-/// Longest look; the target is on the same machine.
+/// Timeout of one check; the target is on the same machine.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Time in which requests of one death are gathered, so that others are told once.
+/// Time for which the requests of one crash are collected, so that they go out in one report.
 const BATCH_DELAY: Duration = Duration::from_millis(120);
 
-/// Longest wait for another gate to take the word.
+/// Timeout for another gate to acknowledge a report.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What [`CrashTracker`] works with.
+/// Dependencies of [`CrashTracker`].
 pub struct CrashTrackerParts {
-    /// The settings.
+    /// The settings in force.
     pub settings: LiveSettings,
-    /// All members.
+    /// All members, which include the other gates of the service.
     pub members: Members,
     /// Connections to other gates.
     pub upstream: Upstream,
-    /// Counters.
+    /// Counters of crashes and of reports that failed.
     pub counters: Counters,
-    /// Log lines.
+    /// Log for crashes and for reports that failed.
     pub events: EventLog,
-    /// Parent of what is spawned.
+    /// Tracker of the spawned checks and reports.
     pub background: TaskTracker,
 }
 
-/// Deaths of targets, as one gate knows them; clones share it.
+/// Crashes of targets that one gate knows of; clones share the state.
 #[derive(Clone)]
 pub struct CrashTracker {
     inner: Arc<Inner>,
@@ -63,28 +67,31 @@
 struct Inner {
     parts: CrashTrackerParts,
     counts: Mutex<CrashCounts>,
-    /// Requests of a death that others are still to be told of.
+    /// Requests of a crash that aren't reported to the other gates yet.
     unreported: Mutex<Vec<Fingerprint>>,
 }
 
 impl CrashTracker {
-    /// Starts with none.
+    /// Creates a tracker without known crashes.
     pub fn new(parts: CrashTrackerParts) -> Self {
         let inner = Inner { parts, counts: Mutex::default(), unreported: Mutex::default() };
         Self { inner: Arc::new(inner) }
     }
 
-    /// Whether the request isn't handed over any more.
+    /// Returns whether the request is quarantined, that is, no longer dispatched to targets.
     pub fn is_barred(&self, fingerprint: Fingerprint) -> bool {
         self.inner.counts.lock().is_barred(Instant::now().into(), fingerprint)
     }
 
-    /// Notes that the request was answered.
+    /// Records that a target responded to the request, so it crashed nothing.
     pub fn record_response(&self, fingerprint: Fingerprint) {
         self.inner.counts.lock().answered(fingerprint);
     }
 
-    /// Takes the word of another gate.
+    /// Records the crashes that another gate reports: fingerprints in hexadecimal, separated by
+    /// commas.
+    ///
+    /// Fingerprints that can't be parsed are skipped.
     pub fn receive_report(&self, report: &HeaderValue) {
         let fingerprints = report.to_str().unwrap_or("").split(',');
         let fingerprints =
@@ -93,7 +100,8 @@
         fingerprints.for_each(|fingerprint| counts.died(Instant::now().into(), fingerprint));
     }
 
-    /// Looks whether `target` died with the request on it, and tells the other gates if it did.
+    /// Checks in the background whether `target` crashed while it ran the request, and reports it
+    /// if so.
     pub fn check_target(&self, target: Arc<TargetView>, fingerprint: Fingerprint) {
         let this = self.clone();
         self.inner.parts.background.spawn(async move {
@@ -153,7 +161,7 @@
     }
 }
 
-/// A port that refuses connections belongs to no process any more.
+/// Returns whether the target's process has exited, which shows in a port that refuses connections.
 async fn has_crashed(address: SocketAddr) -> bool {
     for delay in CHECK_DELAYS {
         sleep(delay).await;
--- a/crates/yuccarackd/src/coordination/routed/gate/exchange.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/exchange.rs
@@ -1,4 +1,4 @@
-//! One routed request on its way to the target, and the answer back.
+//! Sends one admitted request to the target and reads the response.
 
 use std::{sync::Arc, time::Instant};
 
@@ -17,26 +17,27 @@
     transport::{connection::SendError, upstream::Freshness},
 };
 
-/// Largest answer that is read whole before any of it is passed on, so that one that breaks off is
-/// told as broken and not passed on in part; a larger one is streamed.
+/// Largest response that is buffered in full before any of it is forwarded, so that one that breaks
+/// off is reported as broken and isn't forwarded in part. A larger one is streamed.
 const BUFFERED_RESPONSE_MAX_BYTES: usize = 256 * 1024;
 
-/// A request that holds a slot of its target.
+/// Exchange of one request that holds a slot of its target.
 pub struct Exchange<'a> {
-    /// The gate.
+    /// Gate that admitted the request.
     pub gate: &'a Gate,
-    /// The target.
+    /// Target that gets the request.
     pub active: &'a Arc<ActiveTarget>,
-    /// The slot.
+    /// Slot that the request holds.
     pub lease: SlotLease,
 }
 
 impl Exchange<'_> {
-    /// Hands the request over and reads the answer; dropping this cancels it at the target.
+    /// Dispatches the request and reads the response. Dropping the future cancels the request at
+    /// the target.
     ///
     /// # Errors
     ///
-    /// A refusal with what is proved.
+    /// Returns a refusal whose outcome says whether the request is known not to have run.
     pub async fn run(self, request: &mut GateRequest) -> Result<Response<CallBody>, Refusal> {
         let deadline = request.deadline.at();
         if deadline <= Instant::now() {
@@ -61,12 +62,11 @@
         }
     }
 
-    /// Sends the request over a connection that fits its kind.
+    /// Sends the request over a pooled connection if it may repeat, otherwise over a new one.
     ///
-    /// Failure: a target drops an idle connection without a word, and whatever is sent next on it
-    /// is reset. A request that must not repeat goes over a new connection, since what came of it
-    /// would be unknown for good; after such a reset others do so too for a while, where they would
-    /// have waited long for a kept one.
+    /// A target may drop an idle connection without notice, and the next request sent on it is
+    /// reset. The outcome of a request that must not repeat would then stay unknown. After such a
+    /// reset repeatable requests also avoid connections that were idle for long, for a while.
     async fn send(&self, request: &mut GateRequest) -> Result<Response<CallBody>, Refusal> {
         let view = &self.active.view;
         let target_request = request.target_request(&view.target);
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Reads a short answer to its end; a long one keeps the slot until it has been passed on.
+    /// Buffers a short response in full; a long one is streamed and holds the slot until its end.
     async fn read_response(
         self,
         response: Response<CallBody>,
@@ -124,10 +124,11 @@
     }
 }
 
-/// An answer that repeats another request's name, or none, is no answer to this one.
+/// Checks that the response repeats the ID of this request and isn't content-encoded.
 ///
-/// Failure: a target sends a second answer to the request before, it arrives where the next one's
-/// is due, and a caller gets somebody else's page.
+/// A target that sends a second response to an earlier request would otherwise have it taken for
+/// the response to the next request on the connection, and a caller would get another caller's
+/// page.
 fn check_response(request: &GateRequest, response: &Response<CallBody>) -> Result<(), Refusal> {
     let is_own = response.headers().get(headers::REQUEST_ID) == request.request_id();
     if is_own && !is_encoded(response) {
--- a/crates/yuccarackd/src/coordination/routed/gate/health_checks.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/health_checks.rs
@@ -1,4 +1,7 @@
-//! Health checks of the own target: its pace, where no answer has reported it for a while, and whether it is cold.
+//! Health checks of the gate's own target.
+//!
+//! A check queries the slowdown where no response has reported it for a while, and whether the
+//! target is cold.
 
 use std::{
     sync::Arc,
@@ -19,18 +22,18 @@
     transport::upstream::Freshness,
 };
 
-/// Most bytes of a look's answer that are read.
+/// Most bytes of a health check response that are read.
 const RESPONSE_MAX_BYTES: usize = 4 * 1024;
 
-/// What a target reports in answer to a look.
+/// Values that a target reports in response to a health check.
 struct HealthReport {
-    /// How long work takes there, in percent of the usual time; unset where it doesn't say so.
+    /// Service time in percent of the usual one; `None` if the response doesn't report it.
     slowdown_percent: Option<u16>,
-    /// Time for which it is still cold.
+    /// Time for which the target will still be cold; zero if it is warm.
     cold_for: Duration,
 }
 
-/// Looks whenever one is due, until `active` ends.
+/// Runs health checks as they become due, until `active` is replaced or the gate stops.
 pub async fn run(gate: Arc<Gate>, active: Arc<ActiveTarget>) {
     tokio::select! {
         () = active.stop.cancelled() => {}
@@ -62,7 +65,7 @@
     }
 }
 
-/// When the next look is due, for either reason.
+/// Returns when the next health check is due, be it for the slowdown or for a cold target.
 fn due_at(gate: &Gate, schedule: &PaceLooks, queue: &WorkQueue, now: Instant) -> Option<Instant> {
     let cold_check_at = queue.cold_rate().look_due_at(now);
     let is_enabled = gate.parts.decisions.pace_looks;
@@ -71,7 +74,7 @@
     cold_check_at.into_iter().chain(slowdown_check_at).min()
 }
 
-/// Asks the target once and notes its pace and whether it is cold.
+/// Runs one health check and updates the queue's slowdown and cold period.
 async fn check(gate: &Gate, active: &ActiveTarget) -> Looked {
     let sent_at = Instant::now();
     active.slots.change(|queue, now| queue.cold_rate_mut().looked(now));
@@ -106,11 +109,11 @@
     let host = HeaderValue::from_str(&address.to_string()).ok()?;
     let request = Request::get(path).header(header::HOST, host).body(body::empty()).ok()?;
     let response = gate.health_check_upstream.send(address, request, Freshness::Kept).await.ok()?;
-    // After a restart another target may stand at the address.
+    // After a restart another target may listen on the address.
     let is_own = response.headers().get(headers::TARGET)? == active.view.target.as_str();
     let slowdown_percent = load::decode(response.headers()).and_then(|load| load.pace_percent);
     let cold_for = load::decode_cold_for(response.headers());
-    // Read to its end, so that the connection can be used again.
+    // The body is read to its end so that the connection can be used again.
     BodyStart::read(response.into_body(), RESPONSE_MAX_BYTES).await.ok()?;
     is_own.then_some(HealthReport { slowdown_percent, cold_for })
 }
--- a/crates/yuccarackd/src/coordination/routed/gate/mod.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/mod.rs
@@ -1,4 +1,4 @@
-//! The gate of one target for routed requests: the only way in.
+//! The gate of one target, which all routed requests to the target pass through.
 
 mod cold;
 mod crash_tracker;
@@ -54,60 +54,61 @@
     transport::{look::is_listening, upstream::Upstream},
 };
 
-/// When it is worth asking a service again whose target here takes no work.
+/// `Retry-After` of a refusal because the target of this gate accepts no requests now.
 const UNAVAILABLE_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// When it is worth coming back with a request of which targets die; it is refused for a minute.
+/// `Retry-After` of a quarantined request. The quarantine itself lasts for a minute.
 const QUARANTINED_RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// Time between two looks at a target that can't be reached; its process needs longer to come back.
+/// Time between two connection attempts to an unreachable target. Its process takes longer to
+/// restart.
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Longest look at such a target, which is on the same machine.
+/// Timeout of a connection attempt to an unreachable target, which is on the same machine.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Group of the gate's refusal counters.
+/// Prefix of the gate's refusal counters; the reason follows.
 const REFUSED: &str = "gate.refused";
 
-/// What a gate works with.
+/// Dependencies of a [`Gate`].
 pub struct GateParts {
-    /// The target, by what it says of itself.
+    /// The target as reported by its own heartbeats.
     pub target: RoutedTarget,
-    /// The routing table in force.
+    /// The routing table in force, which has the bounds of cold targets and the health check paths.
     pub routing: RoutingState,
-    /// Failure domains that are evacuated.
+    /// Evacuated failure domains, whose targets get no requests.
     pub evacuations: Evacuations,
-    /// The settings.
+    /// The settings in force.
     pub settings: LiveSettings,
-    /// Deaths of targets.
+    /// Crashes of targets, for the quarantine of requests that cause them.
     pub crashes: CrashTracker,
-    /// Connections to the target.
+    /// Connection pool for requests to the target.
     pub upstream: Upstream,
-    /// Counters.
+    /// Counters of refusals, health checks and lost connections.
     pub counters: Counters,
-    /// Histograms.
+    /// Histograms of the queue time and the target's response times.
     pub metrics: Metrics,
-    /// Log lines.
+    /// Log for refusals and changes of the target's state.
     pub events: EventLog,
-    /// Parent of what runs as long as the gate.
+    /// Tracker of tasks that run as long as the gate.
     pub background: TaskTracker,
-    /// Cancelled when this daemon leaves.
+    /// Cancelled when this daemon starts to leave.
     pub leaving: CancellationToken,
-    /// Decisions in use.
+    /// Optional decisions that the settings switch on.
     pub decisions: Decisions,
 }
 
-/// The gate of one target.
+/// The gate of one target: queues, admits and dispatches its requests.
 pub struct Gate {
     parts: GateParts,
-    /// Connections for looks alone: what a target sends too much on those of requests, or in answer
-    /// to a look, reaches no other one.
+    /// Separate connection pool for health checks, so that surplus bytes on a connection can't be
+    /// taken for a response across requests and health checks.
     health_check_upstream: Upstream,
     started_at: Instant,
     active: RwLock<Option<Arc<ActiveTarget>>>,
 }
 
-/// A target with its slots.
+/// A target that the gate serves, with its queue and connection state.
 struct ActiveTarget {
     view: Arc<TargetView>,
     slots: WorkSlots,
@@ -117,13 +118,13 @@
 }
 
 impl Gate {
-    /// Makes a gate that knows no target yet.
+    /// Creates a gate without a target.
     pub fn new(parts: GateParts) -> Self {
         let health_check_upstream = Upstream::new(parts.background.clone());
         Self { parts, health_check_upstream, started_at: Instant::now(), active: RwLock::new(None) }
     }
 
-    /// Follows what the target says until `stop`.
+    /// Follows changes of the target, evacuations and the routing table until `stop`.
     pub async fn follow(self: Arc<Self>, stop: CancellationToken) {
         let mut changes = self.parts.target.subscribe();
         let mut evacuations = self.parts.evacuations.subscribe();
@@ -144,7 +145,7 @@
                 changed = routing.changed() => if changed.is_err() { break },
             }
         }
-        // Whatever waits goes elsewhere; what runs ends by itself.
+        // Queued requests are refused so that other gates take them; running ones finish.
         self.update_target(None);
         stop.cancelled().await;
         if let Some(active) = self.active.read().as_ref() {
@@ -152,12 +153,16 @@
         }
     }
 
-    /// Requests running on the target.
+    /// Returns the number of requests that run on the target.
     pub fn running(&self) -> usize {
         self.active.read().as_ref().map_or(0, |active| active.slots.running())
     }
 
-    /// Answers one request: the target's answer, or a refusal with what is proved.
+    /// Runs one request on the target and returns the target's response.
+    ///
+    /// # Errors
+    ///
+    /// Returns a refusal whose outcome says whether the request is known not to have run.
     pub async fn handle(&self, mut request: GateRequest) -> Result<Response<CallBody>, Refusal> {
         let result = self.run(&mut request).await;
         if let Err(refusal) = &result {
@@ -166,7 +171,7 @@
         result
     }
 
-    /// What this gate tells of itself with each answer.
+    /// Returns the gate status that goes out with each response: load and routing version.
     pub fn status(&self) -> GateWord {
         let load = self.active.read().as_ref().map(|active| active.slots.load());
         let idle =
@@ -174,7 +179,7 @@
         GateWord { load: load.unwrap_or(idle), routing_version: self.parts.routing.version() }
     }
 
-    /// Puts what this gate tells of itself into an answer for another daemon.
+    /// Sets the gate status header of a response to another daemon.
     pub fn add_status_header(&self, response: &mut Response<CallBody>) {
         forwarding::set(response.headers_mut(), GATE_WORD, &self.status().to_string());
     }
@@ -192,7 +197,8 @@
         let queued = offered_at.elapsed();
         request.queued = Some(queued);
         self.parts.metrics.queued(queued);
-        // The target may have said meanwhile that it leaves, or operators that it is to get nothing.
+        // The target may have started to leave, or its failure domain been evacuated, during the
+        // wait.
         self.check_available(&active)?;
         let dispatched_at = Instant::now();
         let response = Exchange { gate: self, active: &active, lease }.run(request).await;
@@ -242,10 +248,10 @@
         Ok(())
     }
 
-    /// Keeps requests from a target that can't be reached, until a connection can be made again.
+    /// Refuses requests to an unreachable target until a connection succeeds again.
     ///
-    /// Failure: a target's process hangs with its port open, and each request that finds it so waits
-    /// for a connection in vain.
+    /// A process that hangs with its port open accepts no connections, and without this each
+    /// request would wait for the full connection timeout.
     fn mark_unreachable(&self, active: &Arc<ActiveTarget>) {
         if active.is_unreachable.swap(true, Ordering::AcqRel) {
             return;
@@ -267,7 +273,10 @@
         });
     }
 
-    /// Takes in what the target says; returns a target that is new.
+    /// Applies the target's reported state and returns the target if it is new or restarted.
+    ///
+    /// A target that isn't ready or whose failure domain is evacuated stops getting requests, and
+    /// those in the queue are refused.
     fn update_target(&self, view: Option<Arc<TargetView>>) -> Option<Arc<ActiveTarget>> {
         let mut active = self.active.write();
         let is_accepting =
@@ -291,7 +300,7 @@
         let mut cold_rate = ColdRate::new(self.started_at);
         if let Some(old) = active.take() {
             old.slots.change(|queue, now| queue.leave(now));
-            // A target that starts again at the same address is the same one to the operators' bound.
+            // The operators' bound on cold targets counts across restarts of the target.
             cold_rate = old.slots.read(|queue| queue.cold_rate().clone());
             old.stop.cancel();
         }
@@ -309,13 +318,13 @@
         Some(added)
     }
 
-    /// Path on which the target tells its load, by the routing table.
+    /// Returns the path of the target's health checks from the routing table.
     fn load_path(&self, active: &ActiveTarget) -> Option<String> {
         let routing = self.parts.routing.current()?;
         routing.service(&active.view.service).map(|service| service.load_path.clone())
     }
 
-    /// Whether operators want the targets of this failure domain to get nothing.
+    /// Returns whether operators have evacuated the failure domain of this gate.
     fn is_evacuated(&self) -> bool {
         self.parts.evacuations.is_evacuated(&self.parts.settings.current().failure_domain)
     }
@@ -372,17 +381,17 @@
         .with_retry_after(refused.retry_after)
 }
 
-/// A time for a log line.
+/// Rounds down to milliseconds for a log line.
 fn millis(time: Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// A header's value for a log line.
+/// Formats a header value for a log line; a missing one is empty.
 fn header_text(value: Option<&http::HeaderValue>) -> String {
     value.map_or_else(String::new, |value| String::from_utf8_lossy(value.as_bytes()).into_owned())
 }
 
-/// Whether an answer's body is in a form that no target was asked for.
+/// Returns whether the body is content-encoded, which no request asks a target for.
 fn is_encoded(response: &Response<CallBody>) -> bool {
     response.headers().contains_key(header::CONTENT_ENCODING)
 }
--- a/crates/yuccarackd/src/coordination/routed/gate/request.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/request.rs
@@ -1,4 +1,4 @@
-//! One routed request as it stands at a gate.
+//! A routed request at its gate: metadata, head and body.
 
 use std::time::{Duration, Instant};
 
@@ -16,26 +16,26 @@
     },
 };
 
-/// One routed request at a gate.
+/// A routed request at a gate.
 pub struct GateRequest {
-    /// What its entry says.
+    /// Metadata from the entry's hop header.
     pub hop: Hop,
-    /// When nobody waits for it any more.
+    /// When the caller gives up.
     pub deadline: CallDeadline,
-    /// Until when its answer is of full use.
+    /// Until when the response has its full value for the caller.
     pub on_time_by: Instant,
-    /// When it came.
+    /// When the request arrived at the gate.
     pub came_at: Instant,
-    /// Time until it was handed over; none before.
+    /// Time in the queue; `None` until the request gets a slot.
     pub queued: Option<Duration>,
-    /// Its head, without what belongs to one connection.
+    /// Request head without hop-by-hop headers and headers between daemons.
     pub parts: Parts,
-    /// Its body.
+    /// Request body, buffered or streamed.
     pub body: SendableBody,
 }
 
 impl GateRequest {
-    /// Takes a request in that came at `now`.
+    /// Creates a request that arrived at `now`; the times of `hop` count from then.
     pub fn new(now: Instant, hop: Hop, mut parts: Parts, body: SendableBody) -> Self {
         forwarding::strip_hop_by_hop(&mut parts.headers);
         forwarding::strip_between_daemons(&mut parts.headers);
@@ -44,7 +44,7 @@
         Self { hop, deadline, on_time_by, came_at: now, queued: None, parts, body }
     }
 
-    /// What the queue has to know.
+    /// Returns the attributes by which the queue orders and refuses the request.
     pub fn work(&self) -> Work {
         Work {
             kind: self.hop.kind,
@@ -55,12 +55,12 @@
         }
     }
 
-    /// The caller's name of the request, which the target repeats.
+    /// Returns the caller's request ID, which the target repeats in its response.
     pub fn request_id(&self) -> Option<&HeaderValue> {
         self.parts.headers.get(headers::REQUEST_ID)
     }
 
-    /// What it is recognised by when its caller sends it again.
+    /// Returns the fingerprint that identifies the request when its caller sends it again.
     pub fn fingerprint(&self) -> Fingerprint {
         let uri = &self.parts.uri;
         let body = self.body.kept().map_or(&[][..], |body| &body[..]);
@@ -75,7 +75,7 @@
         parts.fingerprint()
     }
 
-    /// The request as `target` gets it.
+    /// Builds the request for `target` and takes the body.
     pub fn target_request(&mut self, target: &str) -> Request<CallBody> {
         let mut request = Request::new(self.body.take());
         *request.method_mut() = self.parts.method.clone();
--- a/crates/yuccarackd/src/coordination/routed/gate/server.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/server.rs
@@ -1,4 +1,4 @@
-//! Where other daemons reach the gate: routed requests and questions for news.
+//! Serves other daemons: routed requests, crash reports and queries for updates.
 
 use std::{sync::Arc, time::Instant};
 
@@ -16,17 +16,17 @@
     transport::call_server::{Arrival, CallHandler},
 };
 
-/// Largest body that is read before its request is offered to the target.
+/// Largest request body that is buffered before the request is queued; a larger one is streamed.
 pub const BUFFERED_BODY_MAX_BYTES: usize = 64 * 1024;
 
-/// Where other daemons reach the gate.
+/// Server side of a gate for other daemons.
 pub struct GateServer {
     gate: Arc<Gate>,
     peers: Peers,
 }
 
 impl GateServer {
-    /// Opens `gate` to other daemons and answers their questions from `peers`.
+    /// Creates a server that passes requests to `gate` and responds to queries from `peers`.
     pub fn new(gate: Arc<Gate>, peers: Peers) -> Self {
         Self { gate, peers }
     }
--- a/crates/yuccarackd/src/coordination/routed/gate/work_slots.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/work_slots.rs
@@ -1,4 +1,4 @@
-//! The queue of a gate as tasks see it: they wait for their slot and give it back.
+//! Asynchronous access to a gate's queue: tasks wait for a slot and release it.
 
 use std::{collections::HashMap, sync::Arc, time::Instant};
 
@@ -14,13 +14,13 @@
     },
 };
 
-/// Wait when nothing is due; the next request that waits wakes the clock anyway.
+/// Sleep of the clock when nothing is due. The next request that is queued wakes it earlier.
 const IDLE_WAKE_INTERVAL: std::time::Duration = std::time::Duration::from_secs(60);
 
-/// What a waiting request is told.
+/// Decision on a queued request: a slot or a refusal.
 type Settlement = Result<RunningKey, Refused>;
 
-/// The slots of one target; clones share them.
+/// Slots and queue of one target; clones share them.
 #[derive(Clone)]
 pub struct WorkSlots {
     shared: Arc<Shared>,
@@ -30,9 +30,9 @@
     state: Mutex<State>,
     /// Wakes the clock when the next due time may have changed.
     changed: Notify,
-    /// Wakes who waits for work to begin.
+    /// Notifies the health checks that a request has started.
     started: Notify,
-    /// Wakes who asks the target whether it is cold.
+    /// Notifies the health checks that one is due to find out whether the target is cold.
     health_check_wanted: Notify,
 }
 
@@ -42,7 +42,7 @@
 }
 
 impl WorkSlots {
-    /// Makes the slots of a target that runs `slots` at once.
+    /// Creates the queue of a target that runs `slots` requests at once.
     pub fn new(slots: u16, cold_rate: ColdRate, decisions: Decisions) -> Self {
         let queue = WorkQueue::new(slots).with_decisions(decisions).with_cold_rate(cold_rate);
         let state = State { queue, waiting: HashMap::new() };
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Changes the queue, then tells whoever the change has settled.
+    /// Changes the queue, then notifies the queued requests that the change has settled.
     pub fn change<T>(&self, change: impl FnOnce(&mut WorkQueue, Instant) -> T) -> T {
         let mut state = self.shared.state.lock();
         let now = Instant::now();
@@ -66,11 +66,11 @@
         result
     }
 
-    /// Gets a slot, at once or after a wait.
+    /// Acquires a slot, at once or after a wait in the queue. Dropping the future leaves the queue.
     ///
     /// # Errors
     ///
-    /// Why it gets none; nothing of the request has run.
+    /// Returns why the request gets no slot; nothing of it has run.
     pub async fn admit(&self, work: Work) -> Result<SlotLease, Refused> {
         let (key, settled) = {
             let mut state = self.shared.state.lock();
@@ -92,7 +92,7 @@
         Waiter { slots: self.clone(), key, settled, is_settled: false }.settle().await
     }
 
-    /// The load as other daemons are told.
+    /// Returns the load as reported to other daemons.
     pub fn load(&self) -> GateLoad {
         let state = self.shared.state.lock();
         let (queue, now) = (&state.queue, Instant::now());
@@ -105,27 +105,27 @@
         }
     }
 
-    /// Reads of the queue.
+    /// Reads from the queue under its lock.
     pub fn read<T>(&self, read: impl FnOnce(&WorkQueue) -> T) -> T {
         read(&self.shared.state.lock().queue)
     }
 
-    /// Waits until a request gets a slot at once.
+    /// Completes when a request gets a slot without a wait.
     pub fn started(&self) -> Notified<'_> {
         self.shared.started.notified()
     }
 
-    /// Waits until the target is to be asked whether it is cold.
+    /// Completes when a health check is due to find out whether the target is cold.
     pub fn health_check_wanted(&self) -> Notified<'_> {
         self.shared.health_check_wanted.notified()
     }
 
-    /// Requests that run.
+    /// Returns the number of requests that hold a slot.
     pub fn running(&self) -> usize {
         self.shared.state.lock().queue.running()
     }
 
-    /// Settles waiting requests as their time comes, until `stop`.
+    /// Settles queued requests as their wait times expire, until `stop`.
     pub async fn run_clock(self, stop: CancellationToken) {
         loop {
             let next = self.shared.state.lock().queue.next_wake(Instant::now());
@@ -149,7 +149,8 @@
 }
 
 impl State {
-    /// A slot that its waiter didn't take is free again, so it settles until nothing changes.
+    /// Settles queued requests until nothing changes, as a slot whose waiter is gone becomes free
+    /// again.
     fn settle(&mut self, now: Instant) {
         loop {
             let settled = self.queue.poll(now);
@@ -177,7 +178,7 @@
     }
 }
 
-/// A place among those that wait, taken back when its caller leaves.
+/// A queued request, which leaves the queue when it is dropped.
 struct Waiter {
     slots: WorkSlots,
     key: WaitingKey,
@@ -192,7 +193,7 @@
         match settlement {
             Ok(Ok(run)) => Ok(SlotLease::new(self.slots.clone(), run)),
             Ok(Err(refused)) => Err(refused),
-            // The slots end with their target.
+            // The sender is dropped together with the slots of a replaced target.
             Err(_) => Err(Refused {
                 reason: RefusedReason::Leaving,
                 retry_after: yuccarack_policy::work_queue::RETRY_AFTER_MIN,
@@ -202,8 +203,10 @@
 }
 
 impl Drop for Waiter {
-    /// Failure: a caller leaves after its slot was given to it and before it has heard so. Nobody
-    /// would know of the slot, and after as many of them as it has a target gets nothing more.
+    /// Leaves the queue and releases a slot that was assigned but not received yet.
+    ///
+    /// A caller may disconnect in between. Its slot would never be released, and once all slots
+    /// were lost in this way the target would get no more requests.
     fn drop(&mut self) {
         if self.is_settled {
             return;
@@ -219,7 +222,7 @@
     }
 }
 
-/// A slot that a request holds; given back when it is dropped.
+/// A slot that a request holds; released when it is dropped.
 pub struct SlotLease {
     slots: WorkSlots,
     key: RunningKey,
@@ -231,7 +234,7 @@
         Self { slots, key, end: RunEnd::Other }
     }
 
-    /// Gives the slot back after a whole answer.
+    /// Releases the slot after a complete response, whose time counts as a service time.
     pub fn finish(mut self) {
         self.end = RunEnd::Answered;
     }
