--- a/crates/yuccarack_config/src/decisions.rs
+++ b/crates/yuccarack_config/src/decisions.rs
@@ -1,33 +1,36 @@
-//! Which of the decisions under load are in use.
+//! Feature switches for the scheduling and overload decisions of a daemon.
 
 wire_data! {
-    /// One switch for each decision; all are on by default.
+    /// One switch per decision; all are on by default.
     ///
-    /// For experts, and to measure what each is worth: without one, a daemon does what is simplest.
+    /// Meant for experts and for measuring the benefit of each decision. With a switch off, a
+    /// daemon falls back to the simplest behaviour.
     #[derive(Copy)]
     #[serde(default)]
     pub struct Decisions {
-        /// Reads that a caller sends behind a running one start before their turn.
+        /// Pipelined reads behind a running request of the same caller start before it completes.
         pub early_reads: bool,
-        /// A large body is sent to a gate only once that has a slot for it.
+        /// A large request body is sent to a gate only once the gate has a free slot for it.
         pub offered_bodies: bool,
-        /// A caller that comes back after a refusal counts from its first try.
+        /// The wait of a caller that retries after a refusal counts from its first attempt.
         pub patience: bool,
-        /// Fewer requests are let in whose runs fail for want of another service.
+        /// Fewer requests are admitted of a kind whose runs fail because another service is short.
         pub futile_runs: bool,
-        /// A gate asks a working target that hasn't told its pace for a while.
+        /// A gate runs a health check on a busy target that hasn't reported its slowdown for a while.
         pub pace_looks: bool,
-        /// What can be on time is told by the time that most work keeps, not by its mean.
+        /// Whether a request can be on time is judged by the service time that most requests stay
+        /// within, not by the mean.
         pub likely_times: bool,
-        /// Short work goes before long work.
+        /// Requests with a short expected service time are dispatched before long ones.
         pub short_first: bool,
-        /// A slow target's gate sends on what could go elsewhere.
+        /// The gate of a slow target rejects requests that another gate can serve.
         pub slow_passed_over: bool,
-        /// Gates of the own failure domain go first.
+        /// Gates of the same failure domain are preferred.
         pub home_first: bool,
-        /// What a cold target may get in a second is spread over it.
+        /// The requests that a cold target may get in a second are spread evenly over that second.
         pub cold_spread: bool,
-        /// A cold target gets the most urgent requests first, and short ones no earlier than others.
+        /// A cold target gets the most urgent requests first; their expected service time doesn't
+        /// count.
         pub cold_by_rank: bool,
     }
 }
--- a/crates/yuccarack_config/src/derives.rs
+++ b/crates/yuccarack_config/src/derives.rs
@@ -1,8 +1,8 @@
-//! The common sets of derives, in one place.
+//! Macros with the sets of derives that serialized types have in common.
 
-/// Declares plain data that crosses a process's edge: comparable, cloneable, serializable.
+/// Declares plain data that enters or leaves a process: comparable, cloneable and serializable.
 ///
-/// Unknown fields are refused, so that a misspelt name never passes as a default.
+/// Unknown fields are rejected, so that a misspelled field name never falls back to its default.
 #[macro_export]
 macro_rules! wire_data {
     ($($item:item)*) => {
@@ -15,10 +15,10 @@
 }
 
 /// Declares data that daemons of several versions exchange: as [`wire_data`], but unknown fields are
-/// passed over.
+/// ignored.
 ///
-/// Failure: daemons are replaced one after the other, the newer ones write a field that the older
-/// ones don't know, and those keep out each other's rows and news.
+/// During a rolling upgrade the newer daemons write fields that the older ones don't know. If those
+/// were rejected, the older daemons would lose the rows and updates of the newer ones.
 #[macro_export]
 macro_rules! shared_data {
     ($($item:item)*) => {
@@ -29,7 +29,7 @@
     };
 }
 
-/// Declares a small closed set that is copied, compared, hashed and spelt in snake case.
+/// Declares a closed set of values that is copied, compared, hashed and serialized in snake case.
 #[macro_export]
 macro_rules! wire_kind {
     ($($item:item)*) => {
--- a/crates/yuccarack_config/src/faults.rs
+++ b/crates/yuccarack_config/src/faults.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a file of settings or rules.
+//! Errors of settings, rules and routing files.
 
 use std::{
     fmt, io,
@@ -9,97 +9,98 @@
 use serde_json::Value;
 use thiserror::Error;
 
-/// One fault of a file.
+/// One validation error of a file.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Serialize, Deserialize)]
 #[error("{path}: {kind}")]
 pub struct Fault {
-    /// Where in the file, like `services[2].routes[0].deadline_ms`; `file` for the whole of it.
+    /// Path within the file, such as `services[2].routes[0].deadline_ms`; `file` for the file as a
+    /// whole.
     pub path: String,
-    /// What is wrong there.
+    /// Kind of the error.
     #[serde(flatten)]
     pub kind: FaultKind,
 }
 
-/// What is wrong at one place of a file.
+/// The kind of a validation error, with what was found and what would be accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Serialize, Deserialize)]
 #[serde(tag = "fault", rename_all = "snake_case")]
 pub enum FaultKind {
-    /// The text is not JSON, or names a field twice.
+    /// The text is not valid JSON, or has a duplicate field.
     #[error("line {line}, column {column}: {reason}")]
     Syntax {
-        /// Line of the fault, from 1.
+        /// Line of the error, counted from 1.
         line: usize,
-        /// Column of the fault, from 1.
+        /// Column of the error, counted from 1.
         column: usize,
-        /// What the parser said.
+        /// Message of the JSON parser.
         reason: String,
     },
-    /// A field that has no default is not there.
+    /// A required field is missing.
     #[error("missing, accepted {accepted}")]
     Missing {
-        /// What may stand there.
+        /// Description of the accepted values.
         accepted: String,
     },
-    /// A field that has no meaning here.
+    /// A field is not part of the schema at this place.
     #[error("unknown field, accepted {accepted}")]
     Unknown {
-        /// The fields that may stand there.
+        /// Names of the accepted fields.
         accepted: String,
     },
-    /// A value outside of what is accepted.
+    /// A value is out of range or of the wrong type.
     #[error("found {found}, accepted {accepted}")]
     Value {
-        /// What stands there.
+        /// Excerpt of the value.
         found: String,
-        /// What may stand there.
+        /// Description of the accepted values.
         accepted: String,
     },
-    /// A value that must be unique stands twice.
-    #[error("found {found}, which stands at {first} already")]
+    /// A value that must be unique occurs twice.
+    #[error("found {found}, which is a duplicate of {first}")]
     Doubled {
-        /// What stands there.
+        /// Excerpt of the value.
         found: String,
-        /// Path of its first place.
+        /// Path of its first occurrence.
         first: String,
     },
-    /// A route, or one of its methods, that no request can reach.
-    #[error("{found} is never reached, {by} takes it first")]
+    /// No request can match a route or one of its methods.
+    #[error("{found} is unreachable, {by} matches first")]
     Unreachable {
-        /// What is not reached.
+        /// The path prefix, or the method and the path prefix, that is never matched.
         found: String,
-        /// Path of the earlier route.
+        /// Path of the earlier route that matches instead.
         by: String,
     },
 }
 
-/// All faults of one file, at least one; shown one a line.
+/// All validation errors of one file, at least one; displayed one per line.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Faults(pub Vec<Fault>);
 
-/// Why a file is refused.
+/// Error of loading a file.
 #[derive(Debug, Error)]
 pub enum FileError {
-    /// The file could not be read.
+    /// The file can't be read.
     #[error("{}: {source}", .path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The file was read and is not accepted.
+    /// The file was read, but its content isn't valid.
     #[error("{0}")]
     Invalid(#[from] Faults),
 }
 
 impl Fault {
-    /// Makes a fault of `kind` at `path`.
+    /// Creates an error of `kind` at `path`.
     pub fn new(path: impl Into<String>, kind: FaultKind) -> Self {
         Self { path: path.into(), kind }
     }
 
-    /// Makes the fault of a file that the parser refuses.
+    /// Creates the error of a file that the JSON parser rejects.
     pub(crate) fn syntax(error: &serde_json::Error) -> Self {
         let (line, column) = (error.line(), error.column());
         let text = error.to_string();
@@ -120,22 +121,23 @@
     }
 }
 
-/// Reads the whole file at `path`.
+/// Reads the complete file at `path`.
 pub(crate) fn read(path: &Path) -> Result<Vec<u8>, FileError> {
     std::fs::read(path).map_err(|source| FileError::Unreadable { path: path.to_owned(), source })
 }
 
-/// Makes a `T` of `text` if `check` finds no fault in it.
+/// Parses `text` as a `T` if `check` finds no error in it.
 pub(crate) fn parse<T: DeserializeOwned>(
     text: &[u8],
     check: fn(&Value) -> Vec<Fault>,
 ) -> Result<T, FileError> {
-    let refuse = |error: serde_json::Error| Faults(vec![Fault::syntax(&error)]);
-    let file = serde_json::from_slice(text).map_err(refuse)?;
-    let faults = check(&file);
+    let syntax_fault = |error: serde_json::Error| Faults(vec![Fault::syntax(&error)]);
+    let value = serde_json::from_slice(text).map_err(syntax_fault)?;
+    let faults = check(&value);
     if !faults.is_empty() {
         return Err(Faults(faults).into());
     }
-    // Read from the text, not from `file`: a field that stands twice shows only there.
-    serde_json::from_slice(text).map_err(|error| refuse(error).into())
+    // Parse the text again, not `value`: `Value` silently keeps the last of two equal field names,
+    // and only the typed parse reports the duplicate.
+    serde_json::from_slice(text).map_err(|error| syntax_fault(error).into())
 }
--- a/crates/yuccarack_config/src/heartbeat.rs
+++ b/crates/yuccarack_config/src/heartbeat.rs
@@ -1,68 +1,68 @@
-//! What a target says of itself, whatever the form in which it says so.
+//! Heartbeats, leave notices and load reports of targets, independent of their wire format.
 
 use std::net::SocketAddr;
 
 use crate::ids::{DomainName, ServiceName};
 
-/// Name of a target; a later process may have the same one.
+/// Name of a target; a restarted process may reuse it.
 pub type TargetId = String;
 
-/// Start of a target's process, in ms since 1970 of its own clock; 0 where it says none.
+/// Start time of a target's process, in ms since 1970 by the target's clock; 0 if it reports none.
 ///
-/// It tells two processes of one name apart, and which of them is the later one.
+/// Distinguishes processes that have the same name, and orders them.
 pub type TargetIncarnation = u64;
 
 wire_kind! {
-    /// Whether a target takes work.
+    /// Whether a target accepts requests.
     pub enum TargetPhase {
-        /// It takes work.
+        /// It accepts requests.
         Ready,
-        /// It finishes what it has and will end.
+        /// It completes the requests that it has and then exits.
         Draining,
     }
 }
 
 wire_data! {
-    /// One sign of life of a target.
+    /// A periodic liveness report of a target.
     pub struct Heartbeat {
-        /// The target.
+        /// Name of the target.
         pub target: TargetId,
-        /// Its process.
+        /// Incarnation of the target.
         pub life: TargetIncarnation,
-        /// Number of the heartbeat within that life; a lower one is older news.
+        /// Sequence number within the incarnation; a heartbeat with a lower one is outdated.
         pub sequence: u64,
-        /// Service that it serves.
+        /// Service that the target provides.
         pub service: ServiceName,
-        /// Where it takes requests.
+        /// Address on which the target accepts requests.
         pub address: SocketAddr,
-        /// Failure domain in which it runs.
+        /// Failure domain of the target.
         pub failure_domain: DomainName,
-        /// Requests that it runs at once.
+        /// Number of requests that the target runs concurrently.
         pub slots: u16,
-        /// Whether it takes work.
+        /// Whether the target accepts requests.
         pub phase: TargetPhase,
-        /// Time for which it is still slow after its start, in ms.
+        /// Remaining time for which the target is still cold after its start, in ms.
         pub cold_for_ms: u32,
     }
 
-    /// The word of a target that it leaves.
+    /// A notice of a target that it leaves.
     pub struct Leave {
-        /// The target.
+        /// Name of the target.
         pub target: TargetId,
-        /// Its process, where it says so.
+        /// Incarnation of the target, if it reports one.
         pub life: Option<TargetIncarnation>,
     }
 
-    /// What a target says of its load with an answer.
+    /// Load that a target reports with a response.
     #[derive(Copy, Default)]
     pub struct TargetLoad {
-        /// Requests that it runs.
+        /// Number of running requests.
         pub running: u16,
-        /// Requests that wait at it.
+        /// Number of requests in the target's own queue.
         pub waiting: u16,
-        /// Requests that it runs at once.
+        /// Number of requests that the target runs concurrently.
         pub slots: u16,
-        /// How long work takes there at this moment, in percent of the usual time.
+        /// Current slowdown: service time in percent of the usual service time.
         pub pace_percent: Option<u16>,
     }
 }
--- a/crates/yuccarack_config/src/ids.rs
+++ b/crates/yuccarack_config/src/ids.rs
@@ -1,34 +1,34 @@
-//! Names and numbers by which the parts of the system know each other.
+//! Identifiers that the parts of the system share.
 
-/// Name of one instance, unique in the fleet; a target and its daemon share it.
+/// Name of an instance, unique in the fleet; a target and its daemon share it.
 pub type InstanceId = String;
 
-/// Name of a service, as callers spell it in the `Host` header.
+/// Name of a service, as callers write it in the `Host` header.
 pub type ServiceName = String;
 
-/// Name of a failure domain.
+/// Name of a failure domain; instances of one domain may fail together.
 pub type DomainName = String;
 
-/// Name of a region: failure domains that are near each other.
+/// Name of a region, a group of failure domains that are close to each other.
 pub type RegionName = String;
 
-/// Name by which a caller is counted for fairness.
+/// Name of a caller for fairness accounting.
 pub type CallerId = String;
 
-/// Key that a caller gives a request which must not repeat.
+/// Key that a caller assigns to a request that must not run more than once.
 pub type IdempotencyKey = String;
 
-/// Name of one attempt to run a request; no two attempts share one.
+/// Id of one attempt to run a request; unique per attempt.
 pub type AttemptId = u128;
 
-/// Name of a caller's request, carried along all its attempts.
+/// Id of a caller's request, the same in all its attempts.
 pub type RequestId = u128;
 
-/// Number of a commit in the table service; rises with each commit.
+/// Number of a commit in the table service; increases with each commit.
 pub type Revision = u64;
 
-/// Number of an instance's life; rises with each start of its daemon.
+/// Number of the current run of an instance's daemon; increases with each start.
 pub type Incarnation = u64;
 
-/// Hash over what makes a request recognisable when its caller sends it again.
+/// Hash by which a request is recognised when its caller sends it again.
 pub type Fingerprint = u64;
--- a/crates/yuccarack_config/src/lib.rs
+++ b/crates/yuccarack_config/src/lib.rs
@@ -1,4 +1,4 @@
-//! Settings of the daemon and rules of the operators, as typed data with their checks.
+//! Typed settings files, rules files and routing files, with their validation.
 
 #[macro_use]
 mod derives;
--- a/crates/yuccarack_config/src/load.rs
+++ b/crates/yuccarack_config/src/load.rs
@@ -1,27 +1,27 @@
-//! The load of one gate, as it travels with answers and between daemons.
+//! Load report of a gate, as sent with responses and between daemons.
 
 use std::str::FromStr;
 
 use thiserror::Error;
 
 wire_data! {
-    /// What a gate says of itself; free, since it comes with every answer.
+    /// Load of a gate; piggybacked on every response, so it costs no extra request.
     #[derive(Copy, Default)]
     pub struct LoadReport {
-        /// Requests running on the target.
+        /// Number of requests that run on the target.
         pub in_flight: u16,
-        /// Requests waiting at the gate.
+        /// Number of requests in the gate's queue.
         pub queued: u16,
-        /// Requests the gate would let run at once.
+        /// Number of requests that the gate allows to run concurrently.
         pub limit: u16,
-        /// Smoothed time of service, in µs.
+        /// Smoothed service time, in µs.
         pub service_us: u32,
     }
 }
 
-/// A load header that is not four numbers.
+/// A load header does not consist of four numbers in range.
 #[derive(Debug, Error, PartialEq, Eq)]
-#[error("a load report is four numbers with commas between them")]
+#[error("malformed load report: expected four numbers separated by commas")]
 pub struct LoadReportError;
 
 impl std::fmt::Display for LoadReport {
@@ -37,10 +37,10 @@
         let mut parts = text.split(',');
         let mut next = || parts.next().ok_or(LoadReportError);
         let report = Self {
-            in_flight: number(next()?)?,
-            queued: number(next()?)?,
-            limit: number(next()?)?,
-            service_us: number(next()?)?,
+            in_flight: parse_number(next()?)?,
+            queued: parse_number(next()?)?,
+            limit: parse_number(next()?)?,
+            service_us: parse_number(next()?)?,
         };
         match parts.next() {
             None => Ok(report),
@@ -49,6 +49,6 @@
     }
 }
 
-fn number<T: FromStr>(text: &str) -> Result<T, LoadReportError> {
+fn parse_number<T: FromStr>(text: &str) -> Result<T, LoadReportError> {
     text.trim().parse().map_err(|_| LoadReportError)
 }
--- a/crates/yuccarack_config/src/routed_settings.rs
+++ b/crates/yuccarack_config/src/routed_settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a daemon that serves routed calls beside one target.
+//! Settings file of a daemon that serves routed calls next to one target.
 
 mod check;
 
@@ -19,13 +19,13 @@
     settings::LogSettings,
 };
 
-/// What may stand in such a settings file.
+/// Schema of the settings file.
 pub const SCHEMA: Kind = check::SETTINGS;
 
 wire_data! {
-    /// All that a daemon for routed calls is told at its start.
+    /// Settings of a daemon for routed calls, read at its start.
     pub struct RoutedSettings {
-        /// Name of this instance.
+        /// Name of this instance, unique in the fleet.
         pub instance: InstanceId,
         /// Failure domain of this instance.
         pub failure_domain: DomainName,
@@ -34,137 +34,139 @@
         pub regions: Vec<DomainRegion>,
         /// Service of the target on this instance.
         pub service: ServiceName,
-        /// Address on which callers of this instance reach the entry.
+        /// Listen address of the entry, for callers on this instance.
         pub call_address: SocketAddr,
-        /// Address on which other daemons reach the gate.
+        /// Listen address of the gate, for other daemons.
         pub gate_address: SocketAddr,
-        /// Address that other daemons are told for the gate; unset, the one that it listens on.
+        /// Advertised address of the gate; defaults to `gate_address`.
         #[serde(default)]
         pub gate_told_address: Option<SocketAddr>,
-        /// Address on which the target says that it lives.
+        /// Listen address for the heartbeats of the target.
         pub liveness_address: SocketAddr,
-        /// Address on which it is asked whether this daemon takes calls.
+        /// Listen address for readiness probes of this daemon.
         pub readiness_address: SocketAddr,
-        /// Address on which counters and histograms are read.
+        /// Listen address for scrapes of counters and histograms.
         pub metrics_address: SocketAddr,
         /// Address of the table service.
         pub store_address: SocketAddr,
-        /// Whether the whole fleet starts for the first time: no rows stand yet, and all daemons come
-        /// within a second of each other.
+        /// Whether the fleet starts for the first time: the store has no rows yet, and all daemons
+        /// start within a second of each other.
         #[serde(default)]
         pub is_first_start: bool,
-        /// File with a routing table in this project's own format; unset, the store has it.
+        /// Path of a routing file; unset, the routing table comes from the store.
         #[serde(default)]
         pub routing_file: Option<PathBuf>,
-        /// Logs.
+        /// Format and level of the logs.
         #[serde(default)]
         pub log: LogSettings,
-        /// Lines about requests a second, in percent of the usual bounds; 0 writes none.
+        /// Rate limit of log lines about requests, in percent of the usual limits; 0 writes none.
         #[serde(default = "defaults::log_lines_percent")]
         pub log_lines_percent: u16,
-        /// Times and shares that the operators set for the whole fleet.
+        /// Times and limits that operators set for the whole fleet.
         #[serde(default)]
         pub bounds: RoutedBounds,
-        /// Decisions under load that are in use.
+        /// Switches of the scheduling and overload decisions.
         #[serde(default)]
         pub decisions: Decisions,
     }
 
-    /// The region of one failure domain.
+    /// Assigns a failure domain to its region.
     pub struct DomainRegion {
         /// The failure domain.
         pub failure_domain: DomainName,
-        /// Its region.
+        /// The region that it belongs to.
         pub region: RegionName,
     }
 
-    /// Times and shares that hold for the whole fleet.
+    /// Times and limits that apply to the whole fleet.
     #[serde(default)]
     pub struct RoutedBounds {
-        /// Time between two heartbeats of a target, in ms.
+        /// Interval between two heartbeats of a target, in ms.
         #[serde(deserialize_with = "rounded_down")]
         pub heartbeat_ms: u32,
-        /// Time between the word to stop and the end of the process, in ms.
+        /// Longest time from the stop signal to the exit of the process, in ms.
         #[serde(deserialize_with = "rounded_down")]
         pub stop_max_ms: u32,
-        /// Time out of reach after which an instance is taken for gone, in ms.
+        /// Time after which an unreachable instance is removed from the membership, in ms.
         #[serde(deserialize_with = "rounded_down")]
         pub gone_after_ms: u32,
-        /// Tries beyond the first for each hundred requests of a service.
+        /// Extra attempts per hundred requests of a service.
         #[serde(deserialize_with = "rounded_down")]
         pub extra_tries_percent: u8,
-        /// Tries beyond the first that all daemons together may make besides.
+        /// Reserve of extra attempts that all daemons share, on top of the percentage.
         #[serde(deserialize_with = "rounded_down")]
         pub extra_tries: u32,
-        /// Requests that a cold target may get, in percent of the rate that its service bears.
+        /// Requests that a cold target may get, in percent of its service's cold rate.
         #[serde(deserialize_with = "rounded_down")]
         pub cold_excess_percent: u32,
-        /// Requests that a cold target may get in a second besides.
+        /// Requests per second that a cold target may get on top of the percentage.
         #[serde(deserialize_with = "rounded_down")]
         pub cold_slack: u32,
     }
 }
 
 impl RoutedSettings {
-    /// Reads and checks the file at `path`, and the routing file that it names.
+    /// Loads and validates the file at `path`, and the routing file that it names.
     ///
     /// # Errors
     ///
-    /// A file can't be read, or all of its faults.
+    /// [`FileError::Unreadable`] for either file, or [`FileError::Invalid`] with all its errors.
     pub fn load(path: &Path) -> Result<Self, FileError> {
         let settings = Self::parse(&faults::read(path)?)?;
         settings.routing()?;
         Ok(settings)
     }
 
-    /// Checks `text` whole and makes settings of it.
+    /// Parses and validates `text`.
     ///
     /// # Errors
     ///
-    /// All faults of the text.
+    /// [`FileError::Invalid`] with all errors of the text.
     pub fn parse(text: &[u8]) -> Result<Self, FileError> {
         faults::parse(text, check::faults)
     }
 
-    /// The routing table of the file that is named, if one is.
+    /// Loads the routing table of `routing_file`, if that is set.
     ///
     /// # Errors
     ///
-    /// The file can't be read, or all of its faults.
+    /// [`FileError::Unreadable`], or [`FileError::Invalid`] with all errors of the file.
     pub fn routing(&self) -> Result<Option<RoutingTable>, FileError> {
         let file = self.routing_file.as_deref().map(RoutingFile::load).transpose()?;
         Ok(file.map(RoutingFile::into_table))
     }
 
-    /// Region of `failure_domain`, where it is known.
+    /// Returns the region of `failure_domain`, if it is configured.
     pub fn region_of(&self, failure_domain: &str) -> Option<&RegionName> {
         let known = self.regions.iter().find(|known| known.failure_domain == failure_domain);
         known.map(|known| &known.region)
     }
 
-    /// Where other daemons reach the gate.
+    /// Returns the address that other daemons use for the gate.
     pub fn advertised_gate_address(&self) -> SocketAddr {
         self.gate_told_address.unwrap_or(self.gate_address)
     }
 }
 
-/// Reads a number that may have a fraction: operators derive bounds from figures for a whole fleet.
+/// Deserializes a number rounded down: operators derive limits from figures for a whole fleet, so a
+/// value may have a fraction.
 ///
 /// # Errors
 ///
-/// It is no number, or none of the type.
+/// The value isn't a number, or doesn't fit into `T`.
 fn rounded_down<'de, D, T>(deserializer: D) -> Result<T, D::Error>
 where
     D: Deserializer<'de>,
     T: TryFrom<u64>,
 {
     let number = f64::deserialize(deserializer)?;
-    // Below zero or beyond the type, a cast gives the nearest number, which the check has refused.
+    // A cast saturates below zero and above the type; the schema check has rejected such values.
     T::try_from(number as u64).map_err(|_| D::Error::custom(format!("{number} is out of range")))
 }
 
 mod defaults {
-    /// The usual bounds fit a tenth of a core: at the most 160 lines a second, 20 us each, 0.3 % of one.
+    /// The usual limits fit into a tenth of a core: at most 160 lines per second at 20 us each take
+    /// 0.3 % of a core.
     pub fn log_lines_percent() -> u16 {
         100
     }
--- a/crates/yuccarack_config/src/routed_settings/check.rs
+++ b/crates/yuccarack_config/src/routed_settings/check.rs
@@ -1,4 +1,4 @@
-//! Whole check of the settings of a daemon for routed calls.
+//! Schema of the settings of a daemon for routed calls.
 
 use serde_json::Value;
 
@@ -8,7 +8,7 @@
     settings::LOG,
 };
 
-/// What may stand in a settings file.
+/// Schema of the settings file.
 pub(super) const SETTINGS: Kind = Kind::Group(&[
     Field::required("instance", Kind::Name),
     Field::required("failure_domain", Kind::Name),
@@ -29,7 +29,7 @@
     Field::defaulted("decisions", DECISIONS),
 ]);
 
-/// Most failure domains of a fleet.
+/// Maximum number of failure domains in a fleet.
 const DOMAINS_MAX: usize = 1_000;
 
 const REGIONS: Kind = Kind::List {
@@ -68,7 +68,7 @@
     Field::defaulted("cold_slack", Kind::rounded(0, 1_000_000)),
 ]);
 
-/// All faults of `file`, none when it is accepted.
+/// Returns all validation errors of `file`; empty if it is valid.
 pub(super) fn faults(file: &Value) -> Vec<Fault> {
     let mut faults = Vec::new();
     SETTINGS.check(file, "", &mut faults);
--- a/crates/yuccarack_config/src/routing.rs
+++ b/crates/yuccarack_config/src/routing.rs
@@ -1,4 +1,4 @@
-//! Routes by host and path prefix, with what operators say of each.
+//! Routing table: routes by host and path prefix, and the services that they lead to.
 
 use std::collections::{HashMap, hash_map::Entry};
 
@@ -10,80 +10,80 @@
     routing_changes::RoutesDigest,
 };
 
-/// Number of an accepted routing table; rises with each change.
+/// Version of an accepted routing table; increases with each change.
 pub type RoutingVersion = u64;
 
 shared_data! {
-    /// All routes and services that operators have accepted, as a whole.
+    /// All routes and services, as one version that operators have accepted.
     pub struct RoutingTable {
-        /// Its number.
+        /// Version of the table.
         pub version: RoutingVersion,
-        /// Routes, in no order.
+        /// Routes, in any order.
         pub routes: Vec<Route>,
-        /// Services that routes lead to.
+        /// Services that the routes lead to.
         pub services: Vec<RoutedService>,
-        /// What callers may send.
+        /// Size limits for the requests of callers.
         pub caller_limits: CallerLimits,
     }
 
-    /// One route: requests of a host whose path starts alike.
+    /// A route: the requests for a host whose path starts with a prefix.
     pub struct Route {
-        /// The route's name in logs and counters.
+        /// Name of the route in logs and counters.
         pub name: String,
-        /// Host that the route takes, in lower case and without a port.
+        /// Host that the route matches, in lower case and without a port.
         pub host: String,
-        /// Start of the paths that the route takes; begins and ends with a slash.
+        /// Path prefix that the route matches; begins and ends with a slash.
         pub path_prefix: String,
         /// Whether a request may run more than once.
         pub is_repeatable: bool,
-        /// Whether requests carry large bodies, as operators say; decisions go by the size of each.
+        /// Whether operators expect large request bodies; decisions depend on the actual body size.
         #[serde(default)]
         pub is_upload: bool,
-        /// Services that take the route's requests, each with its share.
+        /// Services that the route's requests are split among.
         pub split: Vec<WeightedService>,
-        /// Longest time for which a request may be kept waiting, in ms.
+        /// Longest time that a request may wait, in ms.
         pub wait_max_ms: u32,
-        /// Time within which an answer is of full use, in ms.
+        /// Time within which a response counts as on time, in ms.
         pub on_time_ms: u32,
-        /// Most targets that may get one request.
+        /// Maximum number of targets that one request may be sent to.
         pub targets_max: u8,
-        /// How urgent the requests are; 0 is the most urgent.
+        /// Priority of the requests; 0 is the most urgent.
         pub rank: u8,
-        /// Regions that the requests may reach; all without one.
+        /// Regions that the requests may be sent to; empty for all regions.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         pub home_regions: Vec<RegionName>,
     }
 
-    /// A service and the share of a route that it gets.
+    /// A service and its share of a route's requests.
     pub struct WeightedService {
-        /// The service.
+        /// Name of the service.
         pub service: ServiceName,
-        /// Its share, against the weights of the others.
+        /// Share of the service, relative to the weights of the others.
         pub weight: u32,
     }
 
     /// A service that routes lead to.
     pub struct RoutedService {
-        /// Its name.
+        /// Name of the service.
         pub name: ServiceName,
-        /// Path on which its targets tell their load.
+        /// Path on which its targets report their load.
         pub load_path: String,
-        /// Connections that one target takes.
+        /// Maximum number of connections to one target.
         pub connections_max: u16,
-        /// Requests that one target bears in 1,000 seconds while it is cold; 0 for no bound.
+        /// Requests that a cold target can serve in 1,000 seconds; 0 for no limit.
         #[serde(default)]
         pub cold_rate_per_1000_s: u32,
-        /// Time for which a target is cold after its start, in ms; 0 where that isn't known.
+        /// Time for which a target is cold after its start, in ms; 0 if unknown.
         #[serde(default)]
         pub cold_start_ms: u32,
     }
 
-    /// What callers may send.
+    /// Size limits for the requests of callers.
     #[serde(default)]
     pub struct CallerLimits {
-        /// Largest request head, in bytes.
+        /// Maximum size of a request head, in bytes.
         pub head_max_bytes: u32,
-        /// Largest request body, in bytes.
+        /// Maximum size of a request body, in bytes.
         pub body_max_bytes: u64,
     }
 }
@@ -94,22 +94,22 @@
     }
 }
 
-/// What tells a route from all others of its table.
+/// Key of a route, unique within its table.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RouteKey {
-    /// Host of the route.
+    /// Host that the route matches.
     pub host: String,
-    /// Start of the paths that the route takes.
+    /// Path prefix that the route matches.
     pub path_prefix: String,
 }
 
 impl Route {
-    /// The route's key.
+    /// Returns the host and path prefix as a key.
     pub fn key(&self) -> RouteKey {
         RouteKey { host: self.host.clone(), path_prefix: self.path_prefix.clone() }
     }
 
-    /// Digest of all fields, the same in each build.
+    /// Returns a digest of all fields that is the same in every build.
     fn digest(&self) -> RoutesDigest {
         let Self {
             name,
@@ -142,7 +142,7 @@
     }
 }
 
-/// A routing table with an index over its routes.
+/// A routing table with an index by host and path prefix.
 #[derive(Clone, Debug)]
 pub struct Routing {
     table: RoutingTable,
@@ -151,16 +151,16 @@
 }
 
 impl Routing {
-    /// Indexes `table`; of routes with one key the last one holds.
+    /// Indexes `table`; of several routes with the same key, the last one wins.
     pub fn new(mut table: RoutingTable) -> Self {
         let mut routes_by_prefix: HashMap<String, HashMap<String, usize>> = HashMap::new();
         let mut routes: Vec<Route> = Vec::with_capacity(table.routes.len());
         for route in std::mem::take(&mut table.routes) {
             let of_host = routes_by_prefix.entry(route.host.clone()).or_default();
             match of_host.entry(route.path_prefix.clone()) {
-                Entry::Occupied(known) => routes[*known.get()] = route,
-                Entry::Vacant(place) => {
-                    place.insert(routes.len());
+                Entry::Occupied(index) => routes[*index.get()] = route,
+                Entry::Vacant(slot) => {
+                    slot.insert(routes.len());
                     routes.push(route);
                 }
             }
@@ -172,49 +172,49 @@
         Self { table, routes_by_prefix, digest }
     }
 
-    /// All routes, in no order.
+    /// Returns all routes, in any order.
     pub fn routes(&self) -> impl Iterator<Item = &Route> {
         self.table.routes.iter()
     }
 
-    /// The route of exactly this host and prefix.
+    /// Returns the route with exactly this host and path prefix.
     pub fn exact_route(&self, host: &str, path_prefix: &str) -> Option<&Route> {
         let index = self.routes_by_prefix.get(host)?.get(path_prefix)?;
         Some(&self.table.routes[*index])
     }
 
-    /// Digest of all routes.
+    /// Returns the digest of all routes.
     pub fn digest(&self) -> RoutesDigest {
         self.digest
     }
 
-    /// The table as it was accepted.
+    /// Returns the indexed table.
     pub fn table(&self) -> &RoutingTable {
         &self.table
     }
 
-    /// Number of the table.
+    /// Returns the version of the table.
     pub fn version(&self) -> RoutingVersion {
         self.table.version
     }
 
-    /// The route of the longest prefix that begins `path`, with its place in the table.
+    /// Returns the route with the longest prefix that matches `path`, and its index in the table.
     ///
-    /// Prefixes end with a slash, so only as many starts are looked up as the path has slashes,
-    /// whatever the number of routes.
+    /// Prefixes end with a slash, so the number of lookups is at most the number of slashes in the
+    /// path, whatever the number of routes.
     pub fn find_route(&self, host: &str, path: &str) -> Option<(usize, &Route)> {
         let of_host = self.routes_by_prefix.get(&host.to_ascii_lowercase())?;
-        let mut start = path;
-        while let Some(slash) = start.rfind('/') {
-            if let Some(&index) = of_host.get(&start[..=slash]) {
+        let mut prefix = path;
+        while let Some(slash) = prefix.rfind('/') {
+            if let Some(&index) = of_host.get(&prefix[..=slash]) {
                 return Some((index, &self.table.routes[index]));
             }
-            start = &start[..slash];
+            prefix = &prefix[..slash];
         }
         None
     }
 
-    /// What is said of `service`.
+    /// Returns the settings of `service`, if the table has it.
     pub fn service(&self, service: &str) -> Option<&RoutedService> {
         self.table.services.iter().find(|known| known.name == service)
     }
--- a/crates/yuccarack_config/src/routing_changes.rs
+++ b/crates/yuccarack_config/src/routing_changes.rs
@@ -1,4 +1,5 @@
-//! Changes from one routing table to a later one, so that a change costs its own size to pass on.
+//! Difference between two versions of a routing table, so that sending a change costs its own size
+//! and not that of the table.
 
 use std::collections::HashSet;
 
@@ -8,71 +9,71 @@
     CallerLimits, Route, RouteKey, RoutedService, Routing, RoutingTable, RoutingVersion,
 };
 
-/// Sum over the routes of a table, in any order, by which two tables are compared.
+/// Order-independent digest of the routes of a table, by which two tables are compared.
 pub type RoutesDigest = u64;
 
 shared_data! {
-    /// What turns the table of one version into that of a later one.
+    /// The changes that turn the table of one version into that of a later one.
     pub struct RoutingChanges {
-        /// Version of the table that the changes apply to; 0 for a table without routes.
+        /// Version of the table that the changes apply to; 0 for an empty table.
         pub base: RoutingVersion,
-        /// Version of the table that results.
+        /// Version of the resulting table.
         pub version: RoutingVersion,
-        /// Routes that went.
+        /// Keys of the routes that were removed.
         pub removed: Vec<RouteKey>,
-        /// Routes that were added, or that changed.
+        /// Routes that were added or changed.
         pub routes: Vec<Route>,
-        /// All services.
+        /// All services of the resulting table.
         pub services: Vec<RoutedService>,
-        /// What callers may send.
+        /// Size limits for the requests of callers.
         pub caller_limits: CallerLimits,
-        /// Digest of the routes that result.
+        /// Digest of the resulting routes.
         pub digest: RoutesDigest,
     }
 }
 
-/// Changes that can't be applied to a table.
+/// Error of applying or merging changes.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum ChangesError {
-    /// They start from another version.
-    #[error("the changes start from version {base}, not {version}")]
+    /// The changes apply to another version.
+    #[error("the changes apply to table version {base}, not {version}")]
     Base {
-        /// Version that they start from.
+        /// Version that the changes apply to.
         base: RoutingVersion,
-        /// Version of the table.
+        /// Version of the table that they were applied to.
         version: RoutingVersion,
     },
-    /// The result isn't the table that the sender has.
-    #[error("the digest of the routes is {actual:016x}, not {expected:016x}")]
+    /// The resulting table differs from that of the sender.
+    #[error("digest mismatch of the routes: expected {expected:016x}, found {actual:016x}")]
     Digest {
-        /// Digest that the sender has.
+        /// Digest of the sender's routes.
         expected: RoutesDigest,
-        /// Digest of the result.
+        /// Digest of the resulting routes.
         actual: RoutesDigest,
     },
 }
 
 impl RoutingChanges {
-    /// What turns `base` into `routing`.
+    /// Returns the changes that turn `base` into `routing`.
     pub fn between(base: &Routing, routing: &Routing) -> Self {
-        let is_gone =
+        let is_removed =
             |route: &&Route| routing.exact_route(&route.host, &route.path_prefix).is_none();
         let is_new =
             |route: &&Route| base.exact_route(&route.host, &route.path_prefix) != Some(*route);
         Self {
             base: base.version(),
-            removed: base.routes().filter(is_gone).map(Route::key).collect(),
+            removed: base.routes().filter(is_removed).map(Route::key).collect(),
             routes: routing.routes().filter(is_new).cloned().collect(),
-            ..Self::result_of(routing)
+            ..Self::without_routes(routing)
         }
     }
 
-    /// What turns a table without routes into `routing`.
+    /// Returns the changes that turn an empty table into `routing`.
     pub fn full(routing: &Routing) -> Self {
-        Self { routes: routing.routes().cloned().collect(), ..Self::result_of(routing) }
+        Self { routes: routing.routes().cloned().collect(), ..Self::without_routes(routing) }
     }
 
-    fn result_of(routing: &Routing) -> Self {
+    fn without_routes(routing: &Routing) -> Self {
         let RoutingTable { version, services, caller_limits, .. } = routing.table();
         Self {
             base: 0,
@@ -85,61 +86,61 @@
         }
     }
 
-    /// Routes that are removed, added or changed.
-    fn named(&self) -> HashSet<RouteNames<'_>> {
-        self.removed.iter().map(key_names).chain(self.routes.iter().map(names)).collect()
+    /// Returns the keys of the routes that are removed, added or changed.
+    fn changed_keys(&self) -> HashSet<RouteKeyRef<'_>> {
+        self.removed.iter().map(borrowed_key).chain(self.routes.iter().map(key_of)).collect()
     }
 
-    /// Whether they make a whole table, whatever was before.
+    /// Returns whether the changes make up a full table and need no base.
     pub fn is_full(&self) -> bool {
         self.base == 0
     }
 
-    /// Routes that they name.
+    /// Returns the number of routes that are removed, added or changed.
     pub fn len(&self) -> usize {
         self.removed.len() + self.routes.len()
     }
 
-    /// Whether they name no route.
+    /// Returns whether no route is removed, added or changed.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// These changes and, after them, `later`, as one.
+    /// Returns these changes and `later`, which follows them, merged into one.
     ///
     /// # Errors
     ///
-    /// [`ChangesError::Base`] if `later` doesn't start from the version that these lead to.
+    /// [`ChangesError::Base`] if `later` doesn't apply to the version that results from these.
     pub fn merged_with(&self, later: &Self) -> Result<Self, ChangesError> {
         if later.base != self.version {
             return Err(ChangesError::Base { base: later.base, version: self.version });
         }
-        let replaced = later.named();
-        let kept = self.routes.iter().filter(|route| !replaced.contains(&names(route)));
+        let replaced = later.changed_keys();
+        let kept = self.routes.iter().filter(|route| !replaced.contains(&key_of(route)));
         let routes: Vec<Route> = kept.chain(&later.routes).cloned().collect();
-        let present: HashSet<RouteNames<'_>> = routes.iter().map(names).collect();
+        let present: HashSet<RouteKeyRef<'_>> = routes.iter().map(key_of).collect();
         let removed = self.removed.iter().chain(&later.removed);
-        let is_absent = |key: &&RouteKey| !present.contains(&key_names(key));
+        let is_absent = |key: &&RouteKey| !present.contains(&borrowed_key(key));
         let mut removed: Vec<RouteKey> = removed.filter(is_absent).cloned().collect();
         removed.sort_unstable();
         removed.dedup();
         Ok(Self { base: self.base, removed, routes, ..later.clone() })
     }
 
-    /// The table that they make of `base`; none is needed where they are whole.
+    /// Applies the changes to `base`, which full changes don't need, and returns the result.
     ///
     /// # Errors
     ///
-    /// [`ChangesError`]; `base` stays valid.
+    /// [`ChangesError`] if `base` has another version or the resulting digest differs.
     pub fn apply(&self, base: Option<&Routing>) -> Result<Routing, ChangesError> {
         let base = base.filter(|_| !self.is_full());
         let version = base.map_or(0, Routing::version);
         if self.base != version {
             return Err(ChangesError::Base { base: self.base, version });
         }
-        let replaced = self.named();
+        let replaced = self.changed_keys();
         let kept = base.into_iter().flat_map(Routing::routes);
-        let kept = kept.filter(|route| !replaced.contains(&names(route)));
+        let kept = kept.filter(|route| !replaced.contains(&key_of(route)));
         let table = RoutingTable {
             version: self.version,
             routes: kept.chain(&self.routes).cloned().collect(),
@@ -156,13 +157,13 @@
     }
 }
 
-/// Host and prefix of a route.
-type RouteNames<'a> = (&'a str, &'a str);
+/// Host and path prefix of a route, borrowed.
+type RouteKeyRef<'a> = (&'a str, &'a str);
 
-fn names(route: &Route) -> RouteNames<'_> {
+fn key_of(route: &Route) -> RouteKeyRef<'_> {
     (&route.host, &route.path_prefix)
 }
 
-fn key_names(key: &RouteKey) -> RouteNames<'_> {
+fn borrowed_key(key: &RouteKey) -> RouteKeyRef<'_> {
     (&key.host, &key.path_prefix)
 }
--- a/crates/yuccarack_config/src/routing_file.rs
+++ b/crates/yuccarack_config/src/routing_file.rs
@@ -1,4 +1,4 @@
-//! Routing tables as operators write them in this project's own format.
+//! Routing files: routing tables that operators write in this project's own format.
 
 mod check;
 
@@ -10,46 +10,46 @@
     schema::Kind,
 };
 
-/// What may stand in such a file.
+/// Schema of a routing file.
 pub const SCHEMA: Kind = check::ROUTING;
 
 wire_data! {
-    /// A routing table as a file.
+    /// A routing table in the form of a file.
     pub struct RoutingFile {
-        /// Version of the format; 1.
+        /// Version of the file format, always 1.
         pub format: u32,
-        /// The table's number; a daemon takes higher ones only.
+        /// Version of the table; a daemon accepts only higher ones.
         pub version: RoutingVersion,
-        /// Routes, in no order.
+        /// Routes, in any order.
         pub routes: Vec<Route>,
-        /// Services that routes lead to.
+        /// Services that the routes lead to.
         pub services: Vec<RoutedService>,
-        /// What callers may send.
+        /// Size limits for the requests of callers.
         #[serde(default)]
         pub caller_limits: CallerLimits,
     }
 }
 
 impl RoutingFile {
-    /// Reads and checks the file at `path`.
+    /// Loads and validates the file at `path`.
     ///
     /// # Errors
     ///
-    /// The file can't be read, or all of its faults.
+    /// [`FileError::Unreadable`], or [`FileError::Invalid`] with all errors of the file.
     pub fn load(path: &Path) -> Result<Self, FileError> {
         Self::parse(&faults::read(path)?)
     }
 
-    /// Checks `text` whole and makes a file of it.
+    /// Parses and validates `text`.
     ///
     /// # Errors
     ///
-    /// All faults of the text.
+    /// [`FileError::Invalid`] with all errors of the text.
     pub fn parse(text: &[u8]) -> Result<Self, FileError> {
         faults::parse(text, check::faults)
     }
 
-    /// The table that it holds.
+    /// Converts the file into a routing table.
     pub fn into_table(self) -> RoutingTable {
         let Self { version, routes, services, caller_limits, .. } = self;
         RoutingTable { version, routes, services, caller_limits }
--- a/crates/yuccarack_config/src/routing_file/check.rs
+++ b/crates/yuccarack_config/src/routing_file/check.rs
@@ -1,4 +1,4 @@
-//! Whole check of a routing file.
+//! Schema and consistency checks of a routing file.
 
 use serde_json::Value;
 
@@ -7,31 +7,33 @@
     schema::{Field, Kind, Unique, excerpt},
 };
 
-/// Most routes of a table; each costs some 300 bytes in each daemon.
+/// Maximum number of routes in a table; each takes about 300 bytes in each daemon.
 const ROUTES_MAX: usize = 10_000;
 
-/// Most services of a table, several times those of the size that this is built for.
+/// Maximum number of services in a table, several times as many as the design size has.
 const SERVICES_MAX: usize = 1_000;
 
-/// Most services that share a route.
+/// Maximum number of services that a route is split among.
 const SPLIT_MAX: usize = 16;
 
-/// Most regions that a route names.
+/// Maximum number of home regions of a route.
 const REGIONS_MAX: usize = 64;
 
-/// Most requests in 1,000 seconds that bound a cold target; 1,000 a second and more bound none.
+/// Maximum cold rate in requests per 1,000 seconds; a target that serves 1,000 per second when cold
+/// needs no limit.
 const COLD_RATE_MAX: u64 = 1_000_000;
 
-/// Longest time for which a target is cold after its start, in ms.
+/// Maximum time for which a target is cold after its start, in ms.
 const COLD_START_MAX_MS: u64 = 3_600_000;
 
-/// Largest number that every JSON tool of an operator keeps exactly, 2^53 - 1.
+/// Maximum version, 2^53 - 1: JSON tools that store numbers as doubles keep no larger integer
+/// exactly.
 const VERSION_MAX: u64 = 9_007_199_254_740_991;
 
-/// Longest wait of a request, in ms; a daemon takes no longer deadline from a caller either.
+/// Maximum wait of a request, in ms, and the longest deadline that a daemon accepts from a caller.
 const WAIT_MAX_MS: u64 = 300_000;
 
-/// What may stand in a routing file.
+/// Schema of a routing file.
 pub(super) const ROUTING: Kind = Kind::Group(&[
     Field::required("format", Kind::number(1, 1)),
     Field::required("version", Kind::number(1, VERSION_MAX)),
@@ -82,7 +84,7 @@
     Field::defaulted("body_max_bytes", Kind::number(0, 1 << 40)),
 ]);
 
-/// All faults of `file`, none when it is accepted.
+/// Returns all validation errors of `file`; empty if it is valid.
 pub(super) fn faults(file: &Value) -> Vec<Fault> {
     let mut faults = Vec::new();
     ROUTING.check(file, "", &mut faults);
@@ -91,12 +93,13 @@
         check_prefix(route, &path, &mut faults);
         check_upload(route, &path, &mut faults);
         check_split(file, route, &path, &mut faults);
-        check_place(file, index, &mut faults);
+        check_duplicate(file, index, &mut faults);
     }
     faults
 }
 
-/// A prefix is looked up by the slashes of a path, so one that ends otherwise is never found.
+/// Rejects a prefix without a trailing slash: paths are looked up by their slashes, so such a
+/// prefix would never match.
 fn check_prefix(route: &Value, path: &str, faults: &mut Vec<Fault>) {
     let prefix = route.get("path_prefix").and_then(Value::as_str);
     if let Some(prefix) = prefix.filter(|prefix| !prefix.ends_with('/')) {
@@ -106,43 +109,43 @@
     }
 }
 
-/// A large body isn't kept to be sent again.
+/// Rejects a repeatable upload: large bodies aren't buffered, so they can't be sent again.
 fn check_upload(route: &Value, path: &str, faults: &mut Vec<Fault>) {
     let is_set = |name: &str| route.get(name) == Some(&Value::Bool(true));
     if is_set("is_upload") && is_set("is_repeatable") {
-        let accepted = "false beside is_upload".to_owned();
+        let accepted = "false if is_upload is true".to_owned();
         let kind = FaultKind::Value { found: "true".to_owned(), accepted };
         faults.push(Fault::new(format!("{path}.is_repeatable"), kind));
     }
 }
 
-/// Requests that are dealt to a service that isn't there would be refused for good.
+/// Rejects shares of services that the file doesn't define, and splits without a positive weight:
+/// requests for them would always be refused.
 fn check_split(file: &Value, route: &Value, path: &str, faults: &mut Vec<Fault>) {
     let services = items(file, "services");
     let shares = items(route, "split");
     for (index, share) in shares.iter().enumerate() {
         let Some(service) = share.get("service") else { continue };
         if !services.iter().any(|known| known.get("name") == Some(service)) {
-            let accepted = "a service that is named under services".to_owned();
+            let accepted = "the name of a service under services".to_owned();
             let kind = FaultKind::Value { found: excerpt(service), accepted };
             faults.push(Fault::new(format!("{path}.split[{index}].service"), kind));
         }
     }
     let is_zero = |share: &Value| share.get("weight").and_then(Value::as_u64) == Some(0);
     if !shares.is_empty() && shares.iter().all(is_zero) {
-        let accepted = "a weight above 0 in at least one share".to_owned();
+        let accepted = "a weight above 0 for at least one service".to_owned();
         let kind = FaultKind::Value { found: "only weights of 0".to_owned(), accepted };
         faults.push(Fault::new(format!("{path}.split"), kind));
     }
 }
 
-/// Of two routes with the same host and prefix one would stand in vain.
-fn check_place(file: &Value, index: usize, faults: &mut Vec<Fault>) {
+/// Rejects two routes with the same host and path prefix: one of them would never be matched.
+fn check_duplicate(file: &Value, index: usize, faults: &mut Vec<Fault>) {
     let routes = items(file, "routes");
-    let place =
-        |route: &Value| Some((route.get("host")?.clone(), route.get("path_prefix")?.clone()));
-    let Some(own) = place(&routes[index]) else { return };
-    let first = routes[..index].iter().position(|route| place(route).as_ref() == Some(&own));
+    let key = |route: &Value| Some((route.get("host")?.clone(), route.get("path_prefix")?.clone()));
+    let Some(own) = key(&routes[index]) else { return };
+    let first = routes[..index].iter().position(|route| key(route).as_ref() == Some(&own));
     if let Some(first) = first {
         let found = format!("{} {}", excerpt(&own.0), excerpt(&own.1));
         let kind = FaultKind::Doubled { found, first: format!("routes[{first}]") };
--- a/crates/yuccarack_config/src/rules.rs
+++ b/crates/yuccarack_config/src/rules.rs
@@ -1,4 +1,4 @@
-//! The operators' rules: services, routes, limits and budgets.
+//! Rules files of operators: services with their routes, limits and budgets.
 
 mod check;
 
@@ -10,137 +10,138 @@
     schema::Kind,
 };
 
-/// What may stand in a rules file.
+/// Schema of a rules file.
 pub const SCHEMA: Kind = check::RULES;
 
-/// Why a rules file is refused.
+/// Error of loading a rules file.
 pub type RulesError = FileError;
 
 wire_data! {
-    /// One file of an operator, applied whole or not at all.
+    /// A rules file, which is applied completely or not at all.
     pub struct RulesFile {
-        /// Version of this file's form, 1 today.
+        /// Version of the file format, always 1.
         pub format: u32,
-        /// Revision that the operator had seen when writing; a service changed since is a conflict.
+        /// Revision that the file was written against; a service that changed later is a conflict.
         #[serde(default)]
         pub based_on: Revision,
-        /// Services that the file describes; those it doesn't name stay as they are.
+        /// Services that the file defines; services that it doesn't name stay unchanged.
         pub services: Vec<ServiceRules>,
-        /// Services that the file takes away.
+        /// Services that the file removes.
         #[serde(default)]
         pub removed: Vec<ServiceName>,
     }
 
     /// Rules of one service.
     pub struct ServiceRules {
-        /// The service's name.
+        /// Name of the service.
         pub name: ServiceName,
-        /// Routes, the first that fits a request counts.
+        /// Routes of the service; the first one that matches a request applies.
         pub routes: Vec<RouteRules>,
-        /// Limits at each gate.
+        /// Queue limits of each gate.
         #[serde(default)]
         pub limits: LimitRules,
-        /// When an entry tries again.
+        /// Retries by the entry.
         #[serde(default)]
         pub retry: RetryRules,
-        /// When an entry asks a second target.
+        /// Hedged requests by the entry.
         #[serde(default)]
         pub hedge: HedgeRules,
-        /// What measuring a target's load may cost.
+        /// Cost limits of measuring a target's load.
         #[serde(default)]
         pub measuring: MeasuringRules,
-        /// How failing targets are left out.
+        /// Ejection of failing targets.
         #[serde(default)]
         pub ejection: EjectionRules,
     }
 
     /// Rules of one route of a service.
     pub struct RouteRules {
-        /// The route's name in counters.
+        /// Name of the route in counters.
         pub name: String,
-        /// Methods that the route takes; none named means all.
+        /// HTTP methods that the route matches; empty for all.
         #[serde(default)]
         pub methods: Vec<String>,
-        /// Start of the paths that the route takes.
+        /// Path prefix that the route matches.
         pub path_prefix: String,
         /// Whether a request may run more than once; unset, only safe methods may.
         #[serde(default)]
         pub repeatable: Option<bool>,
-        /// Time a call has when its caller names none, in ms.
+        /// Deadline of a call whose caller sends none, in ms.
         #[serde(default = "defaults::deadline_ms")]
         pub deadline_ms: u32,
-        /// Share of a target's slots that this route may fill, in percent.
+        /// Share of a target's slots that the route may occupy, in percent.
         #[serde(default = "defaults::slot_share_percent")]
         pub slot_share_percent: u8,
     }
 
-    /// Limits at each gate.
+    /// Queue limits of each gate.
     #[serde(default)]
     pub struct LimitRules {
-        /// Most requests that wait at a gate.
+        /// Maximum number of requests in a gate's queue.
         pub queue_length_max: u16,
-        /// Longest wait at a gate, in ms.
+        /// Maximum wait in a gate's queue, in ms.
         pub queue_wait_max_ms: u32,
-        /// Share of slots and queue that one caller may fill while others want them, in percent.
+        /// Share of slots and queue that one caller may occupy while others compete for them, in
+        /// percent.
         pub caller_share_percent: u8,
     }
 
-    /// When an entry tries a request again.
+    /// Retries of a request by the entry.
     #[serde(default)]
     pub struct RetryRules {
-        /// Retries for each hundred first tries.
+        /// Retries per hundred first attempts.
         pub budget_percent: u8,
-        /// Most tries of one request, the first included.
+        /// Maximum number of attempts of one request, including the first.
         pub tries_max: u8,
     }
 
-    /// When an entry asks a second target before the first has answered.
+    /// Hedged requests: the entry sends a request to a second target before the first one responds.
     #[serde(default)]
     pub struct HedgeRules {
-        /// Hedges for each hundred first tries; 0 turns hedging off.
+        /// Hedges per hundred first attempts; 0 turns hedging off.
         pub budget_percent: u8,
-        /// Percentile of observed answer times after which a hedge goes out.
+        /// Percentile of the observed response times after which a hedge is sent.
         pub after_percentile: u8,
-        /// Shortest wait before a hedge, in ms.
+        /// Minimum delay before a hedge, in ms.
         pub delay_min_ms: u32,
     }
 
-    /// What measuring a target's load may cost it.
+    /// Cost limits of measuring the load of a target.
     #[serde(default)]
     pub struct MeasuringRules {
-        /// Bytes read of load reports in a second.
+        /// Bytes of load reports read per second.
         pub bytes_per_s_max: u32,
-        /// Load reports asked for in a second, in thousandths.
+        /// Load reports requested per 1,000 seconds.
         pub requests_per_1000s_max: u32,
-        /// Time a load report may be in flight, in ms for each second.
+        /// Time that load reports may be in flight, in ms per second.
         pub time_ms_per_s_max: u32,
     }
 
-    /// How failing targets are left out.
+    /// Ejection of failing targets.
     #[serde(default)]
     pub struct EjectionRules {
-        /// Share of a service's targets that may be left out at once, in percent.
+        /// Maximum share of a service's targets that may be ejected at the same time, in percent.
         pub share_max_percent: u8,
-        /// Failures in a row after which a target is left out.
+        /// Number of consecutive failures after which a target is ejected.
         pub failures_in_row: u8,
     }
 }
 
 impl RulesFile {
-    /// Reads and checks the file at `path`.
+    /// Loads and validates the file at `path`.
     ///
     /// # Errors
     ///
-    /// The file can't be read, or all of its faults.
+    /// [`FileError::Unreadable`], or [`FileError::Invalid`] with all errors of the file.
     pub fn load(path: &Path) -> Result<Self, RulesError> {
         Self::parse(&faults::read(path)?)
     }
 
-    /// Checks `text` whole and makes rules of it.
+    /// Parses and validates `text`.
     ///
     /// # Errors
     ///
-    /// All faults of the text.
+    /// [`FileError::Invalid`] with all errors of the text.
     pub fn parse(text: &[u8]) -> Result<Self, RulesError> {
         faults::parse(text, check::faults)
     }
@@ -177,15 +178,15 @@
 }
 
 impl RouteRules {
-    /// Whether a request of `method` for `path` is this route's.
+    /// Returns whether the route matches a request of `method` for `path`.
     pub fn matches(&self, method: &str, path: &str) -> bool {
-        let method_fits = self.methods.is_empty() || self.methods.iter().any(|m| m == method);
-        method_fits && path.starts_with(&self.path_prefix)
+        let method_matches = self.methods.is_empty() || self.methods.iter().any(|m| m == method);
+        method_matches && path.starts_with(&self.path_prefix)
     }
 
-    /// Whether a request of `method` may run more than once.
+    /// Returns whether a request of `method` may run more than once.
     ///
-    /// Without word from the operator only methods that HTTP calls safe may repeat (RFC 9110,
+    /// Unless the operator sets `repeatable`, only the safe methods of HTTP may (RFC 9110,
     /// section 9.2.1).
     pub fn is_repeatable(&self, method: &str) -> bool {
         self.repeatable.unwrap_or(matches!(method, "GET" | "HEAD" | "OPTIONS" | "TRACE"))
--- a/crates/yuccarack_config/src/rules/check.rs
+++ b/crates/yuccarack_config/src/rules/check.rs
@@ -1,4 +1,4 @@
-//! Whole check of a rules file.
+//! Schema and consistency checks of a rules file.
 
 use serde::Deserialize;
 use serde_json::Value;
@@ -9,25 +9,26 @@
     schema::{Field, Kind, Unique, excerpt},
 };
 
-/// Most services that one file names or takes away.
+/// Maximum number of services that one file defines or removes.
 const SERVICES_MAX: usize = 1_000;
 
-/// Most routes of one service.
+/// Maximum number of routes of one service.
 const ROUTES_MAX: usize = 64;
 
-/// Most methods of one route.
+/// Maximum number of methods of one route.
 const METHODS_MAX: usize = 16;
 
-/// Largest revision that every JSON tool of an operator keeps exactly, 2^53 - 1.
+/// Maximum revision, 2^53 - 1: JSON tools that store numbers as doubles keep no larger integer
+/// exactly.
 const REVISION_MAX: u64 = 9_007_199_254_740_991;
 
-/// Longest deadline of a call, in ms; the daemon takes no longer one from a caller either.
+/// Maximum deadline of a call, in ms, and the longest one that a daemon accepts from a caller.
 const DEADLINE_MAX_MS: u64 = 300_000;
 
-/// Longest wait at a gate or before a hedge, in ms.
+/// Maximum wait at a gate or before a hedge, in ms.
 const WAIT_MAX_MS: u64 = 60_000;
 
-/// What may stand in a rules file.
+/// Schema of a rules file.
 pub(super) const RULES: Kind = Kind::Group(&[
     Field::required("format", Kind::number(1, 1)),
     Field::defaulted("based_on", Kind::number(0, REVISION_MAX)),
@@ -82,7 +83,7 @@
     Field::defaulted("failures_in_row", Kind::number(1, 100)),
 ]);
 
-/// All faults of `file`, none when it is accepted.
+/// Returns all validation errors of `file`; empty if it is valid.
 pub(super) fn faults(file: &Value) -> Vec<Fault> {
     let mut faults = Vec::new();
     RULES.check(file, "", &mut faults);
@@ -94,7 +95,7 @@
     faults
 }
 
-/// A service can't be described and taken away by the same file.
+/// Rejects a file that both defines and removes a service.
 fn check_removed(file: &Value, faults: &mut Vec<Fault>) {
     let services = items(file, "services");
     for (index, removed) in items(file, "removed").iter().enumerate() {
@@ -107,18 +108,19 @@
     }
 }
 
-/// A file that says nothing is most likely a wrong file.
+/// Rejects a file without any service, which is most likely the wrong file.
 fn check_not_empty(file: &Value, faults: &mut Vec<Fault>) {
     let is_empty_list = |value: &Value| value.as_array().is_some_and(Vec::is_empty);
     if file.get("services").is_some_and(is_empty_list) && items(file, "removed").is_empty() {
-        let accepted = "a service here or in removed".to_owned();
+        let accepted = "at least one service here or in removed".to_owned();
         let kind = FaultKind::Value { found: "[]".to_owned(), accepted };
         faults.push(Fault::new("services", kind));
     }
 }
 
-/// Since the first route that fits counts, a later one can stand in vain: its requests would get
-/// the earlier route's deadline, and might be repeated though the later one forbids it.
+/// Rejects routes that are shadowed by earlier ones, since the first match applies: their requests
+/// would get the earlier route's deadline, and might be repeated although the later route forbids
+/// it.
 fn check_routes(service: &Value, path: &str, faults: &mut Vec<Fault>) {
     let routes: Vec<_> =
         items(service, "routes").iter().map(|route| RouteRules::deserialize(route).ok()).collect();
@@ -129,19 +131,19 @@
             faults.push(Fault::new(format!("{path}.routes[{index}]"), kind));
         };
         let earlier = &routes[..index];
-        if let Some(by) = taken_whole_by(earlier, route) {
+        if let Some(by) = all_methods_shadowed_by(earlier, route) {
             report(format!("{:?}", route.path_prefix), by);
             continue;
         }
         for method in &route.methods {
-            if let Some(by) = taken_by(earlier, method, &route.path_prefix) {
+            if let Some(by) = method_shadowed_by(earlier, method, &route.path_prefix) {
                 report(format!("{method} {:?}", route.path_prefix), by);
             }
         }
     }
 }
 
-fn taken_whole_by(earlier: &[Option<RouteRules>], route: &RouteRules) -> Option<usize> {
+fn all_methods_shadowed_by(earlier: &[Option<RouteRules>], route: &RouteRules) -> Option<usize> {
     earlier.iter().position(|other| {
         other.as_ref().is_some_and(|other| {
             other.methods.is_empty() && route.path_prefix.starts_with(&other.path_prefix)
@@ -149,7 +151,7 @@
     })
 }
 
-fn taken_by(earlier: &[Option<RouteRules>], method: &str, path: &str) -> Option<usize> {
+fn method_shadowed_by(earlier: &[Option<RouteRules>], method: &str, path: &str) -> Option<usize> {
     earlier.iter().position(|other| other.as_ref().is_some_and(|other| other.matches(method, path)))
 }
 
--- a/crates/yuccarack_config/src/schema.rs
+++ b/crates/yuccarack_config/src/schema.rs
@@ -1,48 +1,48 @@
-//! Fields, kinds and ranges of a file.
+//! Schema of a file: fields, the kinds of their values, and ranges.
 
 mod text;
-mod walk;
+mod validate;
 
 use std::fmt;
 
 use text::{METHOD_LENGTH_MAX, NAME_LENGTH_MAX, PATH_LENGTH_MAX};
-pub(crate) use walk::excerpt;
+pub(crate) use validate::excerpt;
 
-/// One field of a group.
+/// A field of a JSON object.
 #[derive(Clone, Copy, Debug)]
 pub struct Field {
     /// Name of the field.
     pub name: &'static str,
-    /// What may stand in it.
+    /// Kind of the accepted values.
     pub kind: Kind,
-    /// Whether it must be there.
+    /// Whether the field is required.
     pub presence: Presence,
 }
 
-/// Whether a field must be there.
+/// Whether a field is required.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Presence {
-    /// It has no default.
+    /// The field has no default.
     Required,
-    /// It has a default.
+    /// The field may be missing and then has a default.
     Defaulted,
-    /// It has a default, and `null` stands for it too.
+    /// As [`Presence::Defaulted`], and `null` also selects the default.
     Nullable,
 }
 
-/// What may stand in a field.
+/// The kind of value that a field accepts.
 #[derive(Clone, Copy, Debug)]
 pub enum Kind {
-    /// A whole number from `min` to `max`.
+    /// An integer from `min` to `max`.
     Number {
-        /// Least value.
+        /// Smallest value.
         min: u64,
         /// Largest value.
         max: u64,
     },
     /// A number from `min` to `max` that is rounded down.
     Rounded {
-        /// Least value.
+        /// Smallest value.
         min: u32,
         /// Largest value.
         max: u32,
@@ -55,66 +55,67 @@
     ServiceName,
     /// An HTTP method.
     Method,
-    /// Start of a path.
+    /// Prefix of a URL path.
     PathPrefix,
-    /// One of some words.
+    /// One of these strings.
     OneOf(&'static [&'static str]),
-    /// An IP number.
+    /// An IP address.
     Ip,
-    /// An IP number with a port to listen on; port 0 lets the kernel choose.
+    /// IP address and port to listen on; with port 0 the kernel chooses the port.
     ListenAddress,
-    /// An [`Kind::ListenAddress`] that others are told, so its IP number must be a single one.
+    /// A [`Kind::ListenAddress`] that is advertised to peers, so the unspecified IP address isn't
+    /// accepted.
     AdvertisedAddress,
-    /// An IP number with the port of somebody else.
+    /// IP address and port of another process.
     PeerAddress,
-    /// A list of at least `length_min` and at most `length_max`.
+    /// A list of `length_min` to `length_max` items.
     List {
-        /// What may stand in it.
+        /// Kind of the items.
         of: &'static Kind,
-        /// Least length.
+        /// Smallest length.
         length_min: usize,
         /// Largest length.
         length_max: usize,
-        /// What no two items may share.
+        /// What has to be unique among the items.
         unique: Unique,
     },
-    /// An object with these fields and no others.
+    /// A JSON object with these fields and no others.
     Group(&'static [Field]),
 }
 
-/// What no two items of a list may share.
+/// What has to be unique among the items of a list.
 #[derive(Clone, Copy, Debug)]
 pub enum Unique {
-    /// Their value.
+    /// The value of the item.
     Value,
-    /// The value of this field of theirs.
+    /// The value of this field of the item.
     Field(&'static str),
 }
 
 impl Field {
-    /// A field without a default.
+    /// Creates a field without a default.
     pub const fn required(name: &'static str, kind: Kind) -> Self {
         Self { name, kind, presence: Presence::Required }
     }
 
-    /// A field with a default.
+    /// Creates a field with a default.
     pub const fn defaulted(name: &'static str, kind: Kind) -> Self {
         Self { name, kind, presence: Presence::Defaulted }
     }
 
-    /// A field that may be `null`.
+    /// Creates a field with a default that may also be `null`.
     pub const fn nullable(name: &'static str, kind: Kind) -> Self {
         Self { name, kind, presence: Presence::Nullable }
     }
 }
 
 impl Kind {
-    /// A whole number from `min` to `max`.
+    /// Returns the kind of integers from `min` to `max`.
     pub const fn number(min: u64, max: u64) -> Self {
         Self::Number { min, max }
     }
 
-    /// A number from `min` to `max` that is rounded down.
+    /// Returns the kind of numbers from `min` to `max` that are rounded down.
     pub const fn rounded(min: u32, max: u32) -> Self {
         Self::Rounded { min, max }
     }
@@ -144,7 +145,7 @@
                 "a path that starts with '/', of at most {PATH_LENGTH_MAX} visible ASCII \
                  characters, without '?' and '#'"
             ),
-            Self::OneOf(words) => write!(f, "one of {}", words.join(", ")),
+            Self::OneOf(values) => write!(f, "one of {}", values.join(", ")),
             Self::Ip => write!(f, "an IP number"),
             Self::ListenAddress => write!(f, "an IP number and a port"),
             Self::AdvertisedAddress => write!(f, "the instance's own IP number and a port"),
@@ -152,11 +153,11 @@
             Self::List { of, length_min, length_max, .. } => {
                 write!(f, "a list of {length_min} to {length_max}, each {of}")
             }
-            Self::Group(fields) => write!(f, "an object of {}", names(fields)),
+            Self::Group(fields) => write!(f, "an object of {}", field_names(fields)),
         }
     }
 }
 
-fn names(fields: &[Field]) -> String {
+fn field_names(fields: &[Field]) -> String {
     fields.iter().map(|field| field.name).collect::<Vec<_>>().join(", ")
 }
--- a/crates/yuccarack_config/src/schema/text.rs
+++ b/crates/yuccarack_config/src/schema/text.rs
@@ -1,27 +1,27 @@
-//! What texts may stand in fields.
+//! Validation of the kinds of values that are strings.
 
 use std::net::{IpAddr, SocketAddr};
 
 use super::Kind;
 
-/// Most characters of a name.
+/// Maximum length of a name in characters.
 pub(super) const NAME_LENGTH_MAX: usize = 64;
 
-/// Most characters of a path prefix.
+/// Maximum length of a path prefix in characters.
 pub(super) const PATH_LENGTH_MAX: usize = 256;
 
-/// Most characters of a method.
+/// Maximum length of an HTTP method in characters.
 pub(super) const METHOD_LENGTH_MAX: usize = 16;
 
 impl Kind {
-    /// Whether `text` may stand in a field of this kind.
-    pub(super) fn takes_text(&self, text: &str) -> bool {
+    /// Returns whether `text` is a valid value of this kind.
+    pub(super) fn accepts_text(&self, text: &str) -> bool {
         match self {
             Self::Name => is_name(text),
             Self::ServiceName => is_name(text) && !text.bytes().any(|b| b.is_ascii_uppercase()),
             Self::Method => is_method(text),
             Self::PathPrefix => is_path(text),
-            Self::OneOf(words) => words.contains(&text),
+            Self::OneOf(values) => values.contains(&text),
             Self::Ip => text.parse::<IpAddr>().is_ok(),
             Self::ListenAddress => text.parse::<SocketAddr>().is_ok(),
             Self::AdvertisedAddress => is_address(text, |address| !address.ip().is_unspecified()),
@@ -38,9 +38,9 @@
 }
 
 fn is_name(text: &str) -> bool {
-    let fits = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
+    let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
     text.len() <= NAME_LENGTH_MAX
-        && text.bytes().all(fits)
+        && text.bytes().all(is_allowed)
         && text.bytes().next().is_some_and(|byte| byte.is_ascii_alphanumeric())
 }
 
@@ -54,6 +54,6 @@
         && text.bytes().all(|byte| byte.is_ascii_graphic() && !matches!(byte, b'?' | b'#'))
 }
 
-fn is_address(text: &str, fits: impl FnOnce(&SocketAddr) -> bool) -> bool {
-    text.parse().is_ok_and(|address| fits(&address))
+fn is_address(text: &str, is_allowed: impl FnOnce(&SocketAddr) -> bool) -> bool {
+    text.parse().is_ok_and(|address| is_allowed(&address))
 }
--- a/crates/yuccarack_config/src/schema/walk.rs
+++ b/crates/yuccarack_config/src/schema/validate.rs
@@ -1,35 +1,35 @@
-//! One walk through a file that finds every fault.
+//! Validation of a JSON value against a schema, which reports every error.
 //!
-//! A typed parse stops at its first fault; an operator who mends a file wants them all.
+//! A typed parse stops at the first error, while an operator who corrects a file needs all of them.
 
 use serde_json::{Map, Value};
 
-use super::{Field, Kind, Presence, Unique, names};
+use super::{Field, Kind, Presence, Unique, field_names};
 use crate::faults::{Fault, FaultKind};
 
-/// Most characters of a found value that a fault repeats.
+/// Maximum number of characters of an invalid value that an error repeats.
 const FOUND_LENGTH_MAX: usize = 80;
 
 impl Kind {
-    /// Adds to `faults` all that is wrong with `value`, which stands at `path`.
+    /// Validates `value`, found at `path`, and adds all of its errors to `faults`.
     pub fn check(&self, value: &Value, path: &str, faults: &mut Vec<Fault>) {
         match (self, value) {
             (Self::Group(fields), Value::Object(group)) => {
                 check_group(fields, group, path, faults);
             }
             (Self::List { of, unique, .. }, Value::Array(items)) => {
-                if !self.takes(value) {
-                    faults.push(self.refuse(value, path));
+                if !self.accepts(value) {
+                    faults.push(self.value_fault(value, path));
                 }
                 check_items(of, items, path, faults);
                 check_unique(*unique, items, path, faults);
             }
-            _ if self.takes(value) => {}
-            _ => faults.push(self.refuse(value, path)),
+            _ if self.accepts(value) => {}
+            _ => faults.push(self.value_fault(value, path)),
         }
     }
 
-    fn takes(&self, value: &Value) -> bool {
+    fn accepts(&self, value: &Value) -> bool {
         match (self, value) {
             (Self::Number { min, max }, Value::Number(number)) => {
                 number.as_u64().is_some_and(|number| (*min..=*max).contains(&number))
@@ -41,14 +41,14 @@
             (Self::List { length_min, length_max, .. }, Value::Array(items)) => {
                 (*length_min..=*length_max).contains(&items.len())
             }
-            (_, Value::String(text)) => self.takes_text(text),
+            (_, Value::String(text)) => self.accepts_text(text),
             _ => false,
         }
     }
 
-    fn refuse(&self, value: &Value, path: &str) -> Fault {
+    fn value_fault(&self, value: &Value, path: &str) -> Fault {
         Fault::new(
-            whole_if_empty(path),
+            file_if_empty(path),
             FaultKind::Value { found: excerpt(value), accepted: self.to_string() },
         )
     }
@@ -67,7 +67,7 @@
         }
     }
     for name in group.keys().filter(|name| fields.iter().all(|field| field.name != **name)) {
-        let accepted = names(fields);
+        let accepted = field_names(fields);
         faults.push(Fault::new(join(path, name), FaultKind::Unknown { accepted }));
     }
 }
@@ -79,7 +79,7 @@
 }
 
 fn check_unique(unique: Unique, items: &[Value], path: &str, faults: &mut Vec<Fault>) {
-    let place = |index: usize| match unique {
+    let path_of = |index: usize| match unique {
         Unique::Value => format!("{path}[{index}]"),
         Unique::Field(name) => format!("{path}[{index}].{name}"),
     };
@@ -92,13 +92,13 @@
         let Some(key) = key else { continue };
         let first = keys.iter().position(|other| other.as_ref() == Some(key)).unwrap_or(index);
         if first < index {
-            let kind = FaultKind::Doubled { found: excerpt(key), first: place(first) };
-            faults.push(Fault::new(place(index), kind));
+            let kind = FaultKind::Doubled { found: excerpt(key), first: path_of(first) };
+            faults.push(Fault::new(path_of(index), kind));
         }
     }
 }
 
-/// What stands in the file, shortened for a line on a terminal.
+/// Returns `value` as JSON, truncated to fit on a line of a terminal.
 pub(crate) fn excerpt(value: &Value) -> String {
     let text = value.to_string();
     if text.chars().count() <= FOUND_LENGTH_MAX {
@@ -111,6 +111,6 @@
     if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") }
 }
 
-fn whole_if_empty(path: &str) -> &str {
+fn file_if_empty(path: &str) -> &str {
     if path.is_empty() { "file" } else { path }
 }
--- a/crates/yuccarack_config/src/settings.rs
+++ b/crates/yuccarack_config/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one daemon.
+//! Settings file of a daemon.
 
 mod check;
 
@@ -13,54 +13,53 @@
     schema::Kind,
 };
 
-/// What may stand in a settings file.
+/// Schema of the settings file.
 pub const SCHEMA: Kind = check::SETTINGS;
 
 pub(crate) use check::LOG;
 
-/// Why a file of settings is refused.
+/// Error of loading a settings file.
 pub type SettingsError = FileError;
 
 wire_data! {
-    /// All that a daemon is told at its start.
+    /// Settings of a daemon, read at its start.
     pub struct DaemonSettings {
-        /// Name of this instance.
+        /// Name of this instance, unique in the fleet.
         pub instance: InstanceId,
         /// Failure domain of this instance.
         pub failure_domain: DomainName,
-        /// Address on which callers reach the entry.
+        /// Listen address of the entry, for callers.
         pub call_address: SocketAddr,
-        /// Address on which other daemons reach the gate.
+        /// Listen address of the gate, for other daemons.
         pub gate_address: SocketAddr,
-        /// Address for announcements, operators and counters.
+        /// Listen address for announcements of targets, requests of operators and counters.
         pub admin_address: SocketAddr,
-        /// Address for control messages of other daemons.
+        /// Listen address for control messages of other daemons.
         pub control_address: SocketAddr,
-        /// Address that other daemons are told for the gate, when it isn't the one listened on.
+        /// Advertised address of the gate; defaults to `gate_address`.
         #[serde(default)]
         pub told_gate_address: Option<SocketAddr>,
-        /// Address that other daemons are told for control messages, when it isn't the one
-        /// listened on.
+        /// Advertised address for control messages; defaults to `control_address`.
         #[serde(default)]
         pub told_control_address: Option<SocketAddr>,
         /// Address of the platform's table service and object store.
         pub platform_address: SocketAddr,
-        /// Control addresses of daemons to ask when the platform is away at start.
+        /// Control addresses of the daemons to query if the platform is unavailable at start.
         #[serde(default)]
         pub seed_peers: Vec<SocketAddr>,
-        /// Where counters are sent; unset, they are only readable on the admin address.
+        /// Address that counters are sent to; unset, they are available only on the admin address.
         #[serde(default)]
         pub statsd_address: Option<SocketAddr>,
         /// Addresses from which targets may announce themselves.
         #[serde(default = "defaults::loopback")]
         pub announce_from: Vec<IpAddr>,
-        /// Addresses from which operators may ask and order.
+        /// Addresses from which operators may send requests.
         #[serde(default = "defaults::loopback")]
         pub admin_from: Vec<IpAddr>,
-        /// Threads that serve calls.
+        /// Number of threads that serve calls.
         #[serde(default = "defaults::call_threads")]
         pub call_threads: u8,
-        /// Logs.
+        /// Format and level of the logs.
         #[serde(default)]
         pub log: LogSettings,
         /// Times and sizes that rarely need another value.
@@ -71,73 +70,73 @@
     /// How state changes are logged.
     #[serde(default)]
     pub struct LogSettings {
-        /// Form of a line.
+        /// Format of a line.
         pub format: LogFormat,
-        /// Least weight of a line that is written.
+        /// Lowest level that is written.
         pub level: LogLevel,
     }
 
     /// Times and sizes of the daemon itself.
     #[serde(default)]
     pub struct BudgetSettings {
-        /// Largest request head, in bytes.
+        /// Maximum size of a request head, in bytes.
         pub head_max_bytes: u32,
-        /// Largest body that is kept so that it can be sent again, in bytes.
+        /// Maximum size of a body that is buffered for another attempt, in bytes.
         pub replay_body_max_bytes: u32,
-        /// Silence after which a target that stopped announcing counts as leaving, in ms.
+        /// Time without an announcement after which a target counts as leaving, in ms.
         pub announce_timeout_ms: u32,
-        /// Time between two exchanges with peers of a service, in ms.
+        /// Interval between two exchanges with the peers of a service, in ms.
         pub gossip_interval_ms: u32,
-        /// Time a stopping daemon goes on taking new calls as an entry, in ms.
+        /// Time for which a stopping daemon still accepts new calls as an entry, in ms.
         pub drain_notice_ms: u32,
-        /// Longest time a stopping daemon waits for work in flight, in ms.
+        /// Maximum time that a stopping daemon waits for requests in flight, in ms.
         pub drain_max_ms: u32,
-        /// Longest wait for one answer of the platform, in ms.
+        /// Timeout for a response of the platform, in ms.
         pub platform_timeout_ms: u32,
     }
 }
 
 wire_kind! {
-    /// Form of a log line.
+    /// Format of a log line.
     #[derive(Default)]
     pub enum LogFormat {
-        /// One JSON object a line.
+        /// One JSON object per line.
         #[default]
         Json,
-        /// For a person at a terminal.
+        /// Readable text for a terminal.
         Terminal,
     }
 
-    /// Weight of a log line.
+    /// Severity of a log line.
     #[derive(Default)]
     pub enum LogLevel {
-        /// Something needs an operator.
+        /// A failure that needs an operator.
         Error,
-        /// Something is worse than it should be.
+        /// A degraded state that needs no operator at once.
         Warning,
         /// A change of state.
         #[default]
         Info,
-        /// Detail for developers.
+        /// Details for developers.
         Debug,
     }
 }
 
 impl DaemonSettings {
-    /// Reads and checks the file at `path`.
+    /// Loads and validates the file at `path`.
     ///
     /// # Errors
     ///
-    /// The file can't be read, or all of its faults.
+    /// [`FileError::Unreadable`], or [`FileError::Invalid`] with all errors of the file.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         Self::parse(&faults::read(path)?)
     }
 
-    /// Checks `text` whole and makes settings of it.
+    /// Parses and validates `text`.
     ///
     /// # Errors
     ///
-    /// All faults of the text.
+    /// [`FileError::Invalid`] with all errors of the text.
     pub fn parse(text: &[u8]) -> Result<Self, SettingsError> {
         faults::parse(text, check::faults)
     }
--- a/crates/yuccarack_config/src/settings/check.rs
+++ b/crates/yuccarack_config/src/settings/check.rs
@@ -1,4 +1,4 @@
-//! Whole check of a daemon's settings.
+//! Schema and consistency checks of a daemon's settings.
 
 use serde_json::Value;
 
@@ -7,14 +7,14 @@
     schema::{Field, Kind, Unique, excerpt},
 };
 
-/// Most addresses in a list of the settings.
+/// Maximum number of addresses in a list of the settings.
 const ADDRESSES_MAX: usize = 64;
 
-/// The fields whose sockets one daemon opens.
-const OWN_ADDRESSES: [&str; 4] =
+/// The fields with the addresses that a daemon listens on.
+const LISTEN_ADDRESSES: [&str; 4] =
     ["call_address", "gate_address", "admin_address", "control_address"];
 
-/// What may stand in a settings file.
+/// Schema of the settings file.
 pub(super) const SETTINGS: Kind = Kind::Group(&[
     Field::required("instance", Kind::Name),
     Field::required("failure_domain", Kind::Name),
@@ -34,7 +34,7 @@
     Field::defaulted("budgets", BUDGETS),
 ]);
 
-/// What may stand in the group of log settings.
+/// Schema of the log settings.
 pub(crate) const LOG: Kind = Kind::Group(&[
     Field::defaulted("format", Kind::OneOf(&["json", "terminal"])),
     Field::defaulted("level", Kind::OneOf(&["error", "warning", "info", "debug"])),
@@ -50,23 +50,23 @@
     Field::defaulted("platform_timeout_ms", Kind::number(10, 30_000)),
 ]);
 
-/// All faults of `file`, none when it is accepted.
+/// Returns all validation errors of `file`; empty if it is valid.
 pub(super) fn faults(file: &Value) -> Vec<Fault> {
     let mut faults = Vec::new();
     SETTINGS.check(file, "", &mut faults);
-    check_own_addresses(file, &mut faults);
+    check_listen_addresses(file, &mut faults);
     check_drain(file, &mut faults);
     faults
 }
 
-/// Two sockets can't share an address, unless the kernel chooses their ports.
-fn check_own_addresses(file: &Value, faults: &mut Vec<Fault>) {
-    for (index, name) in OWN_ADDRESSES.iter().enumerate() {
+/// Rejects two listen addresses that are equal, unless the kernel chooses their ports.
+fn check_listen_addresses(file: &Value, faults: &mut Vec<Fault>) {
+    for (index, name) in LISTEN_ADDRESSES.iter().enumerate() {
         let Some(address) = file.get(name).and_then(Value::as_str) else { continue };
         if address.ends_with(":0") {
             continue;
         }
-        let earlier = &OWN_ADDRESSES[..index];
+        let earlier = &LISTEN_ADDRESSES[..index];
         let same = |other: &&&str| file.get(**other).and_then(Value::as_str) == Some(address);
         if let Some(first) = earlier.iter().find(same) {
             let found = format!("{address:?}");
@@ -76,7 +76,8 @@
     }
 }
 
-/// A notice longer than the whole drain would cut the work that came during the notice.
+/// Rejects a notice that isn't shorter than the drain: requests that arrive during the notice would
+/// be aborted.
 fn check_drain(file: &Value, faults: &mut Vec<Fault>) {
     let defaults = super::BudgetSettings::default();
     let budget = |name: &str, default: u32| {
@@ -84,12 +85,12 @@
         value.map_or(Some(u64::from(default)), Value::as_u64)
     };
     let notice = budget("drain_notice_ms", defaults.drain_notice_ms);
-    let longest = budget("drain_max_ms", defaults.drain_max_ms);
-    if let (Some(notice), Some(longest)) = (notice, longest)
-        && notice >= longest
+    let drain_max = budget("drain_max_ms", defaults.drain_max_ms);
+    if let (Some(notice), Some(drain_max)) = (notice, drain_max)
+        && notice >= drain_max
     {
         let found = excerpt(&Value::from(notice));
-        let accepted = format!("less than drain_max_ms, which is {longest}");
+        let accepted = format!("less than drain_max_ms, which is {drain_max}");
         faults.push(Fault::new("budgets.drain_notice_ms", FaultKind::Value { found, accepted }));
     }
 }
