--- a/crates/yuccarack_config/tests/examples.rs
+++ b/crates/yuccarack_config/tests/examples.rs
@@ -1,4 +1,4 @@
-//! The examples in the repository are accepted, and say what their page claims.
+//! The example files in the repository are valid and have the properties that their page describes.
 
 use std::{
     collections::BTreeSet,
@@ -18,7 +18,7 @@
 }
 
 fn rules(deployment: &str) -> RulesFile {
-    RulesFile::load(&folder(deployment).join("rules.json")).expect("an accepted file")
+    RulesFile::load(&folder(deployment).join("rules.json")).expect("a valid file")
 }
 
 fn settings(deployment: &str) -> Vec<DaemonSettings> {
@@ -26,7 +26,7 @@
     let paths = files.map(|file| file.expect("a readable folder").path());
     paths
         .filter(|path| path.to_string_lossy().contains("settings-"))
-        .map(|path| DaemonSettings::load(&path).expect("an accepted file"))
+        .map(|path| DaemonSettings::load(&path).expect("a valid file"))
         .collect()
 }
 
@@ -34,7 +34,7 @@
     rules.services.iter().find(|service| service.name == name).expect("a service of the example")
 }
 
-/// Name of the route that takes a request, and whether the request may run more than once.
+/// Returns the name of the route that matches a request, and whether the request is repeatable.
 fn route<'a>(service: &'a ServiceRules, method: &str, path: &str) -> (&'a str, bool) {
     let route = service.routes.iter().find(|route| route.matches(method, path));
     let route = route.expect("a route for the request");
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn reads_repeat_and_orders_do_not() {
+fn reads_are_repeatable_and_orders_are_not() {
     let hokkaido = rules("hokkaido");
     let conditions = service(&hokkaido, "conditions");
     assert_eq!(route(conditions, "GET", "/huts/7"), ("read-notes", true));
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn kemiaplus_measures_for_a_quarter_of_the_default() {
+fn kemiaplus_measures_at_a_quarter_of_the_default_cost() {
     let default = MeasuringRules::default();
     for service in rules("kemiaplus").services {
         assert_eq!(service.measuring.bytes_per_s_max * 4, default.bytes_per_s_max);
@@ -91,12 +91,13 @@
 }
 
 #[test]
-fn routing_files_lead_orders_where_they_run_once() {
+fn routing_files_let_orders_run_only_once() {
     for (deployment, host, order, service) in [
         ("hokkaido", "huts.example", "/deliveries/4", "supply-desk"),
         ("kemiaplus", "dosing.example", "/invoices/4", "billing"),
     ] {
-        let file = RoutingFile::load(&folder(deployment).join("routing.json")).expect("a file");
+        let file =
+            RoutingFile::load(&folder(deployment).join("routing.json")).expect("a valid file");
         let routing = Routing::new(file.into_table());
         let (_, route) = routing.find_route(host, order).expect("a route");
         assert!(!route.is_repeatable && route.targets_max == 1 && route.rank == 0);
--- a/crates/yuccarack_config/tests/reference.rs
+++ b/crates/yuccarack_config/tests/reference.rs
@@ -1,4 +1,4 @@
-//! The reference in docs/OPERATING.md names every field with its default and range.
+//! The operators' reference pages list every field with its default and accepted values.
 
 use std::{fs, path::Path};
 
@@ -11,8 +11,8 @@
     settings::{self, DaemonSettings},
 };
 
-/// Starts of the reference's lines: path, default, accepted values.
-fn lines(path: &str, kind: &Kind, defaults: &Value, found: &mut Vec<String>) {
+/// Adds the expected starts of the reference's lines: path, default and accepted values.
+fn expected_lines(path: &str, kind: &Kind, defaults: &Value, expected: &mut Vec<String>) {
     match kind {
         Kind::Group(fields) => {
             for field in *fields {
@@ -20,27 +20,27 @@
                     true => field.name.to_owned(),
                     false => format!("{path}.{}", field.name),
                 };
-                field_lines(&path, field, &defaults[field.name], found);
+                expected_field_lines(&path, field, &defaults[field.name], expected);
             }
         }
-        Kind::List { of, .. } => lines(&format!("{path}[]"), of, &defaults[0], found),
+        Kind::List { of, .. } => expected_lines(&format!("{path}[]"), of, &defaults[0], expected),
         _ => {}
     }
 }
 
-fn field_lines(path: &str, field: &Field, default: &Value, found: &mut Vec<String>) {
+fn expected_field_lines(path: &str, field: &Field, default: &Value, expected: &mut Vec<String>) {
     match &field.kind {
-        Kind::Group(_) => lines(path, &field.kind, default, found),
+        Kind::Group(_) => expected_lines(path, &field.kind, default, expected),
         Kind::List { of: Kind::Group(_), length_min, length_max, .. } => {
             let accepted = format!("a list of {length_min} to {length_max}");
-            found.push(line(path, field, default, &accepted));
-            lines(path, &field.kind, default, found);
+            expected.push(expected_line(path, field, default, &accepted));
+            expected_lines(path, &field.kind, default, expected);
         }
-        kind => found.push(line(path, field, default, &kind.to_string())),
+        kind => expected.push(expected_line(path, field, default, &kind.to_string())),
     }
 }
 
-fn line(path: &str, field: &Field, default: &Value, accepted: &str) -> String {
+fn expected_line(path: &str, field: &Field, default: &Value, accepted: &str) -> String {
     let default = match (field.presence, default) {
         (Presence::Required, _) => "required".to_owned(),
         (_, Value::Null) => "none".to_owned(),
@@ -49,60 +49,60 @@
     format!("| `{path}` | {default} | {accepted} |")
 }
 
-fn check(lines: &[String]) {
-    check_on("OPERATING.md", lines);
+fn assert_in_operating_page(lines: &[String]) {
+    assert_in_page("OPERATING.md", lines);
 }
 
-fn check_on(page: &str, lines: &[String]) {
+fn assert_in_page(page: &str, lines: &[String]) {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs").join(page);
-    let text = fs::read_to_string(file).expect("the operators' page");
+    let text = fs::read_to_string(file).expect("a readable reference page");
     let missing: Vec<_> =
         lines.iter().filter(|start| !text.lines().any(|line| line.starts_with(*start))).collect();
-    assert!(missing.is_empty(), "docs/{page} lacks lines that start so:\n{missing:#?}");
+    assert!(missing.is_empty(), "docs/{page} lacks lines that start with:\n{missing:#?}");
 }
 
 #[test]
 fn every_setting_is_in_the_reference() {
-    let smallest = json!({
+    let minimal = json!({
         "instance": "a", "failure_domain": "b", "call_address": "127.0.0.1:1",
         "gate_address": "127.0.0.1:2", "admin_address": "127.0.0.1:3",
         "control_address": "127.0.0.1:4", "platform_address": "127.0.0.1:5",
     });
-    let settings = DaemonSettings::parse(smallest.to_string().as_bytes()).unwrap();
-    let mut found = Vec::new();
-    lines("", &settings::SCHEMA, &serde_json::to_value(settings).unwrap(), &mut found);
-    check(&found);
+    let settings = DaemonSettings::parse(minimal.to_string().as_bytes()).unwrap();
+    let mut expected = Vec::new();
+    expected_lines("", &settings::SCHEMA, &serde_json::to_value(settings).unwrap(), &mut expected);
+    assert_in_operating_page(&expected);
 }
 
 #[test]
 fn every_rule_is_in_the_reference() {
-    let smallest = json!({
+    let minimal = json!({
         "format": 1,
         "services": [{"name": "a", "routes": [{"name": "b", "path_prefix": "/"}]}],
     });
-    let rules = RulesFile::parse(smallest.to_string().as_bytes()).unwrap();
-    let mut found = Vec::new();
-    lines("", &rules::SCHEMA, &serde_json::to_value(rules).unwrap(), &mut found);
-    check(&found);
+    let rules = RulesFile::parse(minimal.to_string().as_bytes()).unwrap();
+    let mut expected = Vec::new();
+    expected_lines("", &rules::SCHEMA, &serde_json::to_value(rules).unwrap(), &mut expected);
+    assert_in_operating_page(&expected);
 }
 
 #[test]
-fn every_setting_of_a_daemon_for_routed_calls_is_in_its_reference() {
-    let smallest = json!({
+fn every_setting_of_a_daemon_for_routed_calls_is_in_the_reference() {
+    let minimal = json!({
         "instance": "a", "failure_domain": "b", "service": "c",
         "call_address": "10.0.0.1:1", "gate_address": "10.0.0.1:2",
         "liveness_address": "10.0.0.1:3", "readiness_address": "10.0.0.1:4",
         "metrics_address": "10.0.0.1:5", "store_address": "10.0.0.2:1",
     });
-    let settings = RoutedSettings::parse(smallest.to_string().as_bytes()).expect("settings");
+    let settings = RoutedSettings::parse(minimal.to_string().as_bytes()).expect("settings");
     let defaults = serde_json::to_value(settings).expect("settings as JSON");
-    let mut found = Vec::new();
-    lines("", &routed_settings::SCHEMA, &defaults, &mut found);
-    check_on("OPERATIONS.md", &found);
+    let mut expected = Vec::new();
+    expected_lines("", &routed_settings::SCHEMA, &defaults, &mut expected);
+    assert_in_page("OPERATIONS.md", &expected);
 }
 
 #[test]
-fn every_field_of_a_routing_file_is_in_its_reference() {
+fn every_field_of_a_routing_file_is_in_the_reference() {
     let file = json!({
         "format": 1, "version": 1,
         "routes": [{
@@ -114,7 +114,7 @@
     });
     let file = RoutingFile::parse(file.to_string().as_bytes()).expect("a routing file");
     let defaults = serde_json::to_value(file).expect("a file as JSON");
-    let mut found = Vec::new();
-    lines("", &routing_file::SCHEMA, &defaults, &mut found);
-    check_on("OPERATIONS.md", &found);
+    let mut expected = Vec::new();
+    expected_lines("", &routing_file::SCHEMA, &defaults, &mut expected);
+    assert_in_page("OPERATIONS.md", &expected);
 }
--- a/crates/yuccarack_config/tests/routing_changes.rs
+++ b/crates/yuccarack_config/tests/routing_changes.rs
@@ -1,4 +1,4 @@
-//! Changes between routing tables make the same table as the whole of it.
+//! Applying changes to a routing table results in the same table as sending it in full.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 
 const RUNS: u64 = 300;
 
-/// A few hosts and prefixes, so that tables overlap.
+/// Routes of a few hosts and prefixes, so that tables overlap.
 #[derive(Clone, Debug)]
 struct Routes(BTreeMap<(u8, u8), (u8, bool)>);
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// Routes in the order of their keys, and all the rest.
+/// Returns the table with its routes sorted by key.
 fn sorted(routing: &Routing) -> RoutingTable {
     let mut table = routing.table().clone();
     table.routes.sort_by_key(Route::key);
@@ -65,37 +65,37 @@
 }
 
 #[test]
-fn changes_make_the_same_table_as_the_whole() {
+fn applied_changes_equal_the_full_table() {
     fn holds(first: Routes, second: Routes) -> bool {
         let (first, second) = (first.routing(4), second.routing(9));
         let changed = RoutingChanges::between(&first, &second).apply(Some(&first));
-        let whole = RoutingChanges::full(&second).apply(Some(&first));
+        let full = RoutingChanges::full(&second).apply(Some(&first));
         let changed = changed.expect("a table");
         sorted(&changed) == sorted(&second)
             && changed.digest() == second.digest()
-            && sorted(&whole.expect("a table")) == sorted(&second)
+            && sorted(&full.expect("a table")) == sorted(&second)
     }
     QuickCheck::new().tests(RUNS).quickcheck(holds as fn(Routes, Routes) -> bool);
 }
 
 #[test]
-fn merged_changes_make_the_same_table_as_one_after_the_other() {
+fn merged_changes_equal_consecutive_changes() {
     fn holds(tables: (Routes, Routes, Routes)) -> bool {
         let (first, second, third) =
             (tables.0.routing(4), tables.1.routing(9), tables.2.routing(11));
         let one = RoutingChanges::between(&first, &second);
         let other = RoutingChanges::between(&second, &third);
         let merged = one.merged_with(&other).expect("consecutive changes");
-        let from_whole =
+        let from_full =
             RoutingChanges::full(&second).merged_with(&other).expect("consecutive changes");
         sorted(&merged.apply(Some(&first)).expect("a table")) == sorted(&third)
-            && sorted(&from_whole.apply(None).expect("a table")) == sorted(&third)
+            && sorted(&from_full.apply(None).expect("a table")) == sorted(&third)
     }
     let holds = holds as fn((Routes, Routes, Routes)) -> bool;
     QuickCheck::new().tests(RUNS).quickcheck(holds);
 }
 
-/// Guards against changes that are applied to a table other than the one they were made for.
+/// Guards against changes that are applied to another table than the one they were computed for.
 #[test]
 fn changes_of_another_base_are_rejected() {
     let routes = Routes(BTreeMap::from([((0, 0), (0, true)), ((0, 1), (0, true))]));
@@ -109,9 +109,9 @@
     assert_eq!(changes.merged_with(&changes), Err(ChangesError::Base { base: 4, version: 9 }));
 }
 
-/// Guards against a table whose changes can't be told, since two of its routes have one key.
+/// Guards against a table whose changes are ambiguous because two of its routes have the same key.
 #[test]
-fn of_routes_with_one_key_the_last_one_holds() {
+fn of_routes_with_the_same_key_the_last_one_wins() {
     let mut table = Routes(BTreeMap::from([((0, 0), (0, true))])).routing(4).table().clone();
     let last = Route { rank: 7, ..table.routes[0].clone() };
     table.routes.push(last.clone());
--- a/crates/yuccarack_config/tests/routing_file.rs
+++ b/crates/yuccarack_config/tests/routing_file.rs
@@ -1,4 +1,4 @@
-//! Routing files in this project's own format: what is accepted, and all faults of what is not.
+//! Validation of routing files: defaults of valid files, and all errors of invalid ones.
 
 use serde_json::{Value, json};
 use yuccarack_config::{faults::FileError, routing_file::RoutingFile};
@@ -18,7 +18,7 @@
     })
 }
 
-/// Paths of the faults of a file.
+/// Returns the paths of the errors of a file.
 fn faults(file: &Value) -> Vec<String> {
     match RoutingFile::parse(file.to_string().as_bytes()) {
         Ok(_) => Vec::new(),
@@ -28,23 +28,23 @@
 }
 
 #[test]
-fn a_whole_file_is_accepted_with_defaults() {
-    let file = RoutingFile::parse(file().to_string().as_bytes()).expect("an accepted file");
+fn a_valid_file_gets_the_defaults() {
+    let file = RoutingFile::parse(file().to_string().as_bytes()).expect("a valid file");
     let table = file.into_table();
     assert_eq!((table.version, table.routes.len()), (4, 1));
     assert_eq!(table.caller_limits.head_max_bytes, 16 * 1024);
 }
 
-/// An operator makes five mistakes at once. Told one after the other, the file would be applied five
-/// times; all of them are told together, each with its place.
+/// Guards against errors that are reported one at a time, so that an operator has to apply a file
+/// once for each of them.
 #[test]
-fn all_faults_are_told_at_once() {
+fn all_faults_are_reported_at_once() {
     let mut file = file();
-    let mut doubled = file["routes"][0].clone();
-    doubled["name"] = json!("other");
-    doubled["split"] = json!([{"service": "nobody", "weight": 0}]);
-    doubled["targets_max"] = json!(0);
-    file["routes"].as_array_mut().expect("routes").push(doubled);
+    let mut duplicate = file["routes"][0].clone();
+    duplicate["name"] = json!("other");
+    duplicate["split"] = json!([{"service": "nobody", "weight": 0}]);
+    duplicate["targets_max"] = json!(0);
+    file["routes"].as_array_mut().expect("routes").push(duplicate);
     file["routes"][0]["path_prefix"] = json!("/notes");
     file["routes"][1]["path_prefix"] = json!("/notes");
     let found = faults(&file);
@@ -56,28 +56,30 @@
         "routes[1].split",
         "routes[1]",
     ] {
-        assert!(found.iter().any(|found| found == path), "{path} is not among {found:?}");
+        assert!(found.iter().any(|found| found == path), "{path} is missing in {found:?}");
     }
 }
 
 #[test]
-fn a_file_without_a_version_or_of_another_format_is_refused() {
-    let mut without = file();
-    without.as_object_mut().expect("an object").remove("version");
-    assert_eq!(faults(&without), ["version"]);
-    let mut other = file();
-    other["format"] = json!(2);
-    assert_eq!(faults(&other), ["format"]);
+fn a_file_without_a_version_or_of_another_format_is_rejected() {
+    let mut unversioned = file();
+    unversioned.as_object_mut().expect("an object").remove("version");
+    assert_eq!(faults(&unversioned), ["version"]);
+    let mut unknown_format = file();
+    unknown_format["format"] = json!(2);
+    assert_eq!(faults(&unknown_format), ["format"]);
 }
 
-/// An upload is sent once; a file that says otherwise is a mistake, and so is a field that isn't known.
+/// Guards against uploads that are sent more than once, and against misspelled field names that
+/// are ignored.
 #[test]
-fn an_upload_does_not_repeat() {
+fn an_upload_is_not_repeatable() {
     let mut upload = file();
     upload["routes"][0]["is_upload"] = json!(true);
     assert_eq!(faults(&upload), ["routes[0].is_repeatable"]);
     upload["routes"][0]["is_repeatable"] = json!(false);
-    let table = RoutingFile::parse(upload.to_string().as_bytes()).expect("a file").into_table();
+    let table =
+        RoutingFile::parse(upload.to_string().as_bytes()).expect("a valid file").into_table();
     assert!(table.routes[0].is_upload && !table.routes[0].is_repeatable);
     upload["routes"][0]["is_uplaod"] = json!(true);
     assert_eq!(faults(&upload), ["routes[0].is_uplaod"]);
--- a/crates/yuccarack_config/tests/rules.rs
+++ b/crates/yuccarack_config/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Checks of a rules file: all faults at once, each with its path.
+//! Validation of rules files: all errors are reported at once, each with its path.
 
 use quickcheck::quickcheck;
 use serde_json::{Value, json};
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn the_smallest_file_gets_the_defaults() {
+fn a_minimal_file_gets_the_defaults() {
     let text = file(&[route("all", &[], "/")]).to_string();
     let rules = RulesFile::parse(text.as_bytes()).unwrap();
     assert_eq!(rules.based_on, 0);
@@ -41,15 +41,15 @@
 }
 
 #[test]
-fn written_rules_are_accepted_again() {
+fn serialized_rules_parse_to_the_same_rules() {
     let text = file(&[route("all", &[], "/")]).to_string();
     let rules = RulesFile::parse(text.as_bytes()).unwrap();
-    let written = serde_json::to_vec(&rules).unwrap();
-    assert_eq!(RulesFile::parse(&written).unwrap(), rules);
+    let serialized = serde_json::to_vec(&rules).unwrap();
+    assert_eq!(RulesFile::parse(&serialized).unwrap(), rules);
 }
 
 #[test]
-fn every_fault_of_every_service_is_listed() {
+fn every_fault_of_every_service_is_reported() {
     let mut file = file(&[route("all", &[], "/")]);
     file["format"] = json!(2);
     file["services"].as_array_mut().unwrap().push(json!({
@@ -78,10 +78,10 @@
     assert_eq!(found, expected);
 }
 
-// A caretaker's order route stands below a route for everything. The first that fits counts, so
-// orders would get the first one's deadline and its leave to repeat. Such a file is refused.
+// Guards against a route that is shadowed by a broader one before it. The first match applies, so
+// orders would get the deadline of the broader route and might be repeated.
 #[test]
-fn a_route_below_a_wider_one_is_refused() {
+fn a_route_shadowed_by_a_broader_one_is_rejected() {
     let file = file(&[route("all", &[], "/"), route("orders", &["POST"], "/orders")]);
     let kind = FaultKind::Unreachable {
         found: "\"/orders\"".to_owned(),
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_method_that_earlier_routes_take_is_refused() {
+fn a_method_shadowed_by_an_earlier_route_is_rejected() {
     let routes = [
         route("reads", &["GET"], "/"),
         route("notes", &["GET", "PUT"], "/notes"),
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn narrow_routes_before_wide_ones_are_accepted() {
+fn specific_routes_before_broader_ones_are_accepted() {
     let routes = [
         route("notes", &["GET"], "/notes/"),
         route("reads", &["GET"], "/"),
@@ -116,20 +116,20 @@
 }
 
 #[test]
-fn a_service_is_not_both_named_and_removed() {
+fn a_service_both_defined_and_removed_is_rejected() {
     let mut file = file(&[route("all", &[], "/")]);
     file["removed"] = json!(["repairs", "conditions"]);
     assert_eq!(paths(&file), ["removed[1]"]);
 }
 
 #[test]
-fn a_file_that_says_nothing_is_refused() {
+fn a_file_without_any_service_is_rejected() {
     assert_eq!(paths(&json!({"format": 1, "services": []})), ["services"]);
     assert_eq!(paths(&json!({"format": 1, "services": [], "removed": ["repairs"]})), [""; 0]);
 }
 
 #[test]
-fn every_number_has_a_range_and_its_default_lies_within() {
+fn every_number_has_a_range_that_contains_its_default() {
     let groups = [
         ("limits", serde_json::to_value(LimitRules::default()).unwrap()),
         ("retry", serde_json::to_value(RetryRules::default()).unwrap()),
@@ -149,8 +149,8 @@
 }
 
 quickcheck! {
-    /// Whatever routes are accepted, each method that a route names is that route's.
-    fn an_accepted_route_takes_what_it_names(seeds: Vec<(u8, u8)>) -> bool {
+    /// In every accepted file, the first match for each method of a route is the route itself.
+    fn an_accepted_route_matches_its_own_methods(seeds: Vec<(u8, u8)>) -> bool {
         let prefixes = ["/", "/a", "/a/", "/a/b", "/b"];
         let methods: [&[&str]; 4] = [&[], &["GET"], &["POST"], &["GET", "POST"]];
         let routes: Vec<_> = seeds
@@ -167,13 +167,13 @@
             return true;
         };
         let routes = &rules.services[0].routes;
-        let first = |method: &str, path: &str| routes.iter().find(|r| r.matches(method, path));
+        let matching = |method: &str, path: &str| routes.iter().find(|r| r.matches(method, path));
         routes.iter().all(|route| {
-            let named: Vec<&str> = match route.methods.is_empty() {
+            let methods: Vec<&str> = match route.methods.is_empty() {
                 true => vec!["PATCH"],
                 false => route.methods.iter().map(String::as_str).collect(),
             };
-            named.iter().all(|method| first(method, &route.path_prefix) == Some(route))
+            methods.iter().all(|method| matching(method, &route.path_prefix) == Some(route))
         })
     }
 }
--- a/crates/yuccarack_config/tests/settings.rs
+++ b/crates/yuccarack_config/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Checks of a daemon's settings: all faults at once, each with its path.
+//! Validation of a daemon's settings: all errors are reported at once, each with its path.
 
 use std::path::Path;
 
@@ -9,7 +9,7 @@
     settings::{BudgetSettings, DaemonSettings, LogSettings},
 };
 
-fn smallest() -> Value {
+fn minimal_file() -> Value {
     json!({
         "instance": "sapporo-1",
         "failure_domain": "sapporo",
@@ -21,13 +21,13 @@
     })
 }
 
-fn with(path: &str, value: Value) -> Value {
-    let mut file = smallest();
-    let mut place = &mut file;
+fn file_with(path: &str, value: Value) -> Value {
+    let mut file = minimal_file();
+    let mut node = &mut file;
     for name in path.split('.') {
-        place = &mut place[name];
+        node = &mut node[name];
     }
-    *place = value;
+    *node = value;
     file
 }
 
@@ -44,8 +44,8 @@
 }
 
 #[test]
-fn the_smallest_file_gets_the_defaults() {
-    let settings = DaemonSettings::parse(smallest().to_string().as_bytes()).unwrap();
+fn a_minimal_file_gets_the_defaults() {
+    let settings = DaemonSettings::parse(minimal_file().to_string().as_bytes()).unwrap();
     assert_eq!(settings.call_threads, 2);
     assert_eq!(settings.log, LogSettings::default());
     assert_eq!(settings.budgets, BudgetSettings::default());
@@ -53,27 +53,27 @@
 }
 
 #[test]
-fn told_addresses_need_a_port() {
-    let told = with("told_gate_address", json!("10.0.0.1:7001"));
-    assert_eq!(faults(&told), []);
-    let settings = DaemonSettings::parse(told.to_string().as_bytes()).unwrap();
+fn advertised_addresses_need_a_port() {
+    let file = file_with("told_gate_address", json!("10.0.0.1:7001"));
+    assert_eq!(faults(&file), []);
+    let settings = DaemonSettings::parse(file.to_string().as_bytes()).unwrap();
     assert_eq!(settings.told_gate_address, "10.0.0.1:7001".parse().ok());
-    let any_port = with("told_control_address", json!("10.0.0.1:0"));
-    assert_eq!(paths(&any_port), ["told_control_address"]);
+    let zero_port = file_with("told_control_address", json!("10.0.0.1:0"));
+    assert_eq!(paths(&zero_port), ["told_control_address"]);
 }
 
 #[test]
-fn written_settings_are_accepted_again() {
-    let settings = DaemonSettings::parse(smallest().to_string().as_bytes()).unwrap();
+fn serialized_settings_parse_to_the_same_settings() {
+    let settings = DaemonSettings::parse(minimal_file().to_string().as_bytes()).unwrap();
     let text = serde_json::to_vec(&settings).unwrap();
     assert_eq!(DaemonSettings::parse(&text).unwrap(), settings);
 }
 
-// An operator mends a file fault by fault, and starts the daemon in vain after each, when only
-// the first fault is named. So all of them are, with what would be accepted.
+// Guards against errors that are reported one at a time, so that an operator has to restart the
+// daemon after correcting each of them.
 #[test]
-fn every_fault_is_listed_with_its_path_and_range() {
-    let mut file = smallest();
+fn every_fault_is_reported_with_its_path_and_range() {
+    let mut file = minimal_file();
     file["instance"] = json!("two words");
     file["call_thread"] = json!(2);
     file["call_threads"] = json!(0);
@@ -103,84 +103,86 @@
 }
 
 #[test]
-fn a_fault_is_readable_by_a_script() {
-    let fault = &faults(&with("call_threads", json!(65)))[0];
-    let written = serde_json::to_value(fault).unwrap();
+fn a_fault_is_serialized_with_its_path_and_kind() {
+    let fault = &faults(&file_with("call_threads", json!(65)))[0];
+    let serialized = serde_json::to_value(fault).unwrap();
     let expected = json!({
         "path": "call_threads",
         "fault": "value",
         "found": "65",
         "accepted": "a whole number from 1 to 64",
     });
-    assert_eq!(written, expected);
+    assert_eq!(serialized, expected);
 }
 
 #[test]
-fn own_addresses_must_differ_unless_the_kernel_gives_the_port() {
-    let same = with("gate_address", json!("127.0.0.1:7000"));
+fn listen_addresses_must_differ_unless_the_kernel_chooses_the_port() {
+    let same = file_with("gate_address", json!("127.0.0.1:7000"));
     let kind = FaultKind::Doubled {
         found: "\"127.0.0.1:7000\"".to_owned(),
         first: "call_address".to_owned(),
     };
     assert_eq!(faults(&same), [Fault::new("gate_address", kind)]);
 
-    let mut given_by_kernel = with("gate_address", json!("127.0.0.1:0"));
-    given_by_kernel["control_address"] = json!("127.0.0.1:0");
-    assert_eq!(faults(&given_by_kernel), []);
+    let mut kernel_chosen = file_with("gate_address", json!("127.0.0.1:0"));
+    kernel_chosen["control_address"] = json!("127.0.0.1:0");
+    assert_eq!(faults(&kernel_chosen), []);
 }
 
-// A gate that tells the others "0.0.0.0" is never reached by them, though it listens well.
+// Guards against an advertised address of 0.0.0.0, on which a daemon listens but which no other
+// daemon can reach.
 #[test]
-fn an_address_that_others_are_told_is_a_single_one() {
-    assert_eq!(paths(&with("call_address", json!("0.0.0.0:7000"))), [""; 0]);
+fn an_advertised_address_is_not_unspecified() {
+    assert_eq!(paths(&file_with("call_address", json!("0.0.0.0:7000"))), [""; 0]);
     for name in ["gate_address", "admin_address", "control_address"] {
-        assert_eq!(paths(&with(name, json!("0.0.0.0:7009"))), [name]);
+        assert_eq!(paths(&file_with(name, json!("0.0.0.0:7009"))), [name]);
     }
-    assert_eq!(paths(&with("platform_address", json!("127.0.0.1:0"))), ["platform_address"]);
+    assert_eq!(paths(&file_with("platform_address", json!("127.0.0.1:0"))), ["platform_address"]);
 }
 
 #[test]
-fn nobody_to_announce_is_refused_and_nobody_to_order_is_not() {
-    assert_eq!(paths(&with("announce_from", json!([]))), ["announce_from"]);
-    assert_eq!(paths(&with("admin_from", json!([]))), [""; 0]);
+fn announce_from_must_not_be_empty_but_admin_from_may() {
+    assert_eq!(paths(&file_with("announce_from", json!([]))), ["announce_from"]);
+    assert_eq!(paths(&file_with("admin_from", json!([]))), [""; 0]);
 }
 
-// serde_json keeps the last of two equal names in silence, and the operator's first is lost.
+// Guards against a duplicate field: serde_json silently keeps the last one, and the operator's
+// first value is lost.
 #[test]
-fn a_field_named_twice_is_refused() {
-    let text = smallest().to_string().replacen('{', "{\"instance\":\"sapporo-2\",", 1);
+fn a_duplicate_field_is_rejected() {
+    let text = minimal_file().to_string().replacen('{', "{\"instance\":\"sapporo-2\",", 1);
     let error = DaemonSettings::parse(text.as_bytes()).unwrap_err().to_string();
     assert!(error.contains("duplicate field `instance`"), "{error}");
 }
 
 #[test]
-fn text_that_is_not_json_names_its_place() {
+fn a_syntax_error_has_its_line_and_column() {
     let error = DaemonSettings::parse(b"{\n  \"instance\": ,\n}").unwrap_err().to_string();
     assert!(error.starts_with("file: line 2, column 15: "), "{error}");
     assert_eq!(paths(&json!([1])), ["file"]);
 }
 
 #[test]
-fn a_missing_file_is_named() {
+fn the_error_of_a_missing_file_names_its_path() {
     let error = DaemonSettings::load(Path::new("/nowhere/settings.json")).unwrap_err();
     assert!(matches!(error, FileError::Unreadable { .. }));
     assert!(error.to_string().starts_with("/nowhere/settings.json: "));
 }
 
 #[test]
-fn every_budget_has_a_range_and_its_default_lies_within() {
+fn every_budget_has_a_range_that_contains_its_default() {
     let defaults = serde_json::to_value(BudgetSettings::default()).unwrap();
     for name in defaults.as_object().unwrap().keys() {
         let path = format!("budgets.{name}");
-        let file = with("budgets", json!({name.as_str(): u64::MAX}));
+        let file = file_with("budgets", json!({name.as_str(): u64::MAX}));
         assert!(paths(&file).contains(&path), "{path} has no upper bound");
     }
-    assert_eq!(faults(&with("budgets", defaults)), []);
+    assert_eq!(faults(&file_with("budgets", defaults)), []);
 }
 
 quickcheck! {
-    fn whatever_the_check_accepts_the_parser_accepts(threads: u64, notice: u32, name: String) -> bool {
-        let mut file = with("call_threads", json!(threads % 70));
+    fn settings_that_pass_the_check_also_parse(threads: u64, notice: u32, name: String) -> bool {
+        let mut file = file_with("call_threads", json!(threads % 70));
         file["budgets"] = json!({"drain_notice_ms": notice % 40_000});
         file["instance"] = json!(name);
         let text = file.to_string();
