--- a/crates/yuccarackd/src/coordination/routed/events.rs
+++ b/crates/yuccarackd/src/coordination/routed/events.rs
@@ -1,4 +1,4 @@
-//! Log lines of routed calls: one for each decision, bounded in number by kind.
+//! Writes the log lines of routed calls, one for each decision, at a limited rate for each kind.
 
 use std::{sync::Arc, time::Instant};
 
@@ -8,28 +8,28 @@
 use super::log_lines::{LinesDropped, LogLine};
 use crate::state::counters::Counters;
 
-/// Kinds of log lines, each with a number of lines a second of its own.
+/// Kinds of log lines, each with a rate limit of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum EventKind {
-    /// A call got its target's answer.
+    /// A call received its target's response.
     CallAnswered,
-    /// A call got an answer of ours, or a target's failure.
+    /// A call received a refusal or a target's failure.
     CallFailed,
-    /// A try ended without a target's good answer.
+    /// An attempt ended without a successful response of a target.
     AttemptEnded,
-    /// A gate turned a request away or got no whole answer.
+    /// A gate refused a request or received no complete response.
     GateRefused,
-    /// A call to or of the target's control interface.
+    /// A heartbeat or leave of the target.
     Heartbeat,
     /// Another instance serves something else than before.
     MemberChanged,
     /// A routing table could not be fetched.
     RoutingNotFetched,
-    /// A relay tells, or no longer does; lost ones are asked again each second or so.
+    /// A relay is connected or lost; lost relays are queried again about each second.
     Relay,
 }
 
-const KINDS: [EventKind; 8] = [
+const EVENT_KINDS: [EventKind; 8] = [
     EventKind::CallAnswered,
     EventKind::CallFailed,
     EventKind::AttemptEnded,
@@ -54,8 +54,9 @@
         }
     }
 
-    /// Lines a second: failures are what engineers ask for, so they are kept before successes. A
-    /// line costs some 20 us of processor time, so all of them cost 0.3 % of a core.
+    /// Returns the lines a second of this kind. Failures are what engineers look for, so they get a
+    /// higher limit than successes. A line costs about 20 us of processor time, so all of them cost
+    /// 0.3 % of a core.
     fn lines_per_s(self) -> f64 {
         match self {
             Self::CallAnswered => 5.0,
@@ -66,8 +67,8 @@
     }
 }
 
-/// Where lines come from, as the library asks for; their kind tells more.
-static PLACE: RecordLocation = RecordLocation {
+/// Source location that the library requires; lines are found by their event instead.
+static LOCATION: RecordLocation = RecordLocation {
     file: file!(),
     line: line!(),
     column: column!(),
@@ -75,73 +76,74 @@
     module: module_path!(),
 };
 
-/// Writes lines while their kind has some left; clones share the bounds.
+/// Writes log lines within the rate limit of their kind; clones share the limits.
 #[derive(Clone)]
 pub struct EventLog {
     logger: Logger,
     counters: Counters,
-    share: f64,
-    allowances: Arc<Mutex<[Allowance; KINDS.len()]>>,
+    rate_scale: f64,
+    buckets: Arc<Mutex<[TokenBucket; EVENT_KINDS.len()]>>,
 }
 
 #[derive(Clone, Copy)]
-struct Allowance {
-    lines: f64,
-    at: Instant,
-    left_out: u64,
+struct TokenBucket {
+    tokens: f64,
+    refilled_at: Instant,
+    dropped: u64,
 }
 
 impl EventLog {
-    /// Writes to `logger`, with `percent` of the usual lines a second of each kind.
-    pub fn new(logger: Logger, counters: Counters, percent: u16) -> Self {
-        let share = f64::from(percent) / 100.0;
-        let full = |kind: EventKind| Allowance {
-            lines: most(kind.lines_per_s() * share),
-            at: Instant::now(),
-            left_out: 0,
+    /// Writes to `logger`, with `rate_percent` of the default lines a second of each kind.
+    pub fn new(logger: Logger, counters: Counters, rate_percent: u16) -> Self {
+        let rate_scale = f64::from(rate_percent) / 100.0;
+        let full = |kind: EventKind| TokenBucket {
+            tokens: burst_size(kind.lines_per_s() * rate_scale),
+            refilled_at: Instant::now(),
+            dropped: 0,
         };
-        Self { logger, counters, share, allowances: Arc::new(Mutex::new(KINDS.map(full))) }
+        Self { logger, counters, rate_scale, buckets: Arc::new(Mutex::new(EVENT_KINDS.map(full))) }
     }
 
-    /// Writes the line that `make` makes, if lines of its kind are left.
+    /// Writes the line that `make` returns, if the limit of its kind allows.
     ///
-    /// What was left out before is told in a line of its own first.
+    /// Lines dropped before it are reported first, in a line of their own.
     pub fn write<L: LogLine>(&self, make: impl FnOnce() -> L) {
         if let Some(kind) = L::RATE_LIMITED_AS {
-            match self.take(kind) {
+            match self.acquire(kind) {
                 None => return,
                 Some(0) => {}
-                Some(count) => self.put(&LinesDropped { of: kind.as_str(), count }),
+                Some(count) => self.emit(&LinesDropped { of: kind.as_str(), count }),
             }
         }
-        self.put(&make());
+        self.emit(&make());
     }
 
-    fn put<L: LogLine>(&self, line: &L) {
-        let form = RecordStatic { location: &PLACE, tag: "", level: L::LEVEL };
+    fn emit<L: LogLine>(&self, line: &L) {
+        let form = RecordStatic { location: &LOCATION, tag: "", level: L::LEVEL };
         self.logger.log(&Record::new(&form, &format_args!("{}", L::TEXT), BorrowedKV(line)));
     }
 
-    fn take(&self, kind: EventKind) -> Option<u64> {
+    fn acquire(&self, kind: EventKind) -> Option<u64> {
         let now = Instant::now();
-        let mut allowances = self.allowances.lock();
-        let allowance = &mut allowances[kind as usize];
-        let passed_s = now.saturating_duration_since(allowance.at).as_secs_f64();
-        let per_s = kind.lines_per_s() * self.share;
-        allowance.lines = (allowance.lines + passed_s * per_s).min(most(per_s));
-        allowance.at = now;
-        if allowance.lines < 1.0 {
-            allowance.left_out += 1;
-            drop(allowances);
+        let mut buckets = self.buckets.lock();
+        let bucket = &mut buckets[kind as usize];
+        let elapsed_s = now.saturating_duration_since(bucket.refilled_at).as_secs_f64();
+        let per_s = kind.lines_per_s() * self.rate_scale;
+        bucket.tokens = (bucket.tokens + elapsed_s * per_s).min(burst_size(per_s));
+        bucket.refilled_at = now;
+        if bucket.tokens < 1.0 {
+            bucket.dropped += 1;
+            drop(buckets);
             self.counters.add_reason("log.left_out", kind.as_str());
             return None;
         }
-        allowance.lines -= 1.0;
-        Some(std::mem::take(&mut allowance.left_out))
+        bucket.tokens -= 1.0;
+        Some(std::mem::take(&mut bucket.dropped))
     }
 }
 
-/// Most lines that are saved up: those of a second, and one where there are less, but none of none.
-fn most(per_s: f64) -> f64 {
+/// Returns the most tokens that accumulate: those of a second and at least one, but none at a rate
+/// of 0.
+fn burst_size(per_s: f64) -> f64 {
     if per_s > 0.0 { per_s.max(1.0) } else { 0.0 }
 }
--- a/crates/yuccarackd/src/coordination/routed/log_lines/calls.rs
+++ b/crates/yuccarackd/src/coordination/routed/log_lines/calls.rs
@@ -1,105 +1,105 @@
-//! Lines of calls and their tries.
+//! Log lines of calls and their attempts.
 
 use yuccarack_config::routing::RoutingVersion;
 
 use crate::coordination::routed::events::EventKind;
 
 log_lines! {
-    /// A call was answered well.
-    CallAnswered = "call_answered", "call answered by its target", Info,
+    /// A call received a successful response.
+    CallAnswered = "call_answered", "call succeeded", Info,
         Some(EventKind::CallAnswered);
     {
-        /// The caller's name of the request.
+        /// Request id that the caller set.
         request: String,
-        /// Who called.
+        /// Address of the caller.
         peer: String,
-        /// The route.
+        /// Id of the route.
         route: String,
-        /// The service.
+        /// Service of the route.
         service: String,
-        /// The target's status.
+        /// Status of the target's response.
         status: u16,
-        /// Gates that were asked, each with its word.
+        /// Gates tried, each with the result of its attempt.
         gates: String,
-        /// The routing table that it went by.
+        /// Version of the routing table used for the call.
         routing_version: RoutingVersion,
-        /// Time since it came, in ms.
+        /// Time since the call arrived, in ms.
         took_ms: u64,
     }
 
-    /// A call was answered by a target's failure, or by none.
+    /// A call received a target's failure, or a refusal by this daemon.
     CallFailed = "call_failed", "call failed", Info, Some(EventKind::CallFailed);
     {
-        /// The caller's name of the request.
+        /// Request id that the caller set.
         request: String,
-        /// Who called.
+        /// Address of the caller.
         peer: String,
-        /// The route.
+        /// Id of the route; empty if none matched.
         route: String,
-        /// The service.
+        /// Service of the route; empty if none matched.
         service: String,
-        /// The target's status, where one answered.
+        /// Status of the target's response; unset if this daemon refused the call.
         status: Option<u16>,
-        /// Why the answer is ours, where it is.
+        /// Reason of the refusal; unset if a target responded.
         reason: Option<&'static str>,
-        /// What is proved of the request then.
+        /// What is certain about the execution of the refused request.
         outcome: Option<&'static str>,
-        /// When its caller was told to come back, in ms.
+        /// Time after which the caller may retry, in ms.
         retry_after_ms: Option<u64>,
-        /// Gates that were asked, each with its word.
+        /// Gates tried, each with the result of its attempt.
         gates: String,
-        /// The routing table that it went by.
+        /// Version of the routing table used for the call.
         routing_version: RoutingVersion,
-        /// Time since it came, in ms.
+        /// Time since the call arrived, in ms.
         took_ms: u64,
     }
 
-    /// A try that may have run brought no good answer.
-    AttemptEnded = "try_ended", "try ended badly", Info, Some(EventKind::AttemptEnded);
+    /// An attempt that may have executed brought no successful response.
+    AttemptEnded = "try_ended", "attempt failed", Info, Some(EventKind::AttemptEnded);
     {
-        /// The caller's name of the request.
+        /// Request id that the caller set.
         request: String,
-        /// Where it was tried.
+        /// Instance of the gate that was tried.
         gate: String,
-        /// What is known of it.
+        /// What is known of the attempt.
         ended: String,
-        /// The target's status, or the reason of a refusal.
+        /// Status of the target's response, or the reason of a refusal.
         how: String,
-        /// Time since the call came, in ms.
+        /// Time since the call arrived, in ms.
         took_ms: u64,
-        /// What comes next.
+        /// Next step of the call.
         next: &'static str,
     }
 
-    /// A gate turned a request away, or its target gave no whole answer.
-    GateRefused = "gate_refused", "request not answered by the target", Info,
+    /// A gate refused a request, or its target sent no complete response.
+    GateRefused = "gate_refused", "gate refused a request or got no complete response", Info,
         Some(EventKind::GateRefused);
     {
-        /// The caller's name of the request.
+        /// Request id that the caller set.
         request: String,
-        /// The try's name.
+        /// Id of the attempt.
         attempt: String,
-        /// The service.
+        /// Service that was requested.
         service: String,
-        /// How urgent it is.
+        /// Priority of the request.
         rank: u8,
-        /// Why.
+        /// Reason of the refusal.
         reason: &'static str,
-        /// What is proved of the request.
+        /// What is certain about the execution of the request.
         outcome: &'static str,
-        /// Time that is left, in ms.
+        /// Time left until the deadline, in ms.
         left_ms: u64,
-        /// Time that it spent at the gate, in ms.
+        /// Time that the request spent at the gate, in ms.
         here_ms: u64,
-        /// Time of that until it was handed over, in ms; unset if it was not.
+        /// Part of it until the request was dispatched, in ms; unset if it was not.
         queued_ms: Option<u64>,
-        /// Requests that run.
+        /// Requests running on the target.
         running: u16,
-        /// Requests that wait.
+        /// Requests waiting at the gate.
         waiting: u16,
-        /// Most that run at once.
+        /// Most requests that run at once.
         limit: u16,
-        /// How much longer work takes at this moment than usual.
+        /// Current service time relative to the usual one.
         slowness: f64,
     }
 }
--- a/crates/yuccarackd/src/coordination/routed/log_lines/cluster_state.rs
+++ b/crates/yuccarackd/src/coordination/routed/log_lines/cluster_state.rs
@@ -1,199 +1,208 @@
-//! Lines of what is known of routes, members and the store.
+//! Log lines of changes to the routes, members and store as this daemon knows them.
 
 use yuccarack_config::{ids::Revision, routing::RoutingVersion};
 
 use crate::{coordination::routed::events::EventKind, protocol::peer_news::DatedEvacuation};
 
 log_lines! {
-    /// A failure domain is evacuated, or no longer.
-    EvacuationChanged = "evacuation_changed", "evacuation changed", Info, None;
+    /// The evacuation of a failure domain started or ended.
+    EvacuationChanged = "evacuation_changed", "evacuation of a failure domain changed", Info, None;
     {
         /// The failure domain.
         failure_domain: String,
-        /// Whether its targets get nothing.
+        /// Whether its targets receive no requests.
         is_evacuated: bool,
-        /// Revision that says so.
+        /// Revision that evacuated it or ended that.
         revision: Revision,
-        /// The store, or the daemon that sent the notice.
+        /// The store, or the address of the daemon that sent the update.
         from: String,
     }
 
-    /// Another instance serves something else.
-    MemberChanged = "member_changed", "member changed", Info, Some(EventKind::MemberChanged);
+    /// Another instance serves something else than before.
+    MemberChanged = "member_changed", "service of a member changed", Info,
+        Some(EventKind::MemberChanged);
     {
         /// The instance.
         member: String,
-        /// What it serves.
+        /// Service that it serves; unset without a target.
         service: Option<String>,
         /// Revision of its row.
         revision: Revision,
-        /// Who told.
+        /// Kind of the source: the store or a peer.
         from: &'static str,
     }
 
-    /// An instance that was out of reach for long is taken for gone.
-    MemberRowDeleted = "member_ended", "member's row ended", Warning, None;
+    /// The row of an instance was deleted, as it was unreachable for too long or its address is in
+    /// use by another one.
+    MemberRowDeleted = "member_ended", "row of a lost member deleted", Warning, None;
     {
         /// The instance.
         member: String,
-        /// Revision of its end.
+        /// Revision that deleted the row.
         revision: Revision,
     }
 
-    /// Its row could not be taken away; the next look tries again.
-    MemberRowNotDeleted = "member_not_ended", "member's row not ended", Warning, None;
+    /// The row of such an instance could not be deleted; it is attempted again later.
+    MemberRowNotDeleted = "member_not_ended", "row of a lost member could not be deleted", Warning,
+        None;
     {
         /// The instance.
         member: String,
-        /// Why.
+        /// Error of the write.
         cause: String,
     }
 
-    /// A row of the members' table could not be used.
-    MemberRowRejected = "member_kept_out", "member's row kept out", Warning, None;
+    /// A row of the members table could not be parsed.
+    MemberRowRejected = "member_kept_out", "unreadable member row ignored", Warning, None;
     {
-        /// The row's key.
+        /// Key of the row.
         member: String,
-        /// Its revision.
+        /// Revision of the row.
         revision: Revision,
-        /// Why.
+        /// Error of the parser.
         cause: String,
     }
 
-    /// A routing table came in force.
+    /// A routing table came into force.
     RoutingInForce = "routing_in_force", "routing table in force", Info, None;
     {
-        /// Its version.
+        /// Version of the table.
         version: RoutingVersion,
-        /// Revision of its row, where the store told.
+        /// Revision of its row, if it came from the store.
         revision: Option<Revision>,
-        /// Who told: the store, or the address of a peer.
+        /// The store, or the address of the peer that sent the table.
         from: String,
-        /// Time since a newer version than the one in force was first known of, in ms.
+        /// Time since a newer version than the one in force became known, in ms.
         behind_ms: u64,
     }
 
-    /// Changes of the routing table that a peer sent can't be used; the whole table is fetched.
-    RoutingChangesRejected = "routing_changes_rejected", "changes of the routing table rejected", Warning, Some(EventKind::RoutingNotFetched);
+    /// Changes of the routing table that a peer sent can't be applied; unless they start from
+    /// another version, all routes are requested next.
+    RoutingChangesRejected = "routing_changes_rejected",
+        "routing table changes from a peer rejected", Warning, Some(EventKind::RoutingNotFetched);
     {
         /// Address of the peer.
         peer: String,
-        /// Version that they lead to.
+        /// Version to which the changes lead.
         version: RoutingVersion,
-        /// Why.
+        /// Error of unpacking or applying them.
         cause: String,
     }
 
-    /// A field of the operators' document is missing or not understood, and was read in a safe sense.
-    RoutingFieldSubstituted = "routing_substituted", "field of the operators' document substituted", Warning, None;
+    /// A field of the operators' document is missing or not understood, and was replaced by a safe
+    /// value.
+    RoutingFieldSubstituted = "routing_substituted",
+        "field of the operators' document replaced by a safe value", Warning, None;
     {
         /// Version of the document.
         version: RoutingVersion,
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// What was found first.
+        /// The first value found that is not understood.
         found: String,
-        /// What was taken instead.
+        /// Value used instead.
         taken: &'static str,
-        /// Entries with it.
+        /// Number of entries with such a value.
         count: usize,
     }
 
-    /// The operators' document could not be used.
-    RoutingDocumentRejected = "routing_kept_out", "operators' document kept out", Warning, None;
+    /// The operators' document could not be parsed; the table in force stays.
+    RoutingDocumentRejected = "routing_kept_out", "unreadable operators' document ignored", Warning,
+        None;
     {
         /// Revision of its row.
         revision: Revision,
-        /// Version of what stays in force.
+        /// Version of the table in force.
         in_force: RoutingVersion,
-        /// Why.
+        /// Error of the parser.
         cause: String,
     }
 
     /// A newer routing table could not be fetched from the store or a peer.
-    RoutingNotFetched = "routing_not_read", "routing table not fetched", Warning, Some(EventKind::RoutingNotFetched);
+    RoutingNotFetched = "routing_not_read", "routing table could not be fetched", Warning,
+        Some(EventKind::RoutingNotFetched);
     {
-        /// The store, or the address of a peer.
+        /// The store, or the address of the peer.
         from: String,
         /// Version in force.
         in_force: RoutingVersion,
-        /// Newest version that is known of.
+        /// Newest known version.
         newest: RoutingVersion,
-        /// Time since a newer version than the one in force was first known of, in ms.
+        /// Time since a newer version than the one in force became known, in ms.
         behind_ms: u64,
-        /// Time that the transfer took until it failed, in ms.
+        /// Duration of the transfer until it failed, in ms.
         took_ms: u64,
-        /// Why.
+        /// Error of the transfer.
         cause: String,
     }
 
-    /// The store stopped answering.
+    /// The store stopped responding.
     StoreUnavailable = "store_lost", "store lost", Warning, None;
     {
-        /// The table that was asked for.
+        /// Table that was queried.
         table: &'static str,
-        /// Why.
+        /// Error of the query.
         cause: String,
     }
 
-    /// The store answers again.
-    StoreAvailable = "store_regained", "store regained", Info, None;
+    /// The store responds again.
+    StoreAvailable = "store_regained", "store available again", Info, None;
     {
-        /// The table that was asked for.
+        /// Table that was queried.
         table: &'static str,
     }
 
-    /// Another daemon of the failure domain tells of changes from now on.
-    RelayConnected = "relay_heard", "told by a relay", Info, Some(EventKind::Relay);
+    /// This daemon receives updates from another one of its failure domain.
+    RelayConnected = "relay_heard", "receiving updates from a relay", Info, Some(EventKind::Relay);
     {
-        /// Its instance.
+        /// Instance of the relay.
         relay: String,
     }
 
-    /// It no longer does, or can't be asked.
+    /// The relay no longer sends updates, or can't be queried.
     RelayLost = "relay_lost", "relay lost", Info, Some(EventKind::Relay);
     {
-        /// Its instance.
+        /// Instance of the relay.
         relay: String,
-        /// Why.
+        /// Error that ended the stream.
         cause: String,
     }
 
-    /// The row of this instance stands.
-    RowWritten = "row_written", "member row written", Info, None;
+    /// The row of this instance was written.
+    RowWritten = "row_written", "own member row written", Info, None;
     {
-        /// What it says that is served.
+        /// Service that the row names.
         service: Option<String>,
-        /// Its revision.
+        /// Revision of the row.
         revision: Revision,
     }
 
-    /// It could not be written yet.
-    RowNotWritten = "row_not_written", "member row not written", Warning, None;
+    /// The row could not be written; it is attempted again.
+    RowNotWritten = "row_not_written", "own member row could not be written", Warning, None;
     {
         /// Revision that was to be replaced.
         seen_at: Revision,
-        /// Why.
+        /// Error of the write.
         cause: String,
     }
 
-    /// The row of this instance is gone.
-    RowDeleted = "row_taken_away", "member row taken away", Info, None;
+    /// The row of this instance was deleted.
+    RowDeleted = "row_taken_away", "own member row deleted", Info, None;
     {
-        /// Revision of its end.
+        /// Revision that deleted it.
         revision: Revision,
     }
 
-    /// It stands though its instance goes.
-    RowNotDeleted = "row_not_taken_away", "member row not taken away", Warning, None;
+    /// The row could not be deleted although the instance leaves.
+    RowNotDeleted = "row_not_taken_away", "own member row could not be deleted", Warning, None;
     {
-        /// Why.
+        /// Error of the write.
         cause: String,
     }
 }
 
 impl EvacuationChanged {
-    /// The line of `dated`, which came `from` the store or another daemon.
+    /// Builds the line of `dated`, which came `from` the store or another daemon.
     pub fn new(dated: DatedEvacuation, from: String) -> Self {
         let DatedEvacuation { failure_domain, revision, is_evacuated } = dated;
         Self { failure_domain, is_evacuated, revision, from }
--- a/crates/yuccarackd/src/coordination/routed/log_lines/mod.rs
+++ b/crates/yuccarackd/src/coordination/routed/log_lines/mod.rs
@@ -1,33 +1,33 @@
-//! Every log line of routed calls: its name, text and fields.
+//! Every log line of routed calls with its event, text and fields.
 
 use slog::{KV, Level};
 
 use super::events::EventKind;
 
-/// A log line with fields of its own.
+/// A log line with a fixed set of fields.
 pub trait LogLine: KV {
-    /// Name of its kind, by which engineers and tools find it.
+    /// Name of the event, by which engineers and tools find the line.
     const EVENT: &'static str;
-    /// Its text.
+    /// Message of the line.
     const TEXT: &'static str;
-    /// Its weight.
+    /// Severity of the line.
     const LEVEL: Level;
-    /// Whose share of lines it takes; rare lines take none.
+    /// Kind whose rate limit applies; rare lines have none.
     const RATE_LIMITED_AS: Option<EventKind>;
-    /// Names of its fields.
+    /// Names of the fields.
     const FIELDS: &'static [&'static str];
 }
 
-/// What of a line is known without its values, for the pages.
+/// The event and fields of a line without its values, to check the documentation against.
 #[derive(Clone, Copy, Debug)]
 pub struct LineSchema {
-    /// Name of its kind.
+    /// Name of the event.
     pub event: &'static str,
-    /// Names of its fields.
+    /// Names of the fields.
     pub fields: &'static [&'static str],
 }
 
-/// Defines lines: a struct for each, written field by field under the names of its fields.
+/// Defines log lines: a struct for each, whose fields are written under their own names.
 macro_rules! log_lines {
     ($(
         $(#[$about:meta])*
@@ -65,7 +65,7 @@
             }
         )*
 
-        /// The forms of these lines.
+        /// Schemas of these lines.
         pub(super) const SCHEMAS: &[$crate::coordination::routed::log_lines::LineSchema] = &[
             $($crate::coordination::routed::log_lines::LineSchema {
                 event: <$name as $crate::coordination::routed::log_lines::LogLine>::EVENT,
@@ -75,7 +75,7 @@
     };
 }
 
-// After the macro that they use.
+// Below the macro that they use.
 mod calls;
 mod cluster_state;
 mod process;
@@ -83,7 +83,7 @@
 
 pub use self::{calls::*, cluster_state::*, process::*, targets::*};
 
-/// All lines that a daemon for routed calls writes.
+/// Returns the schemas of all lines that a daemon for routed calls writes.
 pub fn all() -> impl Iterator<Item = &'static LineSchema> {
     [calls::SCHEMAS, targets::SCHEMAS, cluster_state::SCHEMAS, process::SCHEMAS]
         .into_iter()
--- a/crates/yuccarackd/src/coordination/routed/log_lines/process.rs
+++ b/crates/yuccarackd/src/coordination/routed/log_lines/process.rs
@@ -1,21 +1,21 @@
-//! Lines of a daemon itself.
+//! Log lines of the daemon's own process.
 
 log_lines! {
-    /// News for a peer could not be written.
-    UpdateNotEncoded = "news_not_written", "news not written", Warning, None;
+    /// An update for a peer could not be encoded.
+    UpdateNotEncoded = "news_not_written", "update for a peer could not be encoded", Warning, None;
     {
-        /// Why.
+        /// Error of the encoder.
         cause: String,
     }
 
-    /// Metrics could not be written.
-    MetricsNotEncoded = "metrics_not_told", "metrics not told", Warning, None;
+    /// The metrics could not be encoded.
+    MetricsNotEncoded = "metrics_not_told", "metrics could not be encoded", Warning, None;
     {
-        /// Why.
+        /// Error of the encoder.
         cause: String,
     }
 
-    /// The daemon serves; whoever started it learns its ports from this line.
+    /// The daemon serves requests; whoever started it learns its ports from this line.
     Serving = "serving", "serving", Info, None;
     {
         /// Service of the target on this instance.
@@ -28,54 +28,56 @@
         gate_address: String,
         /// Address for the target.
         liveness_address: String,
-        /// Address for questions of readiness.
+        /// Address for readiness probes.
         readiness_address: String,
         /// Address for metrics.
         metrics_address: String,
     }
 
-    /// The daemon was asked to stop.
+    /// The daemon was told to stop.
     Stopping = "stopping", "stopping", Info, None;
     {
-        /// Requests that run on the target.
+        /// Requests running on the target.
         running: usize,
     }
 
-    /// All has ended.
+    /// All tasks have ended.
     Stopped = "stopped", "stopped", Info, None;
     {}
 
-    /// The time to stop is over.
-    StoppedForcibly = "stopped_hard", "stopped, and calls were cut off", Warning, None;
+    /// The time to stop has expired.
+    StoppedForcibly = "stopped_hard", "stop timeout expired, remaining requests cut off", Warning,
+        None;
     {
         /// Whether calls of callers were cut off.
         calls: bool,
-        /// Whether requests of other daemons were.
+        /// Whether requests of other daemons were cut off.
         gate: bool,
-        /// Whether something else had not ended.
+        /// Whether another task had not ended.
         rest: bool,
     }
 
-    /// Settings were read anew.
-    SettingsReloaded = "settings_read", "settings read anew", Info, None;
+    /// The settings file was reloaded.
+    SettingsReloaded = "settings_read", "settings reloaded", Info, None;
     {
         /// What changed.
         result: String,
     }
 
-    /// Settings could not be read; the old ones hold.
-    SettingsNotReloaded = "settings_kept", "settings kept as they were", Warning, None;
+    /// The settings file could not be reloaded; the previous settings stay in force.
+    SettingsNotReloaded = "settings_kept",
+        "settings could not be reloaded, previous settings kept", Warning, None;
     {
-        /// Why.
+        /// Error of reading or parsing the file.
         cause: String,
     }
 
-    /// Lines of a kind were left out since its last one.
+    /// Lines of one kind were dropped since its last one.
     LinesDropped = "lines_left_out", "lines left out", Info, None;
     {
         /// The kind.
         of: &'static str,
-        /// How many.
+        /// Number of dropped lines.
         count: u64,
     }
 }
--- a/crates/yuccarackd/src/coordination/routed/log_lines/targets.rs
+++ b/crates/yuccarackd/src/coordination/routed/log_lines/targets.rs
@@ -1,122 +1,126 @@
-//! Lines of targets: what they say, and whether they can be reached.
+//! Log lines of targets: their heartbeats, and whether they are reachable.
 
 use yuccarack_config::{heartbeat::TargetIncarnation, ids::Revision};
 
 use crate::coordination::routed::events::EventKind;
 
 log_lines! {
-    /// What a target says of itself changed.
+    /// A heartbeat reports a change.
     HeartbeatReceived = "heartbeat", "heartbeat", Info, Some(EventKind::Heartbeat);
     {
-        /// The target.
+        /// Name of the target.
         target: String,
-        /// Its process.
+        /// Incarnation of the target.
         life: TargetIncarnation,
-        /// Number of the heartbeat.
+        /// Sequence number of the heartbeat.
         sequence: u64,
-        /// The service.
+        /// Service that the target serves.
         service: String,
-        /// Whether it takes work.
+        /// Phase of the target: whether it takes requests.
         phase: String,
-        /// What was made of it.
+        /// How the heartbeat was handled.
         heard: String,
     }
 
-    /// A heartbeat could not be used.
-    HeartbeatRejected = "heartbeat_kept_out", "heartbeat kept out", Warning,
+    /// A heartbeat or leave could not be parsed.
+    HeartbeatRejected = "heartbeat_kept_out", "unreadable heartbeat rejected", Warning,
         Some(EventKind::Heartbeat);
     {
-        /// Why.
+        /// Error of the parser.
         cause: String,
     }
 
-    /// A target said that it goes.
-    TargetLeaving = "target_leaves", "target leaves", Info, Some(EventKind::Heartbeat);
+    /// A target announced that it leaves.
+    TargetLeaving = "target_leaves", "target announced that it leaves", Info,
+        Some(EventKind::Heartbeat);
     {
-        /// The target.
+        /// Name of the target.
         target: String,
-        /// Its process.
+        /// Incarnation that leaves; unset if the target named none.
         life: Option<TargetIncarnation>,
-        /// Whether it is the one that was here.
+        /// Whether it is the target of this instance.
         is_present: bool,
     }
 
-    /// A target is here and takes work.
-    TargetAdmitted = "target_taken_in", "target taken in", Info, None;
+    /// A target is ready and receives requests.
+    TargetAdmitted = "target_taken_in", "target admitted", Info, None;
     {
-        /// The target.
+        /// Name of the target.
         target: String,
-        /// The service.
+        /// Service that it serves.
         service: String,
-        /// Its process.
+        /// Incarnation of the target.
         life: TargetIncarnation,
         /// Requests that it runs at once.
         slots: u16,
     }
 
-    /// The target can't be reached.
-    TargetUnreachable = "target_lost", "target lost", Warning, None;
+    /// The target is unreachable.
+    TargetUnreachable = "target_lost", "target unreachable", Warning, None;
     {
-        /// The target.
+        /// Name of the target.
         target: String,
-        /// Where it should be.
+        /// Address at which the target is expected.
         address: String,
     }
 
-    /// The target can be reached again.
-    TargetReachable = "target_regained", "target regained", Info, None;
+    /// The target is reachable again.
+    TargetReachable = "target_regained", "target reachable again", Info, None;
     {
-        /// The target.
+        /// Name of the target.
         target: String,
     }
 
     /// The target died while it ran a request.
-    TargetDied = "target_died", "target died with a request on it", Warning, None;
+    TargetDied = "target_died", "target died while it ran a request", Warning, None;
     {
-        /// The target.
+        /// Name of the target.
         target: String,
-        /// Its process.
+        /// Incarnation that died.
         life: TargetIncarnation,
-        /// What the request is recognised by.
+        /// Fingerprint by which the request is recognised.
         fingerprint: String,
     }
 
-    /// A gate could not be told of a death.
-    CrashReportNotSent = "gate_not_told", "gate not told of a death", Info, None;
+    /// A crash report could not be sent to another gate.
+    CrashReportNotSent = "gate_not_told", "crash report could not be sent to a gate", Info, None;
     {
-        /// The gate's instance.
+        /// Instance of the gate.
         gate: String,
     }
 
-    /// The word of a target that leaves is kept in the store.
-    LeavingStored = "leaving_kept", "leaving target kept", Info, None;
+    /// The store holds the row of a target that leaves.
+    LeavingStored = "leaving_kept", "departure of the target stored", Info, None;
     {
-        /// The target; unset where it stays after all.
+        /// Name of the target; unset if it stays after all.
         target: Option<String>,
-        /// Its process.
+        /// Incarnation that leaves.
         life: Option<TargetIncarnation>,
         /// Revision of the row.
         revision: Revision,
     }
 
-    /// It is not kept yet.
-    LeavingNotStored = "leaving_not_kept", "leaving target not kept", Warning, None;
+    /// The row could not be written yet.
+    LeavingNotStored = "leaving_not_kept", "departure of the target could not be stored", Warning,
+        None;
     {
-        /// Why.
+        /// Error of the write.
         cause: String,
     }
 
-    /// It is not known what an earlier process of this daemon was told.
-    LeavingNotRead = "leaving_not_looked_up", "leaving target not looked up", Warning, None;
+    /// It is unknown whether the target announced to an earlier process of this daemon that it
+    /// leaves.
+    LeavingNotRead = "leaving_not_looked_up", "departure of the target could not be read", Warning,
+        None;
     {
-        /// Why.
+        /// Error of the read.
         cause: String,
     }
 
     /// The clock of this machine can't be used.
-    ClockUnusable = "clock_unusable", "clock can't be used", Warning, None;
+    ClockUnusable = "clock_unusable", "system clock unusable", Warning, None;
     {
-        /// Why.
+        /// Why the clock can't be used.
         cause: String,
     }
 }
