--- a/crates/yuccarackd/src/coordination/routed/catch_up.rs
+++ b/crates/yuccarackd/src/coordination/routed/catch_up.rs
@@ -1,4 +1,4 @@
-//! Fetches a routing table that is known to exist and that the usual news have not brought.
+//! Fetches newer routing tables that the regular updates have not delivered.
 
 use std::time::Duration;
 
@@ -11,26 +11,27 @@
 };
 use crate::{coordination::jitter::jittered, state::routed::news_source::NewsSource};
 
-/// Time that the store's feed or a relay has to bring a newer table before it is fetched: they
-/// usually bring it within 100 ms, and it costs no bytes between failure domains then.
-const NEWS_FIRST: Duration = Duration::from_millis(600);
+/// Time that the store's feed or a relay has to deliver a newer table before it is fetched. They
+/// usually deliver it within 100 ms, and then it costs no bytes between failure domains.
+const UPDATE_GRACE: Duration = Duration::from_millis(600);
 
-/// First wait after a try that did not bring the table; it doubles after a try of each source.
+/// First delay after an attempt that did not deliver the table; it doubles after one attempt at
+/// each source.
 const RETRY_FIRST: Duration = Duration::from_millis(100);
 
-/// Longest such wait.
+/// Longest retry delay.
 const RETRY_MAX: Duration = Duration::from_secs(1);
 
-/// Fetches newer routing tables, from the store and from peers by turns.
+/// Fetches newer routing tables, from the store and from peers in turn.
 ///
-/// Failure: a daemon reads a whole table from the store and from a peer at the same time, over one thin
-/// link, and neither ends in time.
+/// Two transfers of a full table at the same time, one from the store and one from a peer, would
+/// share one thin link, and neither would end in time.
 pub struct CatchUp {
     peers: Peers,
     follower: StoreFollower,
 }
 
-/// Where a table is fetched.
+/// Source from which a table is fetched.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Source {
     Store,
@@ -46,33 +47,33 @@
     /// Runs until it is dropped.
     pub async fn run(self) {
         loop {
-            let newer = self.peers.next_newer_table().await;
-            if !newer.is_omitted && self.follower.news.source() != NewsSource::Nobody {
-                self.wait_for_news(newer.version).await;
+            let notice = self.peers.next_newer_table().await;
+            if !notice.is_omitted && self.follower.news.source() != NewsSource::Nobody {
+                self.wait_for_update(notice.version).await;
             }
-            self.fetch(newer).await;
+            self.fetch(notice).await;
         }
     }
 
-    /// Waits until the usual news have brought `version`, or their time is over.
-    async fn wait_for_news(&self, version: RoutingVersion) {
+    /// Waits until the regular updates have delivered `version`, or [`UPDATE_GRACE`] is over.
+    async fn wait_for_update(&self, version: RoutingVersion) {
         let mut versions = self.follower.routing.subscribe();
-        let brought = versions.wait_for(|known| *known >= version);
-        // Without the table in time it is fetched.
-        let _ = timeout(NEWS_FIRST, brought).await;
+        let arrival = versions.wait_for(|known| *known >= version);
+        // A table that has not arrived in time is fetched by the caller.
+        let _ = timeout(UPDATE_GRACE, arrival).await;
     }
 
-    /// Tries until the newest version that is known of is in force.
-    async fn fetch(&self, newer: NewerTableNotice) {
-        let first = if newer.is_omitted { Source::Store } else { Source::Peer };
+    /// Attempts to fetch until the newest known version is in force.
+    async fn fetch(&self, notice: NewerTableNotice) {
+        let first = if notice.is_omitted { Source::Store } else { Source::Peer };
         let mut source = first;
-        let mut address = Some(newer.address);
+        let mut address = Some(notice.address);
         let mut retry = RETRY_FIRST;
         while self.is_behind() {
-            // Beside a transfer that makes progress only peers are asked, for small changes.
-            let is_on_its_way = self.follower.transfers.make_progress();
+            // Beside a transfer that makes progress only peers are queried, for small changes.
+            let is_transferring = self.follower.transfers.make_progress();
             match source {
-                Source::Store if is_on_its_way => {}
+                Source::Store if is_transferring => {}
                 Source::Store => self.follower.fetch_routing_table().await,
                 Source::Peer => {
                     if let Some(address) =
@@ -97,7 +98,8 @@
         routing.newest_version() > routing.version()
     }
 
-    /// A store that doesn't answer is asked by its follower anyway.
+    /// Returns the source to use after `source`. An unavailable store is left to its follower,
+    /// which retries it anyway.
     fn next_source(&self, source: Source) -> Source {
         match source {
             Source::Peer if self.follower.news.source() != NewsSource::Nobody => Source::Store,
--- a/crates/yuccarackd/src/coordination/routed/peers/intake.rs
+++ b/crates/yuccarackd/src/coordination/routed/peers/intake.rs
@@ -1,4 +1,4 @@
-//! Takes in what other daemons send.
+//! Applies updates that other daemons send.
 
 use std::{net::SocketAddr, sync::atomic::Ordering};
 
@@ -17,26 +17,30 @@
     },
 };
 
-/// Why changes of the routing table were not taken.
+/// Why changes of the routing table were not applied.
 #[derive(Debug, Error)]
-enum ChangesRejected {
-    /// They can't be unpacked.
+enum ApplyChangesError {
+    /// The changes can't be unpacked.
     #[error(transparent)]
-    Unreadable(#[from] PackError),
-    /// They don't fit the table in force.
+    Unpack(#[from] PackError),
+    /// The changes don't fit the table in force.
     #[error(transparent)]
-    Unfit(#[from] ChangesError),
+    Mismatch(#[from] ChangesError),
 }
 
 impl Peers {
-    /// Takes in what the daemon at `address` sent.
-    pub(in crate::coordination::routed) fn take(&self, address: SocketAddr, news: PeerNews) {
+    /// Applies the update of the daemon whose gate is at `address`.
+    pub(in crate::coordination::routed) fn apply_update(
+        &self,
+        address: SocketAddr,
+        update: PeerNews,
+    ) {
         let parts = &self.inner.parts;
-        let listed = news.whole_as_of();
-        if let Some(changes) = &news.changes {
-            self.take_changes(address, changes);
+        let listed = update.whole_as_of();
+        if let Some(changes) = &update.changes {
+            self.apply_changes(address, changes);
         }
-        if let Some(table) = news.routing {
+        if let Some(table) = update.routing {
             let version = table.version;
             let behind_ms = whole_ms(parts.routing.behind_for());
             if parts.routing.offer(table) {
@@ -44,12 +48,12 @@
                 parts.events.write(|| RoutingInForce { version, revision: None, from, behind_ms });
             }
         }
-        for dated in news.evacuations {
+        for dated in update.evacuations {
             if parts.evacuations.merge(&dated) {
                 parts.events.write(|| EvacuationChanged::new(dated, address.to_string()));
             }
         }
-        for dated in news.members {
+        for dated in update.members {
             let DatedMember { instance, revision, member } = dated;
             let service = member.as_ref().and_then(|member| member.service.clone());
             if parts.members.merge(&instance, revision, member) {
@@ -63,24 +67,24 @@
         }
     }
 
-    fn take_changes(&self, address: SocketAddr, packed: &PackedChanges) {
+    fn apply_changes(&self, address: SocketAddr, packed: &PackedChanges) {
         let parts = &self.inner.parts;
         let version = packed.version;
         if version <= parts.routing.version() {
             return;
         }
         let behind_ms = whole_ms(parts.routing.behind_for());
-        let applied = packed.unpack().map_err(ChangesRejected::from);
+        let applied = packed.unpack().map_err(ApplyChangesError::from);
         match applied.and_then(|changes| Ok(parts.routing.apply(changes)?)) {
             Ok(false) => {}
             Ok(true) => {
-                self.inner.asks_for_all_routes.store(false, Ordering::Relaxed);
+                self.inner.needs_full_routing.store(false, Ordering::Relaxed);
                 let from = address.to_string();
                 parts.events.write(|| RoutingInForce { version, revision: None, from, behind_ms });
             }
             Err(error) => {
-                if !matches!(error, ChangesRejected::Unfit(ChangesError::Base { .. })) {
-                    self.inner.asks_for_all_routes.store(true, Ordering::Relaxed);
+                if !matches!(error, ApplyChangesError::Mismatch(ChangesError::Base { .. })) {
+                    self.inner.needs_full_routing.store(true, Ordering::Relaxed);
                 }
                 parts.counters.add("routing.changes_rejected");
                 let (peer, cause) = (address.to_string(), error.to_string());
--- a/crates/yuccarackd/src/coordination/routed/peers/mod.rs
+++ b/crates/yuccarackd/src/coordination/routed/peers/mod.rs
@@ -1,4 +1,5 @@
-//! News from other daemons, for one that the store doesn't serve or that lags.
+//! Exchanges updates with other daemons, for a daemon that the store doesn't serve or that lags
+//! behind.
 
 mod candidates;
 mod intake;
@@ -26,7 +27,7 @@
 use self::newer_table::NewerTableNotices;
 use super::{
     events::EventLog, log_lines::UpdateNotEncoded, relay_stream::RelayStream,
-    routing_packer::RoutingPacker, store_follower::not_read,
+    routing_packer::RoutingPacker, store_follower::routing_not_fetched,
 };
 use crate::{
     coordination::jitter::jittered,
@@ -51,50 +52,50 @@
     },
 };
 
-/// Time between two questions to peers while the store doesn't answer: a change that one daemon
-/// has heard of reaches the others within a second or two.
-const ASK_INTERVAL: Duration = Duration::from_millis(500);
+/// Time between two queries to peers while the store is unavailable: a change known to one daemon
+/// reaches the others within a second or two.
+const QUERY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time between two checks of a daemon that asks the store with another one that does.
+/// Time between two checks of a daemon that queries the store against another one that does.
 ///
-/// Failure: the store takes a question and never answers, or its link is cut, while the connection
-/// stands; until the question is given up after half a minute, changes aren't heard of by this daemon
-/// and by those that it tells, who would have heard of them. A change has to be in force within 2 s.
+/// The store may accept a poll and never respond, or its link may be cut while the connection
+/// stands. Until the poll times out after half a minute, neither this daemon nor those that it
+/// relays to learn of changes. A change has to be in force within 2 s.
 const CHECK_INTERVAL: Duration = Duration::from_millis(700);
 
-/// Longest wait for the head of a peer's answer.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
+/// Longest wait for the head of a peer's response.
+const RESPONSE_HEAD_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Most senders that are remembered to be asked while no member is known.
-const SENDERS_MAX: usize = 16;
+/// Most senders that are remembered as peers to query while no member is known.
+const KNOWN_SENDERS_MAX: usize = 16;
 
-/// Why a peer gave no news.
+/// Why a peer sent no update.
 #[derive(Debug, Error)]
 enum PeerError {
-    /// It could not be asked.
+    /// The query could not be sent.
     #[error(transparent)]
-    NotSent(#[from] SendError),
-    /// Its answer didn't begin in time.
-    #[error("no answer in time")]
-    Silent(#[from] Elapsed),
-    /// Its answer broke off or stalled.
+    Send(#[from] SendError),
+    /// The response didn't start in time.
+    #[error("no response from the peer in time")]
+    Timeout(#[from] Elapsed),
+    /// The response was cut off or stalled.
     #[error(transparent)]
-    NotRead(#[from] TransferError<BodyError>),
-    /// Its answer can't be read.
-    #[error("the answer can't be read: {0}")]
+    Transfer(#[from] TransferError<BodyError>),
+    /// The response can't be parsed.
+    #[error("the peer's response can't be parsed: {0}")]
     Malformed(#[from] serde_json::Error),
 }
 
-/// What a daemon wants to hear of a peer.
+/// What a daemon requests from a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Wanted {
+enum UpdateScope {
     /// A newer routing table, if the peer has one.
     Routing,
-    /// All members too.
+    /// The changed members as well.
     All,
 }
 
-/// Asks peers for news and answers theirs.
+/// Queries peers for updates and responds to their queries; clones share its state.
 #[derive(Clone)]
 pub struct Peers {
     inner: Arc<Inner>,
@@ -102,71 +103,73 @@
 
 /// What [`Peers`] works with.
 pub struct PeersParts {
-    /// Gate address of this daemon.
+    /// Gate address of this daemon, which is never queried.
     pub own_address: SocketAddr,
     /// The routing table in force.
     pub routing: RoutingState,
-    /// All members.
+    /// Members known to this daemon.
     pub members: Members,
-    /// Failure domains that are evacuated.
+    /// Evacuated failure domains.
     pub evacuations: Evacuations,
-    /// Who tells this daemon of changes.
+    /// Source of this daemon's updates.
     pub news: News,
-    /// Transfers of the routing table.
+    /// Transfers of the routing table in progress.
     pub transfers: Transfers,
-    /// Cancelled once this daemon is asked to stop.
+    /// Cancelled once this daemon is told to stop.
     pub leaving: CancellationToken,
     /// Connections to other gates.
     pub upstream: Upstream,
-    /// Counters.
+    /// Counters of queries and failures.
     pub counters: Counters,
-    /// Log lines.
+    /// Log for received updates and failed queries.
     pub events: EventLog,
 }
 
 struct Inner {
     parts: PeersParts,
     packer: RoutingPacker,
-    /// Daemons that sent requests here, for one that knows nobody else.
+    /// Daemons that sent requests to this one, queried while no member is known.
     senders: Mutex<Vec<SocketAddr>>,
-    newer: NewerTableNotices,
-    /// Whether the last changes of a peer did not fit the own table; all routes are asked for then.
-    asks_for_all_routes: AtomicBool,
-    /// Held by the one question that is asked at a time.
-    asking: tokio::sync::Mutex<()>,
+    newer_tables: NewerTableNotices,
+    /// Whether a peer's last changes did not fit the own table, so that the next query asks for all
+    /// routes.
+    needs_full_routing: AtomicBool,
+    /// Held during a query, so that there is one at a time.
+    query_lock: tokio::sync::Mutex<()>,
 }
 
 impl Peers {
-    /// Works with `parts`.
+    /// Starts without known senders or notices of newer tables.
     pub fn new(parts: PeersParts) -> Self {
         let packer = RoutingPacker::new(parts.routing.clone(), parts.events.clone());
-        let newer = NewerTableNotices::new(parts.routing.clone());
+        let newer_tables = NewerTableNotices::new(parts.routing.clone());
         let inner = Inner {
             parts,
             packer,
-            newer,
-            asks_for_all_routes: AtomicBool::new(false),
+            newer_tables,
+            needs_full_routing: AtomicBool::new(false),
             senders: Mutex::default(),
-            asking: tokio::sync::Mutex::default(),
+            query_lock: tokio::sync::Mutex::default(),
         };
         Self { inner: Arc::new(inner) }
     }
 
-    /// Takes word of a daemon that sent a request here.
+    /// Notes a daemon that sent a request to this one.
     pub fn note_sender(&self, address: SocketAddr) {
         let mut senders = self.inner.senders.lock();
-        if senders.len() < SENDERS_MAX && !senders.contains(&address) {
+        if senders.len() < KNOWN_SENDERS_MAX && !senders.contains(&address) {
             senders.push(address);
         }
     }
 
-    /// Asks peers while the store doesn't answer, and checks with other relays while it does.
+    /// Queries peers while the store is unavailable, and checks against other relays while it is
+    /// available.
     pub async fn run(self, stop: CancellationToken) {
         let mut source_changes = self.inner.parts.news.subscribe();
         loop {
             let source = *source_changes.borrow_and_update();
-            self.ask_somebody(source).await;
-            let pause = if source == NewsSource::Nobody { ASK_INTERVAL } else { CHECK_INTERVAL };
+            self.query_random_peer(source).await;
+            let pause = if source == NewsSource::Nobody { QUERY_INTERVAL } else { CHECK_INTERVAL };
             tokio::select! {
                 () = stop.cancelled() => return,
                 () = sleep(jittered(pause)) => {}
@@ -175,44 +178,44 @@
         }
     }
 
-    async fn ask_somebody(&self, source: NewsSource) {
-        let (wanted, candidates) = match source {
-            NewsSource::Nobody => (Wanted::All, self.anybody()),
-            NewsSource::Store => (Wanted::Routing, self.relays()),
-            // The relay does this for all whom it tells.
+    async fn query_random_peer(&self, source: NewsSource) {
+        let (scope, candidates) = match source {
+            NewsSource::Nobody => (UpdateScope::All, self.all_addresses()),
+            NewsSource::Store => (UpdateScope::Routing, self.relays()),
+            // The relay checks on behalf of all daemons that it sends updates to.
             NewsSource::Relay => return,
         };
-        let chosen = self.others(candidates).choose(&mut rand::rng()).copied();
+        let chosen = self.without_self(candidates).choose(&mut rand::rng()).copied();
         if let Some(address) = chosen {
-            self.ask(address, wanted).await;
+            self.query(address, scope).await;
         }
     }
 
-    /// Asks the daemon at `address` for a newer routing table.
+    /// Queries the daemon at `address` for a newer routing table and applies it.
     pub async fn fetch_routing(&self, address: SocketAddr) {
-        self.ask(address, Wanted::Routing).await;
+        self.query(address, UpdateScope::Routing).await;
     }
 
-    /// Changes of the routing table that are asked for: beside a transfer that makes progress, only
-    /// those that don't take its bandwidth.
-    fn changes_to_ask_for(&self) -> ChangesTaken {
+    /// Returns which changes of the routing table to request: beside a transfer that makes
+    /// progress, only those small enough to leave its bandwidth alone.
+    fn changes_to_request(&self) -> ChangesTaken {
         match self.inner.parts.transfers.make_progress() {
             true => ChangesTaken::Small,
             false => ChangesTaken::All,
         }
     }
 
-    /// Answers the question of a peer.
-    pub fn respond(&self, question: Result<NewsQuestion, NewsQuestionError>) -> Response<CallBody> {
+    /// Responds to the query of a peer.
+    pub fn respond(&self, query: Result<NewsQuestion, NewsQuestionError>) -> Response<CallBody> {
         let parts = &self.inner.parts;
-        let Ok(question) = question else {
+        let Ok(query) = query else {
             parts.counters.add("peers.unreadable");
             return status_only(StatusCode::BAD_REQUEST);
         };
-        if question.is_lasting {
-            return Response::new(RelayStream::new(self.clone(), question).into_body());
+        if query.is_lasting {
+            return Response::new(RelayStream::new(self.clone(), query).into_body());
         }
-        match serde_json::to_vec(&self.news_for(&question, parts.news.to_relay())) {
+        match serde_json::to_vec(&self.update_for(&query, parts.news.to_relay())) {
             Ok(text) => Response::new(body::full(text.into())),
             Err(error) => {
                 parts.events.write(|| UpdateNotEncoded { cause: error.to_string() });
@@ -221,25 +224,27 @@
         }
     }
 
-    /// What `question` asks for, with `known` as what is known of the store.
-    pub(in crate::coordination::routed) fn news_for(
+    /// Builds the update that `query` asks for; `known` is how far this daemon has synced the
+    /// store.
+    pub(in crate::coordination::routed) fn update_for(
         &self,
-        question: &NewsQuestion,
+        query: &NewsQuestion,
         known: Option<KnownUpTo>,
     ) -> PeerNews {
         let parts = &self.inner.parts;
-        // Before the table is looked at: a version whose table is not sent would count as sent.
+        // Read before the table: otherwise a version whose table is not sent would count as sent.
         let routing_version = parts.routing.version();
-        let is_newer = |version| version > question.routing_version;
-        let (base, packer) = (question.routing_version, &self.inner.packer);
-        let (routing, changes) = match question.changes {
+        let is_newer = |version| version > query.routing_version;
+        let (base, packer) = (query.routing_version, &self.inner.packer);
+        let (routing, changes) = match query.changes {
             ChangesTaken::None => (parts.routing.current(), None),
             ChangesTaken::Small => (None, packer.small_changes_since(base)),
             ChangesTaken::All => (None, packer.changes_since(base)),
         };
         let routing = routing.filter(|routing| is_newer(routing.version()));
-        // Who went before this daemon listed the members is not among the changes that it knows.
-        let after = question.members_after;
+        // Rows that were removed before this daemon listed the members are not among its known
+        // changes.
+        let after = query.members_after;
         let knows_changes = |after: Revision| parts.news.knows_who_went_after(after);
         let is_whole = known.is_some() && after.is_some_and(|after| !knows_changes(after));
         let after = if is_whole { Some(0) } else { after };
@@ -255,64 +260,71 @@
         }
     }
 
-    /// What this works with.
+    /// Returns what this object works with.
     pub(in crate::coordination::routed) fn parts(&self) -> &PeersParts {
         &self.inner.parts
     }
 
-    async fn ask(&self, address: SocketAddr, wanted: Wanted) {
-        let _asking = self.inner.asking.lock().await;
+    async fn query(&self, address: SocketAddr, scope: UpdateScope) {
+        let _query_guard = self.inner.query_lock.lock().await;
         let parts = &self.inner.parts;
         parts.counters.add("peers.asked");
         let started_at = Instant::now();
-        match self.news_of(address, wanted).await {
-            Ok(news) => self.take(address, news),
+        match self.request_update(address, scope).await {
+            Ok(update) => self.apply_update(address, update),
             Err(error) => {
                 parts.counters.add("peers.silent");
                 let (source, cause) = (address.to_string(), error.to_string());
-                parts.events.write(|| not_read(source, &parts.routing, started_at, cause));
+                parts
+                    .events
+                    .write(|| routing_not_fetched(source, &parts.routing, started_at, cause));
             }
         }
     }
 
-    async fn news_of(&self, address: SocketAddr, wanted: Wanted) -> Result<PeerNews, PeerError> {
-        let changes = self.changes_to_ask_for();
-        // Without the store the same question is asked twice a second; all members would fill thin links.
+    async fn request_update(
+        &self,
+        address: SocketAddr,
+        scope: UpdateScope,
+    ) -> Result<PeerNews, PeerError> {
+        let changes = self.changes_to_request();
+        // Without the store this query is sent twice a second; a list of all members each time
+        // would fill thin links.
         let members_known = self.inner.parts.news.known_up_to(Followed::Members).unwrap_or(0);
-        let routing_version = match self.inner.asks_for_all_routes.load(Ordering::Relaxed) {
+        let routing_version = match self.inner.needs_full_routing.load(Ordering::Relaxed) {
             true => 0,
             false => self.inner.parts.routing.version(),
         };
-        let question = NewsQuestion {
+        let query = NewsQuestion {
             routing_version,
-            members_after: (wanted == Wanted::All).then_some(members_known),
+            members_after: (scope == UpdateScope::All).then_some(members_known),
             is_lasting: false,
             changes,
         };
-        let asked = self.send(address, &question, Freshness::Kept);
-        let answer = timeout(ANSWER_TIMEOUT, asked).await??;
+        let sent = self.send(address, &query, Freshness::Kept);
+        let response = timeout(RESPONSE_HEAD_TIMEOUT, sent).await??;
         let transfer = self.inner.parts.transfers.begin();
-        let text = read_full(answer.into_body(), |bytes| transfer.note(bytes)).await?;
+        let text = read_full(response.into_body(), |bytes| transfer.note(bytes)).await?;
         Ok(serde_json::from_slice(&text)?)
     }
 
-    /// Sends `question` to the daemon whose gate is at `address`.
+    /// Sends `query` to the daemon whose gate is at `address`.
     pub(in crate::coordination::routed) async fn send(
         &self,
         address: SocketAddr,
-        question: &NewsQuestion,
+        query: &NewsQuestion,
         freshness: Freshness,
     ) -> Result<Response<CallBody>, SendError> {
         let mut request = Request::new(body::empty());
         let map = request.headers_mut();
-        question.write_to(map);
+        query.write_to(map);
         map.insert(header::HOST, HeaderValue::from_static("peer"));
         self.inner.parts.upstream.send(address, request, freshness).await
     }
 }
 
 fn status_only(status: StatusCode) -> Response<CallBody> {
-    let mut answer = Response::new(body::empty());
-    *answer.status_mut() = status;
-    answer
+    let mut response = Response::new(body::empty());
+    *response.status_mut() = status;
+    response
 }
--- a/crates/yuccarackd/src/coordination/routed/peers/newer_table.rs
+++ b/crates/yuccarackd/src/coordination/routed/peers/newer_table.rs
@@ -1,4 +1,4 @@
-//! Notices of routing tables that are newer than the one in force.
+//! Tracks notices of routing tables that are newer than the one in force.
 
 use std::net::SocketAddr;
 
@@ -13,11 +13,11 @@
 /// Notice of a newer routing table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NewerTableNotice {
-    /// Gate of a daemon that has it.
+    /// Gate of a daemon that has the table.
     pub address: SocketAddr,
-    /// Its version.
+    /// Version of the table.
     pub version: RoutingVersion,
-    /// Whether that daemon's news left it out for its size, so that it has to be fetched.
+    /// Whether that daemon's update omitted the table for its size, so that it has to be fetched.
     pub is_omitted: bool,
 }
 
@@ -25,33 +25,33 @@
 pub(super) struct NewerTableNotices {
     routing: RoutingState,
     last: Mutex<Option<NewerTableNotice>>,
-    noted: Notify,
+    notified: Notify,
 }
 
 impl NewerTableNotices {
-    /// Compares with the table in force of `routing`.
+    /// Compares notices with the table in force of `routing`.
     pub(super) fn new(routing: RoutingState) -> Self {
-        Self { routing, last: Mutex::default(), noted: Notify::new() }
+        Self { routing, last: Mutex::default(), notified: Notify::new() }
     }
 
-    fn note(&self, newer: NewerTableNotice) {
-        if self.routing.note_version(newer.version) {
-            *self.last.lock() = Some(newer);
-            self.noted.notify_one();
+    fn note(&self, notice: NewerTableNotice) {
+        if self.routing.note_version(notice.version) {
+            *self.last.lock() = Some(notice);
+            self.notified.notify_one();
         }
     }
 
-    /// The last notice, if its table is still newer than the one in force.
+    /// Returns the last notice, if its table is still newer than the one in force.
     fn last(&self) -> Option<NewerTableNotice> {
         let last = *self.last.lock();
-        last.filter(|newer| newer.version > self.routing.version())
+        last.filter(|notice| notice.version > self.routing.version())
     }
 
     async fn wait(&self) -> NewerTableNotice {
         loop {
-            self.noted.notified().await;
-            if let Some(newer) = self.last() {
-                return newer;
+            self.notified.notified().await;
+            if let Some(notice) = self.last() {
+                return notice;
             }
         }
     }
@@ -60,23 +60,23 @@
 impl Peers {
     /// Notes that the daemon at `address` has the routing table of `version`.
     pub fn note_version(&self, address: SocketAddr, version: RoutingVersion) {
-        self.inner.newer.note(NewerTableNotice { address, version, is_omitted: false });
+        self.inner.newer_tables.note(NewerTableNotice { address, version, is_omitted: false });
     }
 
-    /// The same of a daemon whose news left the table out for its size.
+    /// Notes the same of a daemon whose update omitted the table for its size.
     pub fn note_omitted_table(&self, address: SocketAddr, version: RoutingVersion) {
-        self.inner.newer.note(NewerTableNotice { address, version, is_omitted: true });
+        self.inner.newer_tables.note(NewerTableNotice { address, version, is_omitted: true });
     }
 
-    /// Waits for notice of a newer routing table than the one in force.
+    /// Waits for a notice of a routing table that is newer than the one in force.
     pub async fn next_newer_table(&self) -> NewerTableNotice {
-        self.inner.newer.wait().await
+        self.inner.newer_tables.wait().await
     }
 
-    /// A daemon that may have a newer table: a relay, or the one whose notice came last.
+    /// Chooses a daemon that may have a newer table: a relay, or the one of the last notice.
     pub fn choose_newer_source(&self) -> Option<SocketAddr> {
-        let mut candidates = self.others(self.relays());
-        candidates.extend(self.inner.newer.last().map(|newer| newer.address));
+        let mut candidates = self.without_self(self.relays());
+        candidates.extend(self.inner.newer_tables.last().map(|notice| notice.address));
         candidates.choose(&mut rand::rng()).copied()
     }
 }
--- a/crates/yuccarackd/src/coordination/routed/relay_follower.rs
+++ b/crates/yuccarackd/src/coordination/routed/relay_follower.rs
@@ -1,4 +1,4 @@
-//! Has this daemon told by another one of its failure domain, where that spares questions to the store.
+//! Receives updates from a relay of the own failure domain, which saves queries to the store.
 
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
@@ -29,102 +29,106 @@
     transport::{connection::SendError, upstream::Freshness},
 };
 
-/// Longest time without a line: two empty ones are missing, and a starved processor had 100 ms.
+/// Longest time without a line: two keepalive lines are missing, with 100 ms of slack for a starved
+/// processor.
 const SILENCE_MAX: Duration =
     RELAY_KEEPALIVE_INTERVAL.saturating_mul(2).saturating_add(Duration::from_millis(100));
 
-/// Longest wait for a relay's first line. With [`SILENCE_MAX`] it is 1.5 s until the store is asked
-/// again, so that a change is in force in time though the relay died with it.
-const FIRST_LINE_MAX: Duration = Duration::from_millis(400);
+/// Longest wait for a relay's first line. Together with [`SILENCE_MAX`] it takes 1.5 s until the
+/// store is queried again, so that a change is in force in time although the relay failed with it.
+const FIRST_LINE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// The same for a daemon that has just started: its relay may start at the same time.
-const FIRST_LINE_MAX_AT_START: Duration = Duration::from_secs(1);
+/// Longest wait for the first line at a daemon's start, as its relay may start at the same time.
+const FIRST_LINE_TIMEOUT_AT_START: Duration = Duration::from_secs(1);
 
-/// Time after which a daemon that has started and knows no routes asks the store as well as its relays.
-const RELAYS_ALONE_MAX: Duration = Duration::from_millis(400);
+/// Time after which a daemon that has started and knows no routes queries the store beside its
+/// relays.
+const RELAYS_ONLY_MAX: Duration = Duration::from_millis(400);
 
-/// Time between two tries of relays that can't be reached in that time.
+/// Delay between two attempts at relays that can't be reached within that time.
 const RETRY_AT_START: Duration = Duration::from_millis(50);
 
-/// Time for which a relay that was lost isn't asked again; a restart takes some 3 s.
-const SHUN: Duration = Duration::from_secs(3);
+/// Time for which a lost relay is avoided; a restart takes about 3 s.
+const AVOID_LOST: Duration = Duration::from_secs(3);
 
-/// The same for one that says that it is no relay: views of the members differ for as long while many
-/// start, and a store that was away answers again. The longer no relay is served, the longer it is.
-const SHUN_NO_RELAY: Duration = Duration::from_secs(1);
+/// Time for which a daemon that reports that it is no relay is avoided. While many daemons start,
+/// their views of the members differ for about as long, and an unavailable store may be available
+/// again. The time grows with the time in which the store serves no relay.
+const AVOID_NO_RELAY: Duration = Duration::from_secs(1);
 
-/// Longest such time; peers are asked for changes meanwhile.
-const SHUN_NO_RELAY_MAX: Duration = Duration::from_secs(4);
+/// Longest such time; peers are queried for changes meanwhile.
+const AVOID_NO_RELAY_MAX: Duration = Duration::from_secs(4);
 
-/// Longest line that is taken: a routing table of 2,500 routes takes some 1 MB.
+/// Longest line that is accepted; a routing table of 2,500 routes takes about 1 MB.
 const LINE_MAX_BYTES: usize = 16 * 1024 * 1024;
 
-/// Why a relay no longer tells.
+/// Why a relay no longer sends updates.
 #[derive(Debug, Error)]
 pub enum RelayError {
-    /// It could not be asked.
+    /// The query could not be sent.
     #[error(transparent)]
-    NotSent(#[from] SendError),
-    /// Its answer broke off.
+    Send(#[from] SendError),
+    /// The response was cut off.
     #[error(transparent)]
-    Cut(#[from] BodyError),
-    /// It said nothing for too long.
-    #[error("no line in time")]
-    Silent(#[from] Elapsed),
-    /// A line can't be read.
-    #[error("a line can't be read: {0}")]
+    Interrupted(#[from] BodyError),
+    /// No line arrived in time.
+    #[error("no line from the relay in time")]
+    Timeout(#[from] Elapsed),
+    /// A line can't be parsed.
+    #[error("a line of the relay can't be parsed: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// A line is too long.
-    #[error("a line is longer than {LINE_MAX_BYTES} bytes")]
-    TooLong,
-    /// It ended its answer.
-    #[error("the answer ended")]
-    Ended,
-    /// It says that it doesn't ask the store, or goes.
-    #[error("it is no relay, or no longer")]
-    NoRelay,
+    /// A line exceeds [`LINE_MAX_BYTES`].
+    #[error("a line of the relay exceeds {LINE_MAX_BYTES} bytes")]
+    LineTooLong,
+    /// The relay ended its response.
+    #[error("the relay ended its response")]
+    Closed,
+    /// The daemon reports that it doesn't query the store, or that it is leaving.
+    #[error("the peer reports that it is not a relay")]
+    NotRelay,
 }
 
-/// A relay that isn't asked for a while.
+/// A relay that is not queried for a while.
 #[derive(Clone, Copy, Debug)]
-struct Shunned {
+struct AvoidedRelay {
     until: Instant,
-    /// Whether it answered, and the store doesn't serve it.
+    /// Whether the relay responded that the store doesn't serve it.
     is_unserved: bool,
 }
 
-/// A time in which the store serves no relay.
+/// A period in which the store serves no relay.
 #[derive(Clone, Copy, Debug)]
-struct Unserved {
+struct UnservedPeriod {
     since: Instant,
-    /// When this daemon asks the store next whether it serves this one.
-    look_at: Instant,
+    /// When this daemon next polls the store to find out whether the store serves it.
+    poll_at: Instant,
 }
 
-/// Why no relay can be asked.
+/// Why no relay can be queried.
 #[derive(Clone, Copy, Debug)]
-struct NoneToAsk {
-    /// When the first one can be asked again.
-    again_at: Instant,
-    /// Whether all of them answered, and the store serves none of them.
+struct NoRelayAvailable {
+    /// When the first relay can be queried again.
+    retry_at: Instant,
+    /// Whether all relays responded that the store doesn't serve them.
     are_unserved: bool,
 }
 
-/// Keeps this daemon told.
+/// Keeps this daemon's tables up to date through a relay, and decides when it queries the store.
 pub struct RelayFollower {
     peers: Peers,
     instance: InstanceId,
     failure_domain: DomainName,
-    shunned: HashMap<InstanceId, Shunned>,
-    /// Set while all relays are there and the store serves none of them.
-    unserved: Option<Unserved>,
+    avoided: HashMap<InstanceId, AvoidedRelay>,
+    /// Set while all relays are reachable and the store serves none of them.
+    unserved: Option<UnservedPeriod>,
     store: StoreClient,
-    /// Until when a daemon without routes asks relays only.
-    relays_alone_until: Instant,
+    /// Until when a daemon without routes queries relays only.
+    relays_only_until: Instant,
 }
 
 impl RelayFollower {
-    /// Keeps `instance` of `failure_domain` told, through `peers`; `store` is asked where no relay is served.
+    /// Creates the follower of `instance` in `failure_domain`, which queries relays through
+    /// `peers`, and `store` where the store serves no relay.
     pub fn new(
         peers: Peers,
         store: StoreClient,
@@ -135,10 +139,10 @@
             peers,
             instance,
             failure_domain,
-            shunned: HashMap::new(),
+            avoided: HashMap::new(),
             unserved: None,
             store,
-            relays_alone_until: Instant::now(),
+            relays_only_until: Instant::now(),
         }
     }
 
@@ -146,7 +150,7 @@
     pub async fn run(mut self) {
         let members = self.peers.parts().members.clone();
         members.wait_read().await;
-        self.relays_alone_until = Instant::now() + RELAYS_ALONE_MAX;
+        self.relays_only_until = Instant::now() + RELAYS_ONLY_MAX;
         let mut changes = members.subscribe();
         loop {
             changes.borrow_and_update();
@@ -157,15 +161,15 @@
                 }
                 continue;
             };
-            match self.pick(&relays) {
-                Ok((relay, address)) => self.listen(relay, address).await,
+            match self.choose_relay(&relays) {
+                Ok((relay, address)) => self.follow_relay(relay, address).await,
                 // After a loss of power its relays may come back a moment later.
-                Err(_) if self.waits_for_relays() => {
-                    self.shunned.clear();
+                Err(_) if self.is_waiting_for_relays() => {
+                    self.avoided.clear();
                     sleep(RETRY_AT_START).await;
                 }
                 Err(none) => {
-                    let wake_at = self.ask_without_relay(none).await;
+                    let wake_at = self.query_store_without_relay(none).await;
                     tokio::select! {
                         () = sleep_until(wake_at) => {}
                         changed = changes.changed() => if changed.is_err() { return },
@@ -175,41 +179,43 @@
         }
     }
 
-    /// Whether this daemon has just started and asks relays only.
-    fn waits_for_relays(&self) -> bool {
-        self.peers.parts().routing.version() == 0 && Instant::now() < self.relays_alone_until
+    /// Returns whether this daemon has just started and queries relays only.
+    fn is_waiting_for_relays(&self) -> bool {
+        self.peers.parts().routing.version() == 0 && Instant::now() < self.relays_only_until
     }
 
     fn standing(&self) -> Standing {
         let members = self.peers.parts().members.all();
-        let near = members.iter().filter(|member| member.failure_domain == self.failure_domain);
-        standing(&self.instance, near.map(|member| member.instance.as_str()))
+        let local = members.iter().filter(|member| member.failure_domain == self.failure_domain);
+        standing(&self.instance, local.map(|member| member.instance.as_str()))
     }
 
-    /// Has the store asked in place of relays, in its turn while those are there; returns when to go on.
-    async fn ask_without_relay(&mut self, none: NoneToAsk) -> Instant {
+    /// Lets the store be queried in place of relays; while those are reachable, only at this
+    /// daemon's turn. Returns when to go on.
+    async fn query_store_without_relay(&mut self, none: NoRelayAvailable) -> Instant {
         let news = self.peers.parts().news.clone();
         let is_served = news.asks_store() && news.source() == NewsSource::Store;
         let has_routes = self.peers.parts().routing.version() > 0;
         if is_served || !none.are_unserved || !has_routes {
             news.set_asks_store(true);
-            return none.again_at;
+            return none.retry_at;
         }
         news.set_asks_store(false);
         news.set_source(NewsSource::Nobody);
         let interval = store_look_interval(self.domain_size());
         let now = Instant::now();
-        let first = || Unserved { since: now, look_at: now + interval.mul_f64(rand::random()) };
-        let unserved = self.unserved.get_or_insert_with(first);
-        if unserved.look_at > now {
-            return unserved.look_at.min(none.again_at);
+        let new_period =
+            || UnservedPeriod { since: now, poll_at: now + interval.mul_f64(rand::random()) };
+        let unserved = self.unserved.get_or_insert_with(new_period);
+        if unserved.poll_at > now {
+            return unserved.poll_at.min(none.retry_at);
         }
-        unserved.look_at = now + jittered(interval);
+        unserved.poll_at = now + jittered(interval);
         if self.store.row(MEMBERS_TABLE, &self.instance).await.is_ok() {
-            // The others find out by asking all that they know.
+            // Other daemons find out by querying all daemons that they know.
             news.set_asks_store(true);
         }
-        none.again_at
+        none.retry_at
     }
 
     fn domain_size(&self) -> usize {
@@ -217,28 +223,33 @@
         members.iter().filter(|member| member.failure_domain == self.failure_domain).count()
     }
 
-    /// The first of `relays` that isn't shunned.
-    fn pick(&mut self, relays: &[InstanceId]) -> Result<(InstanceId, SocketAddr), NoneToAsk> {
+    /// Returns the first of `relays` that isn't avoided.
+    fn choose_relay(
+        &mut self,
+        relays: &[InstanceId],
+    ) -> Result<(InstanceId, SocketAddr), NoRelayAvailable> {
         let now = Instant::now();
         let members = &self.peers.parts().members;
-        let is_free = |relay: &&InstanceId| {
-            self.shunned.get(*relay).is_none_or(|shunned| shunned.until <= now)
+        let is_eligible = |relay: &&InstanceId| {
+            self.avoided.get(*relay).is_none_or(|avoided| avoided.until <= now)
         };
-        for relay in relays.iter().filter(is_free) {
+        for relay in relays.iter().filter(is_eligible) {
             if let (_, Some(member)) = members.row(relay) {
                 return Ok((relay.clone(), member.gate_address));
             }
         }
-        let shunned = relays.iter().filter_map(|relay| self.shunned.get(relay));
-        let again_at = shunned.clone().map(|shunned| shunned.until).min().unwrap_or(now + SHUN);
+        let avoided = relays.iter().filter_map(|relay| self.avoided.get(relay));
+        let retry_at =
+            avoided.clone().map(|avoided| avoided.until).min().unwrap_or(now + AVOID_LOST);
         let are_unserved =
-            shunned.clone().count() > 0 && shunned.clone().all(|one| one.is_unserved);
-        Err(NoneToAsk { again_at, are_unserved })
+            avoided.clone().count() > 0 && avoided.clone().all(|relay| relay.is_unserved);
+        Err(NoRelayAvailable { retry_at, are_unserved })
     }
 
-    /// Takes news of `relay` until it fails, or until this daemon is to ask the store itself.
-    async fn listen(&mut self, relay: InstanceId, address: SocketAddr) {
-        let Err(error) = self.take_lines_or_ask(&relay, address).await else { return };
+    /// Applies updates of `relay` until it fails, or until this daemon is to query the store
+    /// itself.
+    async fn follow_relay(&mut self, relay: InstanceId, address: SocketAddr) {
+        let Err(error) = self.receive_lines_or_query_store(&relay, address).await else { return };
         let parts = self.peers.parts();
         parts.counters.add("relay.lost");
         let cause = error.to_string();
@@ -246,21 +257,26 @@
         if parts.news.source() == NewsSource::Relay {
             self.unserved = None;
         }
-        let is_unserved = matches!(error, RelayError::NoRelay);
+        let is_unserved = matches!(error, RelayError::NotRelay);
         let unserved_for =
             self.unserved.map_or(Duration::ZERO, |unserved| unserved.since.elapsed());
-        let shun = match is_unserved {
-            true => unserved_for.clamp(SHUN_NO_RELAY, SHUN_NO_RELAY_MAX),
-            false => SHUN,
+        let avoid_for = match is_unserved {
+            true => unserved_for.clamp(AVOID_NO_RELAY, AVOID_NO_RELAY_MAX),
+            false => AVOID_LOST,
         };
-        self.shunned.insert(relay, Shunned { until: Instant::now() + shun, is_unserved });
+        self.avoided.insert(relay, AvoidedRelay { until: Instant::now() + avoid_for, is_unserved });
     }
 
-    /// Takes lines; a daemon that has neither routes nor a line after a while asks the store besides.
-    async fn take_lines_or_ask(&self, relay: &str, address: SocketAddr) -> Result<(), RelayError> {
+    /// Receives lines; a daemon that has neither routes nor a line after a while queries the store
+    /// as well.
+    async fn receive_lines_or_query_store(
+        &self,
+        relay: &str,
+        address: SocketAddr,
+    ) -> Result<(), RelayError> {
         let parts = self.peers.parts();
-        let mut lines = std::pin::pin!(self.take_lines(relay, address));
-        if let Ok(result) = timeout_at(self.relays_alone_until, &mut lines).await {
+        let mut lines = std::pin::pin!(self.receive_lines(relay, address));
+        if let Ok(result) = timeout_at(self.relays_only_until, &mut lines).await {
             return result;
         }
         if parts.routing.version() == 0 && parts.news.source() != NewsSource::Relay {
@@ -269,38 +285,38 @@
         lines.await
     }
 
-    async fn take_lines(&self, relay: &str, address: SocketAddr) -> Result<(), RelayError> {
+    async fn receive_lines(&self, relay: &str, address: SocketAddr) -> Result<(), RelayError> {
         let parts = self.peers.parts();
-        let question = NewsQuestion {
+        let query = NewsQuestion {
             routing_version: parts.routing.version(),
             members_after: Some(parts.news.known_up_to(Followed::Members).unwrap_or(0)),
             is_lasting: true,
             changes: ChangesTaken::Small,
         };
-        let first_line_max = match parts.routing.version() {
-            0 => FIRST_LINE_MAX_AT_START,
-            _ => FIRST_LINE_MAX,
+        let first_line_timeout = match parts.routing.version() {
+            0 => FIRST_LINE_TIMEOUT_AT_START,
+            _ => FIRST_LINE_TIMEOUT,
         };
-        let asked = self.peers.send(address, &question, Freshness::New);
-        let mut lines = Lines::new(timeout(first_line_max, asked).await??.into_body());
-        let mut silence_max = first_line_max;
+        let sent = self.peers.send(address, &query, Freshness::New);
+        let mut lines = LineReader::new(timeout(first_line_timeout, sent).await??.into_body());
+        let mut silence_max = first_line_timeout;
         loop {
             let line = lines.next(silence_max, &parts.transfers).await?;
             silence_max = SILENCE_MAX;
             if line.is_empty() {
                 continue;
             }
-            let news: PeerNews = serde_json::from_slice(&line)?;
-            let (known, version) = (news.known.clone(), news.routing_version);
-            let is_omitted = news.routing.is_none() && news.changes.is_none();
-            self.peers.take(address, news);
-            // Fetched beside the lines, so that those which follow don't wait.
+            let update: PeerNews = serde_json::from_slice(&line)?;
+            let (known, version) = (update.known.clone(), update.routing_version);
+            let is_omitted = update.routing.is_none() && update.changes.is_none();
+            self.peers.apply_update(address, update);
+            // Fetched separately, so that the following lines don't wait.
             match is_omitted {
                 true => self.peers.note_omitted_table(address, version),
                 false => self.peers.note_version(address, version),
             }
-            // What it knows is true all the same, but there will be no more of it.
-            let known = known.ok_or(RelayError::NoRelay)?;
+            // What such a daemon knows is true all the same, but there will be no more of it.
+            let known = known.ok_or(RelayError::NotRelay)?;
             parts.news.heard_known(known, parts.routing.version() >= version);
             parts.news.set_asks_store(false);
             if parts.news.set_source(NewsSource::Relay) != NewsSource::Relay {
@@ -313,18 +329,19 @@
     }
 }
 
-/// Lines of an answer that goes on.
-struct Lines {
+/// Reads the lines of a streaming response.
+struct LineReader {
     body: CallBody,
-    read: BytesMut,
+    buffer: BytesMut,
 }
 
-impl Lines {
+impl LineReader {
     fn new(body: CallBody) -> Self {
-        Self { body, read: BytesMut::new() }
+        Self { body, buffer: BytesMut::new() }
     }
 
-    /// The next line without its end; a long one may take as long as no pause exceeds `silence_max`.
+    /// Returns the next line without its end. A long line may take any time as long as no pause
+    /// exceeds `silence_max`.
     async fn next(
         &mut self,
         silence_max: Duration,
@@ -332,19 +349,19 @@
     ) -> Result<Bytes, RelayError> {
         let transfer = transfers.begin();
         loop {
-            if let Some(end) = self.read.iter().position(|byte| *byte == b'\n') {
-                let line = self.read.split_to(end).freeze();
-                self.read.advance(1);
+            if let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
+                let line = self.buffer.split_to(end).freeze();
+                self.buffer.advance(1);
                 return Ok(line);
             }
-            if self.read.len() > LINE_MAX_BYTES {
-                return Err(RelayError::TooLong);
+            if self.buffer.len() > LINE_MAX_BYTES {
+                return Err(RelayError::LineTooLong);
             }
             let frame = timeout(silence_max, self.body.frame()).await?;
-            let frame = frame.ok_or(RelayError::Ended)??;
+            let frame = frame.ok_or(RelayError::Closed)??;
             if let Ok(data) = frame.into_data() {
                 transfer.note(data.len());
-                self.read.extend_from_slice(&data);
+                self.buffer.extend_from_slice(&data);
             }
         }
     }
--- a/crates/yuccarackd/src/coordination/routed/relay_stream.rs
+++ b/crates/yuccarackd/src/coordination/routed/relay_stream.rs
@@ -1,4 +1,4 @@
-//! News for daemons that don't ask the store: lines of one answer that goes on.
+//! Streams updates to daemons that don't query the store, as lines of one response.
 
 use std::{convert::Infallible, time::Duration};
 
@@ -20,33 +20,35 @@
     state::routed::news_source::{KnownTables, NewsSource},
 };
 
-/// Time after which an empty line says that the relay is there.
+/// Time after which an empty line shows that the relay is alive.
 ///
-/// Failure: a relay is suspended or cut off, its connection stands, and those that it tells miss a
-/// change that has to be in force within 2 s. An empty line is some 90 bytes with its headers.
+/// The connection to a relay that is suspended or cut off stays open, and the daemons that follow
+/// it would miss a change, which has to be in force within 2 s. An empty line takes about 90 bytes
+/// with its headers.
 pub const RELAY_KEEPALIVE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Most routes in a whole table for a daemon that doesn't take changes; a route takes some 200 bytes.
-const WHOLE_ROUTES_MAX: usize = 100;
+/// Most routes in a full table for a daemon that doesn't take changes; a route takes about 200
+/// bytes.
+const FULL_TABLE_ROUTES_MAX: usize = 100;
 
-/// Pause before a line, so that rows which come together are told together; small against the 2 s in
-/// which a change has to be in force.
-const GATHERING: Duration = Duration::from_millis(10);
+/// Pause before a line, so that rows which arrive together are sent together. It is small against
+/// the 2 s within which a change has to be in force.
+const COALESCE_DELAY: Duration = Duration::from_millis(10);
 
-/// Longest wait of a relay that has just started until it knows the tables, before its first line.
+/// Longest time that a relay which has just started waits for the tables before its first line.
 ///
-/// Failure: all daemons lose power and return together. Those that are told ask a relay before it has
-/// read the tables, take it for none, and all of them ask the store.
-const START_MAX: Duration = Duration::from_millis(300);
+/// When all daemons lose power and come back together, followers may query a relay before it has
+/// read the tables. They would conclude that it is no relay, and all of them would query the store.
+const START_WAIT_MAX: Duration = Duration::from_millis(300);
 
-/// The same for a daemon that knows no routes, and so waits for longer.
-const START_MAX_WITHOUT_ROUTES: Duration = Duration::from_millis(800);
+/// The same for a follower that knows no routes and therefore waits longer.
+const START_WAIT_MAX_WITHOUT_ROUTES: Duration = Duration::from_millis(800);
 
-/// Lines for one daemon.
+/// The stream of updates to one daemon.
 pub struct RelayStream {
     peers: Peers,
-    /// What it doesn't know yet.
-    question: NewsQuestion,
+    /// What the daemon already has; moved forward with each update sent.
+    query: NewsQuestion,
     routing: watch::Receiver<u64>,
     evacuations: watch::Receiver<u64>,
     known: watch::Receiver<KnownTables>,
@@ -56,18 +58,18 @@
 }
 
 impl RelayStream {
-    /// Answers `question` from what `peers` knows.
-    pub fn new(peers: Peers, question: NewsQuestion) -> Self {
+    /// Creates the response to `query`, from the state that `peers` has.
+    pub fn new(peers: Peers, query: NewsQuestion) -> Self {
         let parts = peers.parts();
         parts.counters.add("relay.asked");
         let (routing, known) = (parts.routing.subscribe(), parts.news.subscribe_known());
         let evacuations = parts.evacuations.subscribe();
         let source = parts.news.subscribe();
         let (is_first, has_ended) = (true, false);
-        Self { peers, question, routing, evacuations, known, source, is_first, has_ended }
+        Self { peers, query, routing, evacuations, known, source, is_first, has_ended }
     }
 
-    /// The lines as a body. It is driven by its connection and ends with it.
+    /// Converts the stream to a response body, which is driven by its connection and ends with it.
     pub fn into_body(self) -> CallBody {
         let lines = stream::unfold(self, |mut lines| async move {
             let line = lines.next().await?;
@@ -76,23 +78,24 @@
         StreamBody::new(lines).map_err(|never| match never {}).boxed_unsync()
     }
 
-    /// The next line; none after one that says that this daemon is no relay, or no longer.
+    /// Returns the next line; none after the one that reports that this daemon is no relay, or no
+    /// longer.
     async fn next(&mut self) -> Option<Bytes> {
         if self.has_ended {
             return None;
         }
         if std::mem::take(&mut self.is_first) {
-            self.wait_started().await;
-        } else if !self.changes().await {
+            self.wait_until_started().await;
+        } else if !self.wait_for_change().await {
             return Some(Bytes::from_static(b"\n"));
         }
         let is_leaving = self.peers.parts().leaving.is_cancelled();
         let known = if is_leaving { None } else { self.peers.parts().news.to_relay() };
-        let mut news = self.peers.news_for(&self.question, known);
-        news.routing.take_if(|table| table.routes.len() > WHOLE_ROUTES_MAX);
-        self.has_ended = news.known.is_none();
-        self.note(&news);
-        match serde_json::to_vec(&news) {
+        let mut update = self.peers.update_for(&self.query, known);
+        update.routing.take_if(|table| table.routes.len() > FULL_TABLE_ROUTES_MAX);
+        self.has_ended = update.known.is_none();
+        self.mark_sent(&update);
+        match serde_json::to_vec(&update) {
             Ok(mut line) => {
                 line.push(b'\n');
                 Some(line.into())
@@ -105,11 +108,11 @@
         }
     }
 
-    /// Waits until the tables are known here, for a time that the asker waits too.
-    async fn wait_started(&mut self) {
-        let start_max = match self.question.routing_version {
-            0 => START_MAX_WITHOUT_ROUTES,
-            _ => START_MAX,
+    /// Waits until the tables are known to this daemon, no longer than the follower waits.
+    async fn wait_until_started(&mut self) {
+        let start_wait_max = match self.query.routing_version {
+            0 => START_WAIT_MAX_WITHOUT_ROUTES,
+            _ => START_WAIT_MAX,
         };
         let (news, leaving) = (self.peers.parts().news.clone(), self.peers.parts().leaving.clone());
         let started = async {
@@ -121,12 +124,13 @@
                 }
             }
         };
-        // The first line says what is known by then.
-        let _ = timeout(start_max, started).await;
+        // The first line carries what is known by then.
+        let _ = timeout(start_wait_max, started).await;
     }
 
-    /// Waits for something to tell; false if there is nothing within [`RELAY_KEEPALIVE_INTERVAL`].
-    async fn changes(&mut self) -> bool {
+    /// Waits for something to send; returns false if there is nothing within
+    /// [`RELAY_KEEPALIVE_INTERVAL`].
+    async fn wait_for_change(&mut self) -> bool {
         let leaving = self.peers.parts().leaving.clone();
         let change = async {
             tokio::select! {
@@ -139,16 +143,16 @@
         };
         let is_changed = timeout(RELAY_KEEPALIVE_INTERVAL, change).await.is_ok();
         if is_changed {
-            // Not within the time for a change: cut off here, a change that was seen would never be
-            // told.
-            sleep(GATHERING).await;
+            // Outside of the timeout: if it fired during this pause, a change that was seen would
+            // never be sent.
+            sleep(COALESCE_DELAY).await;
         }
         is_changed
     }
 
-    fn note(&mut self, news: &PeerNews) {
-        self.question.routing_version = news.routing_version.max(self.question.routing_version);
-        if let (Some(known), Some(after)) = (&news.known, &mut self.question.members_after) {
+    fn mark_sent(&mut self, update: &PeerNews) {
+        self.query.routing_version = update.routing_version.max(self.query.routing_version);
+        if let (Some(known), Some(after)) = (&update.known, &mut self.query.members_after) {
             *after = known.members.max(*after);
         }
     }
--- a/crates/yuccarackd/src/coordination/routed/routing_packer.rs
+++ b/crates/yuccarackd/src/coordination/routed/routing_packer.rs
@@ -11,11 +11,11 @@
     state::routed::routing_state::RoutingState,
 };
 
-/// Most routes in changes that are worth packing where only small ones are taken; a packed route takes
-/// some 20 bytes or more.
+/// Most routes in changes that are packed for daemons which accept only small ones; a packed route
+/// takes at least about 20 bytes.
 const SMALL_ROUTES_MAX: usize = 5_000;
 
-/// Packed changes that lead to the table in force, by the version from which they start.
+/// Caches packed changes that lead to the table in force, by the version from which they start.
 pub struct RoutingPacker {
     routing: RoutingState,
     events: EventLog,
@@ -29,17 +29,18 @@
 }
 
 impl RoutingPacker {
-    /// Packs changes of `routing`.
+    /// Packs changes of the table in `routing`.
     pub fn new(routing: RoutingState, events: EventLog) -> Self {
         Self { routing, events, packed: Mutex::default() }
     }
 
-    /// What a daemon lacks that has the table of version `base`; none if that isn't an older one.
+    /// Returns what a daemon with the table of version `base` lacks; none if that isn't an older
+    /// version whose changes are known.
     pub fn changes_since(&self, base: RoutingVersion) -> Option<Arc<PackedChanges>> {
         self.pack(base, usize::MAX)
     }
 
-    /// The same, but none if it takes more than [`SMALL_CHANGES_MAX_BYTES`].
+    /// Returns the same, but none if it takes more than [`SMALL_CHANGES_MAX_BYTES`].
     pub fn small_changes_since(&self, base: RoutingVersion) -> Option<Arc<PackedChanges>> {
         let changes = self.pack(base, SMALL_ROUTES_MAX)?;
         Some(changes).filter(|changes| changes.body.len() <= SMALL_CHANGES_MAX_BYTES)
@@ -52,10 +53,11 @@
         if packed.version != version {
             *packed = Packed { version, by_base: HashMap::new() };
         }
-        if let Some(known) = packed.by_base.get(&base) {
-            return Some(Arc::clone(known));
+        if let Some(cached) = packed.by_base.get(&base) {
+            return Some(Arc::clone(cached));
         }
-        let changes = self.routing.changes_since(base).filter(|all| all.len() <= routes_max)?;
+        let changes =
+            self.routing.changes_since(base).filter(|changes| changes.len() <= routes_max)?;
         match PackedChanges::new(&changes) {
             Ok(changes) => {
                 let changes = Arc::new(changes);
--- a/crates/yuccarackd/src/coordination/routed/store_follower.rs
+++ b/crates/yuccarackd/src/coordination/routed/store_follower.rs
@@ -1,4 +1,4 @@
-//! Follows the operators' document and the members' table in the store.
+//! Follows the operators' document and the members table by long polls of the store.
 
 mod intake;
 
@@ -32,95 +32,99 @@
 /// Table in which each daemon keeps the row of its instance.
 pub const MEMBERS_TABLE: &str = "members";
 
-/// The store as the source of a routing table in log lines.
+/// Name of the store as a source in log lines.
 const STORE: &str = "store";
 
-/// How long the store holds back an answer that tells of nothing new; each such question is paid
-/// for, and the store takes no longer ones than 30 s.
+/// How long the store holds a poll open when nothing has changed. Every poll is billed, and the
+/// store accepts at most 30 s.
 const FEED_WAIT: Duration = Duration::from_secs(25);
 
-/// The same for a while after the store didn't answer.
+/// Poll time for a while after the store failed to respond.
 ///
-/// Failure: a store falls silent and comes back, answers none of the older questions, and its
-/// changes aren't heard of until those are given up. Changes have to be in force within seconds.
-const FEED_WAIT_WARY: Duration = Duration::from_secs(2);
+/// A store that hangs and recovers may never respond to polls sent before, and its changes stay
+/// unknown until those polls time out. Changes have to be in force within seconds.
+const FEED_WAIT_CAUTIOUS: Duration = Duration::from_secs(2);
 
-/// The same for the first question of a daemon that is not served by the store yet.
+/// Poll time of a daemon's first query while the store does not serve it yet.
 ///
-/// Failure: a notified daemon becomes a relay, and its first question is held back for as long as nothing
-/// changes. Until then it doesn't know that the store serves it and says that it is no relay. Two pairs of
-/// daemons that take each other for relays wait for each other so.
+/// A daemon that becomes a relay would otherwise have its first poll held open for as long as
+/// nothing changes, and report until then that it is no relay. Two pairs of daemons that take each
+/// other for relays would wait for each other.
 const FEED_WAIT_FIRST: Duration = Duration::ZERO;
 
-/// Time for which one failure makes wary.
-const WARY: Duration = Duration::from_secs(12);
+/// How long [`FEED_WAIT_CAUTIOUS`] applies after a failure.
+const CAUTIOUS_PERIOD: Duration = Duration::from_secs(12);
 
-/// Pause after a change of the routing table, so that a series of them costs few questions; small
-/// against the seconds in which a change has to be in force.
+/// Pause after a change of the routing table, so that a series of changes costs few polls. It is
+/// small against the seconds within which a change has to be in force.
 const ROUTING_PAUSE: Duration = Duration::from_millis(100);
 
-/// Pause after a change of the members, so that targets that join in a row are heard of together; it
-/// is well within the 4 s in which they have to get work. At 90 daemons with 13 joining in 6 s, a
-/// pause of 1.2 s cost 1,336 calls to the store in 40 s.
+/// Pause after a change of the members, so that targets that join in a row are read together. It is
+/// well within the 4 s in which they have to receive requests. A pause of 1.2 s costs 1,336 store
+/// requests in 40 s at 90 daemons with 13 joining in 6 s.
 const MEMBERS_PAUSE: Duration = Duration::from_millis(2_500);
 
-/// Longest wait for the first answer of a store that isn't slow; it usually takes some 10 ms.
-const PROMPT_ANSWER_MAX: Duration = Duration::from_millis(60);
+/// Longest wait for the first response of a store that is not slow; a response usually takes about
+/// 10 ms.
+const PROMPT_RESPONSE_MAX: Duration = Duration::from_millis(60);
 
-/// First wait after a question that failed.
+/// First delay after a failed query.
 const RETRY_FIRST: Duration = Duration::from_millis(100);
 
-/// Longest such wait while no routes are known: a daemon is ready within a second of the store's return.
+/// Longest retry delay while no routes are known: a daemon has to be ready within a second of the
+/// store's recovery.
 const RETRY_MAX_WITHOUT_ROUTES: Duration = Duration::from_millis(800);
 
-/// Longest such wait of one that serves by what it knows and asks peers meanwhile. Refused questions
-/// are paid for too: one that is turned away asks 17 times in 8 s, and 27 times at waits of up to 0.8 s.
+/// Longest retry delay of a daemon that has routes and queries peers meanwhile. Refused requests
+/// are billed too: a refused daemon sends 17 of them in 8 s, against 27 with a maximum delay of 0.8
+/// s.
 const RETRY_MAX: Duration = Duration::from_secs(2);
 
-/// Follows tables of the store.
+/// Follows tables of the store and applies their changes to this daemon's state.
 #[derive(Clone)]
 pub struct StoreFollower {
-    /// The store.
+    /// Client of the store.
     pub store: StoreClient,
-    /// The routing table in force.
+    /// The routing table in force, to which newer versions are offered.
     pub routing: RoutingState,
-    /// All members.
+    /// Members known to this daemon.
     pub members: Members,
-    /// Failure domains that are evacuated.
+    /// Evacuated failure domains.
     pub evacuations: Evacuations,
-    /// Counters.
+    /// Counters of store failures and unreadable rows.
     pub counters: Counters,
-    /// Log lines.
+    /// Log for changes and store failures.
     pub events: EventLog,
-    /// Who tells of changes, and up to where they are known.
+    /// Source of this daemon's updates, and the revision up to which each table is synced.
     pub news: News,
-    /// When it answered last.
+    /// Time of the store's last response.
     pub last_response: LastStoreResponse,
-    /// Transfers of the routing table.
+    /// Transfers of the routing table in progress.
     pub transfers: Transfers,
-    /// When the members are read for the first time.
+    /// Earliest time of the first read of the members.
     pub first_read_at: Instant,
 }
 
-/// When the store answered last; clones share it.
+/// Time of the store's last response; clones share it.
 #[derive(Clone, Debug)]
 pub struct LastStoreResponse {
-    last_at: Arc<Mutex<Instant>>,
+    received_at: Arc<Mutex<Instant>>,
 }
 
 impl LastStoreResponse {
-    /// Starts with now.
+    /// Starts with the current time.
     pub fn new() -> Self {
-        Self { last_at: Arc::new(Mutex::new(Instant::now())) }
+        Self { received_at: Arc::new(Mutex::new(Instant::now())) }
     }
 
-    /// Time since the last answer; up to half a minute of it is usual.
+    /// Returns the time since the last response. Up to half a minute is normal, as the store holds
+    /// polls open.
     pub fn age(&self) -> Duration {
-        self.last_at.lock().elapsed()
+        self.received_at.lock().elapsed()
     }
 
-    fn note(&self) {
-        *self.last_at.lock() = Instant::now();
+    fn record(&self) {
+        *self.received_at.lock() = Instant::now();
     }
 }
 
@@ -131,16 +135,16 @@
 }
 
 impl StoreFollower {
-    /// Follows the operators' document until `stop`.
+    /// Follows the operators' document until `stop` is cancelled.
     pub async fn follow_routing(self, stop: CancellationToken) {
         self.follow(Followed::Routing, stop).await;
     }
 
-    /// Follows the members until `stop`.
+    /// Follows the members until `stop` is cancelled.
     pub async fn follow_members(self, stop: CancellationToken) {
         let first_read = async {
             self.read_members().await;
-            // When all start at once, the others are still writing their rows.
+            // When all daemons start at once, the others are still writing their rows.
             sleep(MEMBERS_PAUSE).await;
         };
         tokio::select! {
@@ -150,79 +154,82 @@
         self.follow(Followed::Members, stop).await;
     }
 
-    /// Reads the members for the first time. Whether the store is asked after that depends on them.
+    /// Reads the members for the first time. They decide whether this daemon keeps querying the
+    /// store.
     async fn read_members(&self) {
         sleep_until(self.first_read_at).await;
         let mut retry = RETRY_FIRST;
-        while let Err(error) = self.ask_members().await {
+        while let Err(error) = self.query_members().await {
             self.news.set_asks_store(false);
-            self.failed(Followed::Members, &error);
+            self.mark_unavailable(Followed::Members, &error);
             sleep(jittered(retry)).await;
             retry = (retry * 2).min(self.retry_max());
         }
-        self.served(Followed::Members);
+        self.mark_available(Followed::Members);
     }
 
-    /// Asks for the members once, and beside that for the operators' document where the answer is late.
+    /// Queries the members once, and lets the operators' document be queried beside them when the
+    /// response is late.
     ///
-    /// Failure: the store is slow when all power returns. One answer after the other, from the store and then
-    /// from a relay that has waited as long, callers wait twice as long for the first routes.
-    async fn ask_members(&self) -> Result<bool, FeedError> {
-        let mut step = std::pin::pin!(self.step(Followed::Members, FEED_WAIT));
-        if let Ok(result) = timeout(PROMPT_ANSWER_MAX, &mut step).await {
+    /// After a loss of power the store is slow. With one query after the other, first to the store
+    /// and then to a relay that has waited as long, callers would wait twice as long for the first
+    /// routes.
+    async fn query_members(&self) -> Result<bool, FeedError> {
+        let mut poll = std::pin::pin!(self.poll(Followed::Members, FEED_WAIT));
+        if let Ok(result) = timeout(PROMPT_RESPONSE_MAX, &mut poll).await {
             return result;
         }
         self.news.set_asks_store(true);
-        step.await
+        poll.await
     }
 
-    /// Reads the operators' document once.
+    /// Reads the operators' document once and applies it; a failure is logged.
     pub async fn fetch_routing_table(&self) {
         let started_at = Instant::now();
         let transfer = self.transfers.begin();
         match self.store.read(routing::TABLE, |bytes| transfer.note(bytes)).await {
-            Ok(all) => self.take_all_routing(all),
+            Ok(snapshot) => self.apply_full_routing(snapshot),
             Err(error) => {
                 self.counters.add("store.failures");
                 let cause = error.to_string();
                 let source = STORE.to_owned();
-                self.events.write(|| not_read(source, &self.routing, started_at, cause));
+                self.events.write(|| routing_not_fetched(source, &self.routing, started_at, cause));
             }
         }
     }
 
-    async fn follow(&self, what: Followed, stop: CancellationToken) {
+    async fn follow(&self, table: Followed, stop: CancellationToken) {
         let mut retry = RETRY_FIRST;
-        let mut wary_until = Instant::now();
+        let mut cautious_until = Instant::now();
         loop {
             tokio::select! {
                 () = stop.cancelled() => return,
                 () = self.news.wait_asks_store(true) => {}
             }
             let wait = match self.news.source() {
-                NewsSource::Store if Instant::now() >= wary_until => FEED_WAIT,
-                NewsSource::Store => FEED_WAIT_WARY,
+                NewsSource::Store if Instant::now() >= cautious_until => FEED_WAIT,
+                NewsSource::Store => FEED_WAIT_CAUTIOUS,
                 NewsSource::Relay | NewsSource::Nobody => FEED_WAIT_FIRST,
             };
-            let step = tokio::select! {
+            let result = tokio::select! {
                 () = stop.cancelled() => return,
-                // What a held question has not told yet, a relay tells.
+                // A relay sends what the cancelled poll has not returned yet.
                 () = self.news.wait_asks_store(false) => continue,
-                step = self.step(what, wait) => step,
+                result = self.poll(table, wait) => result,
             };
-            let pause = match step {
+            let pause = match result {
                 Ok(has_changes) => {
-                    self.served(what);
+                    self.mark_available(table);
                     retry = RETRY_FIRST;
-                    if has_changes { pause_after(what) } else { Duration::ZERO }
+                    if has_changes { pause_after(table) } else { Duration::ZERO }
                 }
                 Err(error) => {
                     if matches!(error, FeedError::HistoryLost) {
-                        // Only what stands in the table now tells what was missed.
-                        self.news.set_known(what, None);
+                        // Only a full read of the table shows what was missed.
+                        self.news.set_known(table, None);
                     }
-                    self.failed(what, &error);
-                    wary_until = Instant::now() + WARY;
+                    self.mark_unavailable(table, &error);
+                    cautious_until = Instant::now() + CAUTIOUS_PERIOD;
                     let pause = jittered(retry);
                     retry = (retry * 2).min(self.retry_max());
                     pause
@@ -242,49 +249,50 @@
         }
     }
 
-    /// Asks once; says whether there were changes.
-    async fn step(&self, what: Followed, wait: Duration) -> Result<bool, FeedError> {
-        let transfer = (what == Followed::Routing).then(|| self.transfers.begin());
+    /// Polls the store once; returns whether there were changes.
+    async fn poll(&self, table: Followed, wait: Duration) -> Result<bool, FeedError> {
+        let transfer = (table == Followed::Routing).then(|| self.transfers.begin());
         let on_bytes = |bytes| {
             if let Some(transfer) = &transfer {
                 transfer.note(bytes);
             }
         };
-        let Some(after) = self.news.known_up_to(what) else {
-            let all = self.store.read(table(what), on_bytes).await?;
-            let revision = all.revision;
-            match what {
-                Followed::Routing => self.take_all_routing(all),
-                Followed::Members => self.take_all_members(all),
+        let Some(after) = self.news.known_up_to(table) else {
+            let snapshot = self.store.read(table_name(table), on_bytes).await?;
+            let revision = snapshot.revision;
+            match table {
+                Followed::Routing => self.apply_full_routing(snapshot),
+                Followed::Members => self.apply_full_members(snapshot),
             }
-            self.news.set_known(what, Some(revision));
-            return Ok(what == Followed::Members);
+            self.news.set_known(table, Some(revision));
+            return Ok(table == Followed::Members);
         };
-        let changes = self.store.changes(table(what), after, wait, on_bytes).await?;
+        let changes = self.store.changes(table_name(table), after, wait, on_bytes).await?;
         let has_changes = !changes.rows.is_empty();
-        changes.rows.into_iter().for_each(|row| self.take(what, row));
-        self.news.set_known(what, Some(changes.revision.max(after)));
+        changes.rows.into_iter().for_each(|row| self.apply_row(table, row));
+        self.news.set_known(table, Some(changes.revision.max(after)));
         Ok(has_changes)
     }
 
-    fn served(&self, what: Followed) {
-        self.last_response.note();
+    fn mark_available(&self, table: Followed) {
+        self.last_response.record();
         if self.news.set_source(NewsSource::Store) == NewsSource::Nobody {
-            self.events.write(|| StoreAvailable { table: table(what) });
+            self.events.write(|| StoreAvailable { table: table_name(table) });
         }
     }
 
-    fn failed(&self, what: Followed, error: &FeedError) {
+    fn mark_unavailable(&self, table: Followed, error: &FeedError) {
         self.counters.add("store.failures");
         if self.news.set_source(NewsSource::Nobody) != NewsSource::Nobody {
-            let (table, cause) = (table(what), error.to_string());
+            let (table, cause) = (table_name(table), error.to_string());
             self.events.write(|| StoreUnavailable { table, cause });
         }
     }
 }
 
-/// Line of a routing table that could not be fetched from `source` since `started_at`.
-pub(super) fn not_read(
+/// Returns the log line of a routing table that could not be fetched from `source` since
+/// `started_at`.
+pub(super) fn routing_not_fetched(
     source: String,
     routing: &RoutingState,
     started_at: Instant,
@@ -300,20 +308,20 @@
     }
 }
 
-/// A time in whole ms, for log lines.
+/// Converts a duration to whole milliseconds for log lines.
 pub(super) fn whole_ms(time: Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
 
-fn table(what: Followed) -> &'static str {
-    match what {
+fn table_name(table: Followed) -> &'static str {
+    match table {
         Followed::Routing => routing::TABLE,
         Followed::Members => MEMBERS_TABLE,
     }
 }
 
-fn pause_after(what: Followed) -> Duration {
-    match what {
+fn pause_after(table: Followed) -> Duration {
+    match table {
         Followed::Routing => ROUTING_PAUSE,
         Followed::Members => MEMBERS_PAUSE,
     }
--- a/crates/yuccarackd/src/coordination/routed/store_follower/intake.rs
+++ b/crates/yuccarackd/src/coordination/routed/store_follower/intake.rs
@@ -1,4 +1,4 @@
-//! Takes in rows that the store sends.
+//! Applies rows that the store returns.
 
 use yuccarack_config::routing::RoutingVersion;
 use yuccarack_platform::feed::{FeedRow, FeedRows};
@@ -15,53 +15,53 @@
 };
 
 impl StoreFollower {
-    pub(super) fn take(&self, what: Followed, row: FeedRow) {
-        match what {
-            Followed::Routing => self.take_routing(row),
-            Followed::Members => self.take_member(row),
+    pub(super) fn apply_row(&self, table: Followed, row: FeedRow) {
+        match table {
+            Followed::Routing => self.apply_routing_row(row),
+            Followed::Members => self.apply_member_row(row),
         }
     }
 
-    pub(super) fn take_all_members(&self, all: FeedRows) {
-        let listed: Vec<_> = all.rows.iter().map(|row| row.key.clone()).collect();
-        all.rows.into_iter().for_each(|row| self.take_member(row));
-        self.members.drop_unlisted(all.revision, &listed);
-        self.news.set_members_listed(all.revision);
+    pub(super) fn apply_full_members(&self, snapshot: FeedRows) {
+        let listed: Vec<_> = snapshot.rows.iter().map(|row| row.key.clone()).collect();
+        snapshot.rows.into_iter().for_each(|row| self.apply_member_row(row));
+        self.members.drop_unlisted(snapshot.revision, &listed);
+        self.news.set_members_listed(snapshot.revision);
         self.members.set_read();
     }
 
-    /// Takes in all that operators have written; evacuations that aren't listed were taken back.
-    pub(super) fn take_all_routing(&self, all: FeedRows) {
-        let domains = all.rows.iter().filter_map(|row| routing::evacuated_domain(&row.key));
+    /// Applies a full read of the operators' tables; evacuations that it doesn't list have ended.
+    pub(super) fn apply_full_routing(&self, snapshot: FeedRows) {
+        let domains = snapshot.rows.iter().filter_map(|row| routing::evacuated_domain(&row.key));
         let listed: Vec<_> = domains.map(str::to_owned).collect();
-        all.rows.into_iter().for_each(|row| self.take_routing(row));
-        for gone in self.evacuations.unlisted(all.revision, &listed) {
-            self.take_evacuation(gone);
+        snapshot.rows.into_iter().for_each(|row| self.apply_routing_row(row));
+        for ended in self.evacuations.unlisted(snapshot.revision, &listed) {
+            self.apply_evacuation(ended);
         }
     }
 
-    fn take_evacuation(&self, dated: DatedEvacuation) {
+    fn apply_evacuation(&self, dated: DatedEvacuation) {
         if self.evacuations.merge(&dated) {
             self.events.write(|| EvacuationChanged::new(dated, STORE.to_owned()));
         }
     }
 
-    fn take_routing(&self, row: FeedRow) {
+    fn apply_routing_row(&self, row: FeedRow) {
         if let Some(domain) = routing::evacuated_domain(&row.key) {
             let failure_domain = domain.to_owned();
             let (revision, is_evacuated) = (row.revision, row.value.is_some());
-            self.take_evacuation(DatedEvacuation { failure_domain, revision, is_evacuated });
+            self.apply_evacuation(DatedEvacuation { failure_domain, revision, is_evacuated });
             return;
         }
-        let Some(text) = row.value.filter(|_| row.key == routing::KEY) else { return };
-        match routing::decode(&text) {
+        let Some(value) = row.value.filter(|_| row.key == routing::KEY) else { return };
+        match routing::decode(&value) {
             Ok(document) => {
                 let version = document.table.version;
                 let behind_ms = whole_ms(self.routing.behind_for());
                 if self.routing.offer(document.table) {
                     let (revision, from) = (Some(row.revision), STORE.to_owned());
                     self.events.write(|| RoutingInForce { version, revision, from, behind_ms });
-                    self.note_substitutes(version, document.substitutes);
+                    self.log_substitutes(version, document.substitutes);
                 }
             }
             Err(error) => {
@@ -75,7 +75,7 @@
         }
     }
 
-    fn note_substitutes(&self, version: RoutingVersion, substitutes: Vec<Substitute>) {
+    fn log_substitutes(&self, version: RoutingVersion, substitutes: Vec<Substitute>) {
         for substitute in substitutes {
             self.counters.add_many("routing.substituted", substitute.count as u64);
             let Substitute { field, found, taken, count } = substitute;
@@ -83,12 +83,12 @@
         }
     }
 
-    fn take_member(&self, row: FeedRow) {
-        let Some(text) = row.value else {
+    fn apply_member_row(&self, row: FeedRow) {
+        let Some(value) = row.value else {
             self.members.merge(&row.key, row.revision, None);
             return;
         };
-        match serde_json::from_slice::<RoutedMember>(&text) {
+        match serde_json::from_slice::<RoutedMember>(&value) {
             Ok(member) => {
                 let service = member.service.clone();
                 if self.members.merge(&row.key, row.revision, Some(member)) {
--- a/crates/yuccarackd/src/daemon/routed/wiring.rs
+++ b/crates/yuccarackd/src/daemon/routed/wiring.rs
@@ -18,7 +18,7 @@
         peers::{Peers, PeersParts},
         relay_follower::RelayFollower,
         row_publisher::RowPublisher,
-        store_client::{ANSWER_TIMEOUT, StoreClient},
+        store_client::{RESPONSE_TIMEOUT, StoreClient},
         store_follower::{LastStoreResponse, StoreFollower},
         sweeper::Sweeper,
     },
@@ -90,7 +90,7 @@
 
     /// Starts what brings news in and out: store and peers.
     pub(super) fn start_state(&self) -> (Peers, RowPublisher) {
-        let platform = PlatformClient::new(self.settings.current().store_address, ANSWER_TIMEOUT);
+        let platform = PlatformClient::new(self.settings.current().store_address, RESPONSE_TIMEOUT);
         let store = StoreClient::new(platform, self.counters.clone());
         let (news, transfers) = (News::new(), Transfers::new());
         // Who is told by a relay is known with the members.
