--- a/crates/yuccarackd/src/coordination/routed/control_server.rs
+++ b/crates/yuccarackd/src/coordination/routed/control_server.rs
@@ -1,4 +1,5 @@
-//! Answers the target and the platform: signs of life, readiness.
+//! Serves the control interface: heartbeats and leaves of the target, and readiness for the
+//! platform.
 
 use std::{
     sync::Arc,
@@ -32,21 +33,21 @@
     transport::call_server::{Arrival, CallHandler},
 };
 
-/// Longest body that is read; a heartbeat has some 300 bytes.
+/// Longest body that is read; a heartbeat has about 300 bytes.
 const BODY_MAX_BYTES: usize = 64 * 1024;
 
-/// Longest wait for a body: its sender waits a second for the answer.
+/// Longest wait for a body: its sender waits a second for the response.
 const BODY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Answers the target and the platform.
+/// Handles the requests of the target and the platform.
 pub struct ControlServer {
-    /// The target.
+    /// The target of this instance.
     pub target: RoutedTarget,
-    /// The routing table in force.
+    /// The routing table in force; without one this daemon isn't ready.
     pub routing: RoutingState,
-    /// Counters.
+    /// Counters of unreadable requests.
     pub counters: Counters,
-    /// Log lines.
+    /// Log for heartbeats and leaves.
     pub events: EventLog,
     /// Cancelled when this daemon leaves.
     pub leaving: CancellationToken,
@@ -61,17 +62,17 @@
         let (parts, body) = request.into_parts();
         let status = match control::decode(&parts.method, parts.uri.path()) {
             Some(ControlCall::Readiness) => self.readiness(),
-            Some(ControlCall::Heartbeat(target)) => match read(body).await {
-                Some(text) => self.heartbeat(target, &text),
+            Some(ControlCall::Heartbeat(target)) => match read_body(body).await {
+                Some(body) => self.heartbeat(target, &body),
                 None => StatusCode::BAD_REQUEST,
             },
-            Some(ControlCall::Leave(target)) => match read(body).await {
-                Some(text) => self.leave(target, &text),
+            Some(ControlCall::Leave(target)) => match read_body(body).await {
+                Some(body) => self.leave(target, &body),
                 None => StatusCode::BAD_REQUEST,
             },
             None => StatusCode::NOT_FOUND,
         };
-        answer(status)
+        respond(status)
     }
 }
 
@@ -83,8 +84,8 @@
         StatusCode::OK
     }
 
-    fn heartbeat(&self, target: String, text: &[u8]) -> StatusCode {
-        let heartbeat = match heartbeat::decode(target, text) {
+    fn heartbeat(&self, target: String, body: &[u8]) -> StatusCode {
+        let heartbeat = match heartbeat::decode(target, body) {
             Ok(heartbeat) => heartbeat,
             Err(error) => {
                 self.counters.add("heartbeat.unreadable");
@@ -92,10 +93,10 @@
                 return StatusCode::BAD_REQUEST;
             }
         };
-        self.heard(heartbeat)
+        self.record_heartbeat(heartbeat)
     }
 
-    fn heard(&self, heartbeat: Heartbeat) -> StatusCode {
+    fn record_heartbeat(&self, heartbeat: Heartbeat) -> StatusCode {
         let Heartbeat { target, life, sequence, service, phase, .. } = heartbeat.clone();
         let heard = self.target.heard(Instant::now(), heartbeat);
         if heard == Heard::Same {
@@ -110,26 +111,27 @@
             heard: format!("{heard:?}"),
         });
         match heard {
-            // A yes would promise the dead process something that has no effect.
+            // A success would promise the dead process something that has no effect.
             Heard::OlderLife => StatusCode::CONFLICT,
             Heard::TooSoon => StatusCode::SERVICE_UNAVAILABLE,
             Heard::NewLife | Heard::Changed | Heard::Same | Heard::Older => StatusCode::OK,
         }
     }
 
-    /// Start of the latest process that may have left by now, for a leave that doesn't name its own.
+    /// Returns the start of the latest process that may have left by now, for a leave that doesn't
+    /// name its own.
     ///
-    /// With a clock that can't be used all processes count, since work for one that has left is worse
-    /// than none for one that comes.
-    fn last_life(&self) -> TargetIncarnation {
+    /// If the clock can't be used, all processes count: a request to a target that has left is
+    /// worse than none to one that is joining.
+    fn latest_departed_incarnation(&self) -> TargetIncarnation {
         unix_ms().unwrap_or_else(|error| {
             self.events.write(|| ClockUnusable { cause: error.to_string() });
             TargetIncarnation::MAX
         })
     }
 
-    fn leave(&self, target: String, text: &[u8]) -> StatusCode {
-        let leave = match heartbeat::decode_leave(target, text) {
+    fn leave(&self, target: String, body: &[u8]) -> StatusCode {
+        let leave = match heartbeat::decode_leave(target, body) {
             Ok(leave) => leave,
             Err(error) => {
                 self.counters.add("heartbeat.unreadable");
@@ -137,32 +139,32 @@
                 return StatusCode::BAD_REQUEST;
             }
         };
-        let is_present = self.target.left(self.last_life(), &leave);
+        let is_present = self.target.left(self.latest_departed_incarnation(), &leave);
         self.events.write(|| TargetLeaving { target: leave.target, life: leave.life, is_present });
         StatusCode::OK
     }
 }
 
-/// The time of day.
+/// Returns the wall clock in milliseconds since 1970.
 ///
 /// # Errors
 ///
-/// This machine's clock stands before 1970.
+/// This machine's clock is set before 1970.
 pub(super) fn unix_ms() -> Result<u64, SystemTimeError> {
     let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH)?;
     Ok(u64::try_from(since.as_millis()).unwrap_or(u64::MAX))
 }
 
-async fn read(body: CallBody) -> Option<Bytes> {
+async fn read_body(body: CallBody) -> Option<Bytes> {
     let limited = http_body_util::Limited::new(body, BODY_MAX_BYTES);
     let read = timeout(BODY_TIMEOUT, limited.collect()).await;
     read.ok()?.ok().map(http_body_util::Collected::to_bytes)
 }
 
-fn answer(status: StatusCode) -> Response<CallBody> {
-    let mut answer = Response::new(body::full(Bytes::from_static(b"{}")));
-    *answer.status_mut() = status;
+fn respond(status: StatusCode) -> Response<CallBody> {
+    let mut response = Response::new(body::full(Bytes::from_static(b"{}")));
+    *response.status_mut() = status;
     let json = http::HeaderValue::from_static("application/json");
-    answer.headers_mut().insert(http::header::CONTENT_TYPE, json);
-    answer
+    response.headers_mut().insert(http::header::CONTENT_TYPE, json);
+    response
 }
--- a/crates/yuccarackd/src/coordination/routed/deadline.rs
+++ b/crates/yuccarackd/src/coordination/routed/deadline.rs
@@ -1,13 +1,13 @@
-//! A deadline that a suspended machine can't outsleep.
+//! A deadline that accounts for time in which the machine is suspended.
 
 use std::time::{Duration, Instant};
 
 use crate::state::routed::boot_clock::suspended;
 
-/// When nobody waits for a request any more.
+/// The time after which nobody waits for a request any more.
 ///
-/// The steady clock stands still while the machine is suspended and the deadline doesn't, so what
-/// was slept through since the request came is taken off.
+/// The monotonic clock stops while the machine is suspended and the caller's deadline doesn't, so
+/// the time suspended since the request arrived is subtracted.
 #[derive(Clone, Copy, Debug)]
 pub struct CallDeadline {
     deadline: Instant,
@@ -15,18 +15,18 @@
 }
 
 impl CallDeadline {
-    /// A deadline at `deadline`, as seen now.
+    /// Creates a deadline at `deadline` of the current monotonic clock.
     pub fn new(deadline: Instant) -> Self {
         Self { deadline, suspended_before: suspended() }
     }
 
-    /// When it is, with what was slept through taken off.
+    /// Returns the deadline, less the time suspended since it was created.
     pub fn at(&self) -> Instant {
         let suspended_since = suspended().saturating_sub(self.suspended_before);
         self.deadline.checked_sub(suspended_since).unwrap_or(self.deadline)
     }
 
-    /// Time left at `now`.
+    /// Returns the time left at `now`.
     pub fn remaining(&self, now: Instant) -> Duration {
         self.at().saturating_duration_since(now)
     }
--- a/crates/yuccarackd/src/coordination/routed/metrics_server.rs
+++ b/crates/yuccarackd/src/coordination/routed/metrics_server.rs
@@ -1,4 +1,4 @@
-//! Where metrics are read.
+//! Serves the metrics in the OpenMetrics text format.
 
 use std::sync::Arc;
 
@@ -11,17 +11,15 @@
     transport::call_server::{Arrival, CallHandler},
 };
 
-/// Path of the metrics.
 const PATH: &str = "/metrics";
 
-/// Form of the metrics.
 const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Answers whoever reads metrics.
+/// Handles requests for the metrics.
 pub struct MetricsServer {
-    /// The metrics.
+    /// Registry of the metrics.
     pub metrics: Metrics,
-    /// Log lines.
+    /// Log for metrics that can't be encoded.
     pub events: EventLog,
 }
 
@@ -32,25 +30,25 @@
         request: Request<CallBody>,
     ) -> Response<CallBody> {
         if request.method() != Method::GET || request.uri().path() != PATH {
-            return with_status(StatusCode::NOT_FOUND);
+            return status_only(StatusCode::NOT_FOUND);
         }
         match self.metrics.text() {
             Ok(text) => {
-                let mut answer = Response::new(body::full(text.into()));
-                let form = HeaderValue::from_static(CONTENT_TYPE);
-                answer.headers_mut().insert(header::CONTENT_TYPE, form);
-                answer
+                let mut response = Response::new(body::full(text.into()));
+                let content_type = HeaderValue::from_static(CONTENT_TYPE);
+                response.headers_mut().insert(header::CONTENT_TYPE, content_type);
+                response
             }
             Err(error) => {
                 self.events.write(|| MetricsNotEncoded { cause: error.to_string() });
-                with_status(StatusCode::INTERNAL_SERVER_ERROR)
+                status_only(StatusCode::INTERNAL_SERVER_ERROR)
             }
         }
     }
 }
 
-fn with_status(status: StatusCode) -> Response<CallBody> {
-    let mut answer = Response::new(body::empty());
-    *answer.status_mut() = status;
-    answer
+fn status_only(status: StatusCode) -> Response<CallBody> {
+    let mut response = Response::new(body::empty());
+    *response.status_mut() = status;
+    response
 }
--- a/crates/yuccarackd/src/coordination/routed/mod.rs
+++ b/crates/yuccarackd/src/coordination/routed/mod.rs
@@ -1,4 +1,4 @@
-//! Calls that are routed by host and path: entry, gate, and what both are told.
+//! Calls routed by host and path: entry, gate, and the updates that both work by.
 
 pub mod catch_up;
 pub mod control_server;
--- a/crates/yuccarackd/src/coordination/routed/row_publisher.rs
+++ b/crates/yuccarackd/src/coordination/routed/row_publisher.rs
@@ -1,4 +1,4 @@
-//! Keeps the row of this instance in the members' table true.
+//! Keeps the row of this instance in the members table up to date.
 
 use std::time::Duration;
 
@@ -31,29 +31,29 @@
     },
 };
 
-/// First wait after a write that failed.
+/// First delay after a write that failed.
 const RETRY_FIRST: Duration = Duration::from_millis(100);
 
-/// Longest such wait; a target that joined has to be known 4 s later.
+/// Longest retry delay; a target that joined has to be known 4 s later.
 const RETRY_MAX: Duration = Duration::from_millis(800);
 
-/// Table of targets that said that they leave, a row for each instance. Nobody follows it, so a row
-/// costs one write, and one question at each start of a daemon.
+/// Table of targets that have announced that they leave, one row for each instance. No daemon
+/// follows it, so a row costs one write, and one read at each start of a daemon.
 const LEAVING_TABLE: &str = "leaving";
 
 /// Longest wait for that row at a start; a target sends its next heartbeat 1.5 s later.
-const SETTLE_MAX: Duration = Duration::from_millis(1_200);
+const LOAD_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// Time over which the first rows of a fleet are spread; one part of the store takes some 150
-/// transactions a second and refuses those that would wait for more than a second.
+/// Time over which the first rows of a fleet are spread. One partition of the store handles about
+/// 150 transactions a second and refuses those that would wait for more than a second.
 const FIRST_WRITE_SPREAD: Duration = Duration::from_secs(1);
 
 wire_data! {
-    /// A target that said that it leaves.
+    /// A target that has announced that it leaves.
     struct LeavingRow {
-        /// Its name.
+        /// Name of the target.
         target: TargetId,
-        /// Its process.
+        /// Last incarnation of the target that leaves.
         last_life: TargetIncarnation,
     }
 }
@@ -61,97 +61,100 @@
 /// Writes the row of one instance.
 #[derive(Clone)]
 pub struct RowPublisher {
-    /// The store.
+    /// Client of the store.
     pub store: StoreClient,
     /// The row without its service.
     pub member: RoutedMember,
-    /// The target.
+    /// The target of this instance.
     pub target: RoutedTarget,
-    /// All members, this one among them.
+    /// Members known to this daemon, this instance among them.
     pub members: Members,
-    /// Log lines.
+    /// Log for writes and their failures.
     pub events: EventLog,
     /// Service of the target by the settings, if the whole fleet starts for the first time.
     pub initial_service: Option<ServiceName>,
 }
 
 impl RowPublisher {
-    /// Writes at each change of what the target serves, until `stop`.
+    /// Writes the row at each change of what the target serves, until `stop` is cancelled.
     ///
-    /// A write names the revision that it replaces: one whose answer was lost may take effect
-    /// seconds later, and must not put an older row over a newer one.
+    /// A write names the revision that it replaces. One whose response was lost may take effect
+    /// seconds later, and must not replace a newer row by an older one.
     pub async fn run(mut self, stop: CancellationToken) {
         let (mut changes, mut row_changes) = (self.target.subscribe(), self.members.subscribe());
         tokio::select! {
             () = stop.cancelled() => return,
-            () = self.start() => {}
+            () = self.load_initial_state() => {}
         }
         tokio::select! {
             () = stop.cancelled() => return,
             () = self.members.wait_read() => {}
         }
-        let mut kept: Option<Departed> = None;
+        let mut stored_departure: Option<Departed> = None;
         loop {
-            // Without a target the row stays as it is: it says whom to ask, and the gate refuses.
+            // Without a target the row stays as it is: it names the gate to query, and the gate
+            // refuses.
             let target = changes.borrow_and_update().clone();
             row_changes.borrow_and_update();
             if let Some(target) = target {
                 self.member.service = Some(target.service.clone());
-                let (seen_at, stands) = self.members.row(&self.member.instance);
-                let others =
+                let (expected_revision, current_row) = self.members.row(&self.member.instance);
+                let stale_rows =
                     self.members.others_at(self.member.gate_address, &self.member.instance);
-                let is_latest = others.iter().all(|(_, revision)| *revision < seen_at);
-                if !is_latest || stands.is_none_or(|stands| *stands != self.member) {
+                let is_latest =
+                    stale_rows.iter().all(|(_, revision)| *revision < expected_revision);
+                if !is_latest || current_row.is_none_or(|current_row| *current_row != self.member) {
                     tokio::select! {
                         () = stop.cancelled() => return,
-                        () = self.write(seen_at) => {}
+                        () = self.write_row(expected_revision) => {}
                     }
                 }
                 tokio::select! {
                     () = stop.cancelled() => return,
-                    () = self.end_others(others) => {}
+                    () = self.delete_stale_rows(stale_rows) => {}
                 }
             }
             let departed = self.target.departed();
-            // A target that stays after all, the same process, takes its word back.
-            let is_taken_back =
-                departed.is_none() && kept.is_some() && self.target.current().is_some();
-            if is_taken_back || (departed.is_some() && departed != kept) {
+            // A target of the same incarnation that stays after all revokes its departure.
+            let is_revoked =
+                departed.is_none() && stored_departure.is_some() && self.target.current().is_some();
+            if is_revoked || (departed.is_some() && departed != stored_departure) {
                 tokio::select! {
                     () = stop.cancelled() => return,
-                    () = self.keep(departed.as_ref()) => kept = departed,
+                    () = self.store_departure(departed.as_ref()) => stored_departure = departed,
                 }
             }
             tokio::select! {
                 () = stop.cancelled() => return,
                 changed = changes.changed() => if changed.is_err() { return },
-                // Others may have ended the row while this instance could not be reached.
+                // Other daemons may have deleted the row while this instance was unreachable.
                 changed = row_changes.changed() => if changed.is_err() { return },
             }
         }
     }
 
-    /// Settles what an earlier process of this daemon was told.
-    async fn start(&mut self) {
+    /// Determines what an earlier process of this daemon knew of the target.
+    async fn load_initial_state(&mut self) {
         if let Some(service) = self.initial_service.take()
-            && self.create(service).await
+            && self.create_row(service).await
         {
             self.target.settle(None);
             return;
         }
-        self.settle().await;
+        self.load_departure().await;
     }
 
-    /// Writes the first row of this instance, if no target of it ever left; false if it is not written.
+    /// Writes the first row of this instance, if no target of it ever left; returns false if it is
+    /// not written.
     ///
-    /// The row and the proof that there was no earlier process take one question in place of two, which
-    /// all daemons of a new fleet ask in the same second.
-    async fn create(&mut self, service: ServiceName) -> bool {
+    /// One conditional write both creates the row and verifies that there was no earlier process.
+    /// All daemons of a new fleet send it within the same second, so it saves one of two requests.
+    async fn create_row(&mut self, service: ServiceName) -> bool {
         sleep(FIRST_WRITE_SPREAD.mul_f64(generator().random())).await;
         let member = RoutedMember { service: Some(service), ..self.member.clone() };
         let write = self.row_write(&member, 0, Some(LEAVING_TABLE));
         let written = async { self.store.write(&write?).await };
-        match timeout(SETTLE_MAX, written).await {
+        match timeout(LOAD_TIMEOUT, written).await {
             Ok(Ok(revision)) => {
                 let service = member.service.clone();
                 self.events.write(|| RowWritten { service, revision });
@@ -163,39 +166,41 @@
                 false
             }
             Err(_) => {
-                let cause = "no answer in time".to_owned();
+                let cause = "no response from the store in time".to_owned();
                 self.events.write(|| RowNotWritten { seen_at: 0, cause });
                 false
             }
         }
     }
 
-    /// Reads what an earlier process of this daemon was told of the target.
+    /// Reads whether the target announced to an earlier process of this daemon that it leaves.
     ///
-    /// Failure: a target says that it leaves, its daemon restarts, and a heartbeat from before that
-    /// word arrives late; the new process would send it work again. With the store away nothing
-    /// more can be known, and the target's own word has to do.
-    async fn settle(&self) {
-        // The own row alone: the table grows with all instances that ever left.
+    /// A target may announce that it leaves, its daemon restart, and a heartbeat from before the
+    /// announcement arrive late. Without the stored row the new process would send it requests
+    /// again. While the store is unavailable the target's own heartbeats have to do.
+    async fn load_departure(&self) {
+        // Only the own row: the table grows with all instances that ever left.
         let row = self.store.row(LEAVING_TABLE, &self.member.instance);
-        let row = match timeout(SETTLE_MAX, row).await {
+        let row = match timeout(LOAD_TIMEOUT, row).await {
             Ok(Ok(row)) => row,
             Ok(Err(error)) => {
                 self.events.write(|| LeavingNotRead { cause: error.to_string() });
                 None
             }
             Err(_) => {
-                self.events.write(|| LeavingNotRead { cause: "no answer in time".to_owned() });
+                self.events.write(|| LeavingNotRead {
+                    cause: "no response from the store in time".to_owned(),
+                });
                 None
             }
         };
         let row = row.and_then(|row| row.value);
-        let row = row.and_then(|text| self.decode(&text));
+        let row = row.and_then(|text| self.decode_leaving_row(&text));
         let departed = row.map(|row| Departed { target: row.target, last_life: row.last_life });
         self.target.settle(departed);
     }
 
-    fn decode(&self, text: &[u8]) -> Option<LeavingRow> {
+    fn decode_leaving_row(&self, text: &[u8]) -> Option<LeavingRow> {
         match serde_json::from_slice(text) {
             Ok(row) => Some(row),
             Err(error) => {
@@ -205,8 +210,9 @@
         }
     }
 
-    /// Keeps the word of a target that leaves for a later process of this daemon; none takes it away.
-    async fn keep(&self, departed: Option<&Departed>) {
+    /// Stores that the target leaves, for a later process of this daemon; no daemon deletes this
+    /// row.
+    async fn store_departure(&self, departed: Option<&Departed>) {
         let row = departed.map(|departed| LeavingRow {
             target: departed.target.clone(),
             last_life: departed.last_life,
@@ -251,9 +257,9 @@
         }
     }
 
-    /// Takes away the rows of instances that had the address of this one before.
-    async fn end_others(&self, others: Vec<(InstanceId, Revision)>) {
-        for (member, expected_revision) in others {
+    /// Deletes the rows of instances that had the address of this one before.
+    async fn delete_stale_rows(&self, stale_rows: Vec<(InstanceId, Revision)>) {
+        for (member, expected_revision) in stale_rows {
             let write = FeedWrite {
                 table: MEMBERS_TABLE,
                 key: member.clone(),
@@ -266,7 +272,8 @@
                     self.members.merge(&member, revision, None);
                     self.events.write(|| MemberRowDeleted { member, revision });
                 }
-                // All that know this instance's row pass over the other one; the next change ends it.
+                // Daemons that know this instance's row ignore the stale one, and the next change
+                // deletes it.
                 Err(error) => {
                     let cause = error.to_string();
                     self.events.write(|| MemberRowNotDeleted { member, cause });
@@ -275,16 +282,17 @@
         }
     }
 
-    /// Takes the row away if the target has left for good, so that nobody looks for it any more.
+    /// Deletes the row if the target has left for good, so that no daemon sends requests there any
+    /// more.
     ///
-    /// Failure: the instance is taken out of service, its row stands, and each other daemon loses a
-    /// request there, or a wait for a connection, before it knows.
+    /// If the row stayed after the instance is taken out of service, every other daemon would lose
+    /// a request there, or wait for a connection, before it finds out.
     pub async fn withdraw(self) {
         if !self.target.is_leaving() {
             return;
         }
-        let (expected_revision, stands) = self.members.row(&self.member.instance);
-        if stands.is_none() {
+        let (expected_revision, current_row) = self.members.row(&self.member.instance);
+        if current_row.is_none() {
             return;
         }
         let write = FeedWrite {
@@ -296,16 +304,16 @@
         };
         match self.store.write(&write).await {
             Ok(revision) => self.events.write(|| RowDeleted { revision }),
-            // The process ends; others find out by its closed port.
+            // The process ends; other daemons find out by its closed port.
             Err(error) => self.events.write(|| RowNotDeleted { cause: error.to_string() }),
         }
     }
 
-    /// Writes until it is done.
-    async fn write(&self, mut seen_at: Revision) {
+    /// Writes the row, and retries until that succeeds.
+    async fn write_row(&self, mut expected_revision: Revision) {
         let mut retry = RETRY_FIRST;
         loop {
-            match self.write_once(seen_at).await {
+            match self.write_once(expected_revision).await {
                 Ok(revision) => {
                     let service = self.member.service.clone();
                     self.events.write(|| RowWritten { service, revision });
@@ -313,11 +321,16 @@
                     self.members.merge(&self.member.instance, revision, member);
                     return;
                 }
-                Err(FeedError::Conflict { current_revision }) if current_revision != seen_at => {
-                    seen_at = current_revision;
+                Err(FeedError::Conflict { current_revision })
+                    if current_revision != expected_revision =>
+                {
+                    expected_revision = current_revision;
                 }
                 Err(error) => {
-                    self.events.write(|| RowNotWritten { seen_at, cause: error.to_string() });
+                    self.events.write(|| RowNotWritten {
+                        seen_at: expected_revision,
+                        cause: error.to_string(),
+                    });
                     sleep(jittered(retry)).await;
                     retry = (retry * 2).min(RETRY_MAX);
                 }
@@ -325,8 +338,8 @@
         }
     }
 
-    async fn write_once(&self, seen_at: Revision) -> Result<Revision, FeedError> {
-        let write = self.row_write(&self.member, seen_at, None)?;
+    async fn write_once(&self, expected_revision: Revision) -> Result<Revision, FeedError> {
+        let write = self.row_write(&self.member, expected_revision, None)?;
         self.store.write(&write).await
     }
 
--- a/crates/yuccarackd/src/coordination/routed/sweeper.rs
+++ b/crates/yuccarackd/src/coordination/routed/sweeper.rs
@@ -1,4 +1,4 @@
-//! Ends the rows of instances that were lost without a word.
+//! Deletes the rows of instances that were lost without leaving.
 
 use std::time::Duration;
 
@@ -20,30 +20,31 @@
     transport::look::is_listening,
 };
 
-/// Looks within the time after which an instance counts as gone.
-const LOOKS: u32 = 10;
+/// Probes within the time after which an instance counts as removed.
+const PROBES_BEFORE_REMOVAL: u32 = 10;
 
-/// Daemons of other failure domains that are looked at too, to tell a cut link of the own one.
-const OTHERS: usize = 2;
+/// Daemons of other failure domains that are probed too, to detect that the own one is cut off.
+const REMOTE_PROBES: usize = 2;
 
 /// Longest wait for a connection to a gate; a round trip takes 3 ms at most.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Looks at the instances of the own failure domain. Daemons that are told by relays leave it to those.
+/// Probes the instances of the own failure domain. Daemons that receive updates from relays leave
+/// it to those.
 pub struct Sweeper {
     /// This instance.
     pub instance: InstanceId,
-    /// Its failure domain.
+    /// Failure domain of this instance.
     pub failure_domain: DomainName,
-    /// Time out of reach after which an instance counts as gone.
+    /// Time after which an unreachable instance counts as removed.
     pub remove_after: Duration,
-    /// The store.
+    /// Client of the store.
     pub store: StoreClient,
-    /// All members.
+    /// Members known to this daemon.
     pub members: Members,
-    /// Whether this daemon asks the store.
+    /// Source of this daemon's updates, which shows whether it queries the store.
     pub news: News,
-    /// Log lines.
+    /// Log for deleted rows.
     pub events: EventLog,
 }
 
@@ -52,43 +53,45 @@
     pub async fn run(self) {
         let mut absences = Absences::new(self.remove_after);
         loop {
-            sleep(jittered(self.remove_after / LOOKS)).await;
+            sleep(jittered(self.remove_after / PROBES_BEFORE_REMOVAL)).await;
             if !self.news.asks_store() {
                 absences = Absences::new(self.remove_after);
                 continue;
             }
-            let look = self.look().await;
-            for gone in absences.looked(Instant::now().into(), &look) {
-                self.end(&gone).await;
+            let probes = self.probe_members().await;
+            for absent in absences.looked(Instant::now().into(), &probes) {
+                self.delete_row(&absent).await;
             }
         }
     }
 
-    async fn look(&self) -> Vec<(InstanceId, bool)> {
+    async fn probe_members(&self) -> Vec<(InstanceId, bool)> {
         let members = self.members.all();
-        let (near, far): (Vec<_>, Vec<_>) =
+        let (local, remote): (Vec<_>, Vec<_>) =
             members.iter().partition(|member| member.failure_domain == self.failure_domain);
-        let far = far.choose_multiple(&mut rand::rng(), OTHERS).copied().collect::<Vec<_>>();
-        let mut look = Vec::new();
-        for member in near.into_iter().filter(|member| member.instance != self.instance) {
-            look.push((
+        let remote =
+            remote.choose_multiple(&mut rand::rng(), REMOTE_PROBES).copied().collect::<Vec<_>>();
+        let mut probes = Vec::new();
+        for member in local.into_iter().filter(|member| member.instance != self.instance) {
+            probes.push((
                 member.instance.clone(),
                 is_listening(member.gate_address, CONNECT_TIMEOUT).await,
             ));
         }
-        for member in far {
-            // Those of other domains are ended by their own relays, so they never count as away.
+        for member in remote {
+            // Instances of other failure domains are removed by their own relays, so they never
+            // count as unreachable.
             if is_listening(member.gate_address, CONNECT_TIMEOUT).await {
-                look.push((member.instance.clone(), true));
+                probes.push((member.instance.clone(), true));
             }
         }
-        look
+        probes
     }
 
-    /// Takes the row of `member` away, unless it was written anew.
+    /// Deletes the row of `member`, unless it was written again.
     ///
-    /// A daemon that lives after all, behind a link that is cut one way, writes its row again.
-    async fn end(&self, member: &str) {
+    /// A daemon that is alive after all, behind a link that is cut one way, writes its row again.
+    async fn delete_row(&self, member: &str) {
         let (expected_revision, _) = self.members.row(member);
         let write = FeedWrite {
             table: MEMBERS_TABLE,
@@ -103,7 +106,7 @@
                 self.members.merge(&member, revision, None);
                 self.events.write(|| MemberRowDeleted { member, revision });
             }
-            // The next look ends it, or another relay has.
+            // The next probe deletes it, or another relay has.
             Err(error) => {
                 let cause = error.to_string();
                 self.events.write(|| MemberRowNotDeleted { member, cause });
