--- a/crates/yuccarackd/src/coordination/routed/row_publisher.rs
+++ b/crates/yuccarackd/src/coordination/routed/row_publisher.rs
@@ -310,10 +310,10 @@
     }
 
     /// Writes the row, and retries until that succeeds.
-    async fn write_row(&self, mut expected_revision: Revision) {
+    async fn write_row(&self, mut seen_at: Revision) {
         let mut retry = RETRY_FIRST;
         loop {
-            match self.write_once(expected_revision).await {
+            match self.write_once(seen_at).await {
                 Ok(revision) => {
                     let service = self.member.service.clone();
                     self.events.write(|| RowWritten { service, revision });
@@ -321,16 +321,11 @@
                     self.members.merge(&self.member.instance, revision, member);
                     return;
                 }
-                Err(FeedError::Conflict { current_revision })
-                    if current_revision != expected_revision =>
-                {
-                    expected_revision = current_revision;
+                Err(FeedError::Conflict { current_revision }) if current_revision != seen_at => {
+                    seen_at = current_revision;
                 }
                 Err(error) => {
-                    self.events.write(|| RowNotWritten {
-                        seen_at: expected_revision,
-                        cause: error.to_string(),
-                    });
+                    self.events.write(|| RowNotWritten { seen_at, cause: error.to_string() });
                     sleep(jittered(retry)).await;
                     retry = (retry * 2).min(RETRY_MAX);
                 }
