--- a/crates/yuccarackd/tests/routed/path.rs
+++ b/crates/yuccarackd/tests/routed/path.rs
@@ -1,4 +1,4 @@
-//! The whole path of a routed call.
+//! The path of a routed call from the caller to a target.
 
 use std::time::Duration;
 
@@ -13,16 +13,16 @@
 use crate::support::{ORDERS, READS, board_routes, deployed, program};
 
 #[tokio::test]
-async fn any_entry_reaches_a_target_of_the_route() {
+async fn any_entry_forwards_to_a_target_of_the_route() {
     let deployment = deployed("path", &["board", "board", "desk"]).await;
     for (number, instance) in deployment.instances.iter().enumerate() {
         let id = format!("a{number}");
         let call = Call::read(READS, "/r/huts/7?x=1", &id);
-        let told = ask(instance.call_address(), &call).await.expect("an answer");
-        assert_eq!(told.status, StatusCode::OK);
-        assert_eq!(told.body, format!("page of {id}"));
-        assert_eq!(told.request_id(), id);
-        assert_eq!(told.signature(), format!("stamp-of-{id}"));
+        let response = ask(instance.call_address(), &call).await.expect("a response");
+        assert_eq!(response.status, StatusCode::OK);
+        assert_eq!(response.body, format!("page of {id}"));
+        assert_eq!(response.request_id(), id);
+        assert_eq!(response.signature(), format!("stamp-of-{id}"));
         let runs: Vec<_> =
             deployment.instances.iter().flat_map(|instance| instance.target.runs()).collect();
         let run = runs.iter().find(|run| run.id == id).expect("a run");
@@ -35,116 +35,120 @@
 }
 
 #[tokio::test]
-async fn an_order_arrives_with_its_body() {
+async fn a_target_receives_an_order_with_its_body() {
     let deployment = deployed("body", &["board"]).await;
     let call = Call::order(ORDERS, "/o/1", "b1");
-    let told = ask(deployment.instances[0].call_address(), &call).await.expect("an answer");
-    assert_eq!(told.status, StatusCode::OK);
+    let response = ask(deployment.instances[0].call_address(), &call).await.expect("a response");
+    assert_eq!(response.status, StatusCode::OK);
     let runs = deployment.instances[0].target.runs();
     assert_eq!((runs.len(), &runs[0].body), (1, &call.body));
     let long = Call { body: vec![7; 300_000].into(), ..Call::order(ORDERS, "/o/2", "b2") };
-    let told = ask(deployment.instances[0].call_address(), &long).await.expect("an answer");
-    assert_eq!(told.status, StatusCode::OK);
+    let response = ask(deployment.instances[0].call_address(), &long).await.expect("a response");
+    assert_eq!(response.status, StatusCode::OK);
     assert_eq!(deployment.instances[0].target.runs()[1].body, long.body);
 }
 
-/// Story: a daemon starts and has heard of no routes yet. A 404 would tell its callers that their
-/// routes are gone; so they are told to come back, and the platform that it isn't ready.
+/// Guards against a 404 from a daemon that has received no routes yet, by which callers would take
+/// their routes for removed. They must get a 503 with `Retry-After`, and the daemon must not report
+/// readiness.
 #[tokio::test]
-async fn a_daemon_without_routes_sends_callers_back_later() {
+async fn a_daemon_without_routes_responds_with_retry_after() {
     let mut deployment = Deployment::start(program(), "unready", &["board"]).await.expect("one");
     let address = deployment.instances[0].call_address();
-    let told = ask(address, &Call::read(READS, "/r/1", "c1")).await.expect("an answer");
-    assert_eq!(told.status, StatusCode::SERVICE_UNAVAILABLE);
-    assert!(told.header("retry-after").parse::<f64>().is_ok_and(|seconds| seconds > 0.0));
+    let response = ask(address, &Call::read(READS, "/r/1", "c1")).await.expect("a response");
+    assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
+    assert!(response.header("retry-after").parse::<f64>().is_ok_and(|seconds| seconds > 0.0));
     assert!(!deployment.instances[0].is_ready().await);
     deployment.apply(&board_routes()).await;
-    let told = ask(address, &Call::read(READS, "/r/1", "c2")).await.expect("an answer");
-    assert_eq!(told.status, StatusCode::OK);
-    let told = ask(address, &Call::read(READS, "/nowhere/1", "c3")).await.expect("an answer");
-    assert_eq!(told.status, StatusCode::NOT_FOUND);
+    let response = ask(address, &Call::read(READS, "/r/1", "c2")).await.expect("a response");
+    assert_eq!(response.status, StatusCode::OK);
+    let response = ask(address, &Call::read(READS, "/nowhere/1", "c3")).await.expect("a response");
+    assert_eq!(response.status, StatusCode::NOT_FOUND);
 }
 
 #[tokio::test]
-async fn a_head_without_a_name_or_with_two_deadlines_is_refused() {
+async fn a_head_without_a_request_id_or_with_two_deadlines_is_refused() {
     let deployment = deployed("head", &["board"]).await;
     let address = deployment.instances[0].call_address();
     for text in broken_heads() {
-        let answer = raw(address, &text).await;
-        assert!(answer.starts_with("HTTP/1.1 400"), "{text} got {answer}");
+        let response = send_raw(address, &text).await;
+        assert!(response.starts_with("HTTP/1.1 400"), "{text} got {response}");
     }
     assert!(deployment.instances[0].target.runs().is_empty());
 }
 
-async fn raw(address: std::net::SocketAddr, text: &str) -> String {
+async fn send_raw(address: std::net::SocketAddr, text: &str) -> String {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
     let mut stream = tokio::net::TcpStream::connect(address).await.expect("a connection");
     stream.write_all(text.as_bytes()).await.expect("a sent request");
-    let mut answer = Vec::new();
-    stream.read_to_end(&mut answer).await.expect("an answer");
-    String::from_utf8_lossy(&answer).into_owned()
+    let mut response = Vec::new();
+    stream.read_to_end(&mut response).await.expect("a response");
+    String::from_utf8_lossy(&response).into_owned()
 }
 
 #[tokio::test]
-async fn a_split_route_keeps_to_its_weights() {
+async fn a_split_route_follows_its_weights() {
     let mut deployment =
         Deployment::start(program(), "split", &["board", "desk"]).await.expect("two");
     let split = vec![("board", 3), ("desk", 1)];
     deployment.apply(&[RouteSpec { split, ..RouteSpec::reads(READS, "/r/", "board") }]).await;
     for number in 0..80 {
         let call = Call::read(READS, "/r/1", &format!("e{number}"));
-        ask(deployment.instances[number % 2].call_address(), &call).await.expect("an answer");
+        ask(deployment.instances[number % 2].call_address(), &call).await.expect("a response");
     }
     let desk = deployment.instances[1].target.runs().len();
-    assert!((18..=22).contains(&desk), "{desk} of 80 went to a quarter");
+    assert!(
+        (18..=22).contains(&desk),
+        "{desk} of 80 calls went to the service with a quarter of the weight"
+    );
 }
 
-/// Story: operators move a route to another service; each daemon follows within two seconds, and
-/// none goes back.
+/// Guards against daemons that miss a changed route: operators move a route to another service. A
+/// daemon must follow within two seconds and never go back to the old one.
 #[tokio::test]
 async fn a_moved_route_is_followed() {
     let mut deployment = deployed("moved", &["board", "desk"]).await;
     let address = deployment.instances[0].call_address();
-    ask(address, &Call::read(READS, "/r/1", "f1")).await.expect("an answer");
+    ask(address, &Call::read(READS, "/r/1", "f1")).await.expect("a response");
     assert_eq!(deployment.instances[0].target.runs().len(), 1);
     deployment.write(&[RouteSpec::reads(READS, "/r/", "desk")]);
     let is_moved = || async {
-        ask(address, &Call::read(READS, "/r/1", "f2")).await.expect("an answer");
+        ask(address, &Call::read(READS, "/r/1", "f2")).await.expect("a response");
         !deployment.instances[1].target.runs().is_empty()
     };
     wait("the moved route", is_moved).await;
     let before = deployment.instances[0].target.runs().len();
     for number in 0..20 {
-        ask(address, &Call::read(READS, "/r/1", &format!("g{number}"))).await.expect("an answer");
+        ask(address, &Call::read(READS, "/r/1", &format!("g{number}"))).await.expect("a response");
     }
     assert_eq!(deployment.instances[0].target.runs().len(), before);
 }
 
 #[tokio::test]
-async fn counters_and_histograms_are_read_as_text() {
+async fn counters_and_histograms_are_exported_as_text() {
     let deployment = deployed("metrics", &["board"]).await;
     let instance = &deployment.instances[0];
-    ask(instance.call_address(), &Call::read(READS, "/r/1", "h1")).await.expect("an answer");
-    let text = raw(
+    ask(instance.call_address(), &Call::read(READS, "/r/1", "h1")).await.expect("a response");
+    let text = send_raw(
         instance.address("metrics_address"),
         "GET /metrics HTTP/1.1\r\nHost: m\r\nConnection: close\r\n\r\n",
     )
     .await;
-    for wanted in [
+    for expected in [
         "yuccarack_entry_calls_total 1",
         "yuccarack_call_seconds_count{end=\"answered\"} 1",
         "yuccarack_queue_seconds",
         "yuccarack_routing_version 3",
     ] {
-        assert!(text.contains(wanted), "no {wanted} in {text}");
+        assert!(text.contains(expected), "no {expected} in {text}");
     }
 }
 
-/// Routes come from a file in the product's own format: a daemon serves by them though the store has
-/// no operators' document, takes a newer file when it is told to read its settings, and keeps what is
-/// in force when an older one is put in its place.
+/// Guards against routing files that are ignored or go back in version: a daemon serves by a file
+/// though the store has no routing document, applies a newer file when it reloads its settings, and
+/// keeps the table in force when the file has an older version.
 #[tokio::test]
-async fn routes_come_from_a_file_too() {
+async fn routes_are_read_from_a_routing_file() {
     let mut deployment =
         Deployment::start(program(), "routing-file", &["board"]).await.expect("one");
     let file = std::env::temp_dir().join(format!("routing-{}.json", std::process::id()));
@@ -165,45 +169,47 @@
     assert!(!instance.is_ready().await, "ready without routes");
     instance.set("routing_file", serde_json::json!(file)).expect("settings");
     instance.daemon.as_ref().expect("a daemon").reload();
-    wait("the first file", || answers(instance, "/first/1", StatusCode::OK)).await;
+    wait("the first file", || responds_with(instance, "/first/1", StatusCode::OK)).await;
     write(3, "/second/");
     instance.daemon.as_ref().expect("a daemon").reload();
-    wait("the second file", || answers(instance, "/second/1", StatusCode::OK)).await;
-    assert!(answers(instance, "/first/1", StatusCode::NOT_FOUND).await);
+    wait("the second file", || responds_with(instance, "/second/1", StatusCode::OK)).await;
+    assert!(responds_with(instance, "/first/1", StatusCode::NOT_FOUND).await);
     write(1, "/third/");
     instance.daemon.as_ref().expect("a daemon").reload();
     tokio::time::sleep(Duration::from_millis(300)).await;
-    assert!(answers(instance, "/third/1", StatusCode::NOT_FOUND).await);
-    assert!(answers(instance, "/second/1", StatusCode::OK).await);
-    std::fs::remove_file(&file).expect("the file");
+    assert!(responds_with(instance, "/third/1", StatusCode::NOT_FOUND).await);
+    assert!(responds_with(instance, "/second/1", StatusCode::OK).await);
+    std::fs::remove_file(&file).expect("a removed file");
 }
 
-/// Whether a read of `path` is answered with `status`.
-async fn answers(instance: &Instance, path: &str, status: StatusCode) -> bool {
+/// Returns whether a read of `path` gets a response with `status`.
+async fn responds_with(instance: &Instance, path: &str, status: StatusCode) -> bool {
     let call = Call::read(READS, path, "from-a-file");
-    ask(instance.call_address(), &call).await.is_some_and(|told| told.status == status)
+    ask(instance.call_address(), &call).await.is_some_and(|response| response.status == status)
 }
 
-/// Engineers read from the metrics how old what a daemon knows is and whom it reaches, and bound its
-/// lines by a setting: with none allowed, a failed call leaves a count and no line.
+/// Guards against missing metrics of a daemon's state, its peers and the age of its data, and
+/// against log lines beyond the limit: with a limit of zero a failed call is counted and not
+/// logged.
 #[tokio::test]
-async fn metrics_tell_ages_and_states_and_lines_are_bounded_by_a_setting() {
+async fn metrics_report_ages_and_states_and_a_setting_limits_log_lines() {
     let mut deployment = deployed("metrics", &["board", "board"]).await;
     let instance = &mut deployment.instances[0];
     let daemon = instance.daemon.as_mut().expect("a daemon");
     daemon.terminate();
-    daemon.ended().await.expect("an end");
+    daemon.ended().await.expect("an exit status");
     instance.set("log_lines_percent", serde_json::json!(0)).expect("settings");
     instance.start_daemon().await.expect("a daemon");
     wait("routes", || instance.is_ready()).await;
     let unknown = Call::read("nobody.example", "/", "without-a-line");
-    let told = ask(instance.call_address(), &unknown).await.expect("an answer");
-    assert_eq!(told.status, StatusCode::NOT_FOUND);
-    wait("a served call", || answers(instance, "/r/1", StatusCode::OK)).await;
+    let response = ask(instance.call_address(), &unknown).await.expect("a response");
+    assert_eq!(response.status, StatusCode::NOT_FOUND);
+    wait("a served call", || responds_with(instance, "/r/1", StatusCode::OK)).await;
     let question = Question::new(http::Method::GET, "/metrics");
     let address = instance.address("metrics_address");
-    let told = Asker::new(Duration::from_secs(2)).ask(address, question).await.expect("metrics");
-    let text = String::from_utf8_lossy(&told.body).into_owned();
+    let response =
+        Asker::new(Duration::from_secs(2)).ask(address, question).await.expect("metrics");
+    let text = String::from_utf8_lossy(&response.body).into_owned();
     for line in [
         "yuccarack_members 2",
         "yuccarack_members_serving 2",
@@ -217,5 +223,5 @@
         assert!(text.contains(line), "no {line} in\n{text}");
     }
     let lines = std::fs::read_to_string(instance.log()).expect("a log");
-    assert!(!lines.contains("without-a-line"), "a line that was not allowed");
+    assert!(!lines.contains("without-a-line"), "a log line despite the limit of zero");
 }
--- a/crates/yuccarackd/tests/routed/pipelining.rs
+++ b/crates/yuccarackd/tests/routed/pipelining.rs
@@ -1,4 +1,4 @@
-//! Requests that a caller sends before its earlier ones are answered.
+//! Pipelined requests, which a caller sends before it has the responses to earlier ones.
 
 use std::time::{Duration, Instant};
 
@@ -13,7 +13,7 @@
 
 use crate::support::{ORDERS, READS, deployed};
 
-/// Most reads of a connection that run beside the one that is answered.
+/// Most reads of a connection that run ahead of the one whose response is due.
 const EARLY_MAX: usize = 8;
 
 fn reads(count: usize, name: &str) -> Vec<Call> {
@@ -24,7 +24,7 @@
     deployment.instances.iter().flat_map(|instance| instance.target.runs()).collect()
 }
 
-fn has_begun(deployment: &Deployment, id: &str) -> bool {
+fn has_started(deployment: &Deployment, id: &str) -> bool {
     runs(deployment).iter().any(|run| run.id == id)
 }
 
@@ -32,61 +32,65 @@
     PipelinedCaller::open(deployment.instances[0].call_address()).await.expect("a connection")
 }
 
-async fn behaving(name: &str, work: Duration) -> Deployment {
+async fn deploy_with_service_time(name: &str, service_time: Duration) -> Deployment {
     let deployment = deployed(name, &["board", "board"]).await;
     for instance in &deployment.instances {
-        instance.target.behave(Behaviour::Answer(work));
+        instance.target.behave(Behaviour::Answer(service_time));
     }
     deployment
 }
 
-/// Story: a caller leaves while its reads run, some of them sent ahead on its connection. While bytes
-/// of the further ones were unread, nobody looked whether the connection had ended: the first run
-/// went on to its end, and with three sent ahead another began after the caller had gone.
+/// Guards against runs that go on after their caller has disconnected: a caller disconnects while
+/// its pipelined reads run. While bytes of later requests are unread, the end of the connection
+/// isn't seen by a read, so the first run would go on to its end and a further one could start.
 #[tokio::test]
-async fn a_caller_that_leaves_frees_the_targets_whatever_it_sent_ahead() {
-    let deployment = behaving("left", Duration::from_secs(4)).await;
+async fn a_caller_that_disconnects_frees_the_targets_despite_pipelined_reads() {
+    let deployment = deploy_with_service_time("left", Duration::from_secs(4)).await;
     for (count, is_reset) in [(1, false), (2, false), (3, false), (8, false), (3, true)] {
         let name = format!("left{count}{is_reset}-");
         let mut caller = open(&deployment).await;
         caller.send(&reads(count, &name)).await.expect("sent");
-        wait("the first run", || async { has_begun(&deployment, &format!("{name}0")) }).await;
+        wait("the first run", || async { has_started(&deployment, &format!("{name}0")) }).await;
         sleep(Duration::from_millis(100)).await;
         let of_caller = || runs(&deployment).into_iter().filter(|run| run.id.starts_with(&name));
-        let left_at = Instant::now();
+        let disconnected_at = Instant::now();
         if is_reset {
             caller.reset().expect("a reset")
         } else {
             drop(caller)
         }
-        wait("all runs to be cut", || async { of_caller().all(|run| run.is_cut) }).await;
-        assert!(left_at.elapsed() < Duration::from_millis(500), "{count}: {:?}", left_at.elapsed());
+        wait("all runs to be cancelled", || async { of_caller().all(|run| run.is_cut) }).await;
+        assert!(
+            disconnected_at.elapsed() < Duration::from_millis(500),
+            "{count}: {:?}",
+            disconnected_at.elapsed()
+        );
         sleep(Duration::from_millis(700)).await;
-        assert!(of_caller().all(|run| run.is_cut && run.began_at < left_at), "{count}");
+        assert!(of_caller().all(|run| run.is_cut && run.began_at < disconnected_at), "{count}");
     }
 }
 
-/// Story: a page is made of eight reads that a caller sends behind each other. Each waited for the
-/// whole run of those before it, though targets stood idle.
+/// Guards against pipelined reads that run one after the other though targets are idle: a page
+/// consists of eight reads that a caller sends at once.
 #[tokio::test]
-async fn reads_sent_ahead_run_side_by_side_and_are_answered_in_order() {
-    let deployment = behaving("side", Duration::from_millis(300)).await;
+async fn pipelined_reads_run_concurrently_and_get_responses_in_order() {
+    let deployment = deploy_with_service_time("side", Duration::from_millis(300)).await;
     let mut caller = open(&deployment).await;
     let sent_at = Instant::now();
     caller.send(&reads(8, "s")).await.expect("sent");
     for number in 0..8 {
-        let told = caller.next_answer().await.expect("an answer");
-        assert_eq!(told.status, StatusCode::OK);
-        assert_eq!(told.body, format!("page of s{number}"));
+        let response = caller.next_answer().await.expect("a response");
+        assert_eq!(response.status, StatusCode::OK);
+        assert_eq!(response.body, format!("page of s{number}"));
     }
     assert!(sent_at.elapsed() < Duration::from_millis(1_000), "{:?}", sent_at.elapsed());
 }
 
-/// Story: the first of five reads takes longest, so targets answer the others before it. Their
-/// answers must not be taken for the first one's.
+/// Guards against responses in the wrong order: the first of five reads takes longest, so targets
+/// respond to the others before it.
 #[tokio::test]
-async fn answers_keep_the_order_of_the_requests_when_targets_do_not() {
-    let deployment = behaving("order", Duration::from_millis(5)).await;
+async fn responses_keep_the_order_of_requests_when_targets_respond_out_of_order() {
+    let deployment = deploy_with_service_time("order", Duration::from_millis(5)).await;
     for round in 0..4 {
         for instance in &deployment.instances {
             instance.target.next(Behaviour::Answer(Duration::from_millis(250 - 40 * round)));
@@ -95,38 +99,44 @@
         let name = format!("o{round}-");
         caller.send(&reads(5, &name)).await.expect("sent");
         for number in 0..5 {
-            let told = caller.next_answer().await.expect("an answer");
-            assert_eq!(told.body, format!("page of {name}{number}"));
-            assert_eq!(told.request_id(), format!("{name}{number}"));
+            let response = caller.next_answer().await.expect("a response");
+            assert_eq!(response.body, format!("page of {name}{number}"));
+            assert_eq!(response.request_id(), format!("{name}{number}"));
         }
     }
 }
 
-/// Story: a caller sends a read, an order and another read behind each other. If the first answer
-/// closed the connection, the caller would send the order again, so an order that was started early
-/// could run twice; and the read behind the order may depend on it.
+/// Guards against pipelined orders that start early: if the response to an earlier request closes
+/// the connection, the caller sends the order again, and it could run twice. A read behind the
+/// order may depend on it, so it must wait too.
 #[tokio::test]
-async fn an_order_and_what_follows_it_wait_for_their_turn() {
-    let deployment = behaving("orders", Duration::from_millis(250)).await;
+async fn an_order_and_later_requests_wait_for_earlier_responses() {
+    let deployment = deploy_with_service_time("orders", Duration::from_millis(250)).await;
     let mut caller = open(&deployment).await;
     let read = |id| Call::read(READS, "/r/1", id);
     let calls = [read("a1"), Call::order(ORDERS, "/o/1", "a2"), read("a3"), read("a4")];
     let sent_at = Instant::now();
     caller.send(&calls).await.expect("sent");
     for id in ["a1", "a2", "a3", "a4"] {
-        assert_eq!(caller.next_answer().await.expect("an answer").body, format!("page of {id}"));
+        assert_eq!(caller.next_answer().await.expect("a response").body, format!("page of {id}"));
     }
     let all = runs(&deployment);
-    let began = |id: &str| all.iter().find(|run| run.id == id).expect("a run").began_at;
-    assert!(began("a2") >= sent_at + Duration::from_millis(250), "the order began early");
-    assert!(began("a3") >= began("a2") + Duration::from_millis(250), "the read overtook the order");
-    assert!(began("a4") < began("a3") + Duration::from_millis(200), "the last read waited");
+    let start_of = |id: &str| all.iter().find(|run| run.id == id).expect("a run").began_at;
+    assert!(start_of("a2") >= sent_at + Duration::from_millis(250), "the order started early");
+    assert!(
+        start_of("a3") >= start_of("a2") + Duration::from_millis(250),
+        "the read started before the order ended"
+    );
+    assert!(
+        start_of("a4") < start_of("a3") + Duration::from_millis(200),
+        "the last read waited for the one before it"
+    );
 }
 
-/// Story: the first of some reads is turned away, fails or loses its answer. The others are not
-/// its business.
+/// Guards against a failure that spreads to later reads: the first of some pipelined reads is shed,
+/// fails or loses its response.
 #[tokio::test]
-async fn a_read_that_ends_badly_spoils_none_behind_it() {
+async fn a_failed_read_does_not_affect_later_ones() {
     let deployment = deployed("bad", &["board"]).await;
     for behaviour in [Behaviour::Shed, Behaviour::Fail, Behaviour::LoseAnswer, Behaviour::CutBody] {
         deployment.instances[0].target.behave(Behaviour::Answer(Duration::from_millis(20)));
@@ -136,9 +146,9 @@
         caller.send(&reads(4, &name)).await.expect("sent");
         let mut served = 0;
         for number in 0..4 {
-            let told = caller.next_answer().await.expect("an answer");
-            if told.status.is_success() {
-                assert_eq!(told.body, format!("page of {name}{number}"));
+            let response = caller.next_answer().await.expect("a response");
+            if response.status.is_success() {
+                assert_eq!(response.body, format!("page of {name}{number}"));
                 served += 1;
             }
         }
@@ -146,87 +156,91 @@
     }
 }
 
-/// Story: a first read closes the connection by its own wish. What was sent behind it counts as not
-/// read and comes again, so nothing of it may go on running.
+/// Guards against requests that run though they count as unread: a read asks to close the
+/// connection, so the caller sends the requests behind it again.
 #[tokio::test]
-async fn nothing_runs_behind_a_request_that_closes_the_connection() {
-    let deployment = behaving("closes", Duration::from_millis(200)).await;
+async fn nothing_runs_after_a_request_that_closes_the_connection() {
+    let deployment = deploy_with_service_time("closes", Duration::from_millis(200)).await;
     let mut caller = open(&deployment).await;
     let last = Call::read(READS, "/r/1 HTTP/1.1\r\nConnection: close\r\nX-Rest:", "c1");
     caller.send(&[last, Call::read(READS, "/r/1", "c2")]).await.expect("sent");
-    assert_eq!(caller.next_answer().await.expect("an answer").status, StatusCode::OK);
+    assert_eq!(caller.next_answer().await.expect("a response").status, StatusCode::OK);
     assert!(caller.next_answer().await.is_none());
-    assert!(!has_begun(&deployment, "c2"));
+    assert!(!has_started(&deployment, "c2"));
 }
 
-/// Story: a read takes long and an order waits behind it on the connection. Its caller's time runs
-/// from when the order came, not from when its turn comes: an order that began so late would run for
-/// nobody.
+/// Guards against an order that runs after its caller has given up: an order waits behind a long
+/// read on the connection. Its deadline counts from its arrival and not from the end of the read.
 #[tokio::test]
-async fn the_time_of_a_request_runs_while_it_waits_for_its_turn() {
-    let deployment = behaving("time", Duration::from_millis(600)).await;
+async fn the_deadline_of_a_request_counts_from_its_arrival() {
+    let deployment = deploy_with_service_time("time", Duration::from_millis(600)).await;
     let mut caller = open(&deployment).await;
     let order = Call { left_ms: 400, ..Call::order(ORDERS, "/o/1", "t2") };
     caller.send(&[Call::read(READS, "/r/1", "t1"), order]).await.expect("sent");
-    assert_eq!(caller.next_answer().await.expect("an answer").status, StatusCode::OK);
-    let told = caller.next_answer().await.expect("an answer");
-    assert_eq!(told.status, StatusCode::SERVICE_UNAVAILABLE);
-    assert!(!has_begun(&deployment, "t2"));
+    assert_eq!(caller.next_answer().await.expect("a response").status, StatusCode::OK);
+    let response = caller.next_answer().await.expect("a response");
+    assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
+    assert!(!has_started(&deployment, "t2"));
 }
 
-/// Story: a caller sends two dozen reads behind each other. Started all at once they would hold every
-/// slot of the targets against the callers that send one at a time.
+/// Guards against one connection that takes all slots: a caller pipelines two dozen reads. Started
+/// all at once they would keep out callers that send one request at a time.
 #[tokio::test]
-async fn one_connection_starts_few_reads_at_once() {
-    let deployment = behaving("crowd", Duration::from_millis(300)).await;
+async fn one_connection_starts_a_limited_number_of_reads_at_once() {
+    let deployment = deploy_with_service_time("crowd", Duration::from_millis(300)).await;
     let mut caller = open(&deployment).await;
     caller.send(&reads(24, "f")).await.expect("sent");
     sleep(Duration::from_millis(200)).await;
-    let begun = runs(&deployment).len();
-    assert!((2..=1 + EARLY_MAX).contains(&begun), "{begun} began at once");
+    let started = runs(&deployment).len();
+    assert!((2..=1 + EARLY_MAX).contains(&started), "{started} reads started at once");
     for number in 0..24 {
-        let told = timeout(Duration::from_secs(8), caller.next_answer()).await;
-        let told = told.expect("in time").expect("an answer");
-        assert!(told.status.is_success() || told.promises_not_run(), "{number}: {}", told.status);
+        let response = timeout(Duration::from_secs(8), caller.next_answer()).await;
+        let response = response.expect("in time").expect("a response");
+        assert!(
+            response.status.is_success() || response.promises_not_run(),
+            "{number}: {}",
+            response.status
+        );
     }
 }
 
-/// Story: a daemon stops while a caller's reads run, some before their turn. Its answers say that the
-/// connection closes; said with the first one, it would cut off the others, which run already.
+/// Guards against a stopping daemon that drops running reads: its responses announce that the
+/// connection closes. With the first response, this would cut off the later reads, which already
+/// run.
 #[tokio::test]
-async fn a_stopping_daemon_answers_all_reads_that_run() {
-    let mut deployment = behaving("stops", Duration::from_millis(3_200)).await;
+async fn a_stopping_daemon_responds_to_all_running_reads() {
+    let mut deployment = deploy_with_service_time("stops", Duration::from_millis(3_200)).await;
     let route = RouteSpec { wait_max_ms: 6_000, ..RouteSpec::reads(READS, "/r/", "board") };
     deployment.apply(&[route]).await;
     let mut caller = open(&deployment).await;
     let calls: Vec<Call> =
         reads(5, "e").into_iter().map(|call| Call { left_ms: 6_000, ..call }).collect();
     caller.send(&calls).await.expect("sent");
-    wait("all to begin", || async { runs(&deployment).len() == 5 }).await;
+    wait("all reads to start", || async { runs(&deployment).len() == 5 }).await;
     let mut daemon = deployment.instances[0].daemon.take().expect("a daemon");
     daemon.terminate();
     for number in 0..5 {
-        let told = caller.next_answer().await.expect("an answer");
-        assert_eq!(told.body, format!("page of e{number}"));
+        let response = caller.next_answer().await.expect("a response");
+        assert_eq!(response.body, format!("page of e{number}"));
     }
     assert!(caller.next_answer().await.is_none(), "the connection stays open");
     let status = timeout(Duration::from_secs(6), daemon.ended()).await;
-    assert!(status.expect("an end in time").expect("a status").success());
+    assert!(status.expect("an exit in time").expect("a status").success());
 }
 
-/// Story: a caller sends reads ahead without end and reads no answer. What a daemon keeps of it is
-/// bounded: it stops reading, so that the caller can't write any more.
+/// Guards against unbounded memory: a caller pipelines reads without end and reads no response. The
+/// daemon must stop reading from the connection, so that the caller can't write any more.
 #[tokio::test]
-async fn a_caller_that_sends_without_end_is_held_up() {
-    let deployment = behaving("endless", Duration::from_millis(1_200)).await;
+async fn a_caller_that_sends_without_reading_is_throttled() {
+    let deployment = deploy_with_service_time("endless", Duration::from_millis(1_200)).await;
     let mut caller = open(&deployment).await;
     let many = reads(2_000, "n");
     let mut sent = 0;
     while sent < 400 && timeout(Duration::from_millis(300), caller.send(&many)).await.is_ok() {
         sent += 1;
     }
-    assert!(sent < 400, "some {} MB were taken", sent * many.len() / 10_000);
+    assert!(sent < 400, "about {} MB were accepted", sent * many.len() / 10_000);
     let daemon = deployment.instances[0].daemon.as_ref().expect("a daemon");
-    let most_kib = daemon.memory_most_kib().expect("its memory");
-    assert!(most_kib < 40 * 1024, "{most_kib} KiB");
+    let peak_kib = daemon.memory_most_kib().expect("the peak memory");
+    assert!(peak_kib < 40 * 1024, "{peak_kib} KiB");
 }
--- a/crates/yuccarackd/tests/routed/uploads.rs
+++ b/crates/yuccarackd/tests/routed/uploads.rs
@@ -1,4 +1,4 @@
-//! Requests with large bodies: streamed, sent once, and held nowhere.
+//! Requests with large bodies, which are streamed, sent once and never buffered in full.
 
 use std::time::{Duration, Instant};
 
@@ -22,10 +22,10 @@
 /// Host of the uploads.
 const UPLOADS: &str = "uploads.example";
 
-/// Most memory of a daemon while uploads pass, in KiB.
-const MEMORY_MAX_KIB: u64 = 60 * 1024;
+/// Limit of a daemon's peak memory during uploads, in KiB.
+const DAEMON_MEMORY_MAX_KIB: u64 = 60 * 1024;
 
-async fn with_uploads(name: &str, services: &[&str]) -> Deployment {
+async fn deploy_with_uploads(name: &str, services: &[&str]) -> Deployment {
     let mut deployment = deployed(name, services).await;
     let uploads = RouteSpec { wait_max_ms: 20_000, ..RouteSpec::uploads(UPLOADS, "/u/", "board") };
     deployment.apply(&[uploads, RouteSpec::reads(READS, "/r/", "board")]).await;
@@ -36,8 +36,8 @@
     Call { body, left_ms: 20_000, ..Call::order(UPLOADS, "/u/1", id) }
 }
 
-/// A body in which no two parts are alike.
-fn mixed(bytes: usize, salt: u64) -> Bytes {
+/// Returns a body without repetitions, so that its hash shows lost, repeated or swapped parts.
+fn random_body(bytes: usize, salt: u64) -> Bytes {
     let words = (0..bytes as u64 / 8 + 1).map(|word| xxh3_64(&(word ^ salt).to_le_bytes()));
     let all: Vec<u8> = words.flat_map(u64::to_le_bytes).take(bytes).collect();
     all.into()
@@ -47,30 +47,31 @@
     deployment.instances.iter().flat_map(|instance| instance.target.runs()).collect()
 }
 
-/// Story: a target runs an upload and its answer is lost. The upload is a recorded statement; sent a
-/// second time, there would be two.
+/// Guards against an upload that is recorded twice: a target runs the upload and its response is
+/// lost. A second attempt would record it again.
 #[tokio::test]
 async fn an_upload_runs_at_most_once() {
-    let deployment = with_uploads("once", &["board", "board"]).await;
+    let deployment = deploy_with_uploads("once", &["board", "board"]).await;
     for instance in &deployment.instances {
         instance.target.behave(Behaviour::LoseAnswer);
     }
     for (number, bytes) in [0, 4_000, 300_000].into_iter().enumerate() {
         let id = format!("o{number}");
-        let call = upload(&id, mixed(bytes, 1));
-        let told = ask(deployment.instances[0].call_address(), &call).await.expect("an answer");
-        assert_eq!(told.status, StatusCode::BAD_GATEWAY, "{bytes}");
+        let call = upload(&id, random_body(bytes, 1));
+        let response =
+            ask(deployment.instances[0].call_address(), &call).await.expect("a response");
+        assert_eq!(response.status, StatusCode::BAD_GATEWAY, "{bytes}");
         assert_eq!(runs(&deployment).iter().filter(|run| run.id == id).count(), 1, "{bytes}");
     }
 }
 
-/// Story: a target says that it leaves, and daemons that haven't heard of it yet offer its gate large
-/// uploads. It turns them away, and other targets stand idle. The body of such an upload had gone with
-/// its first try, and its caller was turned away too.
+/// Guards against uploads that fail after one refusal: a target is leaving, and daemons that don't
+/// know it yet offer its gate large uploads, which it refuses. A body that was already sent with
+/// the first attempt couldn't be sent to the other, idle target.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_large_upload_goes_on_to_a_gate_that_takes_it() {
-    let mut deployment = with_uploads("goeson", &["board", "board", "desk"]).await;
-    let body = mixed(200_000, 5);
+async fn a_refused_large_upload_is_sent_to_another_gate() {
+    let mut deployment = deploy_with_uploads("goeson", &["board", "board", "desk"]).await;
+    let body = random_body(200_000, 5);
     deployment.instances[0].stop_beating();
     assert_eq!(deployment.instances[0].say("draining").await, Some(StatusCode::OK));
     let mut uploads = JoinSet::new();
@@ -79,25 +80,25 @@
         let call = upload(&format!("u{number}"), body.clone());
         uploads.spawn(async move { (ask(address, &call).await, call) });
     }
-    for (told, call) in uploads.join_all().await {
-        assert_eq!(told.expect("an answer").status, StatusCode::OK, "{}", call.id);
+    for (response, call) in uploads.join_all().await {
+        assert_eq!(response.expect("a response").status, StatusCode::OK, "{}", call.id);
         let run = runs(&deployment).into_iter().find(|run| run.id == call.id).expect("a run");
         assert_eq!((run.body_bytes, run.body_hash), (200_000, xxh3_64(&call.body)));
     }
 }
 
-/// Story: a hundred callers upload 10 MB each at the same time. A daemon that held the bodies would
-/// need a gigabyte and be killed with all its calls.
+/// Guards against memory exhaustion: a hundred callers upload 10 MB each at the same time. A daemon
+/// that buffered the bodies would need a gigabyte and be killed with all its calls.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn many_large_uploads_pass_whole_and_are_not_held() {
-    let deployment = with_uploads("many", &["board", "board"]).await;
-    let body = mixed(10_000_000, 2);
+async fn many_large_uploads_arrive_complete_and_are_not_buffered() {
+    let deployment = deploy_with_uploads("many", &["board", "board"]).await;
+    let body = random_body(10_000_000, 2);
     let hash = xxh3_64(&body);
     let mut callers = JoinSet::new();
     for number in 0..100 {
         let address = deployment.instances[number % 2].call_address();
         let call = upload(&format!("m{number}"), body.clone());
-        callers.spawn(async move { ask(address, &call).await.map(|told| told.status) });
+        callers.spawn(async move { ask(address, &call).await.map(|response| response.status) });
     }
     let statuses = callers.join_all().await;
     for status in &statuses {
@@ -110,17 +111,17 @@
     assert_eq!(all.len(), served);
     for instance in &deployment.instances {
         let daemon = instance.daemon.as_ref().expect("a daemon");
-        let most_kib = daemon.memory_most_kib().expect("its memory");
-        println!("{}: {most_kib} KiB at its peak, {served} of 100 served", instance.name);
-        assert!(most_kib < MEMORY_MAX_KIB, "{}: {most_kib} KiB", instance.name);
+        let peak_kib = daemon.memory_most_kib().expect("the peak memory");
+        println!("{}: {peak_kib} KiB at its peak, {served} of 100 served", instance.name);
+        assert!(peak_kib < DAEMON_MEMORY_MAX_KIB, "{}: {peak_kib} KiB", instance.name);
     }
 }
 
-/// Story: a caller announces a large body, sends a part of it and leaves, or sends it byte by byte. Its
-/// target's slot must come back, and no part of a body may look whole.
+/// Guards against leaked slots and partial bodies that look complete: a caller announces a large
+/// body, sends a part of it and disconnects.
 #[tokio::test]
-async fn a_caller_that_leaves_in_the_middle_of_its_body_costs_no_slot() {
-    let deployment = with_uploads("middle", &["board"]).await;
+async fn a_caller_that_disconnects_within_its_body_costs_no_slot() {
+    let deployment = deploy_with_uploads("middle", &["board"]).await;
     let instance = &deployment.instances[0];
     for number in 0..12 {
         let mut stream = TcpStream::connect(instance.call_address()).await.expect("a connection");
@@ -130,23 +131,23 @@
         drop(stream);
     }
     sleep(Duration::from_millis(300)).await;
-    assert!(runs(&deployment).is_empty(), "a part of a body ran");
-    let asked_at = Instant::now();
-    let told = ask(instance.call_address(), &upload("after", mixed(200_000, 3))).await;
-    assert_eq!(told.expect("an answer").status, StatusCode::OK);
-    assert!(asked_at.elapsed() < Duration::from_millis(500), "{:?}", asked_at.elapsed());
+    assert!(runs(&deployment).is_empty(), "a request with a partial body ran");
+    let sent_at = Instant::now();
+    let response = ask(instance.call_address(), &upload("after", random_body(200_000, 3))).await;
+    assert_eq!(response.expect("a response").status, StatusCode::OK);
+    assert!(sent_at.elapsed() < Duration::from_millis(500), "{:?}", sent_at.elapsed());
 }
 
-/// Story: a caller trickles its body for longer than its route lets a request wait. It gets a final
-/// answer then, and what it sent runs nowhere.
+/// Guards against calls without an end: a caller sends its body in single bytes for longer than the
+/// longest wait of the route. It must get a final response, and its request must not run.
 #[tokio::test]
-async fn a_caller_that_trickles_is_answered_in_time() {
+async fn a_caller_that_sends_slowly_gets_a_response_in_time() {
     let mut deployment = deployed("trickle", &["board"]).await;
     let uploads = RouteSpec { wait_max_ms: 800, ..RouteSpec::uploads(UPLOADS, "/u/", "board") };
     deployment.apply(&[uploads]).await;
     let mut stream = TcpStream::connect(deployment.instances[0].call_address()).await.expect("one");
     stream.write_all(head("t1", 300_000).as_bytes()).await.expect("sent");
-    let mut told = [0; 12];
+    let mut line = [0; 12];
     let (mut reading, mut writing) = stream.split();
     let trickling = async {
         while writing.write_all(b"x").await.is_ok() {
@@ -155,24 +156,25 @@
     };
     let read = tokio::select! {
         () = trickling => None,
-        read = timeout(Duration::from_millis(1_300), reading.read_exact(&mut told)) => read.ok(),
+        read = timeout(Duration::from_millis(1_300), reading.read_exact(&mut line)) => read.ok(),
     };
-    read.expect("an answer in time").expect("an answer");
-    assert_eq!(&told, b"HTTP/1.1 504");
+    read.expect("a response in time").expect("a response");
+    assert_eq!(&line, b"HTTP/1.1 504");
     assert!(runs(&deployment).is_empty());
 }
 
-/// Story: a body is longer than operators allow, by its length or, in chunks, by what comes. The first
-/// is refused unread; of the second nothing may look whole.
+/// Guards against bodies beyond the limit: by its announced length a body is refused unread. In
+/// chunks it is only known to be too long when the bytes arrive, and a part of it must not look
+/// complete.
 #[tokio::test]
 async fn a_body_beyond_the_limit_runs_nowhere() {
-    let deployment = with_uploads("limit", &["board"]).await;
+    let deployment = deploy_with_uploads("limit", &["board"]).await;
     let address = deployment.instances[0].call_address();
     let mut stream = TcpStream::connect(address).await.expect("a connection");
     stream.write_all(head("x1", 70_000_000).as_bytes()).await.expect("sent");
-    let mut told = [0; 12];
-    stream.read_exact(&mut told).await.expect("an answer");
-    assert_eq!(&told, b"HTTP/1.1 413");
+    let mut line = [0; 12];
+    stream.read_exact(&mut line).await.expect("a response");
+    assert_eq!(&line, b"HTTP/1.1 413");
     let mut stream = TcpStream::connect(address).await.expect("a connection");
     let chunked = head("x2", 0).replace("Content-Length: 0", "Transfer-Encoding: chunked");
     stream.write_all(chunked.as_bytes()).await.expect("sent");
@@ -188,27 +190,27 @@
     sleep(Duration::from_millis(200)).await;
     assert!(runs(&deployment).is_empty(), "a body beyond the limit ran");
     let is_served = || async {
-        let told = ask(address, &upload("x3", mixed(100_000, 4))).await;
-        told.is_some_and(|told| told.status == StatusCode::OK)
+        let response = ask(address, &upload("x3", random_body(100_000, 4))).await;
+        response.is_some_and(|response| response.status == StatusCode::OK)
     };
-    wait("room after it", is_served).await;
+    wait("capacity after the refused body", is_served).await;
 }
 
-/// Story: a caller sends more than it announced. The target gets just what was announced; the rest is
-/// no request, and must not be read as one.
+/// Guards against surplus bytes that are parsed as a request: a caller sends more than it
+/// announced. The target gets only the announced bytes.
 #[tokio::test]
-async fn a_body_beyond_its_announced_length_is_no_request() {
-    let deployment = with_uploads("longer", &["board"]).await;
+async fn bytes_beyond_the_announced_length_are_no_request() {
+    let deployment = deploy_with_uploads("longer", &["board"]).await;
     let mut stream = TcpStream::connect(deployment.instances[0].call_address()).await.expect("one");
-    let body = mixed(100_000, 6);
+    let body = random_body(100_000, 6);
     let sent = [head("b1", body.len()).as_bytes(), &body, b"xx GET /u/1 HTTP/1.1\r\n\r\n"].concat();
     stream.write_all(&sent).await.expect("sent");
-    let mut told = Vec::new();
-    let _ = timeout(Duration::from_secs(2), stream.read_to_end(&mut told)).await;
-    let told = String::from_utf8_lossy(&told);
-    assert!(told.starts_with("HTTP/1.1 200"), "{told}");
+    let mut response = Vec::new();
+    let _ = timeout(Duration::from_secs(2), stream.read_to_end(&mut response)).await;
+    let response = String::from_utf8_lossy(&response);
+    assert!(response.starts_with("HTTP/1.1 200"), "{response}");
     let runs = runs(&deployment);
-    assert_eq!(runs.len(), 1, "{told}");
+    assert_eq!(runs.len(), 1, "{response}");
     assert_eq!((runs[0].body_bytes, runs[0].body_hash), (body.len(), xxh3_64(&body)));
 }
 
