--- a/crates/yuccarack_platform/src/accept.rs
+++ b/crates/yuccarack_platform/src/accept.rs
@@ -1,10 +1,11 @@
-//! Accepting a rules file: all of it in one commit, or none of it.
+//! Accepts a rules file in one atomic commit.
 //!
-//! Each service that the file names is conditioned on by itself, so operators who change
-//! different services at the same moment both win; docs/CONFIGURATION.md has the figures.
+//! The commit has a separate condition for each service that the file names, so operators who
+//! change different services at the same time don't conflict; docs/CONFIGURATION.md has the
+//! figures.
 
+mod backoff;
 mod errors;
-mod pace;
 mod proposal;
 
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -20,38 +21,38 @@
     errors::PlatformError,
     rows::{AppliedRow, applied_key},
 };
-use pace::Pace;
+use backoff::Backoff;
 
 wire_data! {
-    /// A file that is in the table.
+    /// A rules file that was accepted into the table.
     pub struct AcceptedFile {
-        /// Revision of the commit that wrote it.
+        /// Revision of the commit that wrote the file.
         pub revision: Revision,
-        /// What was recorded of it.
+        /// The row that records the file.
         pub applied: AppliedRow,
     }
 }
 
-/// Writes `proposal` into the table, or finds out that it can't be.
+/// Writes `proposal` into the table, or determines that it can't be accepted.
 ///
-/// The answer of a commit can get lost though it took effect: the operator would be told of a
-/// failure while the rules are in force. So nothing is believed but the row of the apply id. It is
-/// read back, and while it is absent the same commit is sent again: its condition on that row lets
-/// at most one of the copies take effect, late ones included. Revisions of a service only rise,
-/// so a conflict holds for copies under way, too.
+/// The response to a commit can get lost although the commit took effect, and the operator would
+/// see a failure while the rules are in force. So only the row of the apply id is trusted: it is
+/// read back, and while it is absent the same commit is sent again. The condition on that row lets
+/// at most one of the copies take effect, including copies that arrive late. The revisions of a
+/// service only increase, so a conflict also applies to copies that are still in flight.
 ///
 /// # Errors
 ///
-/// See [`AcceptError`]; [`AcceptError::UnknownOutcome`] only when `deadline` passed.
+/// Any [`AcceptError`]; [`AcceptError::UnknownOutcome`] only if `deadline` has passed.
 pub async fn accept(
     client: &PlatformClient,
     proposal: &Proposal,
     deadline: Instant,
 ) -> Result<AcceptedFile, AcceptError> {
-    keep_file(client, proposal, deadline).await?;
+    store_file(client, proposal, deadline).await?;
     let applied = proposal.applied_row();
-    let commit = proposal.commit(&applied).map_err(unwritable)?;
-    let mut pace = Pace::new(deadline);
+    let commit = proposal.commit(&applied).map_err(unserializable)?;
+    let mut backoff = Backoff::new(deadline);
     let mut in_doubt = false;
     loop {
         let error = match client.commit(&commit).await {
@@ -69,22 +70,23 @@
             }
         };
         if in_doubt && let Ok(Some(accepted)) = read_back(client, &proposal.apply_id).await {
-            return same_file(proposal, accepted);
+            return check_same_file(proposal, accepted);
         }
-        if is_final(&error) && !in_doubt {
+        if is_permanent(&error) && !in_doubt {
             return Err(AcceptError::NotAccepted(error));
         }
-        if !pace.wait().await {
-            return Err(gave_up(proposal, in_doubt, error));
+        if !backoff.wait().await {
+            return Err(deadline_error(proposal, in_doubt, error));
         }
     }
 }
 
-/// Reads what was recorded under `apply_id`.
+/// Reads the file that was accepted under `apply_id`, if there is one.
 ///
 /// # Errors
 ///
-/// The platform's failure; absence is no failure, and no proof while a commit may be under way.
+/// Any [`PlatformError`] but a conflict. `None` isn't an error, and doesn't confirm that nothing
+/// was accepted while a commit may still be in flight.
 pub async fn read_back(
     client: &PlatformClient,
     apply_id: &str,
@@ -94,24 +96,27 @@
     Ok(Some(AcceptedFile { revision: row.revision, applied }))
 }
 
-/// The file goes first: a commit must not name an object that was never kept. Putting it twice
-/// does no harm, since its name follows from its text.
-async fn keep_file(
+/// Writes the file to the object store before the commit, which must not name a missing object.
+/// Writing it twice is harmless, since the name is derived from the content.
+async fn store_file(
     client: &PlatformClient,
     proposal: &Proposal,
     deadline: Instant,
 ) -> Result<(), AcceptError> {
-    let mut pace = Pace::new(deadline);
+    let mut backoff = Backoff::new(deadline);
     loop {
         let put = client.put_object(&proposal.object_name(), proposal.text.clone()).await;
         let Err(error) = put else { return Ok(()) };
-        if is_final(&error) || !pace.wait().await {
+        if is_permanent(&error) || !backoff.wait().await {
             return Err(AcceptError::NotAccepted(error));
         }
     }
 }
 
-fn same_file(proposal: &Proposal, accepted: AcceptedFile) -> Result<AcceptedFile, AcceptError> {
+fn check_same_file(
+    proposal: &Proposal,
+    accepted: AcceptedFile,
+) -> Result<AcceptedFile, AcceptError> {
     if accepted.applied.object == proposal.object_name() {
         return Ok(accepted);
     }
@@ -119,15 +124,15 @@
     Err(AcceptError::ApplyIdTaken { apply_id, revision: accepted.revision })
 }
 
-fn gave_up(proposal: &Proposal, in_doubt: bool, source: PlatformError) -> AcceptError {
+fn deadline_error(proposal: &Proposal, in_doubt: bool, source: PlatformError) -> AcceptError {
     match in_doubt {
         true => AcceptError::UnknownOutcome { apply_id: proposal.apply_id.clone(), source },
         false => AcceptError::NotAccepted(source),
     }
 }
 
-/// Whether asking again can't help: the platform understood the question and won't have it.
-fn is_final(error: &PlatformError) -> bool {
+/// Returns whether a retry can't succeed because the request itself is refused or invalid.
+fn is_permanent(error: &PlatformError) -> bool {
     match error {
         PlatformError::Refused { status } => *status < 500,
         PlatformError::Unserializable(_) => true,
@@ -139,11 +144,12 @@
     }
 }
 
-fn unwritable(error: serde_json::Error) -> AcceptError {
+fn unserializable(error: serde_json::Error) -> AcceptError {
     AcceptError::NotAccepted(PlatformError::Unserializable(error))
 }
 
-/// Time since 1970 by this machine's clock, in ms; for operators only, nothing is decided by it.
+/// Returns the wall-clock time of this machine, in ms since 1970; informational only, no decision
+/// depends on it.
 pub fn now_unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
--- a/crates/yuccarack_platform/src/accept/pace.rs
+++ b/crates/yuccarack_platform/src/accept/backoff.rs
@@ -1,29 +1,29 @@
-//! Waits between questions to the platform.
+//! Exponential backoff between requests to the platform.
 
 use std::time::Duration;
 
 use tokio::time::{Instant, sleep_until};
 
-/// First wait before the platform is asked again.
+/// Delay before the first retry.
 const RETRY_DELAY_MIN: Duration = Duration::from_millis(20);
 
-/// Longest wait before the platform is asked again.
+/// Maximum delay before a retry.
 const RETRY_DELAY_MAX: Duration = Duration::from_secs(1);
 
-/// Waits that double up to a bound, until a deadline.
+/// A delay that doubles up to [`RETRY_DELAY_MAX`], until a deadline.
 #[derive(Debug)]
-pub(super) struct Pace {
+pub(super) struct Backoff {
     deadline: Instant,
     delay: Duration,
 }
 
-impl Pace {
-    /// Makes a pace that ends at `deadline`.
+impl Backoff {
+    /// Creates a backoff that ends at `deadline`.
     pub(super) fn new(deadline: Instant) -> Self {
         Self { deadline, delay: RETRY_DELAY_MIN }
     }
 
-    /// Waits; `false` if the deadline has passed.
+    /// Waits for the next delay; returns `false` at once if the deadline has passed.
     pub(super) async fn wait(&mut self) -> bool {
         if Instant::now() >= self.deadline {
             return false;
--- a/crates/yuccarack_platform/src/accept/errors.rs
+++ b/crates/yuccarack_platform/src/accept/errors.rs
@@ -1,4 +1,4 @@
-//! Why a rules file was not accepted, or isn't known to be.
+//! Errors of accepting a rules file.
 
 use thiserror::Error;
 use yuccarack_config::{
@@ -9,43 +9,43 @@
 use crate::errors::PlatformError;
 
 wire_data! {
-    /// A service that changed after the file's `based_on`.
+    /// A service that changed after the `based_on` revision of the file.
     pub struct ServiceConflict {
-        /// The service.
+        /// Name of the service.
         pub service: ServiceName,
-        /// Revision of its last change.
+        /// Revision of the service's latest change.
         pub revision: Revision,
     }
 }
 
-/// Why it isn't said that a file was accepted.
+/// Error of accepting a rules file.
 #[derive(Debug, Error)]
 pub enum AcceptError {
-    /// Services changed since; nothing was written, and this attempt never will be.
-    #[error("{} service(s) changed since revision {based_on}", .services.len())]
+    /// Services changed after `based_on`; nothing was written, and no copy of this commit will be.
+    #[error("conflict: {} service(s) changed since revision {based_on}", .services.len())]
     Conflict {
-        /// Revision that the file was based on.
+        /// Revision that the file is based on.
         based_on: Revision,
         /// The services that changed.
         services: Vec<ServiceConflict>,
     },
-    /// Another file was accepted under this apply id; nothing was written.
-    #[error("apply id {apply_id} stands for another file, accepted at revision {revision}")]
+    /// The apply id was already used for another file; nothing was written.
+    #[error("apply id {apply_id} was used for another file, accepted at revision {revision}")]
     ApplyIdTaken {
         /// The apply id.
         apply_id: String,
         /// Revision of the other file.
         revision: Revision,
     },
-    /// Nothing was written, for certain.
-    #[error("not accepted, nothing was written: {0}")]
+    /// It is certain that nothing was written.
+    #[error("the file was not accepted, nothing was written: {0}")]
     NotAccepted(#[source] PlatformError),
-    /// A write went out and its fate could not be found out in time.
-    #[error("unknown whether apply id {apply_id} was accepted: {source}")]
+    /// A commit was sent, and its outcome could not be determined before the deadline.
+    #[error("whether apply id {apply_id} was accepted is unknown: {source}")]
     UnknownOutcome {
-        /// The apply id, to ask or to run again with.
+        /// The apply id, with which the outcome can be queried or the apply retried.
         apply_id: String,
-        /// Why it could not be found out.
+        /// Error of the last request.
         source: PlatformError,
     },
 }
--- a/crates/yuccarack_platform/src/accept/proposal.rs
+++ b/crates/yuccarack_platform/src/accept/proposal.rs
@@ -1,4 +1,4 @@
-//! A rules file on its way into the table.
+//! A validated rules file and the commit that applies it.
 
 use bytes::Bytes;
 use xxhash_rust::xxh3::xxh3_128;
@@ -13,35 +13,35 @@
     rows::{AppliedRow, RULES_PREFIX, RulesRow, applied_key, history_key, rules_key},
 };
 
-/// A checked rules file that an operator wants in force.
+/// A validated rules file that an operator applies.
 #[derive(Clone, Debug)]
 pub struct Proposal {
-    /// Name of this attempt; running it again under the same name is safe.
+    /// Id of this apply; retrying it with the same id is safe.
     pub apply_id: String,
-    /// Who applies it.
+    /// Operator who applies the file.
     pub operator: String,
-    /// The checked file.
+    /// The validated rules.
     pub rules: RulesFile,
-    /// The file as it was written, kept in the object store.
+    /// Text of the file, which is written to the object store.
     pub text: Bytes,
 }
 
 impl Proposal {
-    /// Makes a proposal of the checked `rules`, written as `text`.
+    /// Creates a proposal from the validated `rules` and their `text`.
     pub fn new(apply_id: String, operator: String, rules: RulesFile, text: Bytes) -> Self {
         Self { apply_id, operator, rules, text }
     }
 
-    /// Name of the object that keeps the file; equal files share it.
+    /// Returns the name of the object that contains the file; equal files share it.
     pub fn object_name(&self) -> String {
         format!("rules-file-{:032x}", xxh3_128(&self.text))
     }
 
-    /// The commit by which the file is accepted.
+    /// Returns the commit that accepts the file.
     ///
     /// # Errors
     ///
-    /// The rules have no form in JSON.
+    /// The rules can't be serialized as JSON.
     pub fn commit(&self, applied: &AppliedRow) -> Result<Commit, serde_json::Error> {
         let mut commit = Commit::default();
         let key = applied_key(&self.apply_id);
@@ -51,18 +51,19 @@
             commit.writes.push(Write::put(key, serde_json::to_value(applied)?));
         }
         for service in &self.rules.services {
-            self.change(&service.name, &RulesRow::InForce(service.clone()), &mut commit)?;
+            self.add_change(&service.name, &RulesRow::InForce(service.clone()), &mut commit)?;
         }
         for service in &self.rules.removed {
-            self.change(service, &RulesRow::Removed, &mut commit)?;
+            self.add_change(service, &RulesRow::Removed, &mut commit)?;
         }
         Ok(commit)
     }
 
-    /// A service that is taken away keeps its row. Were the row deleted, a file written before
-    /// would meet no condition and bring the service back: the operator who took it away would
-    /// find it running again.
-    fn change(
+    /// Adds the change of one service to `commit`.
+    ///
+    /// A removed service keeps its row: if the row were deleted, the condition of a file written
+    /// before the removal would hold, and applying it would bring the service back unnoticed.
+    fn add_change(
         &self,
         service: &str,
         row: &RulesRow,
@@ -76,7 +77,7 @@
         Ok(())
     }
 
-    /// The row that records the file.
+    /// Returns the row that records the file.
     pub(super) fn applied_row(&self) -> AppliedRow {
         let services = self.rules.services.iter().map(|service| service.name.clone()).collect();
         AppliedRow {
@@ -89,7 +90,7 @@
         }
     }
 
-    /// The services that stand in the way.
+    /// Returns the conflict with the services whose conditions did not hold.
     pub(super) fn conflict(&self, failed: &[FailedCondition]) -> AcceptError {
         let services = failed
             .iter()
--- a/crates/yuccarack_platform/src/client.rs
+++ b/crates/yuccarack_platform/src/client.rs
@@ -1,4 +1,4 @@
-//! The client: one question, one answer, every failure typed.
+//! HTTP client of the table service and the object store, with typed errors.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -21,182 +21,193 @@
     transfer::{TransferError, read_full},
 };
 
-/// Idle connections kept to the platform.
+/// Maximum number of pooled idle connections to the platform.
 const IDLE_CONNECTIONS_MAX: usize = 4;
 
-/// Silence after which it is asked whether the connection still stands.
+/// Idle time of a connection before the first TCP keep-alive probe.
 ///
-/// Failure: a connection dies without a reset while an answer is waited for that may take half a
-/// minute, and changes aren't heard of for as long. One second costs one small packet a second.
+/// A request for changes may wait half a minute for its response. If the connection dies without a
+/// reset meanwhile, changes would be missed for as long. One second costs one small packet per
+/// second.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
 
-/// Time between two such questions that got no answer.
+/// Interval between unanswered keep-alive probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Questions without an answer after which the connection is dead.
+/// Number of unanswered keep-alive probes after which the connection is dead.
 const KEEPALIVE_RETRIES: u32 = 2;
 
-/// Asks the platform; cheap to clone, clones share their connections.
+/// Client of the platform; cheap to clone, and clones share their connections.
 #[derive(Clone, Debug)]
 pub struct PlatformClient {
     client: Client<HttpConnector, Full<Bytes>>,
     address: SocketAddr,
-    answer_timeout: Duration,
+    response_timeout: Duration,
 }
 
 impl PlatformClient {
-    /// Makes a client of the platform at `address` that waits `answer_timeout` for each answer.
-    pub fn new(address: SocketAddr, answer_timeout: Duration) -> Self {
+    /// Creates a client of the platform at `address` that waits `response_timeout` for each
+    /// response.
+    pub fn new(address: SocketAddr, response_timeout: Duration) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
-        connector.set_connect_timeout(Some(answer_timeout));
+        connector.set_connect_timeout(Some(response_timeout));
         connector.set_keepalive(Some(KEEPALIVE_IDLE));
         connector.set_keepalive_interval(Some(KEEPALIVE_INTERVAL));
         connector.set_keepalive_retries(Some(KEEPALIVE_RETRIES));
         let client = Client::builder(TokioExecutor::new())
             .pool_max_idle_per_host(IDLE_CONNECTIONS_MAX)
             .pool_timer(TokioTimer::new())
-            // A resend of a write whose answer is lost would be judged against the first one's
-            // effect, so the client never sends anything twice by itself.
+            // A repeated write whose first response is lost would be checked against the effect of
+            // the first one, so the client never retries a request by itself.
             .retry_canceled_requests(false)
             .build(connector);
-        Self { client, address, answer_timeout }
+        Self { client, address, response_timeout }
     }
 
-    /// Writes all of `commit` if all its conditions hold.
+    /// Commits `commit` if all of its conditions hold.
     ///
     /// # Errors
     ///
-    /// [`PlatformError::is_not_written`] tells whether nothing was written for certain.
+    /// Any [`PlatformError`]; [`PlatformError::is_not_written`] returns whether it is certain that
+    /// nothing was written.
     pub async fn commit(&self, commit: &Commit) -> Result<CommitResponse, PlatformError> {
         let body = to_json(commit)?;
-        let (status, answer) = self.ask(Method::POST, "/table/commit", body).await?;
+        let (status, response) = self.send_request(Method::POST, "/table/commit", body).await?;
         if status == StatusCode::CONFLICT {
-            let conflicted: ConflictResponse = from_json(&answer)?;
-            return Err(PlatformError::Conflict { failed: conflicted.failed });
+            let conflict: ConflictResponse = from_json(&response)?;
+            return Err(PlatformError::Conflict { failed: conflict.failed });
         }
-        accepted(status)?;
-        from_json(&answer)
+        check_status(status)?;
+        from_json(&response)
     }
 
-    /// Reads the row of `key`.
+    /// Reads the row of `key`; `None` if it doesn't exist.
     ///
     /// # Errors
     ///
     /// Any [`PlatformError`] but a conflict.
     pub async fn row(&self, key: &str) -> Result<Option<Row>, PlatformError> {
         let path = format!("/table/row?key={}", percent_encode(key));
-        let (status, answer) = self.ask(Method::GET, &path, Bytes::new()).await?;
+        let (status, response) = self.send_request(Method::GET, &path, Bytes::new()).await?;
         if status == StatusCode::NOT_FOUND {
             return Ok(None);
         }
-        accepted(status)?;
-        from_json(&answer).map(Some)
+        check_status(status)?;
+        from_json(&response).map(Some)
     }
 
-    /// Reads all rows whose keys start with `prefix`, in order of their keys, however long it takes while
-    /// it makes progress.
+    /// Reads all rows whose keys start with `prefix`, sorted by key. There is no limit on the total
+    /// time as long as the transfer makes progress.
     ///
     /// # Errors
     ///
     /// Any [`PlatformError`] but a conflict.
     pub async fn rows(&self, prefix: &str) -> Result<Rows, PlatformError> {
         let path = format!("/table/rows?prefix={}", percent_encode(prefix));
-        let (status, answer) = self.fetch(&path).await?;
-        accepted(status)?;
-        from_json(&answer)
+        let (status, response) = self.fetch(&path).await?;
+        check_status(status)?;
+        from_json(&response)
     }
 
-    /// Keeps `body` under `name` in the object store.
+    /// Writes `body` as object `name` to the object store.
     ///
     /// # Errors
     ///
     /// Any [`PlatformError`] but a conflict.
     pub async fn put_object(&self, name: &str, body: Bytes) -> Result<(), PlatformError> {
         let path = format!("/objects/{}", percent_encode(name));
-        let (status, _) = self.ask(Method::PUT, &path, body).await?;
-        accepted(status)
+        let (status, _) = self.send_request(Method::PUT, &path, body).await?;
+        check_status(status)
     }
 
-    /// Reads the object of `name`, however long it takes while it makes progress.
+    /// Reads the object `name`; `None` if it doesn't exist. There is no limit on the total time as
+    /// long as the transfer makes progress.
     ///
     /// # Errors
     ///
     /// Any [`PlatformError`] but a conflict.
     pub async fn object(&self, name: &str) -> Result<Option<Bytes>, PlatformError> {
         let path = format!("/objects/{}", percent_encode(name));
-        let (status, answer) = self.fetch(&path).await?;
+        let (status, response) = self.fetch(&path).await?;
         if status == StatusCode::NOT_FOUND {
             return Ok(None);
         }
-        accepted(status)?;
-        Ok(Some(answer))
+        check_status(status)?;
+        Ok(Some(response))
     }
 
-    /// Asks a question of a table with a feed and waits `answer_timeout` for the head of its answer;
-    /// `on_bytes` gets the length of each piece of the body, which may take as long as it makes progress.
+    /// Sends a request for a table with a feed and waits `response_timeout` for the response head.
+    ///
+    /// The body may take any time while it makes progress; `on_bytes` gets the length of each part
+    /// as it arrives.
     ///
     /// # Errors
     ///
-    /// [`PlatformError::Unreachable`], [`PlatformError::UnknownOutcome`] and [`PlatformError::Stalled`].
+    /// [`PlatformError::Unreachable`], [`PlatformError::UnknownOutcome`] and
+    /// [`PlatformError::Stalled`].
     pub async fn send_feed_request(
         &self,
-        question: FeedRequest,
-        answer_timeout: Duration,
+        feed_request: FeedRequest,
+        response_timeout: Duration,
         on_bytes: impl FnMut(usize),
     ) -> Result<(StatusCode, Bytes), PlatformError> {
-        let FeedRequest { method, path, body } = question;
-        let request = self.request(method, &path, body)?;
-        self.transfer(request, answer_timeout, on_bytes).await
+        let FeedRequest { method, path, body } = feed_request;
+        let request = self.build_request(method, &path, body)?;
+        self.transfer(request, response_timeout, on_bytes).await
     }
 
-    /// Reads what may be of any size.
+    /// Sends a GET request whose response may be of any size.
     async fn fetch(&self, path: &str) -> Result<(StatusCode, Bytes), PlatformError> {
-        let request = self.request(Method::GET, path, Bytes::new())?;
-        self.transfer(request, self.answer_timeout, |_| ()).await
+        let request = self.build_request(Method::GET, path, Bytes::new())?;
+        self.transfer(request, self.response_timeout, |_| ()).await
     }
 
-    /// Waits `answer_timeout` for the head of the answer, and for its body as long as it makes progress.
+    /// Waits `response_timeout` for the response head, and for the body as long as it makes
+    /// progress.
     async fn transfer(
         &self,
         request: Request<Full<Bytes>>,
-        answer_timeout: Duration,
+        response_timeout: Duration,
         on_bytes: impl FnMut(usize),
     ) -> Result<(StatusCode, Bytes), PlatformError> {
-        let answer = timeout(answer_timeout, self.send(request)).await;
-        let answer = answer.map_err(|_| PlatformError::UnknownOutcome)??;
-        let status = answer.status();
-        let body = read_full(answer.into_body(), on_bytes).await.map_err(|error| match error {
-            TransferError::Interrupted(_) => PlatformError::UnknownOutcome,
-            TransferError::Stalled { received_bytes } => PlatformError::Stalled { received_bytes },
-        })?;
+        let response = timeout(response_timeout, self.send(request)).await;
+        let response = response.map_err(|_| PlatformError::UnknownOutcome)??;
+        let status = response.status();
+        let body =
+            read_full(response.into_body(), on_bytes).await.map_err(|error| match error {
+                TransferError::Interrupted(_) => PlatformError::UnknownOutcome,
+                TransferError::Stalled { received_bytes } => {
+                    PlatformError::Stalled { received_bytes }
+                }
+            })?;
         Ok((status, body))
     }
 
-    async fn ask(
+    async fn send_request(
         &self,
         method: Method,
         path: &str,
         body: Bytes,
     ) -> Result<(StatusCode, Bytes), PlatformError> {
-        self.ask_within(method, path, body, self.answer_timeout).await
+        self.send_request_within(method, path, body, self.response_timeout).await
     }
 
-    async fn ask_within(
+    async fn send_request_within(
         &self,
         method: Method,
         path: &str,
         body: Bytes,
-        answer_timeout: Duration,
+        response_timeout: Duration,
     ) -> Result<(StatusCode, Bytes), PlatformError> {
-        let request = self.request(method, path, body)?;
-        match timeout(answer_timeout, self.exchange(request)).await {
+        let request = self.build_request(method, path, body)?;
+        match timeout(response_timeout, self.exchange(request)).await {
             Ok(result) => result,
             Err(_) => Err(PlatformError::UnknownOutcome),
         }
     }
 
-    fn request(
+    fn build_request(
         &self,
         method: Method,
         path: &str,
@@ -215,7 +226,7 @@
         request: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, PlatformError> {
         match self.client.request(request).await {
-            Ok(answer) => Ok(answer),
+            Ok(response) => Ok(response),
             Err(error) if error.is_connect() => Err(PlatformError::Unreachable),
             Err(_) => Err(PlatformError::UnknownOutcome),
         }
@@ -225,15 +236,17 @@
         &self,
         request: Request<Full<Bytes>>,
     ) -> Result<(StatusCode, Bytes), PlatformError> {
-        let answer = self.send(request).await?;
-        let status = answer.status();
-        let body = answer.into_body().collect().await.map_err(|_| PlatformError::UnknownOutcome)?;
+        let response = self.send(request).await?;
+        let status = response.status();
+        let body =
+            response.into_body().collect().await.map_err(|_| PlatformError::UnknownOutcome)?;
         Ok((status, body.to_bytes()))
     }
 }
 
-/// A 503 of the platform says that it did nothing; any other failure says nothing.
-fn accepted(status: StatusCode) -> Result<(), PlatformError> {
+/// Maps a status to an error: a client error or 503 means that the platform did nothing, any other
+/// failure leaves the outcome unknown.
+fn check_status(status: StatusCode) -> Result<(), PlatformError> {
     if status.is_success() {
         return Ok(());
     }
@@ -243,10 +256,10 @@
     Err(PlatformError::UnknownOutcome)
 }
 
-fn to_json<T: Serialize>(question: &T) -> Result<Bytes, PlatformError> {
-    serde_json::to_vec(question).map(Bytes::from).map_err(PlatformError::Unserializable)
+fn to_json<T: Serialize>(request: &T) -> Result<Bytes, PlatformError> {
+    serde_json::to_vec(request).map(Bytes::from).map_err(PlatformError::Unserializable)
 }
 
-fn from_json<T: DeserializeOwned>(answer: &[u8]) -> Result<T, PlatformError> {
-    serde_json::from_slice(answer).map_err(PlatformError::Malformed)
+fn from_json<T: DeserializeOwned>(response: &[u8]) -> Result<T, PlatformError> {
+    serde_json::from_slice(response).map_err(PlatformError::Malformed)
 }
--- a/crates/yuccarack_platform/src/errors.rs
+++ b/crates/yuccarack_platform/src/errors.rs
@@ -1,46 +1,46 @@
-//! What can go wrong between us and the platform.
+//! Errors of requests to the platform.
 
 use thiserror::Error;
 
 use crate::messages::FailedCondition;
 
-/// Why a call to the platform gave no result.
+/// Error of a request to the platform.
 #[derive(Debug, Error)]
 pub enum PlatformError {
-    /// A condition did not hold; nothing was written.
-    #[error("{} condition(s) did not hold", .failed.len())]
+    /// A condition of a commit did not hold; nothing was written.
+    #[error("commit conflict: {} condition(s) did not hold", .failed.len())]
     Conflict {
-        /// The conditions that did not hold, with what stands there.
+        /// The conditions that did not hold, with the current revisions of their rows.
         failed: Vec<FailedCondition>,
     },
-    /// The platform refused before it did anything; nothing was written.
-    #[error("the platform refused with status {status}")]
+    /// The platform refused the request before it did anything; nothing was written.
+    #[error("the platform refused the request with status {status}")]
     Refused {
-        /// Its HTTP status.
+        /// HTTP status of the response.
         status: u16,
     },
-    /// No connection could be made; nothing was written.
-    #[error("the platform can't be reached")]
+    /// The connection could not be established; nothing was written.
+    #[error("the platform is unreachable")]
     Unreachable,
-    /// The question went out and no answer came; a write may have taken effect.
-    #[error("no answer came; whether a write took effect is unknown")]
+    /// The request was sent, but no usable response arrived; a write may have taken effect.
+    #[error("no response from the platform; whether a write took effect is unknown")]
     UnknownOutcome,
-    /// The answer began and made no progress any more.
-    #[error("the answer stalled after {received_bytes} bytes")]
+    /// The response started to arrive and then made no progress.
+    #[error("the response of the platform stalled after {received_bytes} bytes")]
     Stalled {
-        /// Bytes of its body that had arrived.
+        /// Number of bytes of the body that had arrived.
         received_bytes: usize,
     },
-    /// The answer is not in the agreed form; a write may have taken effect.
-    #[error("the platform's answer can't be read")]
+    /// The response does not have the expected form; a write may have taken effect.
+    #[error("malformed response from the platform")]
     Malformed(#[source] serde_json::Error),
-    /// What was to be sent has no form in JSON.
-    #[error("the question can't be written")]
+    /// The request can't be serialized as JSON; nothing was sent.
+    #[error("the request can't be serialized as JSON")]
     Unserializable(#[source] serde_json::Error),
 }
 
 impl PlatformError {
-    /// Whether it is proved that nothing was written.
+    /// Returns whether it is certain that nothing was written.
     pub fn is_not_written(&self) -> bool {
         match self {
             Self::Conflict { .. }
--- a/crates/yuccarack_platform/src/escape.rs
+++ b/crates/yuccarack_platform/src/escape.rs
@@ -1,6 +1,6 @@
-//! Texts in paths and queries.
+//! Percent-encoding of URL paths and queries.
 
-/// Spells every byte but letters, digits and `-._~` as in RFC 3986, section 2.1.
+/// Percent-encodes every byte except letters, digits and `-._~` (RFC 3986, section 2.1).
 pub fn percent_encode(text: &str) -> String {
     let mut escaped = String::with_capacity(text.len());
     for byte in text.bytes() {
--- a/crates/yuccarack_platform/src/feed.rs
+++ b/crates/yuccarack_platform/src/feed.rs
@@ -1,80 +1,81 @@
-//! Tables whose changes can be followed: what is asked and what comes back.
+//! Requests, rows and errors of tables whose changes can be followed.
 
 use bytes::Bytes;
 use http::Method;
 use thiserror::Error;
 use yuccarack_config::ids::Revision;
 
-/// One row of a table, as it stands or as it went.
+/// A row of a table, or the deletion of a row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FeedRow {
-    /// Its key.
+    /// Key of the row.
     pub key: String,
-    /// The revision that wrote it or took it away.
+    /// Revision at which the row was written or deleted.
     pub revision: Revision,
-    /// What it holds; none once it has been taken away.
+    /// Value of the row; `None` if it was deleted.
     pub value: Option<Bytes>,
 }
 
-/// Rows of a table as of one moment, or the changes since an earlier one.
+/// The rows of a table at one revision, or the changes since an earlier revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FeedRows {
-    /// Revision up to which the rows tell all.
+    /// Revision that the rows are synced up to.
     pub revision: Revision,
-    /// The rows.
+    /// The rows, or the changed rows.
     pub rows: Vec<FeedRow>,
-    /// Whether more rows stand behind the last one.
+    /// Whether more rows follow the last one.
     pub has_more: bool,
 }
 
-/// A question as it goes over HTTP.
+/// An HTTP request to the store, independent of the client that sends it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FeedRequest {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path and query.
+    /// Path and query of the URL.
     pub path: String,
-    /// Body.
+    /// Request body.
     pub body: Bytes,
 }
 
-/// One row that is to be written if it is still the one that was seen.
+/// A conditional write of one row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FeedWrite {
     /// Table of the row.
     pub table: &'static str,
     /// Key of the row.
     pub key: String,
-    /// Revision at which the row was seen; 0 for none.
+    /// Revision that the row must still have; 0 if it must not exist.
     pub expected_revision: Revision,
-    /// What it is to hold; none takes it away.
+    /// New value of the row; `None` deletes it.
     pub value: Option<Bytes>,
-    /// Another table in which no row of this key may stand.
+    /// Another table that must not have a row with this key.
     pub absent_in: Option<&'static str>,
 }
 
-/// Why an answer of the store gives no result.
+/// Error of a request to the store.
 #[derive(Debug, Error)]
 pub enum FeedError {
-    /// The changes that were asked for are no longer kept; the table has to be read whole.
-    #[error("the store has dropped the history that was asked for")]
+    /// The store no longer has the requested changes; the table has to be read in full.
+    #[error("the store no longer has the requested history")]
     HistoryLost,
-    /// The row isn't the one that was seen, or one stands where none may; nothing was written.
-    #[error("a row stands at revision {current_revision}")]
+    /// The row has another revision than expected, or a row exists where none may; nothing was
+    /// written.
+    #[error("write conflict: the row is at revision {current_revision}")]
     Conflict {
-        /// Revision at which that row stands; 0 for none.
+        /// Current revision of the conflicting row; 0 if it doesn't exist.
         current_revision: Revision,
     },
-    /// The store answered with another status; nothing was done.
-    #[error("the store refused with status {status}")]
+    /// The store refused the request; nothing was written.
+    #[error("the store refused the request with status {status}")]
     Refused {
-        /// The status.
+        /// HTTP status of the response.
         status: u16,
     },
-    /// The answer can't be read.
-    #[error("the store's answer can't be read: {0}")]
+    /// The response can't be parsed.
+    #[error("malformed response from the store: {0}")]
     Malformed(String),
-    /// No answer came; a write may have taken effect or may do so later.
+    /// No response arrived; a write may have taken effect or may still do so.
     #[error(transparent)]
     NoResponse(#[from] crate::errors::PlatformError),
 }
--- a/crates/yuccarack_platform/src/hex_id.rs
+++ b/crates/yuccarack_platform/src/hex_id.rs
@@ -1,28 +1,28 @@
-//! Ids of 128 bits as 32 hex digits: JSON numbers end long before.
+//! Serializes 128-bit ids as 32 hex digits, since they exceed the range of JSON numbers.
 
 use serde::{Deserialize, Deserializer, Serializer, de::Error};
 
-/// Writes an id.
+/// Serializes an id as 32 hex digits.
 pub fn serialize<S: Serializer>(id: &u128, serializer: S) -> Result<S::Ok, S::Error> {
     serializer.serialize_str(&format!("{id:032x}"))
 }
 
-/// Reads an id.
+/// Deserializes an id from hex digits.
 pub fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u128, D::Error> {
     let text = String::deserialize(deserializer)?;
     u128::from_str_radix(&text, 16).map_err(D::Error::custom)
 }
 
-/// Ids that may be unset.
+/// The same for optional ids.
 pub mod option {
     use serde::{Deserialize, Deserializer, Serialize, Serializer, de::Error};
 
-    /// Writes an id, if there is one.
+    /// Serializes an optional id.
     pub fn serialize<S: Serializer>(id: &Option<u128>, serializer: S) -> Result<S::Ok, S::Error> {
         id.map(|id| format!("{id:032x}")).serialize(serializer)
     }
 
-    /// Reads an id, if there is one.
+    /// Deserializes an optional id.
     pub fn deserialize<'de, D: Deserializer<'de>>(
         deserializer: D,
     ) -> Result<Option<u128>, D::Error> {
--- a/crates/yuccarack_platform/src/lib.rs
+++ b/crates/yuccarack_platform/src/lib.rs
@@ -1,4 +1,4 @@
-//! Client of the platform's transactional table service and object store.
+//! Client of the platform's transactional table service and object store, and the rows kept there.
 
 pub mod accept;
 pub mod client;
--- a/crates/yuccarack_platform/src/messages.rs
+++ b/crates/yuccarack_platform/src/messages.rs
@@ -1,98 +1,98 @@
-//! Questions to the table service and their answers, as JSON.
+//! JSON requests to the table service and their responses.
 
 use serde_json::Value;
 use yuccarack_config::{ids::Revision, wire_data};
 
 wire_data! {
-    /// A transaction: all writes happen if all conditions hold, else none.
+    /// A transaction: either all conditions hold and all writes are made, or none is made.
     #[derive(Default)]
     pub struct Commit {
-        /// What has to hold.
+        /// Conditions that have to hold.
         pub conditions: Vec<Condition>,
-        /// What is written.
+        /// Writes that are made.
         pub writes: Vec<Write>,
     }
 
-    /// What has to hold of one row.
+    /// A condition on one row.
     pub struct Condition {
-        /// The row's key.
+        /// Key of the row.
         pub key: String,
-        /// What has to hold of it.
+        /// Precondition on the state of the row.
         pub must: Precondition,
     }
 
-    /// What has to hold of one row.
+    /// Precondition on the state of one row.
     #[serde(rename_all = "snake_case")]
     pub enum Precondition {
         /// The row doesn't exist.
         BeAbsent,
-        /// The row was last written by this revision.
+        /// The row was last written at this revision.
         BeAt(Revision),
-        /// The row doesn't exist or was last written at or before this revision.
+        /// The row doesn't exist, or was last written at or before this revision.
         NotBeNewerThan(Revision),
     }
 
-    /// One write; without a value the row is taken away.
+    /// A write of one row; without a value the row is deleted.
     pub struct Write {
-        /// The row's key.
+        /// Key of the row.
         pub key: String,
-        /// The row's new value.
+        /// New value of the row.
         pub value: Option<Value>,
     }
 
-    /// Answer to a commit that took effect.
+    /// Response to a commit that took effect.
     pub struct CommitResponse {
-        /// The commit's revision.
+        /// Revision of the commit.
         pub revision: Revision,
     }
 
     /// A condition that did not hold.
     pub struct FailedCondition {
-        /// The row's key.
+        /// Key of the row.
         pub key: String,
-        /// The revision that the row has, 0 for none.
+        /// Current revision of the row; 0 if it doesn't exist.
         pub revision: Revision,
     }
 
-    /// Answer to a commit whose conditions did not all hold.
+    /// Response to a commit whose conditions did not all hold.
     pub struct ConflictResponse {
         /// The conditions that did not hold.
         pub failed: Vec<FailedCondition>,
     }
 
-    /// One row.
+    /// A row of the table.
     pub struct Row {
-        /// Its key.
+        /// Key of the row.
         pub key: String,
-        /// The revision that last wrote it.
+        /// Revision at which the row was last written.
         pub revision: Revision,
-        /// Its value.
+        /// Value of the row.
         pub value: Value,
     }
 
-    /// Rows whose keys start alike, in order of their keys.
+    /// Rows whose keys have a common prefix, sorted by key.
     pub struct Rows {
-        /// Revision of the table when it was read.
+        /// Revision of the table at the time of the read.
         pub revision: Revision,
-        /// The rows.
+        /// The rows, sorted by key.
         pub rows: Vec<Row>,
     }
 }
 
 impl Write {
-    /// Puts `value` into the row of `key`.
+    /// Creates a write that sets the row of `key` to `value`.
     pub fn put(key: impl Into<String>, value: Value) -> Self {
         Self { key: key.into(), value: Some(value) }
     }
 
-    /// Takes the row of `key` away.
+    /// Creates a write that deletes the row of `key`.
     pub fn delete(key: impl Into<String>) -> Self {
         Self { key: key.into(), value: None }
     }
 }
 
 impl Condition {
-    /// Asks that `must` holds of the row of `key`.
+    /// Creates the condition that `must` holds for the row of `key`.
     pub fn new(key: impl Into<String>, must: Precondition) -> Self {
         Self { key: key.into(), must }
     }
--- a/crates/yuccarack_platform/src/rows.rs
+++ b/crates/yuccarack_platform/src/rows.rs
@@ -1,4 +1,4 @@
-//! What the system keeps in the table: keys and values of its rows.
+//! Keys and values of the rows that the system stores in the table.
 
 use std::net::SocketAddr;
 
@@ -11,205 +11,206 @@
 };
 
 wire_kind! {
-    /// Where a target is in its life.
+    /// Lifecycle state of a target.
     pub enum TargetState {
-        /// It runs but takes no work yet.
+        /// The target runs, but does not accept requests yet.
         Starting,
-        /// It takes work.
+        /// The target accepts requests.
         Ready,
-        /// It finishes what it has and takes no more.
+        /// The target completes its running requests and accepts no more.
         Draining,
-        /// It has gone.
+        /// The target has exited.
         Gone,
     }
 
-    /// Where a claim is in its life.
+    /// Lifecycle state of a claim.
     pub enum ClaimState {
-        /// The request may be running; nobody else may run it.
+        /// The request may be running; no other attempt may run it.
         Open,
-        /// The request has run and its outcome is recorded.
+        /// The request has run, and its outcome is recorded.
         Done,
     }
 
-    /// What is thought of a request that was in flight when its target died.
+    /// State of a request that was in flight when its target crashed.
     pub enum SuspectState {
-        /// It was in flight at one death.
+        /// The request was in flight at one crash.
         Suspected,
-        /// It is running alone on one target.
+        /// The request is running alone on one target.
         OnTrial,
-        /// It was in flight at two deaths; it isn't run.
+        /// The request was in flight at two crashes and isn't run any more.
         Quarantined,
     }
 }
 
 wire_data! {
-    /// Row of one service's rules, at [`rules_key`]; the row's revision is the rules' version.
+    /// Row of a service's rules, at [`rules_key`]; its revision is the version of the rules.
     ///
-    /// A removed service keeps its row: an absent one has no revision, so an older body that a
-    /// lagging peer still holds would win over it.
+    /// A removed service keeps its row: a deleted row has no revision, so older rules that a
+    /// lagging peer still has would take precedence over the removal.
     #[serde(rename_all = "snake_case")]
     pub enum RulesRow {
-        /// The rules that count.
+        /// The rules in force.
         InForce(ServiceRules),
-        /// The service has been taken away.
+        /// The service was removed.
         Removed,
     }
 
-    /// Row of one target, at [`member_key`].
+    /// Row of a target, at [`member_key`].
     pub struct MemberRow {
         /// Instance of the target and its daemon.
         pub instance: InstanceId,
-        /// Life of the daemon that wrote the row.
+        /// Incarnation of the daemon that wrote the row.
         pub incarnation: Incarnation,
-        /// Number of the row within that life; rises with each change.
+        /// Sequence number of the row within the incarnation; increases with each change.
         pub sequence: u64,
         /// Service of the target.
         pub service: ServiceName,
         /// Failure domain of the instance.
         pub failure_domain: DomainName,
-        /// Address of its gate.
+        /// Advertised address of the instance's gate.
         pub gate_address: SocketAddr,
-        /// Address for control messages.
+        /// Advertised address for control messages.
         pub control_address: SocketAddr,
         /// Address for announcements and operators.
         pub admin_address: SocketAddr,
-        /// Where the target is in its life.
+        /// Lifecycle state of the target.
         pub state: TargetState,
-        /// Requests the target runs at once.
+        /// Number of requests that the target runs concurrently.
         pub slots: u16,
     }
 
-    /// Row of one claim, at [`claim_key`].
+    /// Row of a claim, at [`claim_key`].
     pub struct ClaimRow {
         /// Service that the request is for.
         pub service: ServiceName,
-        /// The caller's key.
+        /// Idempotency key from the caller.
         pub key: IdempotencyKey,
-        /// The one attempt that may run.
+        /// The only attempt that may run the request.
         #[serde(with = "crate::hex_id")]
         pub attempt: AttemptId,
         /// Instance whose gate holds the claim.
         pub instance: InstanceId,
-        /// Hash of method, path and body length, to tell a resend from another request.
+        /// Hash of method, path and body length, to distinguish a resent request from another one.
         pub fingerprint: Fingerprint,
-        /// Where the claim is in its life.
+        /// Lifecycle state of the claim.
         pub state: ClaimState,
-        /// Wall clock when it was claimed, in ms since 1970, for operators only.
+        /// Wall-clock time of the claim, in ms since 1970; informational only.
         pub claimed_at_unix_ms: u64,
-        /// The answer, once there is one.
+        /// The response, once it is recorded.
         pub outcome: Option<RecordedOutcome>,
     }
 
-    /// Row by which a gate fences its own lost transactions, at [`claim_fence_key`].
+    /// Row by which a gate fences off its own lost transactions, at [`claim_fence_key`].
     pub struct ClaimFenceRow {
-        /// Wall clock when it was written, in ms since 1970, for operators only.
+        /// Wall-clock time of the write, in ms since 1970; informational only.
         pub raised_at_unix_ms: u64,
     }
 
-    /// The answer of a request that has run.
+    /// The recorded response to a request that has run.
     pub struct RecordedOutcome {
-        /// Its HTTP status.
+        /// HTTP status of the response.
         pub status: u16,
-        /// Its content type.
+        /// Content type of the response.
         pub content_type: Option<String>,
-        /// Its body; unset when it was too large to keep.
+        /// Body of the response; unset if it was too large to record.
         pub body: Option<Vec<u8>>,
     }
 
-    /// Row of one request that may crash targets, at [`suspect_key`].
+    /// Row of a request that may crash targets, at [`suspect_key`].
     pub struct SuspectRow {
         /// Service that the request is for.
         pub service: ServiceName,
-        /// What the request is recognised by.
+        /// Hash by which the request is recognised.
         pub fingerprint: Fingerprint,
-        /// What is thought of it.
+        /// State of the suspect.
         pub state: SuspectState,
-        /// Instances whose targets died with it in flight.
+        /// Instances whose targets crashed while the request was in flight.
         pub died: Vec<InstanceId>,
-        /// The trial that is running or ran last, by which its gate finds its own write again.
+        /// Attempt of the current or latest trial, by which its gate recognises its own write.
         #[serde(default, with = "crate::hex_id::option")]
         pub trial: Option<AttemptId>,
-        /// Wall clock at which the row stops counting, in ms since 1970.
+        /// Wall-clock time at which the row expires, in ms since 1970.
         pub expires_at_unix_ms: u64,
     }
 
-    /// Row of one accepted rules file, at [`applied_key`].
+    /// Row of an accepted rules file, at [`applied_key`].
     pub struct AppliedRow {
-        /// Name of the attempt to apply it.
+        /// Id of the apply, which stays the same when it is retried.
         pub apply_id: String,
-        /// Who applied it.
+        /// Operator who applied the file.
         pub operator: String,
-        /// Services that it changed.
+        /// Services that the file defines.
         pub services: Vec<ServiceName>,
-        /// Services that it took away.
+        /// Services that the file removes.
         pub removed: Vec<ServiceName>,
-        /// Name of the object that holds the whole file.
+        /// Name of the object that contains the complete file.
         pub object: String,
-        /// Wall clock when it was applied, in ms since 1970.
+        /// Wall-clock time of the apply, in ms since 1970.
         pub applied_at_unix_ms: u64,
     }
 }
 
-/// Start of the keys of all members of a service.
+/// Returns the key prefix of all members of a service.
 pub fn member_prefix(service: &str) -> String {
     format!("members/{service}/")
 }
 
-/// Key of a member.
+/// Returns the key of a member row.
 pub fn member_key(service: &str, instance: &str) -> String {
     format!("members/{service}/{instance}")
 }
 
-/// Start of the keys of all rules.
+/// Key prefix of all rules rows.
 pub const RULES_PREFIX: &str = "rules/";
 
-/// Key of the rules of a service; the row's revision is the rules' version.
+/// Returns the key of the rules of a service; the revision of the row is the version of the rules.
 pub fn rules_key(service: &str) -> String {
     format!("{RULES_PREFIX}{service}")
 }
 
-/// Start of the keys of all claims of a service.
+/// Returns the key prefix of all claims of a service.
 pub fn claim_prefix(service: &str) -> String {
     format!("claims/{service}/")
 }
 
-/// Key of a claim.
+/// Returns the key of a claim row.
 pub fn claim_key(service: &str, key: &str) -> String {
     format!("claims/{service}/{key}")
 }
 
-/// Key of the row that fences the lost transactions of an instance's gate.
+/// Returns the key of the row that fences off the lost transactions of an instance's gate.
 pub fn claim_fence_key(instance: &str) -> String {
     format!("claim_fences/{instance}")
 }
 
-/// Start of the keys of all suspects of a service.
+/// Returns the key prefix of all suspects of a service.
 pub fn suspect_prefix(service: &str) -> String {
     format!("suspects/{service}/")
 }
 
-/// Key of a suspect.
+/// Returns the key of a suspect row.
 pub fn suspect_key(service: &str, fingerprint: Fingerprint) -> String {
     format!("suspects/{service}/{fingerprint:016x}")
 }
 
-/// Key of an accepted file.
+/// Returns the key of an accepted rules file.
 pub fn applied_key(apply_id: &str) -> String {
     format!("applied/{apply_id}")
 }
 
-/// Time that one prefix of the history spans, in ms: a day.
+/// Time span that one history prefix covers, in ms: one day.
 pub const HISTORY_SPAN_MS: u64 = 86_400_000;
 
-/// Start of the keys of the files that were accepted in the day of `unix_ms`.
+/// Returns the key prefix of the files that were accepted on the day of `unix_ms`.
 ///
-/// Accepted files stay for good and so does their number: whoever asks for the latest reads some
-/// days and not all years. The day is that of the operator's clock and decides nothing.
+/// Accepted files are never deleted, so the history is split by day: a query for the latest files
+/// reads a few days instead of all years. The day is that of the operator's clock; no decision
+/// depends on it.
 pub fn history_prefix(unix_ms: u64) -> String {
     format!("history/{}/", unix_ms / HISTORY_SPAN_MS)
 }
 
-/// Key of an accepted file in the history; the value is that at [`applied_key`].
+/// Returns the history key of an accepted file; the value is the same as at [`applied_key`].
 pub fn history_key(unix_ms: u64, apply_id: &str) -> String {
     format!("{}{apply_id}", history_prefix(unix_ms))
 }
--- a/crates/yuccarack_platform/src/transfer.rs
+++ b/crates/yuccarack_platform/src/transfer.rs
@@ -1,4 +1,4 @@
-//! Reads bodies of any size: a transfer is limited by its progress, not by its total time.
+//! Reads bodies of any size, limited by the progress of the transfer and not by its total time.
 
 use std::time::Duration;
 
@@ -8,34 +8,34 @@
 use thiserror::Error;
 use tokio::time::{Instant, timeout_at};
 
-/// Interval in which a transfer has to make progress.
+/// Interval in which a transfer must make progress.
 pub const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Bytes that have to arrive in each [`PROGRESS_INTERVAL`] until the end.
+/// Minimum number of bytes that must arrive in each [`PROGRESS_INTERVAL`] until the body ends.
 pub const PROGRESS_MIN_BYTES: usize = 16 * 1024;
 
-/// Why a body was not read whole.
+/// Error of reading a body.
 #[derive(Debug, Error)]
 pub enum TransferError<E> {
-    /// It broke off.
+    /// The body ended before it was complete.
     #[error(transparent)]
     Interrupted(E),
     /// Less than [`PROGRESS_MIN_BYTES`] arrived within [`PROGRESS_INTERVAL`].
     #[error("the transfer stalled after {received_bytes} bytes")]
     Stalled {
-        /// Bytes that had arrived.
+        /// Number of bytes that had arrived.
         received_bytes: usize,
     },
 }
 
-/// Reads `body` whole; `on_bytes` gets the length of each piece as it arrives.
+/// Reads `body` to its end; `on_bytes` gets the length of each part as it arrives.
 ///
-/// A limit on the total time would cut a large body on a slow link at every try, and each try would
-/// start over with the first byte.
+/// With a limit on the total time, a large body on a slow link would be aborted at every attempt,
+/// and each attempt would start again at the first byte.
 ///
 /// # Errors
 ///
-/// [`TransferError`].
+/// [`TransferError`] if the body is interrupted or stalls.
 pub async fn read_full<B>(
     mut body: B,
     mut on_bytes: impl FnMut(usize),
