--- a/crates/yuccarackd/src/coordination/routed/entry/attempts.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/attempts.rs
@@ -210,12 +210,12 @@
         let request = self.call.request(&hop, is_offered);
         let upstream = &self.entry.parts.upstream;
         match upstream.send(gate.address(), request, Freshness::Kept).await {
-            Ok(response) => self.receive(gate, response),
+            Ok(response) => self.receive_response(gate, response),
             Err(error) => Reply::Refused(send_error_refusal(&error)),
         }
     }
 
-    fn receive(&self, gate: &ChosenGate, mut response: Response<CallBody>) -> Reply {
+    fn receive_response(&self, gate: &ChosenGate, mut response: Response<CallBody>) -> Reply {
         let status = response.headers_mut().remove(GATE_WORD);
         let status: Option<GateWord> = status.and_then(|status| status.to_str().ok()?.parse().ok());
         if let Some(status) = status {
--- a/crates/yuccarackd/src/coordination/routed/entry/head.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/head.rs
@@ -38,7 +38,7 @@
             None => None,
             Some(text) => Some(now + parse_time_left(text).ok_or_else(bad)?),
         };
-        let host = host(parts).ok_or_else(bad)?;
+        let host = request_host(parts).ok_or_else(bad)?;
         Ok(Self { request_id: request_id.clone(), deadline, host })
     }
 }
@@ -64,7 +64,7 @@
 }
 
 /// Returns the host of the request URI or else of the `Host` header, without the port.
-pub fn host(parts: &Parts) -> Option<String> {
+pub fn request_host(parts: &Parts) -> Option<String> {
     if let Some(host) = parts.uri.host() {
         return Some(host.to_owned());
     }
--- a/crates/yuccarackd/src/coordination/routed/entry/mod.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/mod.rs
@@ -112,11 +112,12 @@
     /// an earlier response closes the connection. While this daemon leaves it closes connections,
     /// so none starts early.
     fn may_start_early(&self, head: &Parts) -> bool {
-        let is_on = self.parts.settings.current().decisions.early_reads;
-        if !is_on || self.parts.leaving.is_cancelled() {
+        let is_enabled = self.parts.settings.current().decisions.early_reads;
+        if !is_enabled || self.parts.leaving.is_cancelled() {
             return false;
         }
-        let (Some(host), Some(routing)) = (head::host(head), self.parts.routing.current()) else {
+        let (Some(host), Some(routing)) = (head::request_host(head), self.parts.routing.current())
+        else {
             return false;
         };
         routing.find_route(&host, head.uri.path()).is_some_and(|(_, route)| route.is_repeatable)
@@ -161,13 +162,13 @@
     ) -> Result<Response<CallBody>, Refusal> {
         let head = RoutedHead::parse(&parts, trace.came_at)?;
         trace.request = String::from_utf8_lossy(head.request_id.as_bytes()).into_owned();
-        let routing = self.parts.routing.current().ok_or_else(no_routing)?;
+        let routing = self.parts.routing.current().ok_or_else(no_routing_refusal)?;
         trace.routing_version = routing.version();
         let (_, route) = routing
             .find_route(&head.host, parts.uri.path())
             .ok_or(Refusal::not_run(Reason::UnknownRoute))?;
         trace.route.clone_from(&route.name);
-        check_size(&routing, &parts)?;
+        check_body_size(&routing, &parts)?;
         let kind = kind_of(route);
         if !self.stats.admits(kind) {
             return Err(Refusal::not_run(Reason::ShortElsewhere));
@@ -276,8 +277,8 @@
         if !is_known {
             splits.insert(route.name.clone(), Split::new(weights, &mut rand::rng()));
         }
-        let part = splits.get_mut(&route.name).and_then(Split::deal);
-        let share = part.and_then(|part| route.split.get(part));
+        let share_index = splits.get_mut(&route.name).and_then(Split::deal);
+        let share = share_index.and_then(|index| route.split.get(index));
         share.map(|share| share.service.clone()).ok_or(Refusal::not_run(Reason::NoTarget))
     }
 
@@ -339,7 +340,7 @@
     xxh3_64(route.name.as_bytes())
 }
 
-fn no_routing() -> Refusal {
+fn no_routing_refusal() -> Refusal {
     Refusal::not_run(Reason::NoRouting).with_retry_after(NO_ROUTING_RETRY_AFTER)
 }
 
@@ -355,7 +356,7 @@
     }
 }
 
-fn check_size(routing: &Routing, parts: &Parts) -> Result<(), Refusal> {
+fn check_body_size(routing: &Routing, parts: &Parts) -> Result<(), Refusal> {
     let length = parts.headers.get(header::CONTENT_LENGTH);
     let length: Option<u64> = length.and_then(|value| value.to_str().ok()?.parse().ok());
     let max = routing.table().caller_limits.body_max_bytes;
--- a/crates/yuccarackd/src/coordination/routed/entry/route_stats.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/route_stats.rs
@@ -29,13 +29,13 @@
 }
 
 impl RouteStats {
-    /// Creates empty statistics; `decisions` switches their uses on.
+    /// Creates empty statistics; `decisions` selects the ones in use.
     pub fn new(decisions: Decisions) -> Self {
         Self { decisions, by_kind: Mutex::default(), shortages: Mutex::default() }
     }
 
-    /// Estimates how long the caller waited on earlier attempts before this request arrived at
-    /// `now`.
+    /// Estimates how long the caller had waited with earlier, refused requests before this one
+    /// arrived at `now`.
     pub fn prior_wait(&self, now: Instant, kind: u64, left: Duration) -> Duration {
         if !self.decisions.patience {
             return Duration::ZERO;
@@ -65,12 +65,12 @@
         self.update(kind, |stats| stats.futile_runs.ended(result, is_short));
     }
 
-    fn update<T>(&self, kind: u64, note: impl FnOnce(&mut KindStats) -> T) -> T {
+    fn update<T>(&self, kind: u64, change: impl FnOnce(&mut KindStats) -> T) -> T {
         let mut by_kind = self.by_kind.lock();
         if by_kind.len() >= ROUTES_MAX && !by_kind.contains_key(&kind) {
             // The map also holds routes that operators have removed.
             by_kind.clear();
         }
-        note(by_kind.entry(kind).or_default())
+        change(by_kind.entry(kind).or_default())
     }
 }
--- a/crates/yuccarackd/src/coordination/routed/gate/crash_tracker.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/crash_tracker.rs
@@ -79,7 +79,7 @@
     }
 
     /// Returns whether the request is quarantined, that is, no longer dispatched to targets.
-    pub fn is_barred(&self, fingerprint: Fingerprint) -> bool {
+    pub fn is_quarantined(&self, fingerprint: Fingerprint) -> bool {
         self.inner.counts.lock().is_barred(Instant::now().into(), fingerprint)
     }
 
--- a/crates/yuccarackd/src/coordination/routed/gate/exchange.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/exchange.rs
@@ -66,7 +66,7 @@
     ///
     /// A target may drop an idle connection without notice, and the next request sent on it is
     /// reset. The outcome of a request that must not repeat would then stay unknown. After such a
-    /// reset repeatable requests also avoid connections that were idle for long, for a while.
+    /// reset repeatable requests avoid connections that were idle for long, too, for a while.
     async fn send(&self, request: &mut GateRequest) -> Result<Response<CallBody>, Refusal> {
         let view = &self.active.view;
         let target_request = request.target_request(&view.target);
--- a/crates/yuccarackd/src/coordination/routed/gate/health_checks.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/health_checks.rs
@@ -45,17 +45,17 @@
 async fn run_checks(gate: &Gate, active: &ActiveTarget) {
     let mut schedule = PaceLooks::new();
     loop {
-        let (started, wanted) = (active.slots.started(), active.slots.health_check_wanted());
+        let (started, check_due) = (active.slots.started(), active.slots.health_check_due());
         let now = Instant::now();
         let due_at = active.slots.read(|queue| due_at(gate, &schedule, queue, now));
         match due_at {
             None => tokio::select! {
                 () = started => {}
-                () = wanted => {}
+                () = check_due => {}
             },
             Some(at) if at > now => tokio::select! {
                 () = sleep_until(at.into()) => {}
-                () = wanted => {}
+                () = check_due => {}
             },
             Some(_) => {
                 let result = check(gate, active).await;
--- a/crates/yuccarackd/src/coordination/routed/gate/mod.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/mod.rs
@@ -187,14 +187,14 @@
     async fn run(&self, request: &mut GateRequest) -> Result<Response<CallBody>, Refusal> {
         let active = self.active_target_for(request)?;
         let fingerprint = request.fingerprint();
-        if self.parts.crashes.is_barred(fingerprint) {
+        if self.parts.crashes.is_quarantined(fingerprint) {
             return Err(
                 Refusal::not_run(Reason::Quarantined).with_retry_after(QUARANTINED_RETRY_AFTER)
             );
         }
-        let offered_at = Instant::now();
+        let queued_at = Instant::now();
         let lease = active.slots.admit(request.work()).await.map_err(admission_refusal)?;
-        let queued = offered_at.elapsed();
+        let queued = queued_at.elapsed();
         request.queued = Some(queued);
         self.parts.metrics.queued(queued);
         // The target may have started to leave, or its failure domain been evacuated, during the
--- a/crates/yuccarackd/src/coordination/routed/gate/pooled_connections.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/pooled_connections.rs
@@ -7,7 +7,7 @@
 use crate::transport::upstream::Freshness;
 
 /// Longest idle time of a connection that is used while the target drops idle ones. Connections to
-/// a busy target are used again within some 100 ms, and targets don't drop those.
+/// a busy target are used again within some 100 ms, and no drop of one is known.
 const CAUTIOUS_IDLE_MAX: Duration = Duration::from_millis(150);
 
 /// Time after a broken connection in which only recently used ones are used. A target that drops
--- a/crates/yuccarackd/src/coordination/routed/gate/work_slots.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/work_slots.rs
@@ -33,7 +33,7 @@
     /// Notifies the health checks that a request has started.
     started: Notify,
     /// Notifies the health checks that one is due to find out whether the target is cold.
-    health_check_wanted: Notify,
+    health_check_due: Notify,
 }
 
 struct State {
@@ -51,7 +51,7 @@
                 state: Mutex::new(state),
                 changed: Notify::new(),
                 started: Notify::new(),
-                health_check_wanted: Notify::new(),
+                health_check_due: Notify::new(),
             }),
         }
     }
@@ -62,7 +62,7 @@
         let now = Instant::now();
         let result = change(&mut state.queue, now);
         state.settle(now);
-        self.shared.wake_due_health_check(&state.queue);
+        self.shared.notify_health_check_due(&state.queue);
         result
     }
 
@@ -77,7 +77,7 @@
             match state.queue.offer(Instant::now(), work) {
                 Offered::Run(key) => {
                     self.shared.started.notify_waiters();
-                    self.shared.wake_due_health_check(&state.queue);
+                    self.shared.notify_health_check_due(&state.queue);
                     return Ok(SlotLease::new(self.clone(), key));
                 }
                 Offered::Refused(refused) => return Err(refused),
@@ -116,8 +116,8 @@
     }
 
     /// Completes when a health check is due to find out whether the target is cold.
-    pub fn health_check_wanted(&self) -> Notified<'_> {
-        self.shared.health_check_wanted.notified()
+    pub fn health_check_due(&self) -> Notified<'_> {
+        self.shared.health_check_due.notified()
     }
 
     /// Returns the number of requests that hold a slot.
@@ -140,10 +140,10 @@
 }
 
 impl Shared {
-    fn wake_due_health_check(&self, queue: &WorkQueue) {
+    fn notify_health_check_due(&self, queue: &WorkQueue) {
         let now = Instant::now();
         if queue.cold_rate().look_due_at(now).is_some_and(|due_at| due_at <= now) {
-            self.health_check_wanted.notify_one();
+            self.health_check_due.notify_one();
         }
     }
 }
