--- a/crates/yuccarackd/tests/catch_up.rs
+++ b/crates/yuccarackd/tests/catch_up.rs
@@ -1,4 +1,4 @@
-//! How a daemon gets a routing table that the usual news did not bring.
+//! Tests how a daemon fetches a routing table that the regular updates have not delivered.
 
 #[path = "support/tables.rs"]
 mod tables;
@@ -44,26 +44,26 @@
 
 use self::tables::table;
 
-/// Connections that a peer takes.
+/// Connections that a peer accepts.
 const CONNECTIONS_MAX: usize = 16;
 
-/// Longest wait for a table; generous for a busy machine.
+/// Longest wait for a table, sufficient for a busy machine.
 const FETCHED_MAX: Duration = Duration::from_secs(20);
 
 /// Routes of a table.
 const ROUTES: u64 = 50;
 
-/// A peer's news of a table of version 9, with it or without.
-fn news(has_changes: bool) -> Bytes {
+/// Encodes a peer's update with version 9 of the table, with its changes or without them.
+fn encode_update(has_changes: bool) -> Bytes {
     let state = RoutingState::new();
     assert!(state.offer(table(9, ROUTES)));
-    news_of(&state, if has_changes { Some(0) } else { None })
+    encode_update_of(&state, if has_changes { Some(0) } else { None })
 }
 
-/// News of a peer that has the table of `state`, with its changes since `base`.
-fn news_of(state: &RoutingState, base: Option<u64>) -> Bytes {
+/// Encodes the update of a peer that has the table of `state`, with the changes since `base`.
+fn encode_update_of(state: &RoutingState, base: Option<u64>) -> Bytes {
     let changes = base.map(|base| state.changes_since(base).expect("changes"));
-    let news = PeerNews {
+    let update = PeerNews {
         routing_version: 9,
         routing: None,
         changes: changes.map(|changes| PackedChanges::new(&changes).expect("packed changes")),
@@ -72,55 +72,56 @@
         evacuations: Vec::new(),
         known: None,
     };
-    serde_json::to_vec(&news).expect("JSON").into()
+    serde_json::to_vec(&update).expect("JSON").into()
 }
 
-/// A peer that records which changes it is asked for.
+/// A peer that records which changes are requested from it.
 struct Peer {
     server: Server,
-    asked_for: Arc<Mutex<Vec<String>>>,
-    questions: Arc<Mutex<Vec<String>>>,
+    requested_changes: Arc<Mutex<Vec<String>>>,
+    queries: Arc<Mutex<Vec<String>>>,
 }
 
 impl Peer {
-    /// Starts one that fails `failures` questions and answers those for all changes.
+    /// Starts a peer that fails `failures` queries and responds to those for all changes.
     async fn start(failures: usize) -> Self {
-        let asked_for: Arc<Mutex<Vec<String>>> = Arc::default();
-        let questions: Arc<Mutex<Vec<String>>> = Arc::default();
-        let (for_server, noted) = (Arc::clone(&asked_for), Arc::clone(&questions));
+        let requested_changes: Arc<Mutex<Vec<String>>> = Arc::default();
+        let queries: Arc<Mutex<Vec<String>>> = Arc::default();
+        let (recorded_changes, recorded_queries) =
+            (Arc::clone(&requested_changes), Arc::clone(&queries));
         let listener = listen(SocketAddr::from(([127, 0, 0, 1], 0))).await.expect("a port");
         let server = Server::start(listener, CONNECTIONS_MAX, move |request| {
             let header = |name| {
                 let value = request.headers().get(name);
                 value.and_then(|value| value.to_str().ok()).unwrap_or("").to_owned()
             };
-            let asked = header(NEWS_CHANGES);
-            noted.lock().push(header(NEWS));
-            let mut asked_for = for_server.lock();
-            asked_for.push(asked.clone());
-            let is_failing = asked_for.len() <= failures;
+            let requested = header(NEWS_CHANGES);
+            recorded_queries.lock().push(header(NEWS));
+            let mut requested_changes = recorded_changes.lock();
+            requested_changes.push(requested.clone());
+            let is_failing = requested_changes.len() <= failures;
             async move {
-                match asked.as_str() {
+                match requested.as_str() {
                     _ if is_failing => Err(Cut),
-                    "all" => answer(StatusCode::OK, news(true)),
-                    _ => answer(StatusCode::OK, news(false)),
+                    "all" => answer(StatusCode::OK, encode_update(true)),
+                    _ => answer(StatusCode::OK, encode_update(false)),
                 }
             }
         });
-        Self { server: server.expect("a server"), asked_for, questions }
+        Self { server: server.expect("a server"), requested_changes, queries }
     }
 
-    fn questions(&self) -> Vec<String> {
-        self.questions.lock().clone()
+    fn queries(&self) -> Vec<String> {
+        self.queries.lock().clone()
     }
 
-    fn asked_for(&self) -> Vec<String> {
-        self.asked_for.lock().clone()
+    fn requested_changes(&self) -> Vec<String> {
+        self.requested_changes.lock().clone()
     }
 }
 
-/// A daemon's parts that fetch routing tables, and its way to the store.
-struct Fetching {
+/// The parts of a daemon that fetch routing tables, and its connection to the store.
+struct FetchingDaemon {
     routing: RoutingState,
     peers: Peers,
     transfers: Transfers,
@@ -129,7 +130,7 @@
     catch_up: CatchUp,
 }
 
-async fn fetching(source: NewsSource) -> Fetching {
+async fn start_fetching(source: NewsSource) -> FetchingDaemon {
     let (routing, members, news) = (RoutingState::new(), Members::new(), News::new());
     let (counters, transfers) = (Counters::new(), Transfers::new());
     let events = EventLog::new(Logger::root(Discard, o!()), counters.clone(), 100);
@@ -162,13 +163,13 @@
         first_read_at: tokio::time::Instant::now(),
     };
     let catch_up = CatchUp::new(peers.clone(), follower);
-    Fetching { routing, peers, transfers, news, door, catch_up }
+    FetchingDaemon { routing, peers, transfers, news, door, catch_up }
 }
 
-/// Guards against a daemon that waits for the next change after a fetch that failed.
+/// Guards against a daemon that waits for the next change after a failed fetch.
 #[tokio::test]
-async fn a_fetch_that_fails_is_tried_again_without_further_word() {
-    let daemon = fetching(NewsSource::Relay).await;
+async fn a_failed_fetch_is_retried_without_another_notice() {
+    let daemon = start_fetching(NewsSource::Relay).await;
     daemon.door.set(DoorMode::Refusing);
     let peer = Peer::start(2).await;
     daemon.peers.note_version(peer.server.address(), 9);
@@ -179,14 +180,14 @@
             fetched.expect("the table in time").expect("a version");
         }
     }
-    assert_eq!(peer.asked_for().len(), 3);
+    assert_eq!(peer.requested_changes().len(), 3);
     peer.server.crash().await;
 }
 
 /// Guards against two transfers of one table that share a thin link, so that neither ends in time.
 #[tokio::test]
-async fn no_whole_table_is_asked_for_beside_a_transfer_that_makes_progress() {
-    let daemon = fetching(NewsSource::Relay).await;
+async fn no_full_table_is_requested_beside_a_transfer_that_makes_progress() {
+    let daemon = start_fetching(NewsSource::Relay).await;
     let peer = Peer::start(0).await;
     let transfer = daemon.transfers.begin();
     transfer.note(PROGRESS_MIN_BYTES);
@@ -197,8 +198,11 @@
             sleep(Duration::from_millis(20)).await;
         }
         drop(transfer);
-        let asked_for = peer.asked_for();
-        assert!(!asked_for.is_empty() && asked_for.iter().all(|asked| asked == "small"));
+        let requested_changes = peer.requested_changes();
+        assert!(
+            !requested_changes.is_empty()
+                && requested_changes.iter().all(|requested| requested == "small")
+        );
         assert_eq!(daemon.door.questions(), 0);
     };
     let mut versions = daemon.routing.subscribe();
@@ -213,39 +217,40 @@
     peer.server.crash().await;
 }
 
-/// Guards against a fetch where a relay brings the table anyway.
+/// Guards against a fetch of a table that a relay delivers anyway.
 #[tokio::test]
-async fn what_the_news_bring_in_time_is_not_fetched() {
-    let daemon = fetching(NewsSource::Store).await;
+async fn a_table_that_updates_deliver_in_time_is_not_fetched() {
+    let daemon = start_fetching(NewsSource::Store).await;
     let peer = Peer::start(0).await;
     daemon.peers.note_version(peer.server.address(), 9);
-    let news = async {
+    let delivery = async {
         sleep(Duration::from_millis(200)).await;
         assert!(daemon.routing.offer(table(9, ROUTES)));
         sleep(Duration::from_secs(1)).await;
     };
     tokio::select! {
         () = daemon.catch_up.run() => {}
-        () = news => {}
+        () = delivery => {}
     }
-    assert_eq!((peer.asked_for().len(), daemon.door.questions()), (0, 0));
+    assert_eq!((peer.requested_changes().len(), daemon.door.questions()), (0, 0));
     peer.server.crash().await;
 }
 
 /// Guards against changes for another table of the same version, which two daemons of different
-/// versions may read differently: without the store they would be asked for again and again.
+/// software versions may read differently: without the store they would be requested again and
+/// again.
 #[tokio::test]
-async fn all_routes_are_asked_for_after_changes_that_do_not_fit() {
-    let daemon = fetching(NewsSource::Nobody).await;
+async fn all_routes_are_requested_after_changes_that_do_not_fit() {
+    let daemon = start_fetching(NewsSource::Nobody).await;
     assert!(daemon.routing.offer(table(4, 7)));
     let other = RoutingState::new();
     assert!(other.offer(table(4, 2)) && other.offer(table(9, 5)));
     let listener = listen(([127, 0, 0, 1], 0).into()).await.expect("a port");
     let peer = Server::start(listener, CONNECTIONS_MAX, move |request| {
-        let question = request.headers()[NEWS].to_str().unwrap_or("").to_owned();
-        let base = if question.starts_with("4;") { 4 } else { 0 };
-        let news = news_of(&other, Some(base));
-        async move { answer(StatusCode::OK, news) }
+        let query = request.headers()[NEWS].to_str().unwrap_or("").to_owned();
+        let base = if query.starts_with("4;") { 4 } else { 0 };
+        let update = encode_update_of(&other, Some(base));
+        async move { answer(StatusCode::OK, update) }
     })
     .expect("a server");
     daemon.peers.note_version(peer.address(), 9);
@@ -262,16 +267,16 @@
 
 /// Guards against a list of all members twice a second while the store is unavailable.
 #[tokio::test]
-async fn a_daemon_without_the_store_asks_only_for_members_that_changed() {
-    let daemon = fetching(NewsSource::Nobody).await;
+async fn a_daemon_without_the_store_requests_only_changed_members() {
+    let daemon = start_fetching(NewsSource::Nobody).await;
     daemon.news.set_known(Followed::Members, Some(7));
     let peer = Peer::start(0).await;
     daemon.peers.note_sender(peer.server.address());
     tokio::select! {
         () = daemon.peers.run(CancellationToken::new()) => {}
-        () = wait("a question", || async { !peer.questions().is_empty() }) => {}
+        () = wait("a query", || async { !peer.queries().is_empty() }) => {}
     }
-    let questions = peer.questions();
-    assert!(!questions.is_empty() && questions.iter().all(|question| question == "0;7;0"));
+    let queries = peer.queries();
+    assert!(!queries.is_empty() && queries.iter().all(|query| query == "0;7;0"));
     peer.server.crash().await;
 }
--- a/crates/yuccarackd/tests/relay_lines.rs
+++ b/crates/yuccarackd/tests/relay_lines.rs
@@ -1,4 +1,4 @@
-//! What a relay tells, on a clock that stands still between events.
+//! Tests of the update stream of a relay, on a paused clock.
 
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
     transport::upstream::Upstream,
 };
 
-/// A relay that the store serves, and the lines that it tells one daemon.
+/// A relay that the store serves, and its update stream to one daemon.
 struct Relay {
     members: Members,
     news: News,
@@ -56,17 +56,17 @@
             counters: counters.clone(),
             events: EventLog::new(Logger::root(Discard, o!()), counters, 100),
         });
-        let question = NewsQuestion {
+        let query = NewsQuestion {
             routing_version: 0,
             members_after: Some(1),
             is_lasting: true,
             changes: ChangesTaken::Small,
         };
-        let lines = RelayStream::new(peers, question).into_body();
+        let lines = RelayStream::new(peers, query).into_body();
         Self { members, news, leaving, lines }
     }
 
-    /// The next line; none at the end. An empty one only says that the relay is there.
+    /// Returns the next line; none at the end. An empty line is a keepalive.
     async fn next(&mut self) -> Option<Vec<u8>> {
         let line = timeout(RELAY_KEEPALIVE_INTERVAL * 2, self.lines.frame())
             .await
@@ -75,13 +75,13 @@
         Some(data.to_vec())
     }
 
-    async fn next_news(&mut self) -> PeerNews {
+    async fn next_update(&mut self) -> PeerNews {
         let line = self.next().await.expect("a line");
         serde_json::from_slice(&line).expect("news")
     }
 }
 
-/// Takes a member's row in as the store tells it.
+/// Applies a member's row as if the store had returned it.
 fn change_member(members: &Members, news: &News, revision: u64) {
     let member = RoutedMember {
         instance: "n1".to_owned(),
@@ -93,16 +93,16 @@
     news.set_known(Followed::Members, Some(revision));
 }
 
-/// Story: a change comes just before the moment at which a relay says that it is there. The relay
-/// waited a little for more changes, the moment passed meanwhile, and it said no more than that: who is
-/// told by it heard of the change with the next one only, or never.
+/// Guards against a change that is lost when it arrives just before a keepalive is due. The relay
+/// waits a moment for more changes, and a timeout during that wait must not turn the update into an
+/// empty line: the follower would get the change with the next one only, or never.
 #[tokio::test(start_paused = true)]
-async fn a_change_just_before_an_empty_line_is_told() {
+async fn a_change_just_before_a_keepalive_is_sent() {
     for early_ms in 0..30 {
         let mut relay = Relay::new();
-        assert!(relay.next_news().await.known.is_some());
+        assert!(relay.next_update().await.known.is_some());
         let (members, news) = (relay.members.clone(), relay.news.clone());
-        let telling = async {
+        let receiving = async {
             let first = relay.next().await.expect("a line");
             if first != b"\n" { first } else { relay.next().await.expect("a line") }
         };
@@ -110,36 +110,36 @@
             sleep(RELAY_KEEPALIVE_INTERVAL - Duration::from_millis(early_ms)).await;
             change_member(&members, &news, 7);
         };
-        let (line, ()) = tokio::join!(telling, changing);
-        let told: PeerNews = serde_json::from_slice(&line)
+        let (line, ()) = tokio::join!(receiving, changing);
+        let update: PeerNews = serde_json::from_slice(&line)
             .unwrap_or_else(|error| panic!("{early_ms} ms before: {error}"));
-        assert_eq!(told.members.len(), 1, "{early_ms} ms before");
+        assert_eq!(update.members.len(), 1, "{early_ms} ms before");
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_empty_line_says_that_the_relay_is_there() {
+async fn an_idle_relay_sends_keepalives() {
     let mut relay = Relay::new();
-    relay.next_news().await;
+    relay.next_update().await;
     for _ in 0..3 {
         assert_eq!(relay.next().await.as_deref(), Some(b"\n".as_slice()));
     }
 }
 
-/// Story: a relay is asked to stop, or the store no longer answers it. It says so at once and ends, so
-/// that those whom it tells don't wait for its silence.
+/// Guards against followers that wait for a relay which was told to stop or which the store no
+/// longer serves: it has to report that at once and end the stream.
 #[tokio::test(start_paused = true)]
-async fn who_is_no_relay_any_more_says_so_and_ends() {
+async fn a_former_relay_reports_that_and_ends_the_stream() {
     for is_leaving in [true, false] {
         let mut relay = Relay::new();
-        relay.next_news().await;
+        relay.next_update().await;
         match is_leaving {
             true => relay.leaving.cancel(),
             false => {
                 relay.news.set_source(NewsSource::Nobody);
             }
         }
-        assert_eq!(relay.next_news().await.known, None);
+        assert_eq!(relay.next_update().await.known, None);
         assert_eq!(relay.next().await, None);
     }
 }
--- a/crates/yuccarackd/tests/routed/rolls.rs
+++ b/crates/yuccarackd/tests/routed/rolls.rs
@@ -1,4 +1,4 @@
-//! All daemons are stopped and started again in turn while callers go on.
+//! Tests that stop and restart all daemons in turn under load.
 
 use std::{
     collections::HashMap,
@@ -25,31 +25,31 @@
 /// Callers of each instance.
 const CALLERS: usize = 3;
 
-/// Longest time for which a daemon may take to end: operators give it 6 s.
+/// Longest time in which a daemon has to exit: operators allow 6 s.
 const STOP_MAX: Duration = Duration::from_secs(6);
 
-/// Time between two questions of the platform whether an instance takes calls; it believes the second.
-const QUESTION_INTERVAL: Duration = Duration::from_secs(1);
+/// Time between two readiness probes of the platform, which acts on the second failure.
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a caller heard, and how often.
-type Ends = HashMap<Result<StatusCode, &'static str>, usize>;
+/// Results that callers received, and how often.
+type Outcomes = HashMap<Result<StatusCode, &'static str>, usize>;
 
-/// A caller that is sent to its instance as long as the platform finds that ready.
+/// A caller that sends requests to its instance while the platform considers that ready.
 struct Caller {
     name: String,
     calls: SocketAddr,
     readiness: SocketAddr,
-    kept: Option<KeptConnection>,
+    connection: Option<KeptConnection>,
 }
 
 impl Caller {
-    async fn call_until(mut self, stop: CancellationToken) -> Ends {
-        let mut ends = Ends::new();
-        let (mut misses, mut asked_at) = (0, Instant::now());
+    async fn call_until(mut self, stop: CancellationToken) -> Outcomes {
+        let mut outcomes = Outcomes::new();
+        let (mut misses, mut probed_at) = (0, Instant::now());
         let mut number = 0;
         while !stop.is_cancelled() {
-            if asked_at.elapsed() >= QUESTION_INTERVAL {
-                asked_at = Instant::now();
+            if probed_at.elapsed() >= PROBE_INTERVAL {
+                probed_at = Instant::now();
                 misses = if self.is_ready().await { 0 } else { misses + 1 };
             }
             if misses >= 2 {
@@ -62,35 +62,36 @@
                 0 => Call::read(READS, "/r/1", &id),
                 _ => Call::order(ORDERS, "/o/1", &id),
             };
-            *ends.entry(self.ask(&call).await).or_default() += 1;
+            *outcomes.entry(self.ask(&call).await).or_default() += 1;
         }
-        ends
+        outcomes
     }
 
     async fn ask(&mut self, call: &Call) -> Result<StatusCode, &'static str> {
-        let mut kept = match self.kept.take() {
-            Some(kept) => kept,
+        let mut connection = match self.connection.take() {
+            Some(connection) => connection,
             None => KeptConnection::open(self.calls).await.ok_or("not sent")?,
         };
-        let told = kept.try_ask(call).await.map_err(|unanswered| match unanswered {
+        let response = connection.try_ask(call).await.map_err(|unanswered| match unanswered {
             Unanswered::NotSent => "not sent",
             Unanswered::Lost => "lost",
         })?;
-        if told.header("connection") != "close" {
-            self.kept = Some(kept);
+        if response.header("connection") != "close" {
+            self.connection = Some(connection);
         }
-        Ok(told.status)
+        Ok(response.status)
     }
 
     async fn is_ready(&self) -> bool {
-        let question = Question::new(Method::GET, "/api/readiness");
-        let told = Asker::new(QUESTION_INTERVAL).ask(self.readiness, question).await;
-        told.is_ok_and(|told| told.status == StatusCode::OK)
+        let request = Question::new(Method::GET, "/api/readiness");
+        let response = Asker::new(PROBE_INTERVAL).ask(self.readiness, request).await;
+        response.is_ok_and(|response| response.status == StatusCode::OK)
     }
 }
 
-/// Rolls all daemons of four instances with the store in `mode`; what callers heard.
-async fn roll(name: &str, mode: DoorMode) -> Ends {
+/// Restarts all daemons of four instances in turn with the store in `mode`; returns what callers
+/// received.
+async fn rolling_restart(name: &str, mode: DoorMode) -> Outcomes {
     let mut deployment = deployed(name, &["board"; 4]).await;
     let (mut callers, stop) = (JoinSet::new(), CancellationToken::new());
     for (number, instance) in deployment.instances.iter().enumerate() {
@@ -101,7 +102,7 @@
                 name: format!("roll{number}-{caller}"),
                 calls: instance.call_address(),
                 readiness: instance.address("readiness_address"),
-                kept: None,
+                connection: None,
             };
             callers.spawn(caller.call_until(stop.clone()));
         }
@@ -111,43 +112,47 @@
         let mut daemon = instance.daemon.take().expect("a daemon");
         daemon.terminate();
         let status = timeout(STOP_MAX, daemon.ended()).await;
-        assert!(status.expect("an end in time").expect("a status").success());
+        assert!(status.expect("an exit in time").expect("a status").success());
         instance.start_daemon().await.expect("a daemon");
         wait("the daemon to be ready", || instance.is_ready()).await;
     }
     sleep(Duration::from_millis(500)).await;
     stop.cancel();
-    let mut all = Ends::new();
-    while let Some(ends) = callers.join_next().await {
-        for (end, count) in ends.expect("a caller") {
-            *all.entry(end).or_default() += count;
+    let mut total = Outcomes::new();
+    while let Some(outcomes) = callers.join_next().await {
+        for (outcome, count) in outcomes.expect("a caller") {
+            *total.entry(outcome).or_default() += count;
         }
     }
-    all
+    total
 }
 
-/// Nothing that was read is lost or left unknown, and what is turned away stays below one in a hundred.
-fn assert_nothing_lost(ends: &Ends) {
-    let count = |end| ends.get(&end).copied().unwrap_or(0);
-    let (answered, refused) =
+/// Asserts that no request that was read is lost or has an unknown outcome, and that fewer than one
+/// in a hundred are refused.
+fn assert_nothing_lost(outcomes: &Outcomes) {
+    let count = |outcome| outcomes.get(&outcome).copied().unwrap_or(0);
+    let (succeeded, refused) =
         (count(Ok(StatusCode::OK)), count(Ok(StatusCode::SERVICE_UNAVAILABLE)));
-    let known = answered + refused + count(Err("not sent"));
-    assert_eq!(known, ends.values().sum::<usize>(), "requests were lost: {ends:?}");
-    assert!(answered > 1_000 && refused * 100 <= answered, "{ends:?}");
+    let known = succeeded + refused + count(Err("not sent"));
+    assert_eq!(
+        known,
+        outcomes.values().sum::<usize>(),
+        "requests were lost or have an unknown outcome: {outcomes:?}"
+    );
+    assert!(succeeded > 1_000 && refused * 100 <= succeeded, "{outcomes:?}");
 }
 
-/// Story: operators bring out a new version of the daemon and replace it on one instance after the
-/// other under load. The callers of an instance go on over their connections until the platform has
-/// found it not ready twice, and those of the others send to its target until its gate says that it
-/// goes. Nobody loses a request or hears of an order whose fate is unknown.
+/// Guards against requests lost, or orders with unknown outcome, when a new version of the daemon
+/// is rolled out under load. Callers keep using their connections until two readiness probes have
+/// failed, and other daemons send to the target until its gate announces that it stops.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_roll_of_all_daemons_loses_no_request() {
-    assert_nothing_lost(&roll("roll", DoorMode::Open).await);
+async fn a_rolling_restart_loses_no_request() {
+    assert_nothing_lost(&rolling_restart("roll", DoorMode::Open).await);
 }
 
-/// Story: the same while the store answers no writes in time to tell, so that each daemon starts
-/// again with a store whose answers are lost.
+/// Guards against the same while the store loses the responses to writes, so that each daemon
+/// restarts without knowing whether its row was written.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_roll_while_the_store_loses_answers_loses_no_request() {
-    assert_nothing_lost(&roll("rolllost", DoorMode::LosingAnswers).await);
+async fn a_rolling_restart_while_the_store_loses_responses_loses_no_request() {
+    assert_nothing_lost(&rolling_restart("rolllost", DoorMode::LosingAnswers).await);
 }
--- a/crates/yuccarackd/tests/routed/store.rs
+++ b/crates/yuccarackd/tests/routed/store.rs
@@ -1,4 +1,4 @@
-//! Store troubles: who hears of changes, and who goes on.
+//! Tests of store failures: which daemons receive changes, and that calls keep succeeding.
 
 use std::time::Duration;
 
@@ -12,60 +12,60 @@
 
 use crate::support::{ORDERS, READS, board_routes, deployed};
 
-/// Whether the routes of `instance` have a route for `path`.
-async fn knows(deployment: &Deployment, instance: usize, path: &str) -> bool {
+/// Returns whether `instance` has a route for `path`.
+async fn has_route(deployment: &Deployment, instance: usize, path: &str) -> bool {
     let call = Call::read(READS, path, &format!("k{instance}"));
-    let told = ask(deployment.instances[instance].call_address(), &call).await;
-    told.is_some_and(|told| told.status == StatusCode::OK)
+    let response = ask(deployment.instances[instance].call_address(), &call).await;
+    response.is_some_and(|response| response.status == StatusCode::OK)
 }
 
-fn moved() -> Vec<RouteSpec> {
+fn moved_routes() -> Vec<RouteSpec> {
     vec![RouteSpec::reads(READS, "/new/", "board")]
 }
 
-/// Story: the store turns one daemon away, in each way that it can, and serves the others while the
-/// routes change. That daemon hears of the change from them.
+/// Guards against a daemon that misses a change because the store refuses it, in each way that it
+/// can, while it serves the others.
 #[tokio::test]
-async fn a_daemon_that_the_store_turns_away_hears_from_others() {
+async fn a_daemon_refused_by_the_store_receives_changes_from_peers() {
     for mode in [DoorMode::Refusing, DoorMode::Cutting, DoorMode::Silent] {
         let mut deployment = deployed(&format!("away{mode:?}"), &["board", "board"]).await;
         deployment.instances[1].door.set(mode);
-        deployment.write(&moved());
-        let is_known = || knows(&deployment, 1, "/new/1");
-        wait("the changed routes by way of another daemon", is_known).await;
+        deployment.write(&moved_routes());
+        let is_known = || has_route(&deployment, 1, "/new/1");
+        wait("the changed routes from another daemon", is_known).await;
     }
 }
 
-/// Story: the store is away for all. Calls go on by what is known.
+/// Guards against calls that fail while the store is unavailable to all daemons.
 #[tokio::test]
-async fn calls_go_on_without_the_store() {
+async fn calls_succeed_without_the_store() {
     let deployment = deployed("down", &["board", "board"]).await;
     for instance in &deployment.instances {
         instance.door.set(DoorMode::Cutting);
     }
     tokio::time::sleep(Duration::from_millis(300)).await;
     for number in 0..20 {
-        assert!(knows(&deployment, number % 2, "/r/1").await);
+        assert!(has_route(&deployment, number % 2, "/r/1").await);
     }
 }
 
-/// Story: the store forgets its history while the routes change; whoever follows by changes alone
-/// never hears of it.
+/// Guards against a change that is never received because the store compacted its history
+/// meanwhile.
 #[tokio::test]
-async fn a_forgotten_history_is_made_up_for() {
+async fn a_compacted_history_is_replaced_by_a_full_read() {
     let mut deployment = deployed("compact", &["board"]).await;
     deployment.instances[0].door.set(DoorMode::Cutting);
     tokio::time::sleep(Duration::from_millis(200)).await;
-    deployment.write(&moved());
+    deployment.write(&moved_routes());
     deployment.store.compact();
     deployment.instances[0].door.set(DoorMode::Open);
-    wait("the changed routes", || knows(&deployment, 0, "/new/1")).await;
+    wait("the changed routes", || has_route(&deployment, 0, "/new/1")).await;
 }
 
-/// Story: the store writes the row of a new instance and loses its answer. The daemon asks again,
-/// finds its own row there, and the row is right in the end.
+/// Guards against a wrong row when the store writes it and its response is lost: the daemon writes
+/// again and finds its own row there.
 #[tokio::test]
-async fn a_row_whose_answer_is_lost_stands_all_the_same() {
+async fn a_row_whose_write_response_is_lost_is_correct() {
     let mut deployment = deployed("lostrow", &["board", "desk"]).await;
     deployment.instances[0].door.set(DoorMode::LosingAnswers);
     deployment.instances[0].stop_beating();
@@ -76,66 +76,67 @@
         || async { row().is_some_and(|row| String::from_utf8_lossy(&row).contains("\"cellar\"")) };
     wait("the changed row", is_written).await;
     deployment.instances[0].door.set(DoorMode::Open);
-    wait("a right row", is_written).await;
+    wait("the correct row", is_written).await;
 }
 
-/// Story: an operator's document in a form that nobody knows. What was in force stays.
+/// Guards against a document in an unknown format that replaces the table in force.
 #[tokio::test]
-async fn a_document_that_can_not_be_read_is_kept_out() {
+async fn an_unreadable_document_is_ignored() {
     let mut deployment = deployed("unread", &["board"]).await;
     deployment.write_text(b"{\"version\": 99, \"routes\": 7}");
     deployment.store.put("members", "stranger", b"\xff\xfe");
     tokio::time::sleep(Duration::from_millis(400)).await;
-    assert!(knows(&deployment, 0, "/r/1").await);
-    deployment.write(&moved());
-    wait("the changed routes", || knows(&deployment, 0, "/new/1")).await;
+    assert!(has_route(&deployment, 0, "/r/1").await);
+    deployment.write(&moved_routes());
+    wait("the changed routes", || has_route(&deployment, 0, "/new/1")).await;
 }
 
-/// Story: an idle daemon follows the store by questions that are held back; each is paid for.
+/// Guards against frequent polls of an idle daemon: every request to the store is billed, and polls
+/// are held open.
 #[tokio::test]
-async fn an_idle_daemon_asks_the_store_seldom() {
+async fn an_idle_daemon_rarely_queries_the_store() {
     let deployment = deployed("idle", &["board"]).await;
     let before = deployment.instances[0].door.questions();
     tokio::time::sleep(Duration::from_secs(3)).await;
-    let asked = deployment.instances[0].door.questions() - before;
-    assert!(asked <= 1, "{asked} questions in three idle seconds");
+    let sent = deployment.instances[0].door.questions() - before;
+    assert!(sent <= 1, "{sent} store requests in three idle seconds");
 }
 
-/// Story: the store turns a daemon away for seconds. Each refused question is paid for, and the daemon
-/// serves by what it knows and hears from others meanwhile; asked twice a second by a third of the
-/// daemons, refusals were half of a day's questions.
+/// Guards against a daemon that is refused by the store and retries too often. Each refused request
+/// is billed, and the daemon receives changes from peers meanwhile. At two requests a second by a
+/// third of the daemons, refusals made up half of a day's requests.
 #[tokio::test]
-async fn a_daemon_that_is_turned_away_asks_the_store_seldom() {
+async fn a_refused_daemon_rarely_queries_the_store() {
     let mut deployment = deployed("refused", &["board", "board"]).await;
     deployment.instances[1].door.set(DoorMode::Refusing);
-    // The questions that are held back are answered, and refused.
+    // The polls that are held open end with these changes, and the following ones are refused.
     deployment.write(&board_routes());
     deployment.store.put("members", "stranger", b"{}");
     let before = deployment.instances[1].door.questions();
     tokio::time::sleep(Duration::from_secs(8)).await;
-    let asked = deployment.instances[1].door.questions() - before;
-    println!("{asked} questions in eight seconds");
-    assert!((10..=22).contains(&asked), "{asked} questions in eight seconds");
+    let sent = deployment.instances[1].door.questions() - before;
+    println!("{sent} store requests in eight seconds");
+    assert!((10..=22).contains(&sent), "{sent} store requests in eight seconds");
     assert!(deployment.instances[1].is_ready().await);
 }
 
-/// Story: operators use a word for a kind of route that no daemon knows. The whole deployment answered
-/// 503 for a day because of it. The route is served, at most once, and so are all others.
+/// Guards against a document whose route has an unknown kind. The whole deployment once responded
+/// with 503 for a day because of one. That route is served at most once, and all others as usual.
 #[tokio::test]
-async fn a_route_of_a_kind_that_is_not_known_is_served_at_most_once() {
+async fn a_route_of_an_unknown_kind_is_served_at_most_once() {
     let mut deployment = deployed("newkind", &["board", "board"]).await;
-    let strange = RouteSpec { kind: "perhaps", ..RouteSpec::reads(ORDERS, "/p/", "board") };
-    deployment.apply(&[strange, RouteSpec::reads(READS, "/r/", "board")]).await;
+    let unknown_kind = RouteSpec { kind: "perhaps", ..RouteSpec::reads(ORDERS, "/p/", "board") };
+    deployment.apply(&[unknown_kind, RouteSpec::reads(READS, "/r/", "board")]).await;
     let address = deployment.instances[0].call_address();
-    let told = ask(address, &Call::read(READS, "/r/1", "k1")).await.expect("an answer");
-    assert_eq!(told.status, StatusCode::OK);
-    let told = ask(address, &Call::read(ORDERS, "/p/1", "k2")).await.expect("an answer");
-    assert_eq!(told.status, StatusCode::OK);
+    let response = ask(address, &Call::read(READS, "/r/1", "k1")).await.expect("a response");
+    assert_eq!(response.status, StatusCode::OK);
+    let response = ask(address, &Call::read(ORDERS, "/p/1", "k2")).await.expect("a response");
+    assert_eq!(response.status, StatusCode::OK);
     for instance in &deployment.instances {
         instance.target.behave(Behaviour::LoseAnswer);
     }
-    let told = ask(address, &Call::read(ORDERS, "/p/1", "k3")).await.expect("an answer");
-    assert_eq!(told.status, StatusCode::BAD_GATEWAY);
+    let response = ask(address, &Call::read(ORDERS, "/p/1", "k3")).await.expect("a response");
+    assert_eq!(response.status, StatusCode::BAD_GATEWAY);
     let runs = deployment.instances.iter().flat_map(|instance| instance.target.runs());
     assert_eq!(runs.filter(|run| run.id == "k3").count(), 1);
     let log = std::fs::read_to_string(deployment.instances[0].log()).expect("a log");
