--- a/crates/yuccarack_platform/examples/racing_operators.rs
+++ b/crates/yuccarack_platform/examples/racing_operators.rs
@@ -1,8 +1,10 @@
-//! Operators race: a condition for each service against one version for everything.
+//! Measures conflicts between concurrent operators: one condition per service against one version
+//! for all services.
 //!
-//! The load is that of the growth target, 1,000 times as fast: 5,000 changes a day are one each
-//! 17.28 ms on average, at random moments, over 230 services, and a minute between reading and
-//! applying is 60 ms. An operator who meets a conflict reads, edits and applies again. Prints a table for docs/CONFIGURATION.md.
+//! The load is that of the growth target at 1,000 times the speed: 5,000 changes a day over 230
+//! services arrive at random with a mean interval of 17.28 ms, and a minute between reading and
+//! applying is 60 ms. After a conflict, an operator reads, edits and applies again. Prints a table
+//! for docs/CONFIGURATION.md.
 
 use std::{io, net::SocketAddr, time::Duration};
 
@@ -22,36 +24,38 @@
 };
 use yuccarack_standins::platform::{Platform, PlatformFaults};
 
-/// Key of the one row that carries the version of everything.
+/// Key of the row with the version of all services.
 const HEAD_KEY: &str = "head";
-/// Mean time from one change to the next.
+/// Mean interval between two changes.
 const CHANGE_INTERVAL: Duration = Duration::from_micros(17_280);
-/// Times from an operator's reading to the applying, in ms.
+/// Times between reading and applying by an operator, in ms.
 const EDIT_TIMES_MS: [u64; 2] = [60, 10];
-/// Sizes of the fleet: the growth target, and both deployments of today.
+/// Numbers of services: that of the growth target and that of today's deployments.
 const SERVICES: [u32; 2] = [230, 6];
-/// Delay of each of the store's answers, in ms.
+/// Delay of each response of the store, in ms.
 const STORE_DELAY_MS: u64 = 2;
-/// Changes of one run.
+/// Number of changes in a run.
 const CHANGES: u64 = 300;
-/// Longest wait for an answer.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Seed of the choice of services.
+/// Timeout for a response of the store.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Seed of the choice of services and of the intervals between changes.
 const SEED: u64 = 1;
 
-/// What a commit is conditioned on.
+/// Scope of the condition of a commit.
 #[derive(Clone, Copy, Debug)]
-enum Way {
+enum ConditionScope {
+    /// One condition per changed service.
     PerService,
+    /// One condition on the version of all services.
     OneVersion,
 }
 
-/// What came of the changes of one run.
+/// Result of a run.
 #[derive(Clone, Copy, Debug, Default)]
-struct Tally {
+struct RaceResult {
     conflicts: u32,
-    with_conflict: u32,
-    tries_most: u32,
+    changes_with_conflict: u32,
+    attempts_max: u32,
     latency_ms: u128,
 }
 
@@ -61,14 +65,14 @@
     println!("|---|---|---|---|---|---|---|");
     for edit_ms in EDIT_TIMES_MS {
         for services in SERVICES {
-            for way in [Way::PerService, Way::OneVersion] {
-                let tally = race(way, services, Duration::from_millis(edit_ms)).await?;
+            for scope in [ConditionScope::PerService, ConditionScope::OneVersion] {
+                let result = race(scope, services, Duration::from_millis(edit_ms)).await?;
                 println!(
-                    "| {edit_ms} | {services} | {way:?} | {} of {CHANGES} | {} | {} | {} |",
-                    tally.with_conflict,
-                    tally.conflicts,
-                    tally.tries_most,
-                    tally.latency_ms / u128::from(CHANGES),
+                    "| {edit_ms} | {services} | {scope:?} | {} of {CHANGES} | {} | {} | {} |",
+                    result.changes_with_conflict,
+                    result.conflicts,
+                    result.attempts_max,
+                    result.latency_ms / u128::from(CHANGES),
                 );
             }
         }
@@ -76,51 +80,52 @@
     Ok(())
 }
 
-async fn race(way: Way, services: u32, edit_time: Duration) -> io::Result<Tally> {
+async fn race(scope: ConditionScope, services: u32, edit_time: Duration) -> io::Result<RaceResult> {
     let platform = Platform::start(SocketAddr::from(([127, 0, 0, 1], 0))).await?;
     platform.set_faults(PlatformFaults { delay_ms: STORE_DELAY_MS, ..Default::default() });
-    let client = PlatformClient::new(platform.address(), ANSWER_TIMEOUT);
+    let client = PlatformClient::new(platform.address(), RESPONSE_TIMEOUT);
     let mut random = StdRng::seed_from_u64(SEED);
     let mut begin = Instant::now();
     let changes = (0..CHANGES).map(|number| {
         let service = format!("service-{}", random.random_range(0..services));
         let client = client.clone();
-        // Independent operators: the gaps between their changes are exponential.
-        let gaps = -random.random_range(f64::MIN_POSITIVE..1.0).ln();
-        begin += CHANGE_INTERVAL.mul_f64(gaps);
+        // The operators are independent, so the intervals between changes are exponential.
+        let interval_factor = -random.random_range(f64::MIN_POSITIVE..1.0).ln();
+        begin += CHANGE_INTERVAL.mul_f64(interval_factor);
         async move {
             sleep_until(begin).await;
-            change(&client, way, &service, number, edit_time).await
+            change(&client, scope, &service, number, edit_time).await
         }
     });
-    let mut tally = Tally::default();
-    for result in join_all(changes).await {
-        let (tries, took) = result.map_err(io::Error::other)?;
-        tally.conflicts += tries - 1;
-        tally.with_conflict += u32::from(tries > 1);
-        tally.tries_most = tally.tries_most.max(tries);
-        tally.latency_ms += took.as_millis();
+    let mut result = RaceResult::default();
+    for change in join_all(changes).await {
+        let (attempts, duration) = change.map_err(io::Error::other)?;
+        result.conflicts += attempts - 1;
+        result.changes_with_conflict += u32::from(attempts > 1);
+        result.attempts_max = result.attempts_max.max(attempts);
+        result.latency_ms += duration.as_millis();
     }
     platform.stop().await;
-    Ok(tally)
+    Ok(result)
 }
 
-/// Reads, edits and applies until it is accepted; the number of tries and the time they took.
+/// Reads, edits and applies until the change is accepted; returns the number of attempts and their
+/// total duration.
 async fn change(
     client: &PlatformClient,
-    way: Way,
+    scope: ConditionScope,
     service: &str,
     number: u64,
     edit_time: Duration,
 ) -> Result<(u32, Duration), PlatformError> {
     let start = Instant::now();
-    let mut tries = 0;
+    let mut attempts = 0;
     loop {
-        tries += 1;
+        attempts += 1;
         let based_on = client.rows(HEAD_KEY).await?.revision;
         sleep(edit_time).await;
-        match client.commit(&commit(way, service, number, based_on)?).await {
-            Ok(_) => return Ok((tries, start.elapsed())),
+        match client.commit(&commit(scope, service, number, based_on)?).await {
+            Ok(_) => return Ok((attempts, start.elapsed())),
             Err(PlatformError::Conflict { .. }) => {}
             Err(error) => return Err(error),
         }
@@ -128,7 +133,7 @@
 }
 
 fn commit(
-    way: Way,
+    scope: ConditionScope,
     service: &str,
     number: u64,
     based_on: Revision,
@@ -146,7 +151,7 @@
         applied_at_unix_ms: 0,
     };
     let mut commit = proposal.commit(&applied).map_err(PlatformError::Unserializable)?;
-    if let Way::OneVersion = way {
+    if let ConditionScope::OneVersion = scope {
         commit.conditions = vec![Condition::new(HEAD_KEY, Precondition::NotBeNewerThan(based_on))];
         commit.writes.push(Write::put(HEAD_KEY, number.into()));
     }
--- a/crates/yuccarack_platform/tests/accept.rs
+++ b/crates/yuccarack_platform/tests/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting rules files: races, lost answers, late writes, outages.
+//! Accepting rules files with concurrent operators, lost responses, late writes and outages.
 
 use std::{
     net::SocketAddr,
@@ -31,16 +31,16 @@
 };
 
 const ANY_PORT: ([u8; 4], u16) = ([127, 0, 0, 1], 0);
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(200);
-const LONG: Duration = Duration::from_secs(30);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(200);
+const APPLY_TIMEOUT: Duration = Duration::from_secs(30);
 
-async fn platform() -> (Platform, PlatformClient) {
-    let platform = Platform::start(SocketAddr::from(ANY_PORT)).await.expect("a working stand-in");
-    let client = PlatformClient::new(platform.address(), ANSWER_TIMEOUT);
+async fn start_platform() -> (Platform, PlatformClient) {
+    let platform = Platform::start(SocketAddr::from(ANY_PORT)).await.expect("a running platform");
+    let client = PlatformClient::new(platform.address(), RESPONSE_TIMEOUT);
     (platform, client)
 }
 
-fn file(based_on: Revision, services: &[(&str, u32)], removed: &[&str]) -> Proposal {
+fn new_proposal(based_on: Revision, services: &[(&str, u32)], removed: &[&str]) -> Proposal {
     let services: Vec<_> = services
         .iter()
         .map(|(name, deadline_ms)| {
@@ -54,19 +54,19 @@
         "format": 1, "based_on": based_on, "services": services, "removed": removed,
     });
     let text = Bytes::from(text.to_string());
-    let rules = RulesFile::parse(&text).expect("a working stand-in");
+    let rules = RulesFile::parse(&text).expect("valid rules");
     let mut proposal = Proposal::new(String::new(), "tester".to_owned(), rules, text);
     proposal.apply_id = proposal.object_name();
     proposal
 }
 
 async fn apply(client: &PlatformClient, proposal: &Proposal) -> Result<AcceptedFile, AcceptError> {
-    accept(client, proposal, Instant::now() + LONG).await
+    accept(client, proposal, Instant::now() + APPLY_TIMEOUT).await
 }
 
 async fn rules_of(client: &PlatformClient, service: &str) -> Option<(Revision, RulesRow)> {
-    let row = client.row(&rules_key(service)).await.expect("a working stand-in")?;
-    Some((row.revision, serde_json::from_value(row.value).expect("a working stand-in")))
+    let row = client.row(&rules_key(service)).await.expect("a response")?;
+    Some((row.revision, serde_json::from_value(row.value).expect("a rules row")))
 }
 
 fn deadline_of(rules: &ServiceRules) -> u32 {
@@ -74,9 +74,9 @@
 }
 
 #[tokio::test]
-async fn an_accepted_file_stands_whole_in_the_table_and_the_object_store() {
-    let (platform, client) = platform().await;
-    let proposal = file(0, &[("conditions", 500), ("repairs", 900)], &[]);
+async fn an_accepted_file_is_complete_in_the_table_and_the_object_store() {
+    let (platform, client) = start_platform().await;
+    let proposal = new_proposal(0, &[("conditions", 500), ("repairs", 900)], &[]);
     let accepted = apply(&client, &proposal).await.unwrap();
     for service in &proposal.rules.services {
         let found = rules_of(&client, &service.name).await.unwrap();
@@ -89,13 +89,13 @@
     platform.stop().await;
 }
 
-// Two operators start from the same rules and both change one service. Were the second file
-// accepted, the first one's change would be undone without anybody being told.
+// Guards against a silently lost update: two operators start from the same rules and change the
+// same service. If the second file were accepted, it would undo the first change unnoticed.
 #[tokio::test]
-async fn the_loser_of_a_race_hears_the_service_and_its_revision_and_writes_nothing() {
-    let (platform, client) = platform().await;
-    let first = apply(&client, &file(0, &[("conditions", 500)], &[])).await.unwrap();
-    let late = file(0, &[("repairs", 900), ("conditions", 600)], &[]);
+async fn a_conflict_names_the_service_and_its_revision_and_writes_nothing() {
+    let (platform, client) = start_platform().await;
+    let first = apply(&client, &new_proposal(0, &[("conditions", 500)], &[])).await.unwrap();
+    let late = new_proposal(0, &[("repairs", 900), ("conditions", 600)], &[]);
     let Err(AcceptError::Conflict { based_on, services }) = apply(&client, &late).await else {
         panic!("no conflict");
     };
@@ -108,70 +108,72 @@
 }
 
 #[tokio::test]
-async fn operators_who_change_different_services_both_win() {
-    let (platform, client) = platform().await;
-    let based_on =
-        apply(&client, &file(0, &[("conditions", 500), ("repairs", 500)], &[])).await.unwrap();
-    let one = file(based_on.revision, &[("conditions", 600)], &[]);
-    let other = file(based_on.revision, &[("repairs", 700)], &[]);
+async fn changes_of_different_services_do_not_conflict() {
+    let (platform, client) = start_platform().await;
+    let based_on = apply(&client, &new_proposal(0, &[("conditions", 500), ("repairs", 500)], &[]))
+        .await
+        .unwrap();
+    let one = new_proposal(based_on.revision, &[("conditions", 600)], &[]);
+    let other = new_proposal(based_on.revision, &[("repairs", 700)], &[]);
     let (one, other) = tokio::join!(apply(&client, &one), apply(&client, &other));
     assert_ne!(one.unwrap().revision, other.unwrap().revision);
     platform.stop().await;
 }
 
-// An operator takes a service away while a colleague still edits a file with it. The colleague's
-// file comes later: without the removed row it would bring the service back, unseen by both.
+// Guards against a removed service that comes back: one operator removes it while another one edits
+// a file that contains it and applies that later. Without the row that marks the removal, the late
+// file would be accepted.
 #[tokio::test]
 async fn a_file_written_before_a_removal_does_not_bring_the_service_back() {
-    let (platform, client) = platform().await;
-    let first = apply(&client, &file(0, &[("repairs", 500)], &[])).await.unwrap();
-    let removal = apply(&client, &file(first.revision, &[], &["repairs"])).await.unwrap();
-    let late = apply(&client, &file(first.revision, &[("repairs", 600)], &[])).await;
+    let (platform, client) = start_platform().await;
+    let first = apply(&client, &new_proposal(0, &[("repairs", 500)], &[])).await.unwrap();
+    let removal = apply(&client, &new_proposal(first.revision, &[], &["repairs"])).await.unwrap();
+    let late = apply(&client, &new_proposal(first.revision, &[("repairs", 600)], &[])).await;
     assert!(matches!(late, Err(AcceptError::Conflict { .. })), "{late:?}");
     let found = rules_of(&client, "repairs").await;
     assert_eq!(found, Some((removal.revision, RulesRow::Removed)));
-    let knowing = file(removal.revision, &[("repairs", 600)], &[]);
-    apply(&client, &knowing).await.unwrap();
+    let based_on_removal = new_proposal(removal.revision, &[("repairs", 600)], &[]);
+    apply(&client, &based_on_removal).await.unwrap();
     platform.stop().await;
 }
 
-// The commit takes effect and its answer gets lost. An operator who hears "failed" applies again
-// or mends what is already in force. The row of the apply id tells.
+// Guards against reporting a failure when the commit took effect and only its response was lost:
+// the operator would apply rules again that are already in force.
 #[tokio::test]
-async fn a_lost_answer_is_read_back() {
-    let (platform, client) = platform().await;
+async fn a_commit_with_a_lost_response_is_read_back() {
+    let (platform, client) = start_platform().await;
     platform.set_faults(PlatformFaults { lose_answers: 1, ..Default::default() });
-    let proposal = file(0, &[("conditions", 500)], &[]);
+    let proposal = new_proposal(0, &[("conditions", 500)], &[]);
     let accepted = apply(&client, &proposal).await.unwrap();
     assert_eq!(rules_of(&client, "conditions").await.unwrap().0, accepted.revision);
     assert_eq!(platform.stats().commits, 1);
     platform.stop().await;
 }
 
-// Every write is slow: it is still on its way when the tool gives up on its answer, and when the
-// tool looks for its effect. The tool sends it again, and both copies arrive in the end. Only one
-// of them may count, or a change of another operator in between would be undone. The file's
-// `based_on` is high here, so that only the row of the apply id stands in the way of the second.
+// Guards against a commit that takes effect twice: it is still in flight after the response timeout
+// and the read-back, so it is sent again, and both copies arrive. If both took effect, a change of
+// another operator between them would be undone. `based_on` is high here, so that only the
+// condition on the row of the apply id can reject the second copy.
 #[tokio::test]
-async fn of_copies_that_arrive_late_only_one_takes_effect() {
+async fn only_one_of_the_copies_that_arrive_late_takes_effect() {
     let store = LateStore::default();
     let (for_server, listener) = (store.clone(), listen(SocketAddr::from(ANY_PORT)).await.unwrap());
     let server = Server::start(listener, 16, move |request| for_server.clone().serve(request));
     let server = server.unwrap();
     let client = PlatformClient::new(server.address(), Duration::from_millis(50));
-    let proposal = file(1_000, &[("conditions", 500)], &[]);
+    let proposal = new_proposal(1_000, &[("conditions", 500)], &[]);
     let accepted = apply(&client, &proposal).await.unwrap();
     server.crash().await;
-    let outcomes = store.all_arrived().await;
+    let outcomes = store.join_commits().await;
     assert!(outcomes.len() > 1, "no copy was sent");
     assert_eq!(outcomes.iter().flatten().copied().collect::<Vec<_>>(), [accepted.revision]);
 }
 
-/// A store whose commits take effect long after their senders have given up.
+/// A store whose commits take effect long after their senders have timed out.
 #[derive(Clone, Default)]
 struct LateStore {
     table: Arc<Mutex<Table>>,
-    late: Arc<Mutex<JoinSet<Option<Revision>>>>,
+    pending_commits: Arc<Mutex<JoinSet<Option<Revision>>>>,
 }
 
 impl LateStore {
@@ -181,11 +183,11 @@
             (Method::POST, _) => {
                 let commit: Commit = json_question(request.into_body()).await?;
                 let table = Arc::clone(&self.table);
-                self.late.lock().expect("a working stand-in").spawn(async move {
+                self.pending_commits.lock().expect("an unpoisoned lock").spawn(async move {
                     sleep(Duration::from_millis(400)).await;
                     table
                         .lock()
-                        .expect("a working stand-in")
+                        .expect("an unpoisoned lock")
                         .commit(commit)
                         .ok()
                         .map(|committed| committed.revision)
@@ -194,7 +196,7 @@
             }
             (_, query) => {
                 let key = query.unwrap_or_default().replace("key=", "").replace("%2F", "/");
-                match self.table.lock().expect("a working stand-in").row(&key) {
+                match self.table.lock().expect("an unpoisoned lock").row(&key) {
                     Some(row) => json_answer(StatusCode::OK, &row),
                     None => answer(StatusCode::NOT_FOUND, Bytes::new()),
                 }
@@ -202,19 +204,20 @@
         }
     }
 
-    /// The revision of each copy that took effect, once all have arrived.
-    async fn all_arrived(&self) -> Vec<Option<Revision>> {
-        let late = std::mem::take(&mut *self.late.lock().expect("a working stand-in"));
-        late.join_all().await
+    /// Waits until all copies have arrived; returns the revision of each one that took effect.
+    async fn join_commits(&self) -> Vec<Option<Revision>> {
+        let pending_commits =
+            std::mem::take(&mut *self.pending_commits.lock().expect("an unpoisoned lock"));
+        pending_commits.join_all().await
     }
 }
 
 #[tokio::test]
-async fn applying_the_same_again_tells_the_first_fate_and_writes_nothing() {
-    let (platform, client) = platform().await;
-    let proposal = file(0, &[("conditions", 500)], &[]);
+async fn applying_a_file_again_returns_the_first_outcome_and_writes_nothing() {
+    let (platform, client) = start_platform().await;
+    let proposal = new_proposal(0, &[("conditions", 500)], &[]);
     let first = apply(&client, &proposal).await.unwrap();
-    apply(&client, &file(first.revision, &[("conditions", 600)], &[])).await.unwrap();
+    apply(&client, &new_proposal(first.revision, &[("conditions", 600)], &[])).await.unwrap();
     let commits = platform.stats().commits;
     let again = apply(&client, &proposal).await.unwrap();
     assert_eq!(again, first);
@@ -223,11 +226,11 @@
 }
 
 #[tokio::test]
-async fn an_apply_id_stands_for_one_file_only() {
-    let (platform, client) = platform().await;
-    let first = file(0, &[("conditions", 500)], &[]);
+async fn an_apply_id_can_not_be_used_for_another_file() {
+    let (platform, client) = start_platform().await;
+    let first = new_proposal(0, &[("conditions", 500)], &[]);
     let accepted = apply(&client, &first).await.unwrap();
-    let mut other = file(0, &[("repairs", 500)], &[]);
+    let mut other = new_proposal(0, &[("repairs", 500)], &[]);
     other.apply_id = first.apply_id;
     let Err(AcceptError::ApplyIdTaken { revision, .. }) = apply(&client, &other).await else {
         panic!("accepted twice");
@@ -238,10 +241,10 @@
 }
 
 #[tokio::test]
-async fn a_platform_that_refuses_until_the_deadline_has_not_accepted() {
-    let (platform, client) = platform().await;
+async fn a_file_that_the_platform_refuses_until_the_deadline_is_not_accepted() {
+    let (platform, client) = start_platform().await;
     platform.set_faults(PlatformFaults { mode: PlatformMode::Down, ..Default::default() });
-    let proposal = file(0, &[("conditions", 500)], &[]);
+    let proposal = new_proposal(0, &[("conditions", 500)], &[]);
     let deadline = Instant::now() + Duration::from_millis(100);
     let refused = accept(&client, &proposal, deadline).await;
     let Err(AcceptError::NotAccepted(PlatformError::Refused { status: 503 })) = refused else {
@@ -252,10 +255,10 @@
     platform.stop().await;
 }
 
-// The store keeps the file, then falls silent in the middle of the commit and stays away. Both
-// "accepted" and "not accepted" could be a lie, so the operator hears that it is unknown.
+// Guards against a definite result after the store has stored the file and then becomes unavailable
+// during the commit: both "accepted" and "not accepted" could be wrong.
 #[tokio::test]
-async fn a_commit_without_any_answer_is_unknown() {
+async fn the_outcome_of_a_commit_without_a_response_is_unknown() {
     let listener = listen(SocketAddr::from(ANY_PORT)).await.unwrap();
     let server = Server::start(listener, 16, |request: http::Request<_>| async move {
         match *request.method() {
@@ -266,7 +269,7 @@
     })
     .unwrap();
     let client = PlatformClient::new(server.address(), Duration::from_millis(50));
-    let proposal = file(0, &[("conditions", 500)], &[]);
+    let proposal = new_proposal(0, &[("conditions", 500)], &[]);
     let deadline = Instant::now() + Duration::from_millis(200);
     let result = accept(&client, &proposal, deadline).await;
     let Err(AcceptError::UnknownOutcome { apply_id, .. }) = result else { panic!("{result:?}") };
@@ -274,17 +277,17 @@
     server.crash().await;
 }
 
-// Operators race on three services while answers of commits get lost at random. Each of them
-// raises a number by one. If an accepted change were undone, or one counted twice, the sums would
-// not match what the operators were told.
+// Guards against accepted changes that are lost or take effect twice: concurrent operators raise
+// the deadlines of three services by one while responses to commits get lost at random. The sums
+// must match the results that were returned to the operators.
 #[tokio::test]
-async fn no_accepted_change_is_lost_or_doubled_in_a_race() {
+async fn no_accepted_change_is_lost_or_duplicated_by_concurrent_operators() {
     for seed in 0..8 {
         println!("seed {seed}");
-        let (platform, client) = platform().await;
+        let (platform, client) = start_platform().await;
         let services = ["conditions", "repairs", "supplies"];
         let start: Vec<_> = services.iter().map(|service| (*service, 1)).collect();
-        apply(&client, &file(0, &start, &[])).await.unwrap();
+        apply(&client, &new_proposal(0, &start, &[])).await.unwrap();
         let raised = join_all((0..6).map(|operator| {
             let mut random = StdRng::seed_from_u64(seed * 100 + operator);
             let (client, platform) = (client.clone(), &platform);
@@ -305,27 +308,25 @@
         }))
         .await;
         for (index, service) in services.iter().enumerate() {
-            let told: u32 = raised.iter().map(|raised| raised[index]).sum();
+            let accepted: u32 = raised.iter().map(|raised| raised[index]).sum();
             let (_, row) = rules_of(&client, service).await.unwrap();
             let RulesRow::InForce(rules) = row else { panic!("removed") };
-            assert_eq!(deadline_of(&rules), 1 + told, "{service}, seed {seed}");
+            assert_eq!(deadline_of(&rules), 1 + accepted, "{service}, seed {seed}");
         }
         platform.stop().await;
     }
 }
 
-/// Raises the deadline of `service` by one; says whether that was accepted.
+/// Raises the deadline of `service` by one; returns whether the change was accepted.
 async fn raise(client: &PlatformClient, service: &str, operator: u64) -> bool {
-    let rows = client.rows(RULES_PREFIX).await.expect("a working stand-in");
-    let row =
-        rows.rows.iter().find(|row| row.key == rules_key(service)).expect("a working stand-in");
-    let RulesRow::InForce(rules) =
-        serde_json::from_value(row.value.clone()).expect("a working stand-in")
+    let rows = client.rows(RULES_PREFIX).await.expect("a response");
+    let row = rows.rows.iter().find(|row| row.key == rules_key(service)).expect("a rules row");
+    let RulesRow::InForce(rules) = serde_json::from_value(row.value.clone()).expect("a rules row")
     else {
         panic!("removed");
     };
-    let mut proposal = file(rows.revision, &[(service, deadline_of(&rules) + 1)], &[]);
-    // Two operators may write the very same file; each wants a change of its own here.
+    let mut proposal = new_proposal(rows.revision, &[(service, deadline_of(&rules) + 1)], &[]);
+    // Two operators may write identical files; each one needs an apply id of its own here.
     proposal.apply_id = format!("{}-{operator}", proposal.apply_id);
     match apply(client, &proposal).await {
         Ok(_) => true,
--- a/crates/yuccarack_platform/tests/claim_rows.rs
+++ b/crates/yuccarack_platform/tests/claim_rows.rs
@@ -1,11 +1,11 @@
-//! The claim row in its JSON form.
+//! JSON form of claim rows.
 
 use yuccarack_platform::rows::{ClaimRow, ClaimState};
 
-/// Every claim of a real attempt was refused as if the store were away: its id has 128 bits, which
-/// no JSON number of the table's values holds, so the row could not be written.
+/// Guards against attempt ids that are written as JSON numbers. These can't represent 128 bits, so
+/// no claim row could be written, and every claim was refused as if the store were unavailable.
 #[test]
-fn a_claim_of_any_attempt_has_a_form_and_comes_back() {
+fn a_claim_of_any_attempt_id_survives_a_json_round_trip() {
     let row = ClaimRow {
         service: "repairs".to_owned(),
         key: "order-1".to_owned(),
--- a/crates/yuccarack_platform/tests/transfer.rs
+++ b/crates/yuccarack_platform/tests/transfer.rs
@@ -1,4 +1,4 @@
-//! Transfers that are slow, stall or break off.
+//! Reads of bodies that are slow, stall or are interrupted.
 
 use std::time::Duration;
 
@@ -14,16 +14,16 @@
 };
 use yuccarack_standins::server::{Cut, Server, listen};
 
-/// The connection broke.
+/// Error of a broken connection.
 #[derive(Debug, PartialEq)]
-struct Broken;
+struct BrokenConnection;
 
-/// A body of `pieces` of `piece_bytes` each, `pause` apart.
+/// Returns a body of `pieces` frames of `piece_bytes` each, with `pause` before each.
 fn body(
     pieces: usize,
     piece_bytes: usize,
     pause: Duration,
-) -> impl Body<Data = Bytes, Error = Broken> + Unpin {
+) -> impl Body<Data = Bytes, Error = BrokenConnection> + Unpin {
     let pieces = stream::unfold(0, move |sent| async move {
         if sent == pieces {
             return None;
@@ -34,19 +34,19 @@
     StreamBody::new(pieces).boxed_unsync()
 }
 
-/// Guards against a time limit in total, by which a large body on a slow link never arrives.
+/// Guards against a limit on the total time, with which a large body on a slow link never arrives.
 #[tokio::test(start_paused = true)]
-async fn a_slow_body_is_read_whole_while_it_makes_progress() {
+async fn a_slow_body_is_read_fully_while_it_makes_progress() {
     let mut counted = 0;
     let slow = body(100, 4 * 1024, Duration::from_millis(200));
-    let read = read_full(slow, |bytes| counted += bytes).await.expect("a whole body");
+    let read = read_full(slow, |bytes| counted += bytes).await.expect("the full body");
     assert_eq!(read.len(), 400 * 1024);
     assert_eq!(counted, 400 * 1024);
 }
 
-/// Guards against a transfer that goes on for ever with a byte now and then.
+/// Guards against a transfer that never ends because single bytes keep arriving.
 #[tokio::test(start_paused = true)]
-async fn a_body_that_trickles_is_given_up() {
+async fn a_trickling_body_is_aborted() {
     let started_at = Instant::now();
     let trickle = body(10_000, 1, Duration::from_millis(100));
     let read = read_full(trickle, |_| ()).await;
@@ -54,9 +54,9 @@
     assert_eq!(started_at.elapsed(), PROGRESS_INTERVAL);
 }
 
-/// Guards against a transfer that makes progress at first and is waited for without end.
+/// Guards against waiting forever for a body that stops after it has made progress.
 #[tokio::test(start_paused = true)]
-async fn a_body_that_stops_midway_is_given_up() {
+async fn a_body_that_stops_midway_is_aborted() {
     let start = body(3, PROGRESS_MIN_BYTES, Duration::from_millis(400));
     let stopped = StreamBody::new(stream::unfold((start, 0), |(mut start, sent)| async move {
         if sent == 3 {
@@ -71,13 +71,13 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_body_that_breaks_off_is_not_taken_for_whole() {
-    let pieces = [Ok(Frame::data(Bytes::from_static(b"half"))), Err(Broken)];
+async fn an_interrupted_body_is_not_taken_for_complete() {
+    let pieces = [Ok(Frame::data(Bytes::from_static(b"half"))), Err(BrokenConnection)];
     let read = read_full(StreamBody::new(stream::iter(pieces)), |_| ()).await;
-    assert!(matches!(read, Err(TransferError::Interrupted(Broken))), "{read:?}");
+    assert!(matches!(read, Err(TransferError::Interrupted(BrokenConnection))), "{read:?}");
 }
 
-/// A platform that sends the head of each answer at once and its body in pieces 20 ms apart.
+/// Starts a platform that sends each response head at once and the body in pieces 20 ms apart.
 async fn slow_platform() -> Server {
     let listener = listen(([127, 0, 0, 1], 0).into()).await.expect("a port");
     let server = Server::start(listener, 4, |request| async move {
@@ -97,13 +97,14 @@
     server.expect("a server")
 }
 
-/// Guards against rows and objects that can't be read since they take longer than one answer's time.
+/// Guards against rows and objects that can't be read because their transfer takes longer than the
+/// response timeout.
 #[tokio::test]
-async fn rows_and_objects_may_take_longer_than_the_time_for_an_answer() {
+async fn rows_and_objects_may_take_longer_than_the_response_timeout() {
     let server = slow_platform().await;
     let client = PlatformClient::new(server.address(), Duration::from_millis(200));
     assert_eq!(client.rows("x/").await.expect("rows").rows.len(), 0);
-    let object = client.object("rules").await.expect("an answer").expect("an object");
+    let object = client.object("rules").await.expect("a response").expect("an object");
     assert_eq!(object.len(), 64 * 1024);
     server.crash().await;
 }
