--- a/crates/yuccarackd/src/coordination/answering.rs
+++ b/crates/yuccarackd/src/coordination/answering.rs
@@ -9,7 +9,9 @@
 
 use crate::{
     coordination::{gossip::Gossip, jitter::generator, reconciler::Reconciler},
-    protocol::control::{Answer, News, Question, SyncQuestion, UrgentNews, decode, encode},
+    protocol::control::{
+        ControlRequest, ControlResponse, ServiceUpdate, SyncRequest, UrgentUpdate, decode, encode,
+    },
     state::{counters::Counters, directory::Directory},
 };
 
@@ -28,7 +30,7 @@
     /// Asks other daemons.
     pub gossip: Gossip,
     /// Where urgent news go.
-    pub urgent: mpsc::Sender<UrgentNews>,
+    pub urgent: mpsc::Sender<UrgentUpdate>,
     /// Counters.
     pub counters: Counters,
 }
@@ -40,54 +42,54 @@
             Ok(question) => self.answer_one(question).await,
             Err(_) => {
                 self.counters.add("control.not_understood");
-                Answer::NotUnderstood
+                ControlResponse::NotUnderstood
             }
         };
         encode(&answer).unwrap_or_default()
     }
 
-    async fn answer_one(&self, question: Question) -> Answer {
+    async fn answer_one(&self, question: ControlRequest) -> ControlResponse {
         match question {
-            Question::Sync(question) => self.answer_sync(&question),
-            Question::Push(news) => self.take_push(news),
-            Question::Urgent(news) => self.take_urgent(news),
-            Question::Probe { instance } => self.probe(&instance).await,
-            Question::Ping => Answer::Taken,
+            ControlRequest::Sync(question) => self.answer_sync(&question),
+            ControlRequest::Push(news) => self.take_push(news),
+            ControlRequest::Urgent(news) => self.take_urgent(news),
+            ControlRequest::Probe { instance } => self.probe(&instance).await,
+            ControlRequest::Ping => ControlResponse::Taken,
         }
     }
 
-    fn answer_sync(&self, question: &SyncQuestion) -> Answer {
+    fn answer_sync(&self, question: &SyncRequest) -> ControlResponse {
         match self.reconciler.news_for(question) {
-            Some(news) => Answer::News(news),
-            None => Answer::Elsewhere { peers: self.referrals() },
+            Some(news) => ControlResponse::News(news),
+            None => ControlResponse::Elsewhere { peers: self.referrals() },
         }
     }
 
-    /// News of services that nobody here wants are dropped, so that peers can't fill the memory.
-    fn take_push(&self, news: News) -> Answer {
+    /// ServiceUpdate of services that nobody here wants are dropped, so that peers can't fill the memory.
+    fn take_push(&self, news: ServiceUpdate) -> ControlResponse {
         if self.directory.peek(&news.service).is_some() {
             self.reconciler.take(news);
         }
-        Answer::Taken
+        ControlResponse::Taken
     }
 
-    fn take_urgent(&self, news: UrgentNews) -> Answer {
+    fn take_urgent(&self, news: UrgentUpdate) -> ControlResponse {
         let counter = match self.urgent.try_send(news) {
             Ok(()) => "urgent.received",
             Err(_) => "urgent.dropped",
         };
         self.counters.add(counter);
-        Answer::Taken
+        ControlResponse::Taken
     }
 
-    async fn probe(&self, instance: &str) -> Answer {
+    async fn probe(&self, instance: &str) -> ControlResponse {
         let own = self.directory.own_service();
         let member = own.and_then(|service| self.directory.member_row(&service, instance));
         let is_reachable = match member {
             Some(member) => self.gossip.ping(&member).await,
             None => false,
         };
-        Answer::Probed { is_reachable }
+        ControlResponse::Probed { is_reachable }
     }
 
     fn referrals(&self) -> Vec<SocketAddr> {
--- a/crates/yuccarackd/src/coordination/control_parts.rs
+++ b/crates/yuccarackd/src/coordination/control_parts.rs
@@ -18,7 +18,7 @@
         rules_sync::{RulesSync, RulesSyncParts},
         table::Table,
     },
-    protocol::control::UrgentNews,
+    protocol::control::UrgentUpdate,
     state::{
         byte_budget::ByteBudget, counters::Counters, directory::Directory, own_target::OwnTarget,
         reachability::Reachability, store_health::StoreHealth,
@@ -128,7 +128,7 @@
         }
     }
 
-    pub(super) fn answering(&self, urgent: mpsc::Sender<UrgentNews>) -> Answering {
+    pub(super) fn answering(&self, urgent: mpsc::Sender<UrgentUpdate>) -> Answering {
         Answering {
             settings: Arc::clone(&self.settings),
             directory: self.directory.clone(),
--- a/crates/yuccarackd/src/coordination/control_plane.rs
+++ b/crates/yuccarackd/src/coordination/control_plane.rs
@@ -19,7 +19,7 @@
 
 use crate::{
     coordination::{control_parts::Parts, gossip::Gossip, rules_sync::RulesSync},
-    protocol::control::UrgentNews,
+    protocol::control::UrgentUpdate,
     state::{
         byte_budget::ByteBudget, counters::Counters, directory::Directory, own_target::OwnTarget,
         store_health::StoreHealth,
@@ -66,8 +66,8 @@
     /// Whether the store answers.
     pub store_health: StoreHealth,
     /// News that members of the own service need at once; a full queue must not be waited for.
-    pub urgent: mpsc::Sender<UrgentNews>,
-    arrived: Option<mpsc::Receiver<UrgentNews>>,
+    pub urgent: mpsc::Sender<UrgentUpdate>,
+    arrived: Option<mpsc::Receiver<UrgentUpdate>>,
     control_address: SocketAddr,
     admin: AdminServer,
     draining: watch::Sender<bool>,
@@ -145,7 +145,7 @@
     }
 
     /// Urgent news of other daemons; only the first taker gets them.
-    pub fn take_arrived(&mut self) -> Option<mpsc::Receiver<UrgentNews>> {
+    pub fn take_arrived(&mut self) -> Option<mpsc::Receiver<UrgentUpdate>> {
         self.arrived.take()
     }
 
@@ -208,8 +208,8 @@
     server: ControlServer,
     rules_sync: RulesSync,
     draining: watch::Receiver<bool>,
-    to_send: mpsc::Receiver<UrgentNews>,
-    arriving: mpsc::Sender<UrgentNews>,
+    to_send: mpsc::Receiver<UrgentUpdate>,
+    arriving: mpsc::Sender<UrgentUpdate>,
 ) {
     runtime.block_on(async {
         let (tracker, stop) = (&parts.tracker, &parts.stop);
@@ -223,7 +223,7 @@
         tracker.spawn(send_urgent(parts.gossip.clone(), to_send, tracker.clone(), stop.clone()));
         tracker.spawn(parts.removal().run(stop.clone()));
         tracker.spawn(rules_sync.clone().poll(stop.clone()));
-        if let Some(lookups) = parts.directory.take_lookups() {
+        if let Some(lookups) = parts.directory.take_lookup_receiver() {
             tracker.spawn(rules_sync.answer_lookups(lookups, tracker.clone(), stop.clone()));
         }
         parts.membership(draining).run(stop.clone()).await;
@@ -236,7 +236,7 @@
 
 async fn send_urgent(
     gossip: Gossip,
-    mut to_send: mpsc::Receiver<UrgentNews>,
+    mut to_send: mpsc::Receiver<UrgentUpdate>,
     tracker: TaskTracker,
     stop: CancellationToken,
 ) {
--- a/crates/yuccarackd/src/coordination/entry/call.rs
+++ b/crates/yuccarackd/src/coordination/entry/call.rs
@@ -8,7 +8,7 @@
 
 use crate::protocol::{
     body::{BodyError, CallBody, SendableBody},
-    call::{CallHead, ms_left, spell_id},
+    call::{CallHead, format_id, remaining_ms},
     forwarding,
 };
 
@@ -50,32 +50,32 @@
 
     /// Whether it can be sent to two gates at once.
     pub fn can_be_hedged(&self) -> bool {
-        self.repeatable && self.body.is_kept()
+        self.repeatable && self.body.is_buffered()
     }
 
     /// The next try, as a gate gets it, with the name of its attempt.
     pub fn next_try(&mut self) -> (AttemptId, Request<CallBody>) {
         let attempt: AttemptId = rand::rng().random();
-        let mut request = Request::new(self.body.take());
+        let mut request = Request::new(self.body.next_body());
         *request.method_mut() = self.parts.method.clone();
         *request.uri_mut() = origin_form(&self.parts.uri);
         *request.version_mut() = Version::HTTP_11;
         let map = request.headers_mut();
         *map = self.parts.headers.clone();
         forwarding::strip_hop_by_hop(map);
-        forwarding::strip_between_daemons(map);
-        forwarding::set(map, headers::SERVICE, &self.head.service);
-        forwarding::set(map, headers::CALLER, &self.head.caller);
-        forwarding::set(map, headers::REQUEST_ID, &spell_id(self.head.request_id));
-        forwarding::set(map, headers::ATTEMPT_ID, &spell_id(attempt));
-        forwarding::set(map, headers::DEPTH, &self.head.depth.to_string());
+        forwarding::strip_internal_headers(map);
+        forwarding::set_header(map, headers::SERVICE, &self.head.service);
+        forwarding::set_header(map, headers::CALLER, &self.head.caller);
+        forwarding::set_header(map, headers::REQUEST_ID, &format_id(self.head.request_id));
+        forwarding::set_header(map, headers::ATTEMPT_ID, &format_id(attempt));
+        forwarding::set_header(map, headers::DEPTH, &self.head.depth.to_string());
         if !self.repeatable {
             map.insert(headers::ONCE, HeaderValue::from_static("true"));
         }
-        let left = ms_left(self.deadline, Instant::now());
+        let left = remaining_ms(self.deadline, Instant::now());
         map.insert(headers::DEADLINE_MS, HeaderValue::from(left));
         if !map.contains_key(header::HOST) {
-            forwarding::set(map, "host", &self.head.service);
+            forwarding::set_header(map, "host", &self.head.service);
         }
         (attempt, request)
     }
--- a/crates/yuccarackd/src/coordination/entry/mod.rs
+++ b/crates/yuccarackd/src/coordination/entry/mod.rs
@@ -27,7 +27,7 @@
 use crate::{
     protocol::{
         body::CallBody,
-        call::{CallHead, spell_id},
+        call::{CallHead, format_id},
         forwarding,
         refusal::{Reason, Refusal},
     },
@@ -90,7 +90,7 @@
         let Arrival { peer, came_at: now } = arrival;
         self.parts.counters.add("entry.calls");
         let (parts, body) = request.into_parts();
-        let head = match CallHead::read(&parts, peer.ip(), now, &mut rand::rng()) {
+        let head = match CallHead::parse(&parts, peer.ip(), now, &mut rand::rng()) {
             Ok(head) => head,
             Err(_) => return self.finish(Err(Refusal::not_run(Reason::BadRequest)), None),
         };
@@ -154,12 +154,12 @@
         if let Some(view) = self.parts.directory.view(service) {
             return Ok(view);
         }
-        let wanted = self.parts.directory.wanted(service, look_up_by).await;
+        let wanted = self.parts.directory.get_or_load(service, look_up_by).await;
         wanted.map_err(|error| match error {
             DirectoryError::UnknownService => Refusal::not_run(Reason::UnknownService),
             DirectoryError::DeadlinePassed => Refusal::not_run(Reason::DeadlinePassed),
-            DirectoryError::StoreAway | DirectoryError::TooManyLookups => {
-                Refusal::not_run(Reason::StoreAway).with_retry_after(LOOKUP_RETRY_AFTER)
+            DirectoryError::StoreUnavailable | DirectoryError::TooManyLookups => {
+                Refusal::not_run(Reason::StoreUnavailable).with_retry_after(LOOKUP_RETRY_AFTER)
             }
         })
     }
@@ -190,14 +190,14 @@
                 if let Some(id) = request_id {
                     self.parts.call_log.note(id, CallEvent::refused(&refusal));
                 }
-                refusal.into_answer()
+                refusal.into_response()
             }
         };
         let map = answer.headers_mut();
         map.remove(headers::LOAD);
         map.remove(headers::RULES_REVISION);
         if let Some(id) = request_id {
-            forwarding::set(map, headers::REQUEST_ID, &spell_id(id));
+            forwarding::set_header(map, headers::REQUEST_ID, &format_id(id));
         }
         if self.parts.leaving.is_cancelled() {
             map.insert(header::CONNECTION, HeaderValue::from_static("close"));
--- a/crates/yuccarackd/src/coordination/entry/try_sender.rs
+++ b/crates/yuccarackd/src/coordination/entry/try_sender.rs
@@ -146,7 +146,7 @@
         let revision = answer.headers().get(headers::RULES_REVISION);
         let revision = revision.and_then(|value| value.to_str().ok()?.parse().ok());
         if let Some(revision) = revision {
-            self.entry.parts.directory.heard_rules_revision(&self.head.service, revision);
+            self.entry.parts.directory.note_rules_revision(&self.head.service, revision);
         }
     }
 
--- a/crates/yuccarackd/src/coordination/gate/call.rs
+++ b/crates/yuccarackd/src/coordination/gate/call.rs
@@ -13,7 +13,7 @@
     coordination::suspects::fingerprint::{FINGERPRINT_BODY_MAX_BYTES, FingerprintParts},
     protocol::{
         body::{BodyStart, CallBody},
-        call::{CallHead, ms_left, spell_id},
+        call::{CallHead, format_id, remaining_ms},
         forwarding,
         refusal::{Reason, Refusal},
     },
@@ -89,14 +89,14 @@
         let map = &mut self.parts.headers;
         forwarding::strip_hop_by_hop(map);
         map.remove(headers::ONCE);
-        forwarding::set(map, headers::REQUEST_ID, &spell_id(self.head.request_id));
-        forwarding::set(map, headers::ATTEMPT_ID, &spell_id(self.attempt));
-        let left = ms_left(self.deadline, Instant::now());
-        forwarding::set(map, headers::DEADLINE_MS, &left.to_string());
+        forwarding::set_header(map, headers::REQUEST_ID, &format_id(self.head.request_id));
+        forwarding::set_header(map, headers::ATTEMPT_ID, &format_id(self.attempt));
+        let left = remaining_ms(self.deadline, Instant::now());
+        forwarding::set_header(map, headers::DEADLINE_MS, &left.to_string());
         // The target passes this on with the calls it makes, so a chain's length is known.
         let depth = self.head.depth.saturating_add(1);
-        forwarding::set(map, headers::DEPTH, &depth.to_string());
-        forwarding::set(map, headers::SERVICE, &self.head.service);
+        forwarding::set_header(map, headers::DEPTH, &depth.to_string());
+        forwarding::set_header(map, headers::SERVICE, &self.head.service);
         Request::from_parts(self.parts, self.body)
     }
 }
--- a/crates/yuccarackd/src/coordination/gate/door.rs
+++ b/crates/yuccarackd/src/coordination/gate/door.rs
@@ -35,13 +35,13 @@
     ) -> Response<CallBody> {
         let Arrival { peer, came_at: now } = arrival;
         let (parts, body) = request.into_parts();
-        let head = CallHead::read(&parts, peer.ip(), now, &mut rand::rng());
+        let head = CallHead::parse(&parts, peer.ip(), now, &mut rand::rng());
         let Ok(head) = head else {
-            return Refusal::not_run(Reason::BadRequest).into_answer();
+            return Refusal::not_run(Reason::BadRequest).into_response();
         };
         // An entry always says until when it waits; whoever doesn't is no entry.
         let Some(deadline) = head.deadline else {
-            return Refusal::not_run(Reason::BadRequest).into_answer();
+            return Refusal::not_run(Reason::BadRequest).into_response();
         };
         let attempt = head.attempt.unwrap_or_else(|| rand::rng().random());
         self.gate.handle(GateCall { head, attempt, deadline, parts, body }).await
--- a/crates/yuccarackd/src/coordination/gate/hand_over.rs
+++ b/crates/yuccarackd/src/coordination/gate/hand_over.rs
@@ -232,7 +232,7 @@
     }
     let map = answer.headers_mut();
     forwarding::strip_hop_by_hop(map);
-    forwarding::strip_between_daemons(map);
+    forwarding::strip_internal_headers(map);
     Ok(answer.map(|body| GuardedBody::new(body, on_target, deadline).boxed_unsync()))
 }
 
--- a/crates/yuccarackd/src/coordination/gate/mod.rs
+++ b/crates/yuccarackd/src/coordination/gate/mod.rs
@@ -106,7 +106,7 @@
             Ok(answer) => answer,
             Err(refusal) => {
                 self.parts.counters.add_reason(REFUSED, refusal.reason.as_str());
-                refusal.into_answer()
+                refusal.into_response()
             }
         };
         self.stamp(&mut answer);
@@ -158,7 +158,7 @@
         };
         let has_alternatives = known.is_some_and(|known| self.has_others_ready(&known.members));
         let old = self.target();
-        let same_life = old.filter(|old| old.is_same_life(&view));
+        let same_life = old.filter(|old| old.is_same_process(&view));
         if let Some(old) = same_life {
             let target = old.with_changes(view, rules);
             target.slots.set_alternatives(has_alternatives);
@@ -295,9 +295,9 @@
     /// Load and rules revision travel with every answer, so that they cost no message of their own.
     fn stamp(&self, answer: &mut Response<CallBody>) {
         let map = answer.headers_mut();
-        forwarding::set(map, headers::INSTANCE, &self.parts.instance);
+        forwarding::set_header(map, headers::INSTANCE, &self.parts.instance);
         if let Some(target) = self.target() {
-            forwarding::set(map, headers::LOAD, &target.slots.load().to_string());
+            forwarding::set_header(map, headers::LOAD, &target.slots.load().to_string());
         }
         let revision = self.parts.directory.own_rules_revision();
         map.insert(headers::RULES_REVISION, HeaderValue::from(revision));
--- a/crates/yuccarackd/src/coordination/gate/permits.rs
+++ b/crates/yuccarackd/src/coordination/gate/permits.rs
@@ -66,7 +66,7 @@
                 Err(Refusal::not_run(Reason::Quarantined).with_retry_after(left))
             }
             TrialVerdict::StoreAway { retry_after } => {
-                Err(Refusal::not_run(Reason::StoreAway).with_retry_after(retry_after))
+                Err(Refusal::not_run(Reason::StoreUnavailable).with_retry_after(retry_after))
             }
         }
     }
@@ -84,7 +84,7 @@
             }
             ClaimVerdict::KeyReused => Err(Refusal::not_run(Reason::KeyReused)),
             ClaimVerdict::StoreAway { retry_after } => {
-                Err(Refusal::not_run(Reason::StoreAway).with_retry_after(retry_after))
+                Err(Refusal::not_run(Reason::StoreUnavailable).with_retry_after(retry_after))
             }
         }
     }
@@ -125,7 +125,7 @@
 fn replay(outcome: RecordedOutcome) -> Result<Response<CallBody>, Refusal> {
     let Some(bytes) = outcome.body else {
         let outcome = Outcome::Run;
-        return Err(Refusal { reason: Reason::AnswerNotKept, outcome, retry_after: None });
+        return Err(Refusal { reason: Reason::ResponseNotStored, outcome, retry_after: None });
     };
     let body = body::full(bytes.into());
     let mut answer = Response::new(body);
@@ -135,7 +135,7 @@
     let map = answer.headers_mut();
     map.insert(headers::REPLAYED, HeaderValue::from_static("true"));
     if let Some(content_type) = outcome.content_type {
-        forwarding::set(map, "content-type", &content_type);
+        forwarding::set_header(map, "content-type", &content_type);
     }
     Ok(answer)
 }
--- a/crates/yuccarackd/src/coordination/gate/target.rs
+++ b/crates/yuccarackd/src/coordination/gate/target.rs
@@ -43,7 +43,7 @@
     }
 
     /// Whether `view` speaks of the same life of the same target.
-    pub fn is_same_life(&self, view: &TargetView) -> bool {
+    pub fn is_same_process(&self, view: &TargetView) -> bool {
         let (old, new) = (&self.view.announcement, &view.announcement);
         old.service == new.service && old.boot_id == new.boot_id
     }
--- a/crates/yuccarackd/src/coordination/gossip.rs
+++ b/crates/yuccarackd/src/coordination/gossip.rs
@@ -20,7 +20,9 @@
         jitter::{generator, jittered},
         reconciler::Reconciler,
     },
-    protocol::control::{Answer, MessageError, Question, UrgentNews, decode, encode},
+    protocol::control::{
+        ControlRequest, ControlResponse, MessageError, UrgentUpdate, decode, encode,
+    },
     state::{
         byte_budget::ByteBudget,
         counters::Counters,
@@ -173,10 +175,10 @@
     }
 
     /// Tells members of the own service what can't wait.
-    pub async fn send_urgent(&self, news: UrgentNews) {
+    pub async fn send_urgent(&self, news: UrgentUpdate) {
         let Some(view) = self.own_view() else { return };
         let peers = self.random_members(&view, URGENT_TO_MAX);
-        let question = Question::Urgent(news);
+        let question = ControlRequest::Urgent(news);
         let tell = async |peer: &MemberRow| {
             let result = self.ask_member(peer, &question).await;
             let counter = if result.is_ok() { "urgent.sent" } else { "urgent.failed" };
@@ -187,7 +189,7 @@
 
     /// Asks `peer` for a sign of life; says whether it gave one.
     pub async fn ping(&self, peer: &MemberRow) -> bool {
-        self.ask_member(peer, &Question::Ping).await.is_ok()
+        self.ask_member(peer, &ControlRequest::Ping).await.is_ok()
     }
 
     /// Compares what is known of `service` with the daemon at `address`.
@@ -202,16 +204,16 @@
     ) -> Result<Exchanged, ExchangeError> {
         let reconciler = &self.shared.reconciler;
         let question = reconciler.question(service);
-        let news = match self.ask(address, &Question::Sync(question)).await? {
-            Answer::News(news) if news.service == service => news,
-            Answer::Elsewhere { peers } => return Ok(Exchanged::Elsewhere(peers)),
+        let news = match self.ask(address, &ControlRequest::Sync(question)).await? {
+            ControlResponse::News(news) if news.service == service => news,
+            ControlResponse::Elsewhere { peers } => return Ok(Exchanged::Elsewhere(peers)),
             _ => return Err(ExchangeError::Unfit),
         };
         let lacking = reconciler.lacking(&news);
         let pace = Duration::from_millis(u64::from(news.pace_ms));
         reconciler.take(news);
         if let Some(lacking) = lacking {
-            self.ask(address, &Question::Push(lacking)).await?;
+            self.ask(address, &ControlRequest::Push(lacking)).await?;
         }
         self.shared.turns.ended_well(service, pace, Instant::now());
         Ok(Exchanged::Known)
@@ -241,8 +243,8 @@
     pub async fn ask(
         &self,
         address: SocketAddr,
-        question: &Question,
-    ) -> Result<Answer, ExchangeError> {
+        question: &ControlRequest,
+    ) -> Result<ControlResponse, ExchangeError> {
         let bytes = encode(question)?;
         let deadline = Instant::now() + ANSWER_TIMEOUT;
         let answer = self.shared.client.ask(address, &bytes, deadline).await?;
@@ -257,8 +259,8 @@
     pub async fn ask_member(
         &self,
         peer: &MemberRow,
-        question: &Question,
-    ) -> Result<Answer, ExchangeError> {
+        question: &ControlRequest,
+    ) -> Result<ControlResponse, ExchangeError> {
         let result = self.ask(peer.control_address, question).await;
         self.note(peer, result.is_ok());
         result
@@ -316,11 +318,11 @@
     fn note(&self, peer: &MemberRow, has_answered: bool) {
         let now = Instant::now();
         if has_answered {
-            self.shared.reachability.answered(&peer.instance, now);
+            self.shared.reachability.record_response(&peer.instance, now);
             return;
         }
         self.shared.counters.add("gossip.failed");
-        self.shared.reachability.failed(&peer.instance, now);
+        self.shared.reachability.record_failure(&peer.instance, now);
     }
 
     fn own_view(&self) -> Option<Arc<ServiceView>> {
--- a/crates/yuccarackd/src/coordination/reconciler.rs
+++ b/crates/yuccarackd/src/coordination/reconciler.rs
@@ -14,7 +14,7 @@
 use yuccarack_policy::exchange_pace::{ExchangePace, PACE_MIN};
 
 use crate::{
-    protocol::control::{News, SyncQuestion},
+    protocol::control::{ServiceUpdate, SyncRequest},
     state::{counters::Counters, directory::Directory, is_newer},
 };
 
@@ -48,10 +48,10 @@
     }
 
     /// What is known here of `service`, for another daemon to compare with.
-    pub fn question(&self, service: &str) -> SyncQuestion {
+    pub fn question(&self, service: &str) -> SyncRequest {
         let directory = &self.directory;
         let wants_all = self.wants_all.lock().remove(service);
-        SyncQuestion {
+        SyncRequest {
             service: service.to_owned(),
             rules_revision: directory.peek(service).map_or(0, |view| view.rules_revision),
             members_digest: directory.members_digest(service),
@@ -61,7 +61,7 @@
     }
 
     /// Takes news in; says whether they were any.
-    pub fn take(&self, news: News) -> bool {
+    pub fn take(&self, news: ServiceUpdate) -> bool {
         let directory = &self.directory;
         let is_own = directory.own_service().as_ref() == Some(&news.service);
         let changed = directory.merge_members(&news.service, news.members.clone());
@@ -79,7 +79,7 @@
                 "revision" => news.rules_revision, "from" => "peer");
         }
         if news.has_all_members {
-            directory.settle(&news.service);
+            directory.complete_lookup(&news.service);
         } else if directory.members_digest(&news.service) != news.members_digest {
             self.wants_all.lock().insert(news.service.clone());
         }
@@ -91,7 +91,7 @@
     }
 
     /// What another daemon lacks, which asked with `question`; none when nothing is known here.
-    pub fn news_for(&self, question: &SyncQuestion) -> Option<News> {
+    pub fn news_for(&self, question: &SyncRequest) -> Option<ServiceUpdate> {
         let directory = &self.directory;
         let view = directory.peek(&question.service)?;
         if view.rules_revision == 0 && view.members.is_empty() {
@@ -107,7 +107,7 @@
         };
         let is_behind = question.rules_revision < view.rules_revision;
         let rules = if is_behind { directory.rules_row(&view.name) } else { None };
-        Some(News {
+        Some(ServiceUpdate {
             service: view.name.clone(),
             rules_revision: rules.as_ref().map_or(view.rules_revision, |(revision, _)| *revision),
             rules: rules.map(|(_, row)| row),
@@ -119,7 +119,7 @@
     }
 
     /// What the sender of `news` lacks.
-    pub fn lacking(&self, news: &News) -> Option<News> {
+    pub fn lacking(&self, news: &ServiceUpdate) -> Option<ServiceUpdate> {
         let directory = &self.directory;
         let rules = directory.rules_row(&news.service);
         let rules = rules.filter(|(revision, _)| *revision > news.rules_revision);
@@ -135,7 +135,7 @@
         let (rules_revision, rules) = rules.map_or((0, None), |(number, row)| (number, Some(row)));
         let members_digest = directory.members_digest(&news.service);
         let service = news.service.clone();
-        Some(News {
+        Some(ServiceUpdate {
             service,
             rules_revision,
             rules,
@@ -146,7 +146,7 @@
         })
     }
 
-    fn pace_ms(&self, question: &SyncQuestion) -> u32 {
+    fn pace_ms(&self, question: &SyncRequest) -> u32 {
         let is_own = self.directory.own_service().as_ref() == Some(&question.service);
         let pace = match is_own && !question.is_member {
             true => self.pace.lock().asked(Instant::now()),
@@ -155,7 +155,7 @@
         u32::try_from(pace.as_millis()).unwrap_or(u32::MAX)
     }
 
-    fn members_lacking(&self, news: &News) -> Vec<MemberRow> {
+    fn members_lacking(&self, news: &ServiceUpdate) -> Vec<MemberRow> {
         let directory = &self.directory;
         let rows = match news.has_all_members {
             true => directory.member_rows(&news.service),
--- a/crates/yuccarackd/src/coordination/removal.rs
+++ b/crates/yuccarackd/src/coordination/removal.rs
@@ -19,7 +19,7 @@
         jitter::{generator, jittered},
         table::{Table, TableError},
     },
-    protocol::control::{Answer, Question},
+    protocol::control::{ControlRequest, ControlResponse},
     state::{
         counters::Counters,
         directory::{Directory, ServiceView},
@@ -162,13 +162,13 @@
         if has_others_near && !has_near && !is_same_domain {
             return Judgement::Unclear;
         }
-        let question = Question::Probe { instance: member.instance.clone() };
+        let question = ControlRequest::Probe { instance: member.instance.clone() };
         let asked = witnesses.iter().map(|row| self.gossip.ask_member(row, &question));
         let mut judgement = Judgement::Unclear;
         for answer in join_all(asked).await {
             match answer {
-                Ok(Answer::Probed { is_reachable: true }) => return Judgement::Alive,
-                Ok(Answer::Probed { is_reachable: false }) => judgement = Judgement::Dead,
+                Ok(ControlResponse::Probed { is_reachable: true }) => return Judgement::Alive,
+                Ok(ControlResponse::Probed { is_reachable: false }) => judgement = Judgement::Dead,
                 Ok(_) | Err(_) => {}
             }
         }
--- a/crates/yuccarackd/src/coordination/routed/catch_up.rs
+++ b/crates/yuccarackd/src/coordination/routed/catch_up.rs
@@ -9,7 +9,7 @@
     peers::{NewerTableNotice, Peers},
     store_follower::StoreFollower,
 };
-use crate::{coordination::jitter::jittered, state::routed::news_source::NewsSource};
+use crate::{coordination::jitter::jittered, state::routed::update_source::UpdateSource};
 
 /// Time that the store's feed or a relay has to deliver a newer table before it is fetched. They
 /// usually deliver it within 100 ms, and then it costs no bytes between failure domains.
@@ -48,7 +48,7 @@
     pub async fn run(self) {
         loop {
             let notice = self.peers.next_newer_table().await;
-            if !notice.is_omitted && self.follower.news.source() != NewsSource::Nobody {
+            if !notice.is_omitted && self.follower.news.source() != UpdateSource::Unassigned {
                 self.wait_for_update(notice.version).await;
             }
             self.fetch(notice).await;
@@ -71,7 +71,7 @@
         let mut retry = RETRY_FIRST;
         while self.is_behind() {
             // Beside a transfer that makes progress only peers are queried, for small changes.
-            let is_transferring = self.follower.transfers.make_progress();
+            let is_transferring = self.follower.transfers.is_any_progressing();
             match source {
                 Source::Store if is_transferring => {}
                 Source::Store => self.follower.fetch_routing_table().await,
@@ -102,7 +102,9 @@
     /// which retries it anyway.
     fn next_source(&self, source: Source) -> Source {
         match source {
-            Source::Peer if self.follower.news.source() != NewsSource::Nobody => Source::Store,
+            Source::Peer if self.follower.news.source() != UpdateSource::Unassigned => {
+                Source::Store
+            }
             Source::Peer | Source::Store => Source::Peer,
         }
     }
--- a/crates/yuccarackd/src/coordination/routed/control_server.rs
+++ b/crates/yuccarackd/src/coordination/routed/control_server.rs
@@ -27,7 +27,7 @@
         counters::Counters,
         routed::{
             routing_state::RoutingState,
-            target::{Heard, RoutedTarget},
+            target::{HeartbeatEffect, RoutedTarget},
         },
     },
     transport::call_server::{Arrival, CallHandler},
@@ -98,8 +98,8 @@
 
     fn record_heartbeat(&self, heartbeat: Heartbeat) -> StatusCode {
         let Heartbeat { target, life, sequence, service, phase, .. } = heartbeat.clone();
-        let heard = self.target.heard(Instant::now(), heartbeat);
-        if heard == Heard::Same {
+        let heard = self.target.apply_heartbeat(Instant::now(), heartbeat);
+        if heard == HeartbeatEffect::Same {
             return StatusCode::OK;
         }
         self.events.write(|| HeartbeatReceived {
@@ -112,9 +112,12 @@
         });
         match heard {
             // A success would promise the dead process something that has no effect.
-            Heard::OlderLife => StatusCode::CONFLICT,
-            Heard::TooSoon => StatusCode::SERVICE_UNAVAILABLE,
-            Heard::NewLife | Heard::Changed | Heard::Same | Heard::Older => StatusCode::OK,
+            HeartbeatEffect::OlderLife => StatusCode::CONFLICT,
+            HeartbeatEffect::TooSoon => StatusCode::SERVICE_UNAVAILABLE,
+            HeartbeatEffect::NewLife
+            | HeartbeatEffect::Changed
+            | HeartbeatEffect::Same
+            | HeartbeatEffect::Older => StatusCode::OK,
         }
     }
 
@@ -139,7 +142,7 @@
                 return StatusCode::BAD_REQUEST;
             }
         };
-        let is_present = self.target.left(self.latest_departed_incarnation(), &leave);
+        let is_present = self.target.apply_leave(self.latest_departed_incarnation(), &leave);
         self.events.write(|| TargetLeaving { target: leave.target, life: leave.life, is_present });
         StatusCode::OK
     }
--- a/crates/yuccarackd/src/coordination/routed/deadline.rs
+++ b/crates/yuccarackd/src/coordination/routed/deadline.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use crate::state::routed::boot_clock::suspended;
+use crate::state::routed::boot_clock::time_suspended;
 
 /// The time after which nobody waits for a request any more.
 ///
@@ -17,12 +17,12 @@
 impl CallDeadline {
     /// Creates a deadline at `deadline` of the current monotonic clock.
     pub fn new(deadline: Instant) -> Self {
-        Self { deadline, suspended_before: suspended() }
+        Self { deadline, suspended_before: time_suspended() }
     }
 
     /// Returns the deadline, less the time suspended since it was created.
     pub fn at(&self) -> Instant {
-        let suspended_since = suspended().saturating_sub(self.suspended_before);
+        let suspended_since = time_suspended().saturating_sub(self.suspended_before);
         self.deadline.checked_sub(suspended_since).unwrap_or(self.deadline)
     }
 
--- a/crates/yuccarackd/src/coordination/routed/entry/attempts.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/attempts.rs
@@ -22,7 +22,7 @@
     },
     protocol::{
         body::CallBody,
-        gate_word::{GATE_WORD, GateWord},
+        gate_status::{GATE_STATUS, GateStatus},
         hop::Hop,
         refusal::{Outcome, Reason, Refusal},
     },
@@ -82,7 +82,7 @@
         if result.as_ref().is_err_and(is_capacity_refusal) {
             self.entry.stats.record_shortage(Instant::now(), &self.call.service);
         }
-        self.entry.parts.metrics.tried(self.asked.count());
+        self.entry.parts.metrics.observe_attempts(self.asked.count());
         result
     }
 
@@ -194,7 +194,7 @@
 
     async fn send_local(&mut self, gate: &ChosenGate, hop: Hop) -> Reply {
         let parts = self.call.head.to_parts();
-        let body = self.call.body.again();
+        let body = self.call.body.resendable();
         let request = GateRequest::new(Instant::now(), hop, parts, body);
         let local = &self.entry.parts.gate;
         let response = local.handle(request).await;
@@ -216,8 +216,9 @@
     }
 
     fn receive_response(&self, gate: &ChosenGate, mut response: Response<CallBody>) -> Reply {
-        let status = response.headers_mut().remove(GATE_WORD);
-        let status: Option<GateWord> = status.and_then(|status| status.to_str().ok()?.parse().ok());
+        let status = response.headers_mut().remove(GATE_STATUS);
+        let status: Option<GateStatus> =
+            status.and_then(|status| status.to_str().ok()?.parse().ok());
         if let Some(status) = status {
             self.service.record_load(Instant::now(), gate.key, status.load);
             self.entry.parts.peers.note_version(gate.address(), status.routing_version);
--- a/crates/yuccarackd/src/coordination/routed/entry/call.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/call.rs
@@ -19,7 +19,7 @@
         body::{CallBody, SendableBody},
         forwarding,
         hop::{HOP, Hop},
-        streamed_body::Wanted,
+        streamed_body::DemandSignal,
     },
 };
 
@@ -67,10 +67,10 @@
         let uri = origin_form(&parts.uri);
         let mut map = parts.headers;
         forwarding::strip_hop_by_hop(&mut map);
-        forwarding::strip_between_daemons(&mut map);
+        forwarding::strip_internal_headers(&mut map);
         // Only daemons set these headers, so values from the caller are dropped or replaced.
         map.remove(headers::MEANT_FOR);
-        forwarding::set(&mut map, headers::CALLER_SERVICE, caller_service);
+        forwarding::set_header(&mut map, headers::CALLER_SERVICE, caller_service);
         Self { method: parts.method, uri, headers: map }
     }
 
@@ -113,14 +113,14 @@
     /// and no bytes were sent for nothing.
     pub fn request(&self, hop: &Hop, is_offered: bool) -> Request<CallBody> {
         let Some(body) = self.body.streamed().filter(|_| is_offered) else {
-            return self.request_with_body(hop, self.body.take());
+            return self.request_with_body(hop, self.body.next_body());
         };
-        let wanted = Wanted::new();
-        let mut request = self.request_with_body(hop, body.offer_when(&wanted));
+        let demand = DemandSignal::new();
+        let mut request = self.request_with_body(hop, body.offer_when(&demand));
         request.headers_mut().insert(header::EXPECT, HeaderValue::from_static("100-continue"));
         on_informational(&mut request, move |response| {
             if response.status() == StatusCode::CONTINUE {
-                wanted.set();
+                demand.notify();
             }
         });
         request
@@ -132,7 +132,7 @@
         *request.uri_mut() = self.head.uri.clone();
         let map = request.headers_mut();
         map.clone_from(&self.head.headers);
-        forwarding::set(map, HOP, &hop.to_string());
+        forwarding::set_header(map, HOP, &hop.to_string());
         request
     }
 }
--- a/crates/yuccarackd/src/coordination/routed/entry/mod.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/mod.rs
@@ -171,7 +171,7 @@
         check_body_size(&routing, &parts)?;
         let kind = kind_of(route);
         if !self.stats.admits(kind) {
-            return Err(Refusal::not_run(Reason::ShortElsewhere));
+            return Err(Refusal::not_run(Reason::DependencyShortage));
         }
         let call = self.build_call(&routing, route, head, parts, body, trace.came_at).await?;
         trace.service.clone_from(&call.service);
@@ -315,7 +315,7 @@
     ) -> Response<CallBody> {
         let took = trace.came_at.elapsed();
         let took_ms = took.as_millis() as u64;
-        self.parts.metrics.call_ended(end_label(&result), took);
+        self.parts.metrics.observe_call(end_label(&result), took);
         let mut response = match result {
             Ok(response) => {
                 self.log_response(&response, trace, took_ms);
@@ -324,7 +324,7 @@
             Err(refusal) => {
                 let refusal = with_retry_after_default(refusal);
                 self.log_refusal(&refusal, trace, took_ms);
-                refusal.into_routed_answer()
+                refusal.into_routed_response()
             }
         };
         if self.parts.leaving.is_cancelled() {
--- a/crates/yuccarackd/src/coordination/routed/entry/service.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/service.rs
@@ -19,7 +19,7 @@
     placement::{Asked, GateKey, GateLoad, Placement, TryEnd},
 };
 
-use crate::protocol::peer_news::RoutedMember;
+use crate::protocol::peer_update::RoutedMember;
 
 /// Weight of a reported value in the moving average of the service time.
 const SERVICE_TIME_WEIGHT: f64 = 0.1;
--- a/crates/yuccarackd/src/coordination/routed/gate/crash_tracker.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/crash_tracker.rs
@@ -20,7 +20,7 @@
         events::EventLog,
         log_lines::{CrashReportNotSent, TargetDied},
     },
-    protocol::{body, peer_news::CRASHED},
+    protocol::{body, peer_update::CRASH_SUSPECTS},
     state::{
         counters::Counters,
         routed::{live_settings::LiveSettings, members::Members, target::TargetView},
@@ -154,7 +154,7 @@
     async fn report_to_gate(&self, address: SocketAddr, report: &HeaderValue) -> bool {
         let mut request = Request::new(body::empty());
         let map = request.headers_mut();
-        map.insert(CRASHED, report.clone());
+        map.insert(CRASH_SUSPECTS, report.clone());
         map.insert(header::HOST, HeaderValue::from_static("peer"));
         let sent = self.inner.parts.upstream.send(address, request, Freshness::Kept);
         sent.await.is_ok_and(|response| response.status().is_success())
--- a/crates/yuccarackd/src/coordination/routed/gate/exchange.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/exchange.rs
@@ -48,7 +48,7 @@
             Ok(response) => response?,
             Err(_) => return Err(Refusal::unknown(Reason::DeadlinePassed)),
         };
-        self.gate.parts.metrics.first_byte(dispatched_at.elapsed());
+        self.gate.parts.metrics.observe_first_byte(dispatched_at.elapsed());
         self.record_slowdown(&response);
         if headers::proves_not_run(response.status(), response.headers()) {
             return Err(
@@ -108,7 +108,7 @@
     ) -> Result<Response<CallBody>, Refusal> {
         let (mut parts, body) = response.into_parts();
         forwarding::strip_hop_by_hop(&mut parts.headers);
-        forwarding::strip_between_daemons(&mut parts.headers);
+        forwarding::strip_internal_headers(&mut parts.headers);
         let broken = |_| Refusal::unknown(Reason::Broken);
         let buffered = BodyStart::read(body, BUFFERED_RESPONSE_MAX_BYTES).await.map_err(broken)?;
         if buffered.rest.is_none() {
--- a/crates/yuccarackd/src/coordination/routed/gate/mod.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/mod.rs
@@ -38,7 +38,7 @@
     protocol::{
         body::CallBody,
         forwarding,
-        gate_word::{GATE_WORD, GateWord},
+        gate_status::{GATE_STATUS, GateStatus},
         refusal::{Reason, Refusal},
     },
     state::{
@@ -172,16 +172,16 @@
     }
 
     /// Returns the gate status that goes out with each response: load and routing version.
-    pub fn status(&self) -> GateWord {
+    pub fn status(&self) -> GateStatus {
         let load = self.active.read().as_ref().map(|active| active.slots.load());
         let idle =
             GateLoad { running: 0, waiting: 0, limit: 1, mean_work: Duration::ZERO, slowness: 1.0 };
-        GateWord { load: load.unwrap_or(idle), routing_version: self.parts.routing.version() }
+        GateStatus { load: load.unwrap_or(idle), routing_version: self.parts.routing.version() }
     }
 
     /// Sets the gate status header of a response to another daemon.
     pub fn add_status_header(&self, response: &mut Response<CallBody>) {
-        forwarding::set(response.headers_mut(), GATE_WORD, &self.status().to_string());
+        forwarding::set_header(response.headers_mut(), GATE_STATUS, &self.status().to_string());
     }
 
     async fn run(&self, request: &mut GateRequest) -> Result<Response<CallBody>, Refusal> {
@@ -196,7 +196,7 @@
         let lease = active.slots.admit(request.work()).await.map_err(admission_refusal)?;
         let queued = queued_at.elapsed();
         request.queued = Some(queued);
-        self.parts.metrics.queued(queued);
+        self.parts.metrics.observe_queue_time(queued);
         // The target may have started to leave, or its failure domain been evacuated, during the
         // wait.
         self.check_available(&active)?;
@@ -209,7 +209,7 @@
             }
             Err(_) => {}
         }
-        self.parts.metrics.target_took(dispatched_at.elapsed());
+        self.parts.metrics.observe_target_duration(dispatched_at.elapsed());
         response
     }
 
@@ -235,7 +235,7 @@
         let current = self.parts.target.current();
         match current {
             None => return reject(Reason::Draining),
-            Some(view) if !view.is_same_life(&active.view) => return reject(Reason::NotReady),
+            Some(view) if !view.is_same_process(&active.view) => return reject(Reason::NotReady),
             Some(view) if view.phase == TargetPhase::Draining => return reject(Reason::Draining),
             Some(_) => {}
         }
@@ -287,7 +287,7 @@
             }
             return None;
         };
-        if let Some(old) = active.as_ref().filter(|old| old.view.is_same_life(&view)) {
+        if let Some(old) = active.as_ref().filter(|old| old.view.is_same_process(&view)) {
             old.slots.change(|queue, now| {
                 queue.stay();
                 queue.set_slots(now, view.slots);
--- a/crates/yuccarackd/src/coordination/routed/gate/request.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/request.rs
@@ -38,7 +38,7 @@
     /// Creates a request that arrived at `now`; the times of `hop` count from then.
     pub fn new(now: Instant, hop: Hop, mut parts: Parts, body: SendableBody) -> Self {
         forwarding::strip_hop_by_hop(&mut parts.headers);
-        forwarding::strip_between_daemons(&mut parts.headers);
+        forwarding::strip_internal_headers(&mut parts.headers);
         let deadline = CallDeadline::new(now + Duration::from_millis(hop.left_ms.into()));
         let on_time_by = now + Duration::from_millis(hop.on_time_left_ms.into());
         Self { hop, deadline, on_time_by, came_at: now, queued: None, parts, body }
@@ -63,7 +63,7 @@
     /// Returns the fingerprint that identifies the request when its caller sends it again.
     pub fn fingerprint(&self) -> Fingerprint {
         let uri = &self.parts.uri;
-        let body = self.body.kept().map_or(&[][..], |body| &body[..]);
+        let body = self.body.buffered().map_or(&[][..], |body| &body[..]);
         let parts = FingerprintParts {
             service: &self.hop.service,
             method: self.parts.method.as_str(),
@@ -77,14 +77,14 @@
 
     /// Builds the request for `target` and takes the body.
     pub fn target_request(&mut self, target: &str) -> Request<CallBody> {
-        let mut request = Request::new(self.body.take());
+        let mut request = Request::new(self.body.next_body());
         *request.method_mut() = self.parts.method.clone();
         *request.uri_mut() = self.parts.uri.clone();
         let map = request.headers_mut();
         map.clone_from(&self.parts.headers);
-        forwarding::set(map, headers::MEANT_FOR, target);
+        forwarding::set_header(map, headers::MEANT_FOR, target);
         let left_ms = self.deadline.remaining(Instant::now()).as_millis();
-        forwarding::set(map, headers::TIME_LEFT_MS, &left_ms.to_string());
+        forwarding::set_header(map, headers::TIME_LEFT_MS, &left_ms.to_string());
         request
     }
 }
--- a/crates/yuccarackd/src/coordination/routed/gate/server.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/server.rs
@@ -10,7 +10,7 @@
     protocol::{
         body::{CallBody, SendableBody},
         hop::{HOP, Hop},
-        peer_news::{CRASHED, NewsQuestion},
+        peer_update::{CRASH_SUSPECTS, UpdateRequest},
         refusal::{Reason, Refusal},
     },
     transport::call_server::{Arrival, CallHandler},
@@ -48,16 +48,16 @@
         _arrival: Arrival,
         request: Request<CallBody>,
     ) -> Response<CallBody> {
-        if let Some(query) = NewsQuestion::from_headers(request.headers()) {
+        if let Some(query) = UpdateRequest::from_headers(request.headers()) {
             return self.peers.respond(query);
         }
-        if let Some(report) = request.headers().get(CRASHED) {
+        if let Some(report) = request.headers().get(CRASH_SUSPECTS) {
             self.gate.parts.crashes.receive_report(report);
             return Response::new(crate::protocol::body::empty());
         }
         let (parts, body) = request.into_parts();
         let response = self.forward(parts, body).await;
-        let mut response = response.unwrap_or_else(Refusal::into_routed_answer);
+        let mut response = response.unwrap_or_else(Refusal::into_routed_response);
         self.gate.add_status_header(&mut response);
         if self.gate.parts.leaving.is_cancelled() {
             let close = HeaderValue::from_static("close");
--- a/crates/yuccarackd/src/coordination/routed/log_lines/cluster_state.rs
+++ b/crates/yuccarackd/src/coordination/routed/log_lines/cluster_state.rs
@@ -2,7 +2,7 @@
 
 use yuccarack_config::{ids::Revision, routing::RoutingVersion};
 
-use crate::{coordination::routed::events::EventKind, protocol::peer_news::DatedEvacuation};
+use crate::{coordination::routed::events::EventKind, protocol::peer_update::VersionedEvacuation};
 
 log_lines! {
     /// The evacuation of a failure domain started or ended.
@@ -203,8 +203,8 @@
 
 impl EvacuationChanged {
     /// Builds the line of `dated`, which came `from` the store or another daemon.
-    pub fn new(dated: DatedEvacuation, from: String) -> Self {
-        let DatedEvacuation { failure_domain, revision, is_evacuated } = dated;
+    pub fn new(dated: VersionedEvacuation, from: String) -> Self {
+        let VersionedEvacuation { failure_domain, revision, is_evacuated } = dated;
         Self { failure_domain, is_evacuated, revision, from }
     }
 }
--- a/crates/yuccarackd/src/coordination/routed/metrics_server.rs
+++ b/crates/yuccarackd/src/coordination/routed/metrics_server.rs
@@ -32,7 +32,7 @@
         if request.method() != Method::GET || request.uri().path() != PATH {
             return status_only(StatusCode::NOT_FOUND);
         }
-        match self.metrics.text() {
+        match self.metrics.encode() {
             Ok(text) => {
                 let mut response = Response::new(body::full(text.into()));
                 let content_type = HeaderValue::from_static(CONTENT_TYPE);
--- a/crates/yuccarackd/src/coordination/routed/peers/intake.rs
+++ b/crates/yuccarackd/src/coordination/routed/peers/intake.rs
@@ -13,7 +13,7 @@
     },
     protocol::{
         packed_changes::{PackError, PackedChanges},
-        peer_news::{DatedMember, PeerNews},
+        peer_update::{PeerUpdate, VersionedMember},
     },
 };
 
@@ -33,10 +33,10 @@
     pub(in crate::coordination::routed) fn apply_update(
         &self,
         address: SocketAddr,
-        update: PeerNews,
+        update: PeerUpdate,
     ) {
         let parts = &self.inner.parts;
-        let listed = update.whole_as_of();
+        let listed = update.complete_as_of();
         if let Some(changes) = &update.changes {
             self.apply_changes(address, changes);
         }
@@ -54,7 +54,7 @@
             }
         }
         for dated in update.members {
-            let DatedMember { instance, revision, member } = dated;
+            let VersionedMember { instance, revision, member } = dated;
             let service = member.as_ref().and_then(|member| member.service.clone());
             if parts.members.merge(&instance, revision, member) {
                 let (member, from) = (instance, "peer");
--- a/crates/yuccarackd/src/coordination/routed/peers/mod.rs
+++ b/crates/yuccarackd/src/coordination/routed/peers/mod.rs
@@ -34,16 +34,18 @@
     protocol::{
         body::{self, BodyError, CallBody},
         packed_changes::PackedChanges,
-        peer_news::{ChangesTaken, KnownUpTo, NewsQuestion, NewsQuestionError, PeerNews},
+        peer_update::{
+            AcceptedChanges, PeerUpdate, SyncedRevisions, UpdateRequest, UpdateRequestError,
+        },
     },
     state::{
         counters::Counters,
         routed::{
             evacuations::Evacuations,
             members::Members,
-            news_source::{Followed, News, NewsSource},
             routing_state::RoutingState,
             transfers::Transfers,
+            update_source::{FollowedTable, SyncState, UpdateSource},
         },
     },
     transport::{
@@ -112,7 +114,7 @@
     /// Evacuated failure domains.
     pub evacuations: Evacuations,
     /// Source of this daemon's updates.
-    pub news: News,
+    pub news: SyncState,
     /// Transfers of the routing table in progress.
     pub transfers: Transfers,
     /// Cancelled once this daemon is told to stop.
@@ -169,7 +171,8 @@
         loop {
             let source = *source_changes.borrow_and_update();
             self.query_random_peer(source).await;
-            let pause = if source == NewsSource::Nobody { QUERY_INTERVAL } else { CHECK_INTERVAL };
+            let pause =
+                if source == UpdateSource::Unassigned { QUERY_INTERVAL } else { CHECK_INTERVAL };
             tokio::select! {
                 () = stop.cancelled() => return,
                 () = sleep(jittered(pause)) => {}
@@ -178,12 +181,12 @@
         }
     }
 
-    async fn query_random_peer(&self, source: NewsSource) {
+    async fn query_random_peer(&self, source: UpdateSource) {
         let (scope, candidates) = match source {
-            NewsSource::Nobody => (UpdateScope::All, self.all_addresses()),
-            NewsSource::Store => (UpdateScope::Routing, self.relays()),
+            UpdateSource::Unassigned => (UpdateScope::All, self.all_addresses()),
+            UpdateSource::Store => (UpdateScope::Routing, self.relays()),
             // The relay checks on behalf of all daemons that it sends updates to.
-            NewsSource::Relay => return,
+            UpdateSource::Relay => return,
         };
         let chosen = self.without_self(candidates).choose(&mut rand::rng()).copied();
         if let Some(address) = chosen {
@@ -198,24 +201,24 @@
 
     /// Returns which changes of the routing table to request: beside a transfer that makes
     /// progress, only those small enough to leave its bandwidth alone.
-    fn changes_to_request(&self) -> ChangesTaken {
-        match self.inner.parts.transfers.make_progress() {
-            true => ChangesTaken::Small,
-            false => ChangesTaken::All,
+    fn changes_to_request(&self) -> AcceptedChanges {
+        match self.inner.parts.transfers.is_any_progressing() {
+            true => AcceptedChanges::Small,
+            false => AcceptedChanges::All,
         }
     }
 
     /// Responds to the query of a peer.
-    pub fn respond(&self, query: Result<NewsQuestion, NewsQuestionError>) -> Response<CallBody> {
+    pub fn respond(&self, query: Result<UpdateRequest, UpdateRequestError>) -> Response<CallBody> {
         let parts = &self.inner.parts;
         let Ok(query) = query else {
             parts.counters.add("peers.unreadable");
             return status_only(StatusCode::BAD_REQUEST);
         };
-        if query.is_lasting {
+        if query.is_streaming {
             return Response::new(RelayStream::new(self.clone(), query).into_body());
         }
-        match serde_json::to_vec(&self.update_for(&query, parts.news.to_relay())) {
+        match serde_json::to_vec(&self.update_for(&query, parts.news.synced_for_relay())) {
             Ok(text) => Response::new(body::full(text.into())),
             Err(error) => {
                 parts.events.write(|| UpdateNotEncoded { cause: error.to_string() });
@@ -228,28 +231,28 @@
     /// store.
     pub(in crate::coordination::routed) fn update_for(
         &self,
-        query: &NewsQuestion,
-        known: Option<KnownUpTo>,
-    ) -> PeerNews {
+        query: &UpdateRequest,
+        known: Option<SyncedRevisions>,
+    ) -> PeerUpdate {
         let parts = &self.inner.parts;
         // Read before the table: otherwise a version whose table is not sent would count as sent.
         let routing_version = parts.routing.version();
         let is_newer = |version| version > query.routing_version;
         let (base, packer) = (query.routing_version, &self.inner.packer);
         let (routing, changes) = match query.changes {
-            ChangesTaken::None => (parts.routing.current(), None),
-            ChangesTaken::Small => (None, packer.small_changes_since(base)),
-            ChangesTaken::All => (None, packer.changes_since(base)),
+            AcceptedChanges::None => (parts.routing.current(), None),
+            AcceptedChanges::Small => (None, packer.small_changes_since(base)),
+            AcceptedChanges::All => (None, packer.changes_since(base)),
         };
         let routing = routing.filter(|routing| is_newer(routing.version()));
         // Rows that were removed before this daemon listed the members are not among its known
         // changes.
         let after = query.members_after;
-        let knows_changes = |after: Revision| parts.news.knows_who_went_after(after);
+        let knows_changes = |after: Revision| parts.news.knows_removals_after(after);
         let is_whole = known.is_some() && after.is_some_and(|after| !knows_changes(after));
         let after = if is_whole { Some(0) } else { after };
         let members = after.map(|after| parts.members.changed_after(after));
-        PeerNews {
+        PeerUpdate {
             routing_version,
             routing: routing.map(|routing| routing.table().clone()),
             changes: changes.map(|changes| PackedChanges::clone(&changes)),
@@ -286,25 +289,25 @@
         &self,
         address: SocketAddr,
         scope: UpdateScope,
-    ) -> Result<PeerNews, PeerError> {
+    ) -> Result<PeerUpdate, PeerError> {
         let changes = self.changes_to_request();
         // Without the store this query is sent twice a second; a list of all members each time
         // would fill thin links.
-        let members_known = self.inner.parts.news.known_up_to(Followed::Members).unwrap_or(0);
+        let members_known = self.inner.parts.news.synced_up_to(FollowedTable::Members).unwrap_or(0);
         let routing_version = match self.inner.needs_full_routing.load(Ordering::Relaxed) {
             true => 0,
             false => self.inner.parts.routing.version(),
         };
-        let query = NewsQuestion {
+        let query = UpdateRequest {
             routing_version,
             members_after: (scope == UpdateScope::All).then_some(members_known),
-            is_lasting: false,
+            is_streaming: false,
             changes,
         };
         let sent = self.send(address, &query, Freshness::Kept);
         let response = timeout(RESPONSE_HEAD_TIMEOUT, sent).await??;
         let transfer = self.inner.parts.transfers.begin();
-        let text = read_full(response.into_body(), |bytes| transfer.note(bytes)).await?;
+        let text = read_full(response.into_body(), |bytes| transfer.record_bytes(bytes)).await?;
         Ok(serde_json::from_slice(&text)?)
     }
 
@@ -312,7 +315,7 @@
     pub(in crate::coordination::routed) async fn send(
         &self,
         address: SocketAddr,
-        query: &NewsQuestion,
+        query: &UpdateRequest,
         freshness: Freshness,
     ) -> Result<Response<CallBody>, SendError> {
         let mut request = Request::new(body::empty());
--- a/crates/yuccarackd/src/coordination/routed/relay_follower.rs
+++ b/crates/yuccarackd/src/coordination/routed/relay_follower.rs
@@ -20,11 +20,11 @@
     coordination::jitter::jittered,
     protocol::{
         body::{BodyError, CallBody},
-        peer_news::{ChangesTaken, NewsQuestion, PeerNews},
+        peer_update::{AcceptedChanges, PeerUpdate, UpdateRequest},
     },
     state::routed::{
-        news_source::{Followed, NewsSource},
         transfers::Transfers,
+        update_source::{FollowedTable, UpdateSource},
     },
     transport::{connection::SendError, upstream::Freshness},
 };
@@ -149,13 +149,13 @@
     /// Runs until it is dropped.
     pub async fn run(mut self) {
         let members = self.peers.parts().members.clone();
-        members.wait_read().await;
+        members.wait_loaded().await;
         self.relays_only_until = Instant::now() + RELAYS_ONLY_MAX;
         let mut changes = members.subscribe();
         loop {
             changes.borrow_and_update();
             let Standing::IsTold(relays) = self.standing() else {
-                self.peers.parts().news.set_asks_store(true);
+                self.peers.parts().news.set_queries_store(true);
                 if changes.changed().await.is_err() {
                     return;
                 }
@@ -194,14 +194,14 @@
     /// daemon's turn. Returns when to go on.
     async fn query_store_without_relay(&mut self, none: NoRelayAvailable) -> Instant {
         let news = self.peers.parts().news.clone();
-        let is_served = news.asks_store() && news.source() == NewsSource::Store;
+        let is_served = news.queries_store() && news.source() == UpdateSource::Store;
         let has_routes = self.peers.parts().routing.version() > 0;
         if is_served || !none.are_unserved || !has_routes {
-            news.set_asks_store(true);
+            news.set_queries_store(true);
             return none.retry_at;
         }
-        news.set_asks_store(false);
-        news.set_source(NewsSource::Nobody);
+        news.set_queries_store(false);
+        news.set_source(UpdateSource::Unassigned);
         let interval = store_look_interval(self.domain_size());
         let now = Instant::now();
         let new_period =
@@ -213,7 +213,7 @@
         unserved.poll_at = now + jittered(interval);
         if self.store.row(MEMBERS_TABLE, &self.instance).await.is_ok() {
             // Other daemons find out by querying all daemons that they know.
-            news.set_asks_store(true);
+            news.set_queries_store(true);
         }
         none.retry_at
     }
@@ -254,7 +254,7 @@
         parts.counters.add("relay.lost");
         let cause = error.to_string();
         parts.events.write(|| RelayLost { relay: relay.clone(), cause });
-        if parts.news.source() == NewsSource::Relay {
+        if parts.news.source() == UpdateSource::Relay {
             self.unserved = None;
         }
         let is_unserved = matches!(error, RelayError::NotRelay);
@@ -279,19 +279,19 @@
         if let Ok(result) = timeout_at(self.relays_only_until, &mut lines).await {
             return result;
         }
-        if parts.routing.version() == 0 && parts.news.source() != NewsSource::Relay {
-            parts.news.set_asks_store(true);
+        if parts.routing.version() == 0 && parts.news.source() != UpdateSource::Relay {
+            parts.news.set_queries_store(true);
         }
         lines.await
     }
 
     async fn receive_lines(&self, relay: &str, address: SocketAddr) -> Result<(), RelayError> {
         let parts = self.peers.parts();
-        let query = NewsQuestion {
+        let query = UpdateRequest {
             routing_version: parts.routing.version(),
-            members_after: Some(parts.news.known_up_to(Followed::Members).unwrap_or(0)),
-            is_lasting: true,
-            changes: ChangesTaken::Small,
+            members_after: Some(parts.news.synced_up_to(FollowedTable::Members).unwrap_or(0)),
+            is_streaming: true,
+            changes: AcceptedChanges::Small,
         };
         let first_line_timeout = match parts.routing.version() {
             0 => FIRST_LINE_TIMEOUT_AT_START,
@@ -306,7 +306,7 @@
             if line.is_empty() {
                 continue;
             }
-            let update: PeerNews = serde_json::from_slice(&line)?;
+            let update: PeerUpdate = serde_json::from_slice(&line)?;
             let (known, version) = (update.known.clone(), update.routing_version);
             let is_omitted = update.routing.is_none() && update.changes.is_none();
             self.peers.apply_update(address, update);
@@ -317,9 +317,9 @@
             }
             // What such a daemon knows is true all the same, but there will be no more of it.
             let known = known.ok_or(RelayError::NotRelay)?;
-            parts.news.heard_known(known, parts.routing.version() >= version);
-            parts.news.set_asks_store(false);
-            if parts.news.set_source(NewsSource::Relay) != NewsSource::Relay {
+            parts.news.note_relay_synced(known, parts.routing.version() >= version);
+            parts.news.set_queries_store(false);
+            if parts.news.set_source(UpdateSource::Relay) != UpdateSource::Relay {
                 parts.events.write(|| RelayConnected { relay: relay.to_owned() });
             }
             if self.standing() == Standing::Asks {
@@ -360,7 +360,7 @@
             let frame = timeout(silence_max, self.body.frame()).await?;
             let frame = frame.ok_or(RelayError::Closed)??;
             if let Ok(data) = frame.into_data() {
-                transfer.note(data.len());
+                transfer.record_bytes(data.len());
                 self.buffer.extend_from_slice(&data);
             }
         }
--- a/crates/yuccarackd/src/coordination/routed/relay_stream.rs
+++ b/crates/yuccarackd/src/coordination/routed/relay_stream.rs
@@ -15,9 +15,9 @@
 use crate::{
     protocol::{
         body::CallBody,
-        peer_news::{NewsQuestion, PeerNews},
+        peer_update::{PeerUpdate, UpdateRequest},
     },
-    state::routed::news_source::{KnownTables, NewsSource},
+    state::routed::update_source::{SyncedTables, UpdateSource},
 };
 
 /// Time after which an empty line shows that the relay is alive.
@@ -48,21 +48,21 @@
 pub struct RelayStream {
     peers: Peers,
     /// What the daemon already has; moved forward with each update sent.
-    query: NewsQuestion,
+    query: UpdateRequest,
     routing: watch::Receiver<u64>,
     evacuations: watch::Receiver<u64>,
-    known: watch::Receiver<KnownTables>,
-    source: watch::Receiver<NewsSource>,
+    known: watch::Receiver<SyncedTables>,
+    source: watch::Receiver<UpdateSource>,
     is_first: bool,
     has_ended: bool,
 }
 
 impl RelayStream {
     /// Creates the response to `query`, from the state that `peers` has.
-    pub fn new(peers: Peers, query: NewsQuestion) -> Self {
+    pub fn new(peers: Peers, query: UpdateRequest) -> Self {
         let parts = peers.parts();
         parts.counters.add("relay.asked");
-        let (routing, known) = (parts.routing.subscribe(), parts.news.subscribe_known());
+        let (routing, known) = (parts.routing.subscribe(), parts.news.subscribe_synced());
         let evacuations = parts.evacuations.subscribe();
         let source = parts.news.subscribe();
         let (is_first, has_ended) = (true, false);
@@ -90,7 +90,7 @@
             return Some(Bytes::from_static(b"\n"));
         }
         let is_leaving = self.peers.parts().leaving.is_cancelled();
-        let known = if is_leaving { None } else { self.peers.parts().news.to_relay() };
+        let known = if is_leaving { None } else { self.peers.parts().news.synced_for_relay() };
         let mut update = self.peers.update_for(&self.query, known);
         update.routing.take_if(|table| table.routes.len() > FULL_TABLE_ROUTES_MAX);
         self.has_ended = update.known.is_none();
@@ -150,7 +150,7 @@
         is_changed
     }
 
-    fn mark_sent(&mut self, update: &PeerNews) {
+    fn mark_sent(&mut self, update: &PeerUpdate) {
         self.query.routing_version = update.routing_version.max(self.query.routing_version);
         if let (Some(known), Some(after)) = (&update.known, &mut self.query.members_after) {
             *after = known.members.max(*after);
--- a/crates/yuccarackd/src/coordination/routed/routing_packer.rs
+++ b/crates/yuccarackd/src/coordination/routed/routing_packer.rs
@@ -7,7 +7,7 @@
 
 use super::{events::EventLog, log_lines::UpdateNotEncoded};
 use crate::{
-    protocol::{packed_changes::PackedChanges, peer_news::SMALL_CHANGES_MAX_BYTES},
+    protocol::{packed_changes::PackedChanges, peer_update::SMALL_CHANGES_MAX_BYTES},
     state::routed::routing_state::RoutingState,
 };
 
--- a/crates/yuccarackd/src/coordination/routed/row_publisher.rs
+++ b/crates/yuccarackd/src/coordination/routed/row_publisher.rs
@@ -24,10 +24,10 @@
 };
 use crate::{
     coordination::jitter::{generator, jittered},
-    protocol::peer_news::RoutedMember,
+    protocol::peer_update::RoutedMember,
     state::routed::{
         members::Members,
-        target::{Departed, RoutedTarget},
+        target::{DepartedTarget, RoutedTarget},
     },
 };
 
@@ -88,9 +88,9 @@
         }
         tokio::select! {
             () = stop.cancelled() => return,
-            () = self.members.wait_read() => {}
+            () = self.members.wait_loaded() => {}
         }
-        let mut stored_departure: Option<Departed> = None;
+        let mut stored_departure: Option<DepartedTarget> = None;
         loop {
             // Without a target the row stays as it is: it names the gate to query, and the gate
             // refuses.
@@ -100,7 +100,7 @@
                 self.member.service = Some(target.service.clone());
                 let (expected_revision, current_row) = self.members.row(&self.member.instance);
                 let stale_rows =
-                    self.members.others_at(self.member.gate_address, &self.member.instance);
+                    self.members.others_at_address(self.member.gate_address, &self.member.instance);
                 let is_latest =
                     stale_rows.iter().all(|(_, revision)| *revision < expected_revision);
                 if !is_latest || current_row.is_none_or(|current_row| *current_row != self.member) {
@@ -138,7 +138,7 @@
         if let Some(service) = self.initial_service.take()
             && self.create_row(service).await
         {
-            self.target.settle(None);
+            self.target.restore_departed(None);
             return;
         }
         self.load_departure().await;
@@ -196,8 +196,9 @@
         };
         let row = row.and_then(|row| row.value);
         let row = row.and_then(|text| self.decode_leaving_row(&text));
-        let departed = row.map(|row| Departed { target: row.target, last_life: row.last_life });
-        self.target.settle(departed);
+        let departed =
+            row.map(|row| DepartedTarget { target: row.target, last_incarnation: row.last_life });
+        self.target.restore_departed(departed);
     }
 
     fn decode_leaving_row(&self, text: &[u8]) -> Option<LeavingRow> {
@@ -212,10 +213,10 @@
 
     /// Stores that the target leaves, for a later process of this daemon; no daemon deletes this
     /// row.
-    async fn store_departure(&self, departed: Option<&Departed>) {
+    async fn store_departure(&self, departed: Option<&DepartedTarget>) {
         let row = departed.map(|departed| LeavingRow {
             target: departed.target.clone(),
-            last_life: departed.last_life,
+            last_life: departed.last_incarnation,
         });
         let value = match row.as_ref().map(serde_json::to_vec).transpose() {
             Ok(value) => value.map(Bytes::from),
--- a/crates/yuccarackd/src/coordination/routed/store_follower.rs
+++ b/crates/yuccarackd/src/coordination/routed/store_follower.rs
@@ -22,9 +22,9 @@
         routed::{
             evacuations::Evacuations,
             members::Members,
-            news_source::{Followed, News, NewsSource},
             routing_state::RoutingState,
             transfers::Transfers,
+            update_source::{FollowedTable, SyncState, UpdateSource},
         },
     },
 };
@@ -96,7 +96,7 @@
     /// Log for changes and store failures.
     pub events: EventLog,
     /// Source of this daemon's updates, and the revision up to which each table is synced.
-    pub news: News,
+    pub news: SyncState,
     /// Time of the store's last response.
     pub last_response: LastStoreResponse,
     /// Transfers of the routing table in progress.
@@ -137,7 +137,7 @@
 impl StoreFollower {
     /// Follows the operators' document until `stop` is cancelled.
     pub async fn follow_routing(self, stop: CancellationToken) {
-        self.follow(Followed::Routing, stop).await;
+        self.follow(FollowedTable::Routing, stop).await;
     }
 
     /// Follows the members until `stop` is cancelled.
@@ -151,7 +151,7 @@
             () = stop.cancelled() => return,
             () = first_read => {}
         }
-        self.follow(Followed::Members, stop).await;
+        self.follow(FollowedTable::Members, stop).await;
     }
 
     /// Reads the members for the first time. They decide whether this daemon keeps querying the
@@ -160,12 +160,12 @@
         sleep_until(self.first_read_at).await;
         let mut retry = RETRY_FIRST;
         while let Err(error) = self.query_members().await {
-            self.news.set_asks_store(false);
-            self.mark_unavailable(Followed::Members, &error);
+            self.news.set_queries_store(false);
+            self.mark_unavailable(FollowedTable::Members, &error);
             sleep(jittered(retry)).await;
             retry = (retry * 2).min(self.retry_max());
         }
-        self.mark_available(Followed::Members);
+        self.mark_available(FollowedTable::Members);
     }
 
     /// Queries the members once, and lets the operators' document be queried beside them when the
@@ -175,11 +175,11 @@
     /// and then to a relay that has waited as long, callers would wait twice as long for the first
     /// routes.
     async fn query_members(&self) -> Result<bool, FeedError> {
-        let mut poll = std::pin::pin!(self.poll(Followed::Members, FEED_WAIT));
+        let mut poll = std::pin::pin!(self.poll(FollowedTable::Members, FEED_WAIT));
         if let Ok(result) = timeout(PROMPT_RESPONSE_MAX, &mut poll).await {
             return result;
         }
-        self.news.set_asks_store(true);
+        self.news.set_queries_store(true);
         poll.await
     }
 
@@ -187,7 +187,7 @@
     pub async fn fetch_routing_table(&self) {
         let started_at = Instant::now();
         let transfer = self.transfers.begin();
-        match self.store.read(routing::TABLE, |bytes| transfer.note(bytes)).await {
+        match self.store.read(routing::TABLE, |bytes| transfer.record_bytes(bytes)).await {
             Ok(snapshot) => self.apply_full_routing(snapshot),
             Err(error) => {
                 self.counters.add("store.failures");
@@ -198,23 +198,23 @@
         }
     }
 
-    async fn follow(&self, table: Followed, stop: CancellationToken) {
+    async fn follow(&self, table: FollowedTable, stop: CancellationToken) {
         let mut retry = RETRY_FIRST;
         let mut cautious_until = Instant::now();
         loop {
             tokio::select! {
                 () = stop.cancelled() => return,
-                () = self.news.wait_asks_store(true) => {}
+                () = self.news.wait_queries_store(true) => {}
             }
             let wait = match self.news.source() {
-                NewsSource::Store if Instant::now() >= cautious_until => FEED_WAIT,
-                NewsSource::Store => FEED_WAIT_CAUTIOUS,
-                NewsSource::Relay | NewsSource::Nobody => FEED_WAIT_FIRST,
+                UpdateSource::Store if Instant::now() >= cautious_until => FEED_WAIT,
+                UpdateSource::Store => FEED_WAIT_CAUTIOUS,
+                UpdateSource::Relay | UpdateSource::Unassigned => FEED_WAIT_FIRST,
             };
             let result = tokio::select! {
                 () = stop.cancelled() => return,
                 // A relay sends what the cancelled poll has not returned yet.
-                () = self.news.wait_asks_store(false) => continue,
+                () = self.news.wait_queries_store(false) => continue,
                 result = self.poll(table, wait) => result,
             };
             let pause = match result {
@@ -226,7 +226,7 @@
                 Err(error) => {
                     if matches!(error, FeedError::HistoryLost) {
                         // Only a full read of the table shows what was missed.
-                        self.news.set_known(table, None);
+                        self.news.set_synced_up_to(table, None);
                     }
                     self.mark_unavailable(table, &error);
                     cautious_until = Instant::now() + CAUTIOUS_PERIOD;
@@ -250,40 +250,40 @@
     }
 
     /// Polls the store once; returns whether there were changes.
-    async fn poll(&self, table: Followed, wait: Duration) -> Result<bool, FeedError> {
-        let transfer = (table == Followed::Routing).then(|| self.transfers.begin());
+    async fn poll(&self, table: FollowedTable, wait: Duration) -> Result<bool, FeedError> {
+        let transfer = (table == FollowedTable::Routing).then(|| self.transfers.begin());
         let on_bytes = |bytes| {
             if let Some(transfer) = &transfer {
-                transfer.note(bytes);
+                transfer.record_bytes(bytes);
             }
         };
-        let Some(after) = self.news.known_up_to(table) else {
+        let Some(after) = self.news.synced_up_to(table) else {
             let snapshot = self.store.read(table_name(table), on_bytes).await?;
             let revision = snapshot.revision;
             match table {
-                Followed::Routing => self.apply_full_routing(snapshot),
-                Followed::Members => self.apply_full_members(snapshot),
+                FollowedTable::Routing => self.apply_full_routing(snapshot),
+                FollowedTable::Members => self.apply_full_members(snapshot),
             }
-            self.news.set_known(table, Some(revision));
-            return Ok(table == Followed::Members);
+            self.news.set_synced_up_to(table, Some(revision));
+            return Ok(table == FollowedTable::Members);
         };
         let changes = self.store.changes(table_name(table), after, wait, on_bytes).await?;
         let has_changes = !changes.rows.is_empty();
         changes.rows.into_iter().for_each(|row| self.apply_row(table, row));
-        self.news.set_known(table, Some(changes.revision.max(after)));
+        self.news.set_synced_up_to(table, Some(changes.revision.max(after)));
         Ok(has_changes)
     }
 
-    fn mark_available(&self, table: Followed) {
+    fn mark_available(&self, table: FollowedTable) {
         self.last_response.record();
-        if self.news.set_source(NewsSource::Store) == NewsSource::Nobody {
+        if self.news.set_source(UpdateSource::Store) == UpdateSource::Unassigned {
             self.events.write(|| StoreAvailable { table: table_name(table) });
         }
     }
 
-    fn mark_unavailable(&self, table: Followed, error: &FeedError) {
+    fn mark_unavailable(&self, table: FollowedTable, error: &FeedError) {
         self.counters.add("store.failures");
-        if self.news.set_source(NewsSource::Nobody) != NewsSource::Nobody {
+        if self.news.set_source(UpdateSource::Unassigned) != UpdateSource::Unassigned {
             let (table, cause) = (table_name(table), error.to_string());
             self.events.write(|| StoreUnavailable { table, cause });
         }
@@ -313,16 +313,16 @@
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
 
-fn table_name(table: Followed) -> &'static str {
+fn table_name(table: FollowedTable) -> &'static str {
     match table {
-        Followed::Routing => routing::TABLE,
-        Followed::Members => MEMBERS_TABLE,
+        FollowedTable::Routing => routing::TABLE,
+        FollowedTable::Members => MEMBERS_TABLE,
     }
 }
 
-fn pause_after(table: Followed) -> Duration {
+fn pause_after(table: FollowedTable) -> Duration {
     match table {
-        Followed::Routing => ROUTING_PAUSE,
-        Followed::Members => MEMBERS_PAUSE,
+        FollowedTable::Routing => ROUTING_PAUSE,
+        FollowedTable::Members => MEMBERS_PAUSE,
     }
 }
--- a/crates/yuccarackd/src/coordination/routed/store_follower/intake.rs
+++ b/crates/yuccarackd/src/coordination/routed/store_follower/intake.rs
@@ -10,15 +10,15 @@
         EvacuationChanged, MemberChanged, MemberRowRejected, RoutingDocumentRejected,
         RoutingFieldSubstituted, RoutingInForce,
     },
-    protocol::peer_news::{DatedEvacuation, RoutedMember},
-    state::routed::news_source::Followed,
+    protocol::peer_update::{RoutedMember, VersionedEvacuation},
+    state::routed::update_source::FollowedTable,
 };
 
 impl StoreFollower {
-    pub(super) fn apply_row(&self, table: Followed, row: FeedRow) {
+    pub(super) fn apply_row(&self, table: FollowedTable, row: FeedRow) {
         match table {
-            Followed::Routing => self.apply_routing_row(row),
-            Followed::Members => self.apply_member_row(row),
+            FollowedTable::Routing => self.apply_routing_row(row),
+            FollowedTable::Members => self.apply_member_row(row),
         }
     }
 
@@ -27,7 +27,7 @@
         snapshot.rows.into_iter().for_each(|row| self.apply_member_row(row));
         self.members.drop_unlisted(snapshot.revision, &listed);
         self.news.set_members_listed(snapshot.revision);
-        self.members.set_read();
+        self.members.mark_loaded();
     }
 
     /// Applies a full read of the operators' tables; evacuations that it doesn't list have ended.
@@ -35,12 +35,12 @@
         let domains = snapshot.rows.iter().filter_map(|row| routing::evacuated_domain(&row.key));
         let listed: Vec<_> = domains.map(str::to_owned).collect();
         snapshot.rows.into_iter().for_each(|row| self.apply_routing_row(row));
-        for ended in self.evacuations.unlisted(snapshot.revision, &listed) {
+        for ended in self.evacuations.find_cancelled(snapshot.revision, &listed) {
             self.apply_evacuation(ended);
         }
     }
 
-    fn apply_evacuation(&self, dated: DatedEvacuation) {
+    fn apply_evacuation(&self, dated: VersionedEvacuation) {
         if self.evacuations.merge(&dated) {
             self.events.write(|| EvacuationChanged::new(dated, STORE.to_owned()));
         }
@@ -50,7 +50,7 @@
         if let Some(domain) = routing::evacuated_domain(&row.key) {
             let failure_domain = domain.to_owned();
             let (revision, is_evacuated) = (row.revision, row.value.is_some());
-            self.apply_evacuation(DatedEvacuation { failure_domain, revision, is_evacuated });
+            self.apply_evacuation(VersionedEvacuation { failure_domain, revision, is_evacuated });
             return;
         }
         let Some(value) = row.value.filter(|_| row.key == routing::KEY) else { return };
--- a/crates/yuccarackd/src/coordination/rules_sync.rs
+++ b/crates/yuccarackd/src/coordination/rules_sync.rs
@@ -145,8 +145,8 @@
             return;
         }
         match self.load(service).await {
-            Ok(true) => self.directory.settle(service),
-            Ok(false) => self.directory.settle_failed(service, DirectoryError::UnknownService),
+            Ok(true) => self.directory.complete_lookup(service),
+            Ok(false) => self.directory.fail_lookup(service, DirectoryError::UnknownService),
             Err(_) => self.load_from_peers(service).await,
         }
     }
@@ -165,10 +165,10 @@
     async fn load_from_peers(&self, service: &str) {
         if find(service, &self.settings, &self.directory, &self.gossip).await {
             self.counters.add("rules.found_by_peers");
-            self.directory.settle(service);
+            self.directory.complete_lookup(service);
             return;
         }
-        self.directory.settle_failed(service, DirectoryError::StoreAway);
+        self.directory.fail_lookup(service, DirectoryError::StoreUnavailable);
     }
 
     /// Takes all in that the table knows of a service; says whether it has rules or had some.
@@ -257,7 +257,7 @@
                 "from" => "table");
             self.changed.notify_one();
         }
-        self.directory.settle(service);
+        self.directory.complete_lookup(service);
     }
 
     async fn poll_members(&self, service: &str) {
@@ -269,7 +269,7 @@
         if !news.is_empty() {
             self.changed.notify_one();
         }
-        for row in self.directory.forget_gone(service, GONE_KEPT) {
+        for row in self.directory.forget_removed(service, GONE_KEPT) {
             self.delete_gone(&row, &listed).await;
         }
     }
--- a/crates/yuccarackd/src/coordination/suspects/attempt.rs
+++ b/crates/yuccarackd/src/coordination/suspects/attempt.rs
@@ -16,7 +16,7 @@
     shared::{Found, Shared},
     trial::{Ended, Trial, TrialParts, TrialVerdict},
 };
-use crate::protocol::suspect_news::SuspectEvent;
+use crate::protocol::suspect_update::SuspectEvent;
 
 /// Said to callers whose request is on trial or whose store is away.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
--- a/crates/yuccarackd/src/coordination/suspects/keeper.rs
+++ b/crates/yuccarackd/src/coordination/suspects/keeper.rs
@@ -23,7 +23,7 @@
     trial::{Ended, TrialParts, TrialVerdict},
 };
 use crate::{
-    protocol::{control::UrgentNews, suspect_news::SuspectEvent},
+    protocol::{control::UrgentUpdate, suspect_update::SuspectEvent},
     state::counters::Counters,
 };
 
@@ -45,8 +45,8 @@
         platform: PlatformClient,
         instance: InstanceId,
         counters: Counters,
-        news: mpsc::Sender<UrgentNews>,
-        heard: mpsc::Receiver<UrgentNews>,
+        news: mpsc::Sender<UrgentUpdate>,
+        heard: mpsc::Receiver<UrgentUpdate>,
         tasks: &TaskTracker,
         stop: CancellationToken,
     ) -> Self {
--- a/crates/yuccarackd/src/coordination/suspects/listener.rs
+++ b/crates/yuccarackd/src/coordination/suspects/listener.rs
@@ -16,7 +16,7 @@
     shared::Shared,
     trial::{Ended, TrialParts},
 };
-use crate::protocol::{control::UrgentNews, suspect_news::SuspectEvent};
+use crate::protocol::{control::UrgentUpdate, suspect_update::SuspectEvent};
 
 /// How long a request whose caller hung up may still be laid to the target's death.
 const SILENT_TRIAL_KEPT: Duration = Duration::from_secs(10);
@@ -24,7 +24,7 @@
 /// Takes news and ends of trials into the memory.
 pub struct Listener {
     shared: Shared,
-    heard: Receiver<UrgentNews>,
+    heard: Receiver<UrgentUpdate>,
     ended: UnboundedReceiver<Ended>,
     /// Trials that ended without a word, each with the end of its time.
     silent: VecDeque<(Instant, TrialParts)>,
@@ -34,7 +34,7 @@
     /// Makes a listener.
     pub fn new(
         shared: Shared,
-        heard: Receiver<UrgentNews>,
+        heard: Receiver<UrgentUpdate>,
         ended: UnboundedReceiver<Ended>,
     ) -> Self {
         Self { shared, heard, ended, silent: VecDeque::new() }
@@ -58,8 +58,8 @@
         }
     }
 
-    fn hear(&self, news: &UrgentNews) {
-        let UrgentNews::Suspects(news) = news;
+    fn hear(&self, news: &UrgentUpdate) {
+        let UrgentUpdate::Suspects(news) = news;
         self.shared.counters.add_many("suspects.news_heard", news.len() as u64);
         let mut memory = self.shared.memory.lock();
         news.iter().for_each(|news| memory.hear(Instant::now(), news));
--- a/crates/yuccarackd/src/coordination/suspects/memory.rs
+++ b/crates/yuccarackd/src/coordination/suspects/memory.rs
@@ -8,7 +8,7 @@
 use yuccarack_config::ids::{AttemptId, Fingerprint, InstanceId};
 use yuccarack_policy::suspects::{SuspectPhase, Suspects, SuspectsConfig, Verdict};
 
-use crate::protocol::suspect_news::{SuspectEvent, SuspectNews};
+use crate::protocol::suspect_update::{SuspectEvent, SuspectUpdate};
 
 /// Deaths in whose course a request was in flight, after which it is quarantined.
 pub(super) const DEATHS_MAX: usize = 2;
@@ -74,7 +74,7 @@
     }
 
     /// Takes over what a peer saw.
-    pub fn hear(&mut self, now: Instant, news: &SuspectNews) {
+    pub fn hear(&mut self, now: Instant, news: &SuspectUpdate) {
         let fingerprint = news.fingerprint;
         match news.event {
             SuspectEvent::TargetDied => {
--- a/crates/yuccarackd/src/coordination/suspects/shared.rs
+++ b/crates/yuccarackd/src/coordination/suspects/shared.rs
@@ -14,8 +14,8 @@
 use super::{memory::Memory, row::Change};
 use crate::{
     protocol::{
-        control::UrgentNews,
-        suspect_news::{SuspectEvent, SuspectNews},
+        control::UrgentUpdate,
+        suspect_update::{SuspectEvent, SuspectUpdate},
     },
     state::counters::Counters,
 };
@@ -54,7 +54,7 @@
     /// What is known here.
     pub memory: Arc<Mutex<Memory>>,
     /// News for all members of the service.
-    pub news: Sender<UrgentNews>,
+    pub news: Sender<UrgentUpdate>,
     /// Changes for the recorder.
     pub changes: UnboundedSender<PendingChange>,
 }
@@ -63,13 +63,13 @@
     /// Tells all members; without room the table's next reading tells them.
     pub fn tell(&self, service: &str, events: &[(Fingerprint, SuspectEvent)]) {
         for events in events.chunks(EVENTS_PER_MESSAGE_MAX) {
-            let news = events.iter().map(|&(fingerprint, event)| SuspectNews {
+            let news = events.iter().map(|&(fingerprint, event)| SuspectUpdate {
                 service: service.to_owned(),
                 fingerprint,
                 event,
                 instance: self.instance.clone(),
             });
-            if self.news.try_send(UrgentNews::Suspects(news.collect())).is_err() {
+            if self.news.try_send(UrgentUpdate::Suspects(news.collect())).is_err() {
                 self.counters.add("suspects.news_dropped");
             }
         }
--- a/crates/yuccarackd/src/coordination/table.rs
+++ b/crates/yuccarackd/src/coordination/table.rs
@@ -50,7 +50,7 @@
 
     /// Whether the last question got no answer.
     pub fn is_away(&self) -> bool {
-        self.health.is_away()
+        self.health.is_unavailable()
     }
 
     /// Reads the rules of `service` and their revision.
--- a/crates/yuccarackd/src/daemon/routed/wiring.rs
+++ b/crates/yuccarackd/src/daemon/routed/wiring.rs
@@ -23,7 +23,7 @@
         sweeper::Sweeper,
     },
     daemon::lifetimes::{Stops, Tasks},
-    protocol::peer_news::RoutedMember,
+    protocol::peer_update::RoutedMember,
     state::{
         counters::Counters,
         routed::{
@@ -31,10 +31,10 @@
             live_settings::LiveSettings,
             members::Members,
             metrics::Metrics,
-            news_source::{News, NewsSource},
             routing_state::RoutingState,
             target::RoutedTarget,
             transfers::Transfers,
+            update_source::{SyncState, UpdateSource},
         },
     },
     transport::{call_server::CallServer, upstream::Upstream},
@@ -92,9 +92,9 @@
     pub(super) fn start_state(&self) -> (Peers, RowPublisher) {
         let platform = PlatformClient::new(self.settings.current().store_address, RESPONSE_TIMEOUT);
         let store = StoreClient::new(platform, self.counters.clone());
-        let (news, transfers) = (News::new(), Transfers::new());
+        let (news, transfers) = (SyncState::new(), Transfers::new());
         // Who is told by a relay is known with the members.
-        news.set_asks_store(false);
+        news.set_queries_store(false);
         let settings = self.settings.current();
         let peers = Peers::new(PeersParts {
             own_address: settings.advertised_gate_address(),
@@ -145,44 +145,57 @@
         let (members, target) = (self.members.clone(), self.target.clone());
         let (news, told, last_response) =
             (follower.news.clone(), follower.news.clone(), follower.last_response.clone());
-        metrics.tell("routing_version", "Version of the routing table in force.", move || {
-            i64::try_from(routing.version()).unwrap_or(i64::MAX)
-        });
-        metrics.tell(
+        metrics.register_gauge(
+            "routing_version",
+            "Version of the routing table in force.",
+            move || i64::try_from(routing.version()).unwrap_or(i64::MAX),
+        );
+        metrics.register_gauge(
             "routing_age_seconds",
             "Time since it came in force; -1 without.",
             move || age.in_force_for().map_or(-1, whole_seconds),
         );
-        metrics.tell("routing_newest_version", "Newest version known of.", move || {
+        metrics.register_gauge("routing_newest_version", "Newest version known of.", move || {
             i64::try_from(newest.newest_version()).unwrap_or(i64::MAX)
         });
-        metrics.tell(
+        metrics.register_gauge(
             "routing_behind_milliseconds",
             "Time since a newer version than the one in force was known of; 0 without one.",
             move || i64::try_from(behind.behind_for().as_millis()).unwrap_or(i64::MAX),
         );
         let (evacuations, own) = (self.evacuations.clone(), self.evacuations.clone());
         let settings = self.settings.clone();
-        metrics.tell("domains_evacuated", "Failure domains that are evacuated.", move || {
-            count(evacuations.count())
-        });
-        metrics.tell(
+        metrics.register_gauge(
+            "domains_evacuated",
+            "Failure domains that are evacuated.",
+            move || count(evacuations.count()),
+        );
+        metrics.register_gauge(
             "target_evacuated",
             "Whether the own target gets nothing for that, 1 or 0.",
             move || i64::from(own.is_evacuated(&settings.current().failure_domain)),
         );
-        metrics.tell("members", "Instances that are known.", move || count(members.count()));
-        metrics.tell("target_ready", "Whether the own target takes work, 1 or 0.", move || {
-            let ready = target.current().filter(|view| view.phase == TargetPhase::Ready);
-            i64::from(ready.is_some())
-        });
-        metrics.tell("store_served", "Whether the store's news come in, 1 or 0.", move || {
-            i64::from(news.source() != NewsSource::Nobody)
-        });
-        metrics.tell("news_relayed", "Whether they come by another daemon, 1 or 0.", move || {
-            i64::from(told.source() == NewsSource::Relay)
-        });
-        metrics.tell("store_silence_seconds", "Time since its last answer.", move || {
+        metrics
+            .register_gauge("members", "Instances that are known.", move || count(members.count()));
+        metrics.register_gauge(
+            "target_ready",
+            "Whether the own target takes work, 1 or 0.",
+            move || {
+                let ready = target.current().filter(|view| view.phase == TargetPhase::Ready);
+                i64::from(ready.is_some())
+            },
+        );
+        metrics.register_gauge(
+            "store_served",
+            "Whether the store's news come in, 1 or 0.",
+            move || i64::from(news.source() != UpdateSource::Unassigned),
+        );
+        metrics.register_gauge(
+            "news_relayed",
+            "Whether they come by another daemon, 1 or 0.",
+            move || i64::from(told.source() == UpdateSource::Relay),
+        );
+        metrics.register_gauge("store_silence_seconds", "Time since its last answer.", move || {
             whole_seconds(last_response.age())
         });
     }
@@ -237,9 +250,11 @@
         self.spawn_until_stop(Arc::clone(&entry).probe_unreachable_gates(stops.rest.clone()));
         let (of_entry, members) = (Arc::clone(&entry), self.members.clone());
         let help = "Gates that this entry can't reach now.";
-        self.metrics.tell("gates_unreachable", help, move || count(of_entry.unreachable_gates()));
+        self.metrics
+            .register_gauge("gates_unreachable", help, move || count(of_entry.unreachable_gates()));
         let help = "Instances that say what they serve.";
-        self.metrics.tell("members_serving", help, move || count(members.serving()));
+        self.metrics
+            .register_gauge("members_serving", help, move || count(members.serving_count()));
         let calls = self.server(listeners.calls, "entry");
         tasks.rest.spawn(calls.run(entry, tasks.calls.clone(), stops.calls.clone()));
         let door = Arc::new(GateServer::new(Arc::clone(gate), peers));
--- a/crates/yuccarackd/src/protocol/body.rs
+++ b/crates/yuccarackd/src/protocol/body.rs
@@ -19,7 +19,7 @@
 pub enum BodyError {
     /// The connection it came over broke, or its framing is wrong.
     #[error("the body was cut")]
-    Cut(#[source] hyper::Error),
+    Truncated(#[source] hyper::Error),
     /// The call's deadline passed while the body was on its way.
     #[error("the deadline passed before the body's end")]
     DeadlinePassed,
@@ -61,14 +61,14 @@
 }
 
 impl BodyStart {
-    /// Reads `body` until its end or until more than `enough_bytes` have arrived.
+    /// Reads `body` until its end or until more than `threshold_bytes` have arrived.
     ///
     /// # Errors
     ///
     /// The body's own error; what had arrived is lost with it.
-    pub async fn read(mut body: CallBody, enough_bytes: usize) -> Result<Self, BodyError> {
+    pub async fn read(mut body: CallBody, threshold_bytes: usize) -> Result<Self, BodyError> {
         let mut start = BytesMut::new();
-        while start.len() <= enough_bytes {
+        while start.len() <= threshold_bytes {
             let Some(frame) = body.frame().await else {
                 return Ok(Self { start: start.freeze(), rest: None });
             };
@@ -95,13 +95,13 @@
 /// A request's body that is sent once, or as often as wanted if it is all there.
 pub enum SendableBody {
     /// All there, for as many tries as wanted.
-    Kept(Bytes),
+    Buffered(Bytes),
     /// Still arriving, for the first one who takes any of it.
     Streamed(StreamedBody),
 }
 
 impl SendableBody {
-    /// Takes a body in; one of up to `kept_max_bytes` is read whole first.
+    /// Takes a body in; one of up to `buffered_max_bytes` is read whole first.
     ///
     /// # Errors
     ///
@@ -109,49 +109,49 @@
     pub async fn read(
         parts: &Parts,
         body: CallBody,
-        kept_max_bytes: usize,
+        buffered_max_bytes: usize,
     ) -> Result<Self, BodyError> {
-        if !is_kept(parts, kept_max_bytes) {
+        if !is_buffered(parts, buffered_max_bytes) {
             return Ok(Self::Streamed(StreamedBody::new(body)));
         }
-        let read = BodyStart::read(body, kept_max_bytes).await?;
-        Ok(Self::Kept(read.start))
+        let read = BodyStart::read(body, buffered_max_bytes).await?;
+        Ok(Self::Buffered(read.start))
     }
 
     /// The whole body, where it is all there.
-    pub fn kept(&self) -> Option<&Bytes> {
+    pub fn buffered(&self) -> Option<&Bytes> {
         match self {
-            Self::Kept(bytes) => Some(bytes),
+            Self::Buffered(bytes) => Some(bytes),
             Self::Streamed(_) => None,
         }
     }
 
     /// Whether it is all there.
-    pub fn is_kept(&self) -> bool {
-        matches!(self, Self::Kept(_))
+    pub fn is_buffered(&self) -> bool {
+        matches!(self, Self::Buffered(_))
     }
 
     /// Whether it can be sent another time.
     pub fn can_be_sent(&self) -> bool {
         match self {
-            Self::Kept(_) => true,
-            Self::Streamed(body) => body.is_untaken(),
+            Self::Buffered(_) => true,
+            Self::Streamed(body) => body.is_unread(),
         }
     }
 
     /// The body for a try that may send it again itself.
-    pub fn again(&self) -> Self {
+    pub fn resendable(&self) -> Self {
         match self {
-            Self::Kept(bytes) => Self::Kept(bytes.clone()),
+            Self::Buffered(bytes) => Self::Buffered(bytes.clone()),
             Self::Streamed(body) => Self::Streamed(StreamedBody::new(body.offer())),
         }
     }
 
     /// The body for the next try, which reads it at once.
-    pub fn take(&self) -> CallBody {
+    pub fn next_body(&self) -> CallBody {
         match self {
-            Self::Kept(bytes) if bytes.is_empty() => empty(),
-            Self::Kept(bytes) => full(bytes.clone()),
+            Self::Buffered(bytes) if bytes.is_empty() => empty(),
+            Self::Buffered(bytes) => full(bytes.clone()),
             Self::Streamed(body) => body.offer(),
         }
     }
@@ -159,14 +159,14 @@
     /// The body, if it is streamed: it can be offered before it is sent.
     pub fn streamed(&self) -> Option<&StreamedBody> {
         match self {
-            Self::Kept(_) => None,
+            Self::Buffered(_) => None,
             Self::Streamed(body) => Some(body),
         }
     }
 }
 
 /// A body of unknown length isn't kept: reading ahead would hold up a stream.
-fn is_kept(parts: &Parts, kept_max_bytes: usize) -> bool {
+fn is_buffered(parts: &Parts, buffered_max_bytes: usize) -> bool {
     if parts.headers.contains_key(header::TRANSFER_ENCODING) {
         return false;
     }
@@ -174,7 +174,7 @@
         None => true,
         Some(length) => {
             let length: Option<usize> = length.to_str().ok().and_then(|text| text.parse().ok());
-            length.is_some_and(|bytes| bytes <= kept_max_bytes)
+            length.is_some_and(|bytes| bytes <= buffered_max_bytes)
         }
     }
 }
--- a/crates/yuccarackd/src/protocol/call.rs
+++ b/crates/yuccarackd/src/protocol/call.rs
@@ -58,7 +58,7 @@
     /// # Errors
     ///
     /// [`CallError`] names the header at fault.
-    pub fn read(
+    pub fn parse(
         parts: &Parts,
         peer: IpAddr,
         now: Instant,
@@ -79,12 +79,12 @@
 }
 
 /// Spells an id as headers do.
-pub fn spell_id(id: u128) -> String {
+pub fn format_id(id: u128) -> String {
     format!("{id:032x}")
 }
 
 /// Time left until `deadline`, as the deadline header spells it; what has passed leaves 0.
-pub fn ms_left(deadline: Instant, now: Instant) -> u64 {
+pub fn remaining_ms(deadline: Instant, now: Instant) -> u64 {
     let left = deadline.saturating_duration_since(now).as_millis();
     u64::try_from(left).unwrap_or(u64::MAX)
 }
--- a/crates/yuccarackd/src/protocol/control.rs
+++ b/crates/yuccarackd/src/protocol/control.rs
@@ -10,32 +10,32 @@
 };
 use yuccarack_platform::rows::{MemberRow, RulesRow};
 
-use super::suspect_news::SuspectNews;
+use super::suspect_update::SuspectUpdate;
 
 /// Largest control message that is sent or read, in bytes.
 pub const MESSAGE_MAX_BYTES: usize = 512 * 1024;
 
 wire_data! {
     /// What a daemon asks or tells another.
-    pub enum Question {
-        /// Compares what both know of a service; answered by [`Answer::News`].
-        Sync(SyncQuestion),
-        /// Tells what the other was seen to lack; answered by [`Answer::Taken`].
-        Push(News),
-        /// Tells what can't wait; answered by [`Answer::Taken`].
-        Urgent(UrgentNews),
+    pub enum ControlRequest {
+        /// Compares what both know of a service; answered by [`ControlResponse::News`].
+        Sync(SyncRequest),
+        /// Tells what the other was seen to lack; answered by [`ControlResponse::Taken`].
+        Push(ServiceUpdate),
+        /// Tells what can't wait; answered by [`ControlResponse::Taken`].
+        Urgent(UrgentUpdate),
         /// Asks whether the other reaches a member of its own service; answered by
-        /// [`Answer::Probed`].
+        /// [`ControlResponse::Probed`].
         Probe {
             /// Instance of the member.
             instance: InstanceId,
         },
-        /// Asks for a sign of life; answered by [`Answer::Taken`].
+        /// Asks for a sign of life; answered by [`ControlResponse::Taken`].
         Ping,
     }
 
     /// What the asker knows of a service.
-    pub struct SyncQuestion {
+    pub struct SyncRequest {
         /// The service.
         pub service: ServiceName,
         /// Version of its rules, 0 for none.
@@ -49,9 +49,9 @@
     }
 
     /// What a daemon answers.
-    pub enum Answer {
+    pub enum ControlResponse {
         /// What the asker lacks.
-        News(News),
+        News(ServiceUpdate),
         /// The service isn't known here; these daemons may know it.
         Elsewhere {
             /// Control addresses of members of other services.
@@ -69,7 +69,7 @@
     }
 
     /// What somebody lacks of a service.
-    pub struct News {
+    pub struct ServiceUpdate {
         /// The service.
         pub service: ServiceName,
         /// Version of the rules that the sender has, 0 for none.
@@ -87,9 +87,9 @@
     }
 
     /// What can't wait for the next exchange; goes to members of the own service.
-    pub enum UrgentNews {
+    pub enum UrgentUpdate {
         /// What became known of requests that may crash targets, in the order it happened.
-        Suspects(Vec<SuspectNews>),
+        Suspects(Vec<SuspectUpdate>),
     }
 }
 
@@ -104,7 +104,7 @@
     },
     /// It has another form.
     #[error("a control message has another form")]
-    Form(#[from] postcard::Error),
+    Malformed(#[from] postcard::Error),
 }
 
 /// Writes a message.
--- a/crates/yuccarackd/src/protocol/forwarding.rs
+++ b/crates/yuccarackd/src/protocol/forwarding.rs
@@ -7,9 +7,9 @@
 use yuccarack_config::headers;
 
 use super::{
-    gate_word::GATE_WORD,
+    gate_status::GATE_STATUS,
     hop::HOP,
-    peer_news::{CRASHED, NEWS, NEWS_CHANGES},
+    peer_update::{ACCEPTED_CHANGES, CRASH_SUSPECTS, UPDATE_REQUEST},
 };
 
 /// Headers that speak of one connection only (RFC 9110, section 7.6.1).
@@ -25,7 +25,7 @@
 ];
 
 /// Headers by which daemons speak to each other; outside callers can't set them.
-const BETWEEN_DAEMONS: [&str; 12] = [
+const INTERNAL_HEADERS: [&str; 12] = [
     headers::OUTCOME,
     headers::REASON,
     headers::INSTANCE,
@@ -34,15 +34,15 @@
     headers::ATTEMPT_ID,
     headers::ONCE,
     HOP,
-    GATE_WORD,
-    NEWS,
-    NEWS_CHANGES,
-    CRASHED,
+    GATE_STATUS,
+    UPDATE_REQUEST,
+    ACCEPTED_CHANGES,
+    CRASH_SUSPECTS,
 ];
 
 /// Takes away what belongs to the connection the message came over.
 pub fn strip_hop_by_hop(map: &mut HeaderMap) {
-    for name in named_by_connection(map) {
+    for name in connection_options(map) {
         map.remove(name);
     }
     for name in HOP_BY_HOP {
@@ -53,20 +53,20 @@
 }
 
 /// Takes away what only a daemon may say.
-pub fn strip_between_daemons(map: &mut HeaderMap) {
-    for name in BETWEEN_DAEMONS {
+pub fn strip_internal_headers(map: &mut HeaderMap) {
+    for name in INTERNAL_HEADERS {
         map.remove(name);
     }
 }
 
 /// Puts `value` under `name` where it can be spelt in a header.
-pub fn set(map: &mut HeaderMap, name: impl IntoHeaderName, value: &str) {
+pub fn set_header(map: &mut HeaderMap, name: impl IntoHeaderName, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         map.insert(name, value);
     }
 }
 
-fn named_by_connection(map: &HeaderMap) -> Vec<HeaderName> {
+fn connection_options(map: &HeaderMap) -> Vec<HeaderName> {
     map.get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
--- a/crates/yuccarackd/src/protocol/gate_word.rs
+++ b/crates/yuccarackd/src/protocol/gate_status.rs
@@ -7,11 +7,11 @@
 use yuccarack_policy::placement::GateLoad;
 
 /// Name of the header.
-pub const GATE_WORD: &str = "yuccarack-gate";
+pub const GATE_STATUS: &str = "yuccarack-gate";
 
 /// What a gate tells of itself.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct GateWord {
+pub struct GateStatus {
     /// Its load.
     pub load: GateLoad,
     /// Its routing table; 0 for none.
@@ -21,9 +21,9 @@
 /// A header in another form.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 #[error("the gate's header can't be read")]
-pub struct GateWordError;
+pub struct GateStatusError;
 
-impl std::fmt::Display for GateWord {
+impl std::fmt::Display for GateStatus {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let GateLoad { running, waiting, limit, mean_work, slowness } = self.load;
         let (work_us, slowness_percent) = (mean_work.as_micros(), (slowness * 100.0).round());
@@ -32,12 +32,12 @@
     }
 }
 
-impl FromStr for GateWord {
-    type Err = GateWordError;
+impl FromStr for GateStatus {
+    type Err = GateStatusError;
 
-    fn from_str(text: &str) -> Result<Self, GateWordError> {
+    fn from_str(text: &str) -> Result<Self, GateStatusError> {
         let mut fields = text.split(',');
-        let mut next = || fields.next().ok_or(GateWordError);
+        let mut next = || fields.next().ok_or(GateStatusError);
         let load = GateLoad {
             running: value(next()?)?,
             waiting: value(next()?)?,
@@ -49,6 +49,6 @@
     }
 }
 
-fn value<T: FromStr>(text: &str) -> Result<T, GateWordError> {
-    text.parse().map_err(|_| GateWordError)
+fn value<T: FromStr>(text: &str) -> Result<T, GateStatusError> {
+    text.parse().map_err(|_| GateStatusError)
 }
--- a/crates/yuccarackd/src/protocol/hop.rs
+++ b/crates/yuccarackd/src/protocol/hop.rs
@@ -8,7 +8,7 @@
     routing::RoutingVersion,
 };
 
-use super::call::spell_id;
+use super::call::format_id;
 
 /// Name of the header.
 pub const HOP: &str = "yuccarack-hop";
@@ -51,7 +51,7 @@
         write!(
             f,
             "{};{};{:x};{};{};{};{};{};{};{}",
-            spell_id(self.attempt),
+            format_id(self.attempt),
             self.service,
             self.kind,
             self.left_ms,
--- a/crates/yuccarackd/src/protocol/refusal.rs
+++ b/crates/yuccarackd/src/protocol/refusal.rs
@@ -1,4 +1,4 @@
-//! Every answer that is ours and not the target's: its reason, its outcome, its form.
+//! Every response that is ours and not the target's: its reason, its outcome, its form.
 
 use std::time::Duration;
 
@@ -8,14 +8,14 @@
 
 use super::body::{self, CallBody};
 
-/// What is proved of a request that got no answer from its target.
+/// What is proved of a request that got no response from its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
     /// Nothing of it was handed to a target, or the target shed it.
     NotRun,
     /// Something of it was handed to a target; it may have run.
     Unknown,
-    /// It has run to its end, and its answer can't be told any more.
+    /// It has run to its end, and its response can't be told any more.
     Run,
 }
 
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Reads the outcome header of a daemon's answer.
+    /// Reads the outcome header of a daemon's response.
     pub fn from_headers(map: &http::HeaderMap) -> Option<Self> {
         match map.get(headers::OUTCOME)?.as_bytes() {
             b"not_run" => Some(Self::NotRun),
@@ -39,7 +39,7 @@
     }
 }
 
-/// Why a call gets an answer of ours.
+/// Why a call gets an response of ours.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Reason {
     /// The head of the request can't be understood.
@@ -63,7 +63,7 @@
     /// The service has no target that takes work.
     NoTarget,
     /// The platform is away and its word is needed.
-    StoreAway,
+    StoreUnavailable,
     /// The gate has no target of that service, or none that takes work.
     NotReady,
     /// The gate or its target is leaving.
@@ -73,13 +73,13 @@
     /// The gate's admission refused; the inner word says why.
     Admission(&'static str),
     /// Runs of such requests fail for want of another service.
-    ShortElsewhere,
+    DependencyShortage,
     /// Too many claims of this gate wait for the platform.
     ClaimsBusy,
     /// A request with this key is running, or its fate is unknown.
     InProgress,
-    /// A request with this key has run, and its answer was too large to keep.
-    AnswerNotKept,
+    /// A request with this key has run, and its response was too large to keep.
+    ResponseNotStored,
     /// The request has crashed targets twice.
     Quarantined,
     /// The request is a crash suspect and is on trial elsewhere.
@@ -102,7 +102,7 @@
 
 impl Reason {
     /// Reasons that a gate gives for a routed request.
-    const TOLD_BY_GATES: [Self; 18] = [
+    const SENT_BY_GATES: [Self; 18] = [
         Self::BadRequest,
         Self::NotReady,
         Self::Draining,
@@ -136,15 +136,15 @@
             Self::NoConnection => "no_connection",
             Self::OtherService => "other_service",
             Self::NoTarget => "no_target",
-            Self::StoreAway => "store_away",
+            Self::StoreUnavailable => "store_away",
             Self::NotReady => "not_ready",
             Self::Draining => "draining",
             Self::Evacuated => "evacuated",
-            Self::Admission(word) => word,
-            Self::ShortElsewhere => "short_elsewhere",
+            Self::Admission(reason) => reason,
+            Self::DependencyShortage => "short_elsewhere",
             Self::ClaimsBusy => "claims_busy",
             Self::InProgress => "in_progress",
-            Self::AnswerNotKept => "answer_not_kept",
+            Self::ResponseNotStored => "answer_not_kept",
             Self::Quarantined => "quarantined",
             Self::OnTrial => "on_trial",
             Self::Shed => "shed",
@@ -157,10 +157,10 @@
         }
     }
 
-    /// Reads the reason header of a daemon's answer; one that isn't known counts as broken.
+    /// Reads the reason header of a daemon's response; one that isn't known counts as broken.
     pub fn from_headers(map: &http::HeaderMap) -> Self {
         let text = map.get(headers::REASON).and_then(|value| value.to_str().ok()).unwrap_or("");
-        let known = Self::TOLD_BY_GATES.into_iter().find(|reason| reason.as_str() == text);
+        let known = Self::SENT_BY_GATES.into_iter().find(|reason| reason.as_str() == text);
         known.unwrap_or(Self::Broken)
     }
 
@@ -171,7 +171,7 @@
             }
             Self::KeyReused => StatusCode::UNPROCESSABLE_ENTITY,
             Self::UnknownService | Self::UnknownRoute => StatusCode::NOT_FOUND,
-            Self::InProgress | Self::AnswerNotKept => StatusCode::CONFLICT,
+            Self::InProgress | Self::ResponseNotStored => StatusCode::CONFLICT,
             Self::Unreachable | Self::Broken | Self::TargetDied => StatusCode::BAD_GATEWAY,
             Self::DeadlinePassed => StatusCode::GATEWAY_TIMEOUT,
             Self::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
@@ -179,12 +179,12 @@
             | Self::NoConnection
             | Self::OtherService
             | Self::NoTarget
-            | Self::StoreAway
+            | Self::StoreUnavailable
             | Self::NotReady
             | Self::Draining
             | Self::Evacuated
             | Self::Admission(_)
-            | Self::ShortElsewhere
+            | Self::DependencyShortage
             | Self::ClaimsBusy
             | Self::Quarantined
             | Self::OnTrial
@@ -227,33 +227,33 @@
         self
     }
 
-    /// The answer that tells the caller.
-    pub fn into_answer(self) -> Response<CallBody> {
-        let mut answer = Response::new(body::empty());
-        *answer.status_mut() = self.reason.status();
-        let map = answer.headers_mut();
+    /// The response that tells the caller.
+    pub fn into_response(self) -> Response<CallBody> {
+        let mut response = Response::new(body::empty());
+        *response.status_mut() = self.reason.status();
+        let map = response.headers_mut();
         map.insert(headers::OUTCOME, HeaderValue::from_static(self.outcome.as_str()));
         map.insert(headers::REASON, HeaderValue::from_static(self.reason.as_str()));
         if let Some(retry_after) = self.retry_after {
             map.insert(header::RETRY_AFTER, HeaderValue::from(whole_seconds(retry_after)));
         }
-        answer
+        response
     }
 
-    /// The answer that tells the caller of a routed request.
+    /// The response that tells the caller of a routed request.
     ///
     /// A caller takes 503 as proof that nothing ran, so only what is proved gets it; and what is
     /// proved gets nothing else, so that its caller may come back.
-    pub fn into_routed_answer(self) -> Response<CallBody> {
+    pub fn into_routed_response(self) -> Response<CallBody> {
         let retry_after = self.retry_after;
         let status = self.routed_status();
-        let mut answer = Self { retry_after: None, ..self }.into_answer();
-        *answer.status_mut() = status;
+        let mut response = Self { retry_after: None, ..self }.into_response();
+        *response.status_mut() = status;
         if let Some(retry_after) = retry_after {
             let seconds = format!("{:.3}", retry_after.as_secs_f64());
-            super::forwarding::set(answer.headers_mut(), "retry-after", &seconds);
+            super::forwarding::set_header(response.headers_mut(), "retry-after", &seconds);
         }
-        answer
+        response
     }
 
     fn routed_status(&self) -> StatusCode {
--- a/crates/yuccarackd/src/protocol/streamed_body.rs
+++ b/crates/yuccarackd/src/protocol/streamed_body.rs
@@ -31,16 +31,16 @@
 
 /// Says that the receiver wants the body.
 #[derive(Clone, Debug, Default)]
-pub struct Wanted(Arc<Notify>);
+pub struct DemandSignal(Arc<Notify>);
 
-impl Wanted {
-    /// Starts as not wanted.
+impl DemandSignal {
+    /// Starts as not demand.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// Lets the body go.
-    pub fn set(&self) {
+    pub fn notify(&self) {
         self.0.notify_one();
     }
 }
@@ -52,22 +52,22 @@
     }
 
     /// Whether nobody has begun to read it.
-    pub fn is_untaken(&self) -> bool {
+    pub fn is_unread(&self) -> bool {
         self.slot.lock().body.is_some()
     }
 
     /// The body for whoever reads it at once.
     pub fn offer(&self) -> CallBody {
-        self.offered(None).boxed_unsync()
+        self.make_offer(None).boxed_unsync()
     }
 
-    /// The body for a receiver that says first whether it is `wanted`.
-    pub fn offer_when(&self, wanted: &Wanted) -> CallBody {
-        let wait = Box::pin(Arc::clone(&wanted.0).notified_owned());
-        self.offered(Some(wait)).boxed_unsync()
+    /// The body for a receiver that says first whether it is `demand`.
+    pub fn offer_when(&self, demand: &DemandSignal) -> CallBody {
+        let wait = Box::pin(Arc::clone(&demand.0).notified_owned());
+        self.make_offer(Some(wait)).boxed_unsync()
     }
 
-    fn offered(&self, wait: Option<Pin<Box<OwnedNotified>>>) -> OfferedBody {
+    fn make_offer(&self, wait: Option<Pin<Box<OwnedNotified>>>) -> OfferedBody {
         let mut slot = self.slot.lock();
         slot.offer += 1;
         let size = slot.body.as_ref().map_or_else(SizeHint::default, Body::size_hint);
--- a/crates/yuccarackd/src/protocol/suspect_news.rs
+++ b/crates/yuccarackd/src/protocol/suspect_update.rs
@@ -23,7 +23,7 @@
 
 wire_data! {
     /// One event of one suspect.
-    pub struct SuspectNews {
+    pub struct SuspectUpdate {
         /// Service that the request is for.
         pub service: ServiceName,
         /// What the request is recognised by.
--- a/crates/yuccarackd/src/state/call_log.rs
+++ b/crates/yuccarackd/src/state/call_log.rs
@@ -177,15 +177,15 @@
     pub fn answered(
         instance: &str,
         status: StatusCode,
-        took: Duration,
-        answer: &Response<CallBody>,
+        duration: Duration,
+        response: &Response<CallBody>,
     ) -> Self {
         Self::Answered {
             instance: instance.to_owned(),
             status: status.as_u16(),
-            took_us: micros(took),
-            reason: text(answer, headers::REASON),
-            load: text(answer, headers::LOAD),
+            took_us: micros(duration),
+            reason: header_text(response, headers::REASON),
+            load: header_text(response, headers::LOAD),
         }
     }
 
@@ -209,6 +209,6 @@
     u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
 }
 
-fn text(answer: &Response<CallBody>, name: &str) -> Option<String> {
-    answer.headers().get(name)?.to_str().ok().map(str::to_owned)
+fn header_text(response: &Response<CallBody>, name: &str) -> Option<String> {
+    response.headers().get(name)?.to_str().ok().map(str::to_owned)
 }
--- a/crates/yuccarackd/src/state/directory.rs
+++ b/crates/yuccarackd/src/state/directory.rs
@@ -19,7 +19,7 @@
 pub use super::service_entry::ServiceView;
 
 /// How long a failed look-up answers for the ones that follow it.
-const FAILURE_KEPT: Duration = Duration::from_secs(1);
+const FAILURE_TTL: Duration = Duration::from_secs(1);
 /// Most failed look-ups that are remembered at once.
 const FAILURES_MAX: usize = 1024;
 /// Most look-ups that wait for their turn.
@@ -35,7 +35,7 @@
     UnknownService,
     /// The store is away and no peer that could be asked knows the service.
     #[error("the store is away and no peer knows this service")]
-    StoreAway,
+    StoreUnavailable,
     /// Too many services are being looked up.
     #[error("too many services are being looked up")]
     TooManyLookups,
@@ -68,7 +68,7 @@
     lookup_sender: mpsc::Sender<Lookup>,
     lookup_receiver: Mutex<Option<mpsc::Receiver<Lookup>>>,
     /// Rises whenever a look-up ends, well or not.
-    settled: watch::Sender<u64>,
+    lookups_ended: watch::Sender<u64>,
     own_service: RwLock<Option<ServiceName>>,
     own_generation: watch::Sender<u64>,
 }
@@ -89,7 +89,7 @@
             lookups: Mutex::default(),
             lookup_sender,
             lookup_receiver: Mutex::new(Some(lookup_receiver)),
-            settled: watch::Sender::new(0),
+            lookups_ended: watch::Sender::new(0),
             own_service: RwLock::default(),
             own_generation: watch::Sender::new(0),
         };
@@ -112,19 +112,19 @@
     /// # Errors
     ///
     /// Any [`DirectoryError`]; a failure answers at once for a second.
-    pub async fn wanted(
+    pub async fn get_or_load(
         &self,
         service: &str,
         deadline: Instant,
     ) -> Result<Arc<ServiceView>, DirectoryError> {
-        let mut settled = self.inner.settled.subscribe();
+        let mut lookups_ended = self.inner.lookups_ended.subscribe();
         loop {
             match self.view(service) {
                 Some(view) if view.rules.is_some() => return Ok(view),
                 Some(_) => return Err(DirectoryError::UnknownService),
-                None => self.look_up(service)?,
+                None => self.request_lookup(service)?,
             }
-            match timeout_at(deadline.into(), settled.changed()).await {
+            match timeout_at(deadline.into(), lookups_ended.changed()).await {
                 Ok(Ok(())) => {}
                 Ok(Err(_)) | Err(_) => return Err(DirectoryError::DeadlinePassed),
             }
@@ -132,7 +132,7 @@
     }
 
     /// Takes word that rules of `revision` are in force somewhere; newer ones are fetched soon.
-    pub fn heard_rules_revision(&self, service: &str, revision: Revision) {
+    pub fn note_rules_revision(&self, service: &str, revision: Revision) {
         let known = self.peek(service).map(|view| view.rules_revision);
         if known.is_none_or(|known| revision <= known) {
             return;
@@ -226,16 +226,16 @@
         self.with_entry(service, |entry| entry.drop_unlisted(listed));
     }
 
-    /// Forgets members of `service` that have been gone for `kept`; gives their rows back.
-    pub fn forget_gone(&self, service: &str, kept: Duration) -> Vec<MemberRow> {
-        let Some(before) = Instant::now().checked_sub(kept) else { return Vec::new() };
-        self.with_entry(service, |entry| entry.forget_gone(before))
+    /// Forgets members of `service` that have been gone for `retention`; gives their rows back.
+    pub fn forget_removed(&self, service: &str, retention: Duration) -> Vec<MemberRow> {
+        let Some(before) = Instant::now().checked_sub(retention) else { return Vec::new() };
+        self.with_entry(service, |entry| entry.forget_removed(before))
     }
 
-    /// Forgets services that nobody has used for `kept`, but for the own one.
-    pub fn forget_unused(&self, kept: Duration) -> Vec<ServiceName> {
-        let kept_ms = u64::try_from(kept.as_millis()).unwrap_or(u64::MAX);
-        let oldest_ms = self.now_ms().saturating_sub(kept_ms);
+    /// Forgets services that nobody has used for `retention`, but for the own one.
+    pub fn forget_unused(&self, retention: Duration) -> Vec<ServiceName> {
+        let retention_ms = u64::try_from(retention.as_millis()).unwrap_or(u64::MAX);
+        let oldest_ms = self.now_ms().saturating_sub(retention_ms);
         let own = self.own_service();
         let is_unused = |name: &ServiceName, entry: &ServiceEntry| {
             own.as_ref() != Some(name) && entry.used_at_ms() < oldest_ms
@@ -245,7 +245,7 @@
     }
 
     /// The queue of look-ups; whoever takes it has to answer them. Only the first taker gets it.
-    pub fn take_lookups(&self) -> Option<mpsc::Receiver<Lookup>> {
+    pub fn take_lookup_receiver(&self) -> Option<mpsc::Receiver<Lookup>> {
         self.inner.lookup_receiver.lock().take()
     }
 
@@ -255,17 +255,17 @@
     }
 
     /// Ends a look-up whose result has been merged.
-    pub fn settle(&self, service: &str) {
+    pub fn complete_lookup(&self, service: &str) {
         self.with_entry(service, ServiceEntry::mark_loaded);
         self.end_lookup(service);
     }
 
     /// Ends a look-up that gave nothing.
-    pub fn settle_failed(&self, service: &str, error: DirectoryError) {
+    pub fn fail_lookup(&self, service: &str, error: DirectoryError) {
         let now = Instant::now();
         {
             let mut lookups = self.inner.lookups.lock();
-            lookups.failed.retain(|_, (_, at)| now.duration_since(*at) < FAILURE_KEPT);
+            lookups.failed.retain(|_, (_, at)| now.duration_since(*at) < FAILURE_TTL);
             if lookups.failed.len() < FAILURES_MAX {
                 lookups.failed.insert(service.to_owned(), (error, now));
             }
@@ -275,14 +275,14 @@
 
     fn end_lookup(&self, service: &str) {
         self.inner.lookups.lock().waiting.remove(service);
-        self.inner.settled.send_modify(|number| *number += 1);
+        self.inner.lookups_ended.send_modify(|number| *number += 1);
     }
 
-    fn look_up(&self, service: &str) -> Result<(), DirectoryError> {
+    fn request_lookup(&self, service: &str) -> Result<(), DirectoryError> {
         let now = Instant::now();
         let mut lookups = self.inner.lookups.lock();
         match lookups.failed.get(service) {
-            Some((error, at)) if now.duration_since(*at) < FAILURE_KEPT => return Err(*error),
+            Some((error, at)) if now.duration_since(*at) < FAILURE_TTL => return Err(*error),
             _ => {}
         }
         if lookups.waiting.contains_key(service) {
--- a/crates/yuccarackd/src/state/own_target.rs
+++ b/crates/yuccarackd/src/state/own_target.rs
@@ -35,14 +35,14 @@
 #[derive(Clone)]
 pub struct OwnTarget {
     view: Arc<watch::Sender<Option<Arc<TargetView>>>>,
-    heard_at: Arc<Mutex<Option<Instant>>>,
+    announced_at: Arc<Mutex<Option<Instant>>>,
 }
 
 impl OwnTarget {
     /// Starts with no target known.
     pub fn new() -> Self {
         let (view, _) = watch::channel(None);
-        Self { view: Arc::new(view), heard_at: Arc::default() }
+        Self { view: Arc::new(view), announced_at: Arc::default() }
     }
 
     /// What is known now, if the target has announced itself.
@@ -56,8 +56,8 @@
     }
 
     /// Takes an announcement in; says whether it changed anything.
-    pub fn announce(&self, announcement: Announcement, now: Instant) -> bool {
-        *self.heard_at.lock() = Some(now);
+    pub fn apply_announcement(&self, announcement: Announcement, now: Instant) -> bool {
+        *self.announced_at.lock() = Some(now);
         self.replace(TargetView { announcement, is_silent: false })
     }
 
@@ -68,8 +68,8 @@
     /// leaves: it would go on getting work. Silence is all such a target shows, and any
     /// announcement ends it.
     pub fn check_silence(&self, now: Instant, timeout: Duration) -> bool {
-        let heard_at = *self.heard_at.lock();
-        let is_silent = heard_at.is_some_and(|at| now.saturating_duration_since(at) >= timeout);
+        let announced_at = *self.announced_at.lock();
+        let is_silent = announced_at.is_some_and(|at| now.saturating_duration_since(at) >= timeout);
         let Some(view) = self.current() else { return false };
         if !is_silent || view.is_silent {
             return false;
--- a/crates/yuccarackd/src/state/routed/boot_clock.rs
+++ b/crates/yuccarackd/src/state/routed/boot_clock.rs
@@ -10,7 +10,7 @@
 /// steady clock stood still meanwhile, so the request's deadline still seems to be ahead, though
 /// its caller was told long ago that it is over. The clock that counts from the machine's start
 /// went on, so the difference between the two is what a deadline has to be moved by.
-pub fn suspended() -> Duration {
+pub fn time_suspended() -> Duration {
     let since_boot = duration(clock_gettime(ClockId::Boottime));
     since_boot.saturating_sub(duration(clock_gettime(ClockId::Monotonic)))
 }
--- a/crates/yuccarackd/src/state/routed/evacuations.rs
+++ b/crates/yuccarackd/src/state/routed/evacuations.rs
@@ -6,7 +6,7 @@
 use tokio::sync::watch;
 use yuccarack_config::ids::{DomainName, Revision};
 
-use crate::protocol::peer_news::DatedEvacuation;
+use crate::protocol::peer_update::VersionedEvacuation;
 
 /// Failure domains that are evacuated; clones share them.
 #[derive(Clone, Debug, Default)]
@@ -58,8 +58,8 @@
     ///
     /// Failure: a peer that lags sends an evacuation that was taken back, and a healthy failure domain gets
     /// no work.
-    pub fn merge(&self, dated: &DatedEvacuation) -> bool {
-        let DatedEvacuation { failure_domain, revision, is_evacuated } = dated;
+    pub fn merge(&self, rows: &VersionedEvacuation) -> bool {
+        let VersionedEvacuation { failure_domain, revision, is_evacuated } = rows;
         let state = State { revision: *revision, is_evacuated: *is_evacuated };
         let mut known = self.inner.known.write();
         let old = known.get(failure_domain).copied();
@@ -76,27 +76,31 @@
     }
 
     /// Evacuations that a whole reading at `revision`, which listed those of `listed`, shows to be taken back.
-    pub fn unlisted(&self, revision: Revision, listed: &[DomainName]) -> Vec<DatedEvacuation> {
+    pub fn find_cancelled(
+        &self,
+        revision: Revision,
+        listed: &[DomainName],
+    ) -> Vec<VersionedEvacuation> {
         let known = self.inner.known.read();
-        let is_gone = |(domain, state): &(&DomainName, &State)| {
+        let is_cancelled = |(domain, state): &(&DomainName, &State)| {
             state.is_evacuated && state.revision < revision && !listed.contains(domain)
         };
-        let gone = known.iter().filter(is_gone).map(|(domain, _)| DatedEvacuation {
+        let cancelled = known.iter().filter(is_cancelled).map(|(domain, _)| VersionedEvacuation {
             failure_domain: domain.clone(),
             revision,
             is_evacuated: false,
         });
-        gone.collect()
+        cancelled.collect()
     }
 
     /// All that is known, as other daemons are notified.
-    pub fn all(&self) -> Vec<DatedEvacuation> {
+    pub fn all(&self) -> Vec<VersionedEvacuation> {
         let known = self.inner.known.read();
-        let dated = known.iter().map(|(domain, state)| DatedEvacuation {
+        let rows = known.iter().map(|(domain, state)| VersionedEvacuation {
             failure_domain: domain.clone(),
             revision: state.revision,
             is_evacuated: state.is_evacuated,
         });
-        dated.collect()
+        rows.collect()
     }
 }
--- a/crates/yuccarackd/src/state/routed/live_settings.rs
+++ b/crates/yuccarackd/src/state/routed/live_settings.rs
@@ -13,7 +13,7 @@
 
 /// What a new reading of the settings changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reloaded {
+pub enum ReloadOutcome {
     /// Nothing.
     Same,
     /// What can change while the process runs.
@@ -37,23 +37,23 @@
     ///
     /// # Errors
     ///
-    /// The file can't be read, or all of its faults; what was in force stays so.
-    pub fn reload(&self, path: &Path) -> Result<Reloaded, FileError> {
-        let read = RoutedSettings::load(path)?;
+    /// The file can't be loaded, or all of its faults; what was in force stays so.
+    pub fn reload(&self, path: &Path) -> Result<ReloadOutcome, FileError> {
+        let loaded = RoutedSettings::load(path)?;
         let old = self.current();
-        if read == *old {
-            return Ok(Reloaded::Same);
+        if loaded == *old {
+            return Ok(ReloadOutcome::Same);
         }
         let new = RoutedSettings {
-            service: read.service.clone(),
-            regions: read.regions.clone(),
-            routing_file: read.routing_file.clone(),
-            bounds: read.bounds.clone(),
-            is_first_start: read.is_first_start,
+            service: loaded.service.clone(),
+            regions: loaded.regions.clone(),
+            routing_file: loaded.routing_file.clone(),
+            bounds: loaded.bounds.clone(),
+            is_first_start: loaded.is_first_start,
             ..(*old).clone()
         };
-        let is_whole = new == read;
+        let is_fully_applied = new == loaded;
         *self.current.write() = Arc::new(new);
-        Ok(if is_whole { Reloaded::Changed } else { Reloaded::ChangedInPart })
+        Ok(if is_fully_applied { ReloadOutcome::Changed } else { ReloadOutcome::ChangedInPart })
     }
 }
--- a/crates/yuccarackd/src/state/routed/members.rs
+++ b/crates/yuccarackd/src/state/routed/members.rs
@@ -6,7 +6,7 @@
 use tokio::sync::watch;
 use yuccarack_config::ids::{InstanceId, Revision};
 
-use crate::protocol::peer_news::{DatedMember, RoutedMember};
+use crate::protocol::peer_update::{RoutedMember, VersionedMember};
 
 /// All instances and what they serve; clones share it.
 #[derive(Clone, Debug, Default)]
@@ -19,7 +19,7 @@
     table: RwLock<Table>,
     generation: watch::Sender<u64>,
     /// Whether the whole table has been read once.
-    is_read: watch::Sender<bool>,
+    is_loaded: watch::Sender<bool>,
 }
 
 /// The rows, and who is at each gate's address.
@@ -66,33 +66,33 @@
     /// Drops whoever isn't among `listed` of a whole reading of the table at `revision`.
     pub fn drop_unlisted(&self, revision: Revision, listed: &[InstanceId]) {
         let mut table = self.inner.table.write();
-        let is_gone = |instance: &InstanceId, known: &Known| {
+        let is_removed = |instance: &InstanceId, known: &Known| {
             known.member.is_some() && known.revision <= revision && !listed.contains(instance)
         };
-        let gone: Vec<InstanceId> = table
+        let removed: Vec<InstanceId> = table
             .known
             .iter()
-            .filter(|(instance, known)| is_gone(instance, known))
+            .filter(|(instance, known)| is_removed(instance, known))
             .map(|(instance, _)| instance.clone())
             .collect();
-        for instance in &gone {
+        for instance in &removed {
             table.set(instance, Known { revision, member: None });
         }
         drop(table);
-        if !gone.is_empty() {
+        if !removed.is_empty() {
             self.inner.generation.send_modify(|generation| *generation += 1);
         }
     }
 
     /// Notes that the whole table has been read.
-    pub fn set_read(&self) {
-        self.inner.is_read.send_replace(true);
+    pub fn mark_loaded(&self) {
+        self.inner.is_loaded.send_replace(true);
     }
 
     /// Waits until the whole table has been read once.
-    pub async fn wait_read(&self) {
+    pub async fn wait_loaded(&self) {
         // The sender lives as long as these members.
-        let _ = self.inner.is_read.subscribe().wait_for(|is_read| *is_read).await;
+        let _ = self.inner.is_loaded.subscribe().wait_for(|is_loaded| *is_loaded).await;
     }
 
     /// The row of `instance`, with its revision; 0 without one.
@@ -121,7 +121,7 @@
     }
 
     /// Instances other than `own` whose rows name the address of its gate, and the revisions of those.
-    pub fn others_at(&self, address: SocketAddr, own: &str) -> Vec<(InstanceId, Revision)> {
+    pub fn others_at_address(&self, address: SocketAddr, own: &str) -> Vec<(InstanceId, Revision)> {
         let table = self.inner.table.read();
         let is_there = |known: &Known| {
             known.member.as_ref().is_some_and(|member| member.gate_address == address)
@@ -132,15 +132,15 @@
     }
 
     /// How many of them say what they serve.
-    pub fn serving(&self) -> usize {
+    pub fn serving_count(&self) -> usize {
         self.all().iter().filter(|member| member.service.is_some()).count()
     }
 
     /// All rows that changed after `revision`, as another daemon is told.
-    pub fn changed_after(&self, revision: Revision) -> Vec<DatedMember> {
+    pub fn changed_after(&self, revision: Revision) -> Vec<VersionedMember> {
         let table = self.inner.table.read();
         let changed = table.known.iter().filter(|(_, known)| known.revision > revision);
-        let dated = changed.map(|(instance, known)| DatedMember {
+        let dated = changed.map(|(instance, known)| VersionedMember {
             instance: instance.clone(),
             revision: known.revision,
             member: known.member.as_deref().cloned(),
--- a/crates/yuccarackd/src/state/routed/metrics.rs
+++ b/crates/yuccarackd/src/state/routed/metrics.rs
@@ -27,7 +27,7 @@
 /// Shortest time that a histogram tells apart, in seconds: a call through two idle daemons.
 const BUCKET_FIRST_S: f64 = 0.000_5;
 
-/// Each bucket is as many times as long as the one before.
+/// Each bucket is as many duration_histogram as long as the one before.
 const BUCKET_FACTOR: f64 = 2.0;
 
 /// Buckets; the last one ends at 8 s, beyond the longest wait of a route.
@@ -40,12 +40,12 @@
     pub end: &'static str,
 }
 
-type LabelledTimes = Family<CallLabels, Histogram, fn() -> Histogram>;
+type LabelledDurations = Family<CallLabels, Histogram, fn() -> Histogram>;
 
 /// The metrics of one daemon; clones share them.
 #[derive(Clone)]
 pub struct Metrics {
-    calls: LabelledTimes,
+    calls: LabelledDurations,
     queue: Histogram,
     target: Histogram,
     first_byte: Histogram,
@@ -71,14 +71,15 @@
     /// Makes metrics that tell `counters` too.
     pub fn new(counters: Counters) -> Self {
         let mut registry = Registry::with_prefix(PREFIX);
-        let calls = LabelledTimes::new_with_constructor(times as fn() -> Histogram);
+        let calls =
+            LabelledDurations::new_with_constructor(duration_histogram as fn() -> Histogram);
         registry.register("call_seconds", "Time of a call at its entry.", calls.clone());
-        let queue = times();
+        let queue = duration_histogram();
         registry.register("queue_seconds", "Wait for a slot at the gate.", queue.clone());
-        let target = times();
+        let target = duration_histogram();
         let help = "Time from handing over until the whole answer.";
         registry.register("target_seconds", help, target.clone());
-        let first_byte = times();
+        let first_byte = duration_histogram();
         let help = "Time from handing over until the head of the answer.";
         registry.register("target_first_byte_seconds", help, first_byte.clone());
         let tries = Histogram::new([1.0, 2.0, 3.0, 4.0, 5.0, 6.0]);
@@ -100,7 +101,7 @@
     }
 
     /// Tells a number that `read` knows, from now on.
-    pub fn tell(
+    pub fn register_gauge(
         &self,
         name: &'static str,
         help: &'static str,
@@ -110,27 +111,27 @@
     }
 
     /// Notes the end of a call.
-    pub fn call_ended(&self, end: &'static str, took: Duration) {
-        self.calls.get_or_create(&CallLabels { end }).observe(took.as_secs_f64());
+    pub fn observe_call(&self, end: &'static str, duration: Duration) {
+        self.calls.get_or_create(&CallLabels { end }).observe(duration.as_secs_f64());
     }
 
     /// Notes a wait for a slot.
-    pub fn queued(&self, time: Duration) {
+    pub fn observe_queue_time(&self, time: Duration) {
         self.queue.observe(time.as_secs_f64());
     }
 
-    /// Notes the time that a target took.
-    pub fn target_took(&self, time: Duration) {
+    /// Notes the time that a target duration.
+    pub fn observe_target_duration(&self, time: Duration) {
         self.target.observe(time.as_secs_f64());
     }
 
     /// Notes the time until the head of a target's answer.
-    pub fn first_byte(&self, time: Duration) {
+    pub fn observe_first_byte(&self, time: Duration) {
         self.first_byte.observe(time.as_secs_f64());
     }
 
     /// Notes to how many gates a call was offered.
-    pub fn tried(&self, tries: usize) {
+    pub fn observe_attempts(&self, tries: usize) {
         self.tries.observe(tries as f64);
     }
 
@@ -140,7 +141,7 @@
     /// # Errors
     ///
     /// [`MetricsError`] when one of them can't be written.
-    pub fn text(&self) -> Result<String, MetricsError> {
+    pub fn encode(&self) -> Result<String, MetricsError> {
         let mut text = String::new();
         encode_registry(&mut text, &self.readings.lock())?;
         encode_registry(&mut text, &self.histograms.lock())?;
@@ -149,7 +150,7 @@
     }
 }
 
-fn times() -> Histogram {
+fn duration_histogram() -> Histogram {
     Histogram::new(exponential_buckets(BUCKET_FIRST_S, BUCKET_FACTOR, BUCKETS))
 }
 
--- a/crates/yuccarackd/src/state/routed/routing_state.rs
+++ b/crates/yuccarackd/src/state/routed/routing_state.rs
@@ -17,14 +17,14 @@
 /// The routing table in force; clones share it.
 #[derive(Clone, Debug)]
 pub struct RoutingState {
-    current: Arc<RwLock<Option<InForce>>>,
+    current: Arc<RwLock<Option<ActiveTable>>>,
     changed: Arc<watch::Sender<RoutingVersion>>,
-    newer: Arc<Mutex<Option<Newer>>>,
+    newer: Arc<Mutex<Option<NewerVersion>>>,
 }
 
 /// A newer version than the one in force that is known to exist.
 #[derive(Clone, Copy, Debug)]
-struct Newer {
+struct NewerVersion {
     version: RoutingVersion,
     /// When the first newer one was known of.
     since: Instant,
@@ -32,7 +32,7 @@
 
 /// A table and when it came in force.
 #[derive(Clone, Debug)]
-struct InForce {
+struct ActiveTable {
     routing: Arc<Routing>,
     since: Instant,
     recent: RecentChanges,
@@ -71,7 +71,7 @@
         }
         match newer.as_mut() {
             Some(newer) => newer.version = newer.version.max(version),
-            None => *newer = Some(Newer { version, since: Instant::now() }),
+            None => *newer = Some(NewerVersion { version, since: Instant::now() }),
         }
         true
     }
@@ -129,7 +129,7 @@
     /// None without a table, or if `base` is not older.
     pub fn changes_since(&self, base: RoutingVersion) -> Option<RoutingChanges> {
         let current = self.current.read();
-        let InForce { routing, recent, .. } = current.as_ref()?;
+        let ActiveTable { routing, recent, .. } = current.as_ref()?;
         if base >= routing.version() {
             return None;
         }
@@ -147,7 +147,7 @@
         }
         let mut recent = current.take().map(|known| known.recent).unwrap_or_default();
         recent.push(changes);
-        *current = Some(InForce { routing: Arc::new(routing), since: Instant::now(), recent });
+        *current = Some(ActiveTable { routing: Arc::new(routing), since: Instant::now(), recent });
         drop(current);
         let mut newer = self.newer.lock();
         self.changed.send_replace(version);
--- a/crates/yuccarackd/src/state/routed/target.rs
+++ b/crates/yuccarackd/src/state/routed/target.rs
@@ -29,37 +29,37 @@
     /// Whether that process said that it leaves; it doesn't come back.
     has_left: bool,
     /// When that process was heard of last.
-    heard_at: Option<Instant>,
+    last_heartbeat_at: Option<Instant>,
     /// A process that seems to be an older one and goes on speaking.
-    claimant: Option<Claimant>,
-    departed: Option<Departed>,
+    candidate: Option<CandidateProcess>,
+    departed: Option<DepartedTarget>,
     /// Whether it is known, as far as it can be, what an earlier process of this daemon was told.
-    is_settled: bool,
+    is_restored: bool,
 }
 
 /// A target that said that it leaves, to this process or to an earlier one of this daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Departed {
+pub struct DepartedTarget {
     /// Its name.
     pub target: TargetId,
     /// Processes that started up to then are gone; target and daemon share their machine's clock.
-    pub last_life: TargetIncarnation,
+    pub last_incarnation: TargetIncarnation,
 }
 
 /// A process whose start seems to lie before that of the known one.
 #[derive(Debug)]
-struct Claimant {
+struct CandidateProcess {
     life: TargetIncarnation,
     target: TargetId,
     sequence: u64,
     /// Heartbeats of it, each newer than the one before.
-    heard: u32,
+    heartbeats: u32,
 }
 
 /// Heartbeats of a process with an earlier start after which it is believed to live.
 ///
 /// Heartbeats that were held up come in a burst and end; those of a living process go on.
-const CLAIMS_MIN: u32 = 3;
+const CANDIDATE_HEARTBEATS_MIN: u32 = 3;
 
 /// Silence of the known process after which another with an earlier start may be believed: three
 /// heartbeats of today's targets.
@@ -91,7 +91,7 @@
 
 /// What a word of a target changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum HeartbeatEffect {
     /// A process that wasn't known.
     NewLife,
     /// The same process says something else.
@@ -121,22 +121,22 @@
     }
 
     /// Takes in what an earlier process of this daemon was told; heartbeats count from then on.
-    pub fn settle(&self, departed: Option<Departed>) {
+    pub fn restore_departed(&self, departed: Option<DepartedTarget>) {
         let mut state = self.state.lock();
-        state.is_settled = true;
+        state.is_restored = true;
         if state.departed.is_none() {
             state.departed = departed;
         }
     }
 
     /// The target that leaves or has left, as a later process of this daemon has to know it.
-    pub fn departed(&self) -> Option<Departed> {
+    pub fn departed(&self) -> Option<DepartedTarget> {
         if !self.is_leaving() {
             return None;
         }
         let state = self.state.lock();
-        let (last_life, target) = state.latest.clone()?;
-        Some(Departed { target, last_life })
+        let (last_incarnation, target) = state.latest.clone()?;
+        Some(DepartedTarget { target, last_incarnation })
     }
 
     /// Whether a target was here and leaves or has left.
@@ -160,29 +160,29 @@
     /// Failure: a heartbeat is held up on its way, arrives after its sender has died and another
     /// process has taken its place, and brings the dead one back. The start of the process tells
     /// which one is the later, and the number of the heartbeat orders those of one process.
-    pub fn heard(&self, now: Instant, heartbeat: Heartbeat) -> Heard {
+    pub fn apply_heartbeat(&self, now: Instant, heartbeat: Heartbeat) -> HeartbeatEffect {
         let mut state = self.state.lock();
-        if !state.is_settled {
-            return Heard::TooSoon;
+        if !state.is_restored {
+            return HeartbeatEffect::TooSoon;
         }
-        let heard = state.judge(now, &heartbeat);
-        if matches!(heard, Heard::Older | Heard::OlderLife) {
-            return heard;
+        let effect = state.classify(now, &heartbeat);
+        if matches!(effect, HeartbeatEffect::Older | HeartbeatEffect::OlderLife) {
+            return effect;
         }
         let view = TargetView::new(now, heartbeat);
         let old = self.current();
         let is_same =
-            old.is_some_and(|old| old.is_same_but_for_cold(&view) && !old.is_cold_anew(&view));
-        if heard == Heard::Same && is_same {
-            return Heard::Same;
+            old.is_some_and(|old| old.is_same_except_cold(&view) && !old.is_newly_cold(&view));
+        if effect == HeartbeatEffect::Same && is_same {
+            return HeartbeatEffect::Same;
         }
         self.view.send_replace(Some(Arc::new(view)));
-        if heard == Heard::Same { Heard::Changed } else { heard }
+        if effect == HeartbeatEffect::Same { HeartbeatEffect::Changed } else { effect }
     }
 
     /// Takes in that the target leaves, at `unix_ms` of this machine's clock; says whether that is
     /// word of the present one.
-    pub fn left(&self, unix_ms: u64, leave: &Leave) -> bool {
+    pub fn apply_leave(&self, unix_ms: u64, leave: &Leave) -> bool {
         let mut state = self.state.lock();
         let is_present = state.latest.as_ref().is_some_and(|(life, target)| {
             *target == leave.target && leave.life.is_none_or(|left| left >= *life)
@@ -191,8 +191,9 @@
             state.has_left = true;
             self.view.send_replace(None);
         } else if state.latest.is_none() {
-            let last_life = leave.life.unwrap_or(unix_ms);
-            state.departed = Some(Departed { target: leave.target.clone(), last_life });
+            let last_incarnation = leave.life.unwrap_or(unix_ms);
+            state.departed =
+                Some(DepartedTarget { target: leave.target.clone(), last_incarnation });
         }
         is_present
     }
@@ -205,32 +206,32 @@
 }
 
 impl State {
-    fn judge(&mut self, now: Instant, heartbeat: &Heartbeat) -> Heard {
+    fn classify(&mut self, now: Instant, heartbeat: &Heartbeat) -> HeartbeatEffect {
         let is_same = self
             .latest
             .as_ref()
             .is_some_and(|(life, target)| *life == heartbeat.life && *target == heartbeat.target);
         if is_same {
             if self.has_left || heartbeat.sequence <= self.sequence {
-                return Heard::Older;
+                return HeartbeatEffect::Older;
             }
             self.sequence = heartbeat.sequence;
-            self.heard_at = Some(now);
-            return Heard::Same;
+            self.last_heartbeat_at = Some(now);
+            return HeartbeatEffect::Same;
         }
         let is_older = self.latest.as_ref().is_some_and(|(life, _)| *life > heartbeat.life);
         if self.is_departed(heartbeat) {
-            return Heard::Older;
+            return HeartbeatEffect::Older;
         }
-        if is_older && !self.is_believed(now, heartbeat) {
-            return Heard::OlderLife;
+        if is_older && !self.is_accepted(now, heartbeat) {
+            return HeartbeatEffect::OlderLife;
         }
-        self.heard_at = Some(now);
-        self.claimant = None;
+        self.last_heartbeat_at = Some(now);
+        self.candidate = None;
         self.latest = Some((heartbeat.life, heartbeat.target.clone()));
         self.sequence = heartbeat.sequence;
         self.has_left = false;
-        Heard::NewLife
+        HeartbeatEffect::NewLife
     }
 }
 
@@ -243,7 +244,7 @@
         let is_known = self.latest.is_some();
         !is_known
             && self.departed.as_ref().is_some_and(|departed| {
-                departed.target == heartbeat.target && heartbeat.life <= departed.last_life
+                departed.target == heartbeat.target && heartbeat.life <= departed.last_incarnation
             })
     }
 
@@ -251,22 +252,24 @@
     ///
     /// Failure: a machine's clock is set back, its target starts again, and its daemon takes the
     /// living process for a dead one for as long as the clock was set back.
-    fn is_believed(&mut self, now: Instant, heartbeat: &Heartbeat) -> bool {
-        let is_silent = self.heard_at.is_none_or(|at| now.duration_since(at) >= SILENCE_MIN);
-        let known = self.claimant.take().filter(|claimant| {
-            claimant.life == heartbeat.life && claimant.target == heartbeat.target
+    fn is_accepted(&mut self, now: Instant, heartbeat: &Heartbeat) -> bool {
+        let is_silent =
+            self.last_heartbeat_at.is_none_or(|at| now.duration_since(at) >= SILENCE_MIN);
+        let known = self.candidate.take().filter(|candidate| {
+            candidate.life == heartbeat.life && candidate.target == heartbeat.target
         });
-        let (before, heard) = known.map_or((0, 0), |known| (known.sequence, known.heard));
-        let is_newer = heard == 0 || heartbeat.sequence > before;
-        let claimant = Claimant {
+        let (last_sequence, heartbeats) =
+            known.map_or((0, 0), |known| (known.sequence, known.heartbeats));
+        let is_newer = heartbeats == 0 || heartbeat.sequence > last_sequence;
+        let candidate = CandidateProcess {
             life: heartbeat.life,
             target: heartbeat.target.clone(),
-            sequence: heartbeat.sequence.max(before),
-            heard: heard + u32::from(is_newer),
+            sequence: heartbeat.sequence.max(last_sequence),
+            heartbeats: heartbeats + u32::from(is_newer),
         };
-        let is_believed = is_silent && claimant.heard >= CLAIMS_MIN;
-        self.claimant = Some(claimant);
-        is_believed
+        let is_accepted = is_silent && candidate.heartbeats >= CANDIDATE_HEARTBEATS_MIN;
+        self.candidate = Some(candidate);
+        is_accepted
     }
 }
 
@@ -286,16 +289,16 @@
     }
 
     /// Whether both are the same process.
-    pub fn is_same_life(&self, other: &Self) -> bool {
+    pub fn is_same_process(&self, other: &Self) -> bool {
         self.life == other.life && self.target == other.target
     }
 
     /// Whether `later` tells of a cold time that isn't known.
-    fn is_cold_anew(&self, later: &Self) -> bool {
+    fn is_newly_cold(&self, later: &Self) -> bool {
         later.is_cold && later.cold_until > self.cold_until + COLD_JITTER
     }
 
-    fn is_same_but_for_cold(&self, other: &Self) -> bool {
+    fn is_same_except_cold(&self, other: &Self) -> bool {
         Self { is_cold: other.is_cold, cold_until: other.cold_until, ..self.clone() } == *other
     }
 }
--- a/crates/yuccarackd/src/state/routed/transfers.rs
+++ b/crates/yuccarackd/src/state/routed/transfers.rs
@@ -45,7 +45,7 @@
     }
 
     /// Whether one of them makes progress: another one beside it would only take its bandwidth.
-    pub fn make_progress(&self) -> bool {
+    pub fn is_any_progressing(&self) -> bool {
         let now = Instant::now();
         self.inner.lock().values_mut().any(|progress| {
             progress.advance(now);
@@ -56,7 +56,7 @@
 
 impl Transfer {
     /// Notes that `bytes` more have arrived.
-    pub fn note(&self, bytes: usize) {
+    pub fn record_bytes(&self, bytes: usize) {
         let now = Instant::now();
         if let Some(progress) = self.transfers.inner.lock().get_mut(self.key) {
             progress.advance(now);
--- a/crates/yuccarackd/src/state/service_entry.rs
+++ b/crates/yuccarackd/src/state/service_entry.rs
@@ -1,4 +1,4 @@
-//! What is known of one service, and which news may replace it.
+//! What is known of one service, and which newer may replace it.
 
 use std::{
     collections::{BTreeMap, HashSet},
@@ -135,23 +135,23 @@
 
     /// Takes the rows in that are newer than those known; gives these back.
     pub(super) fn merge_members(&mut self, rows: Vec<MemberRow>, now: Instant) -> Vec<MemberRow> {
-        let mut news = Vec::new();
+        let mut newer = Vec::new();
         for row in rows {
-            let is_news = match self.members.get(&row.instance) {
+            let is_accepted = match self.members.get(&row.instance) {
                 Some(known) => is_newer(&row, &known.row),
-                // The end of somebody unknown is no news; taken in, it would go round for ever.
+                // The end of somebody unknown is no newer; taken in, it would go round for ever.
                 None => row.state != TargetState::Gone,
             };
-            if !is_news {
+            if !is_accepted {
                 continue;
             }
-            news.push(row.clone());
+            newer.push(row.clone());
             self.members.insert(row.instance.clone(), MemberEntry { row, since: now });
         }
-        if !news.is_empty() {
+        if !newer.is_empty() {
             self.members_changed();
         }
-        news
+        newer
     }
 
     /// Forgets members that `listed` doesn't name.
@@ -165,7 +165,7 @@
     }
 
     /// Forgets members that have been gone since `before`; gives their rows back.
-    pub(super) fn forget_gone(&mut self, before: Instant) -> Vec<MemberRow> {
+    pub(super) fn forget_removed(&mut self, before: Instant) -> Vec<MemberRow> {
         let is_old =
             |entry: &MemberEntry| entry.row.state == TargetState::Gone && entry.since < before;
         let old: Vec<MemberRow> =
@@ -194,7 +194,7 @@
 
 /// Whether `new` may take the place of `known`.
 ///
-/// Guards against old news that brings back the dead or undoes a drain, as when a peer repeats
+/// Guards against old newer that brings back the dead or undoes a drain, as when a peer repeats
 /// what it heard before a partition: within a life the sequence rises with each change, and a
 /// new life has a higher incarnation. A death that a peer wrote keeps the sequence of the row it
 /// ended, so at equal numbers gone wins.
--- a/crates/yuccarackd/src/state/store_health.rs
+++ b/crates/yuccarackd/src/state/store_health.rs
@@ -10,7 +10,7 @@
 /// Whether the store answers; clones share it.
 #[derive(Clone, Debug, Default)]
 pub struct StoreHealth {
-    is_away: Arc<AtomicBool>,
+    is_unavailable: Arc<AtomicBool>,
 }
 
 impl StoreHealth {
@@ -20,16 +20,16 @@
     }
 
     /// Whether the last question got no answer.
-    pub fn is_away(&self) -> bool {
-        self.is_away.load(Ordering::Relaxed)
+    pub fn is_unavailable(&self) -> bool {
+        self.is_unavailable.load(Ordering::Relaxed)
     }
 
     /// Takes the result of a question in; says whether the store went or came back with it.
     pub fn record<T>(&self, result: &Result<T, PlatformError>) -> bool {
-        let is_away = match result {
+        let is_unavailable = match result {
             Ok(_) | Err(PlatformError::Conflict { .. }) => false,
             Err(_) => true,
         };
-        self.is_away.swap(is_away, Ordering::Relaxed) != is_away
+        self.is_unavailable.swap(is_unavailable, Ordering::Relaxed) != is_unavailable
     }
 }
--- a/crates/yuccarackd/src/transport/admin_server.rs
+++ b/crates/yuccarackd/src/transport/admin_server.rs
@@ -161,7 +161,7 @@
         return refuse_announcement(ctx, &error);
     }
     state.counters.add("announce.taken");
-    state.own_target.announce(announcement, Instant::now());
+    state.own_target.apply_announcement(announcement, Instant::now());
     empty_answer(StatusCode::NO_CONTENT)
 }
 
@@ -220,7 +220,7 @@
         members: view.members.len(),
         generation: view.generation,
     });
-    let store = match state.store_health.is_away() {
+    let store = match state.store_health.is_unavailable() {
         true => StoreStatus::Away,
         false => StoreStatus::Reachable,
     };
--- a/crates/yuccarackd/src/transport/control_channel.rs
+++ b/crates/yuccarackd/src/transport/control_channel.rs
@@ -125,9 +125,9 @@
             sleep(FAULT_PAUSE).await;
             continue;
         };
-        budget.received(question.len() + OVERHEAD_BYTES);
+        budget.record_received(question.len() + OVERHEAD_BYTES);
         let bytes = answer(question.as_slice().to_vec()).await;
-        budget.sent(bytes.len() + OVERHEAD_BYTES);
+        budget.record_sent(bytes.len() + OVERHEAD_BYTES);
         // An asker that has gone needs no answer.
         let _ = responder.reply(Message::from(bytes.as_slice())).await;
     }
@@ -186,11 +186,11 @@
         let socket = self.connection(address).await?;
         let mut context = socket.context();
         context.set_resend_time(None).map_err(ChannelError::Connect)?;
-        self.budget.sent(question.len() + OVERHEAD_BYTES);
+        self.budget.record_sent(question.len() + OVERHEAD_BYTES);
         let asked = context.request(Message::from(question)).await;
         let answer = asked.map_err(|(error, _)| ChannelError::Transfer(error))?;
         let answer = answer.await.map_err(ChannelError::Transfer)?;
-        self.budget.received(answer.len() + OVERHEAD_BYTES);
+        self.budget.record_received(answer.len() + OVERHEAD_BYTES);
         Ok(answer.as_slice().to_vec())
     }
 
--- a/crates/yuccarackd/src/transport/drained_body.rs
+++ b/crates/yuccarackd/src/transport/drained_body.rs
@@ -58,7 +58,7 @@
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         self.is_held_back = false;
         match &mut self.body {
-            Some(body) => Pin::new(body).poll_frame(cx).map_err(BodyError::Cut),
+            Some(body) => Pin::new(body).poll_frame(cx).map_err(BodyError::Truncated),
             None => Poll::Ready(None),
         }
     }
--- a/crates/yuccarackd/src/transport/upstream.rs
+++ b/crates/yuccarackd/src/transport/upstream.rs
@@ -187,7 +187,7 @@
             }
             Some(Err(error)) => {
                 self.lease = None;
-                Poll::Ready(Some(Err(BodyError::Cut(error))))
+                Poll::Ready(Some(Err(BodyError::Truncated(error))))
             }
             None => {
                 self.end_lease();
--- a/crates/yuccarackd/tests/catch_up.rs
+++ b/crates/yuccarackd/tests/catch_up.rs
@@ -27,16 +27,16 @@
     },
     protocol::{
         packed_changes::PackedChanges,
-        peer_news::{NEWS, NEWS_CHANGES, PeerNews},
+        peer_update::{ACCEPTED_CHANGES, PeerUpdate, UPDATE_REQUEST},
     },
     state::{
         counters::Counters,
         routed::{
             evacuations::Evacuations,
             members::Members,
-            news_source::{Followed, News, NewsSource},
             routing_state::RoutingState,
             transfers::Transfers,
+            update_source::{FollowedTable, SyncState, UpdateSource},
         },
     },
     transport::upstream::Upstream,
@@ -63,7 +63,7 @@
 /// Encodes the update of a peer that has the table of `state`, with the changes since `base`.
 fn encode_update_of(state: &RoutingState, base: Option<u64>) -> Bytes {
     let changes = base.map(|base| state.changes_since(base).expect("changes"));
-    let update = PeerNews {
+    let update = PeerUpdate {
         routing_version: 9,
         routing: None,
         changes: changes.map(|changes| PackedChanges::new(&changes).expect("packed changes")),
@@ -95,8 +95,8 @@
                 let value = request.headers().get(name);
                 value.and_then(|value| value.to_str().ok()).unwrap_or("").to_owned()
             };
-            let requested = header(NEWS_CHANGES);
-            recorded_queries.lock().push(header(NEWS));
+            let requested = header(ACCEPTED_CHANGES);
+            recorded_queries.lock().push(header(UPDATE_REQUEST));
             let mut requested_changes = recorded_changes.lock();
             requested_changes.push(requested.clone());
             let is_failing = requested_changes.len() <= failures;
@@ -125,13 +125,13 @@
     routing: RoutingState,
     peers: Peers,
     transfers: Transfers,
-    news: News,
+    news: SyncState,
     door: Door,
     catch_up: CatchUp,
 }
 
-async fn start_fetching(source: NewsSource) -> FetchingDaemon {
-    let (routing, members, news) = (RoutingState::new(), Members::new(), News::new());
+async fn start_fetching(source: UpdateSource) -> FetchingDaemon {
+    let (routing, members, news) = (RoutingState::new(), Members::new(), SyncState::new());
     let (counters, transfers) = (Counters::new(), Transfers::new());
     let events = EventLog::new(Logger::root(Discard, o!()), counters.clone(), 100);
     news.set_source(source);
@@ -169,7 +169,7 @@
 /// Guards against a daemon that waits for the next change after a failed fetch.
 #[tokio::test]
 async fn a_failed_fetch_is_retried_without_another_notice() {
-    let daemon = start_fetching(NewsSource::Relay).await;
+    let daemon = start_fetching(UpdateSource::Relay).await;
     daemon.door.set(DoorMode::Refusing);
     let peer = Peer::start(2).await;
     daemon.peers.note_version(peer.server.address(), 9);
@@ -187,14 +187,14 @@
 /// Guards against two transfers of one table that share a thin link, so that neither ends in time.
 #[tokio::test]
 async fn no_full_table_is_requested_beside_a_transfer_that_makes_progress() {
-    let daemon = start_fetching(NewsSource::Relay).await;
+    let daemon = start_fetching(UpdateSource::Relay).await;
     let peer = Peer::start(0).await;
     let transfer = daemon.transfers.begin();
-    transfer.note(PROGRESS_MIN_BYTES);
+    transfer.record_bytes(PROGRESS_MIN_BYTES);
     daemon.peers.note_omitted_table(peer.server.address(), 9);
     let transferring = async {
         for _ in 0..100 {
-            transfer.note(PROGRESS_MIN_BYTES);
+            transfer.record_bytes(PROGRESS_MIN_BYTES);
             sleep(Duration::from_millis(20)).await;
         }
         drop(transfer);
@@ -220,7 +220,7 @@
 /// Guards against a fetch of a table that a relay delivers anyway.
 #[tokio::test]
 async fn a_table_that_updates_deliver_in_time_is_not_fetched() {
-    let daemon = start_fetching(NewsSource::Store).await;
+    let daemon = start_fetching(UpdateSource::Store).await;
     let peer = Peer::start(0).await;
     daemon.peers.note_version(peer.server.address(), 9);
     let delivery = async {
@@ -241,13 +241,13 @@
 /// again.
 #[tokio::test]
 async fn all_routes_are_requested_after_changes_that_do_not_fit() {
-    let daemon = start_fetching(NewsSource::Nobody).await;
+    let daemon = start_fetching(UpdateSource::Unassigned).await;
     assert!(daemon.routing.offer(table(4, 7)));
     let other = RoutingState::new();
     assert!(other.offer(table(4, 2)) && other.offer(table(9, 5)));
     let listener = listen(([127, 0, 0, 1], 0).into()).await.expect("a port");
     let peer = Server::start(listener, CONNECTIONS_MAX, move |request| {
-        let query = request.headers()[NEWS].to_str().unwrap_or("").to_owned();
+        let query = request.headers()[UPDATE_REQUEST].to_str().unwrap_or("").to_owned();
         let base = if query.starts_with("4;") { 4 } else { 0 };
         let update = encode_update_of(&other, Some(base));
         async move { answer(StatusCode::OK, update) }
@@ -268,8 +268,8 @@
 /// Guards against a list of all members twice a second while the store is unavailable.
 #[tokio::test]
 async fn a_daemon_without_the_store_requests_only_changed_members() {
-    let daemon = start_fetching(NewsSource::Nobody).await;
-    daemon.news.set_known(Followed::Members, Some(7));
+    let daemon = start_fetching(UpdateSource::Unassigned).await;
+    daemon.news.set_synced_up_to(FollowedTable::Members, Some(7));
     let peer = Peer::start(0).await;
     daemon.peers.note_sender(peer.server.address());
     tokio::select! {
--- a/crates/yuccarackd/tests/control/lookups.rs
+++ b/crates/yuccarackd/tests/control/lookups.rs
@@ -24,7 +24,7 @@
     put_rules(&platform, "huts", 100);
     let peer = Peer::start(platform.address(), "hut-1", Vec::new()).await;
     let directory = &peer.control.directory;
-    let views = join_all((0..100).map(|_| directory.wanted("huts", soon()))).await;
+    let views = join_all((0..100).map(|_| directory.get_or_load("huts", soon()))).await;
     assert!(views.iter().all(Result::is_ok));
     assert_eq!(peer.count("rules.lookups"), 1);
     stop_all(vec![peer]).await;
@@ -39,7 +39,7 @@
     let peer = Peer::start(platform.address(), "hut-1", Vec::new()).await;
     let directory = &peer.control.directory;
     let names: Vec<String> = (0..1_000).map(|number| format!("made-up-{number}")).collect();
-    let answers = join_all(names.iter().map(|name| directory.wanted(name, soon()))).await;
+    let answers = join_all(names.iter().map(|name| directory.get_or_load(name, soon()))).await;
     let count =
         |error| answers.iter().filter(|answer| answer.as_ref().err() == Some(&error)).count();
     let unknown = count(DirectoryError::UnknownService);
@@ -57,13 +57,13 @@
     let platform = platform().await;
     set_mode(&platform, PlatformMode::BlackHole);
     let peer = Peer::start(platform.address(), "hut-1", Vec::new()).await;
-    let answer = peer.control.directory.wanted("huts", soon()).await;
-    assert_eq!(answer.unwrap_err(), DirectoryError::StoreAway);
+    let answer = peer.control.directory.get_or_load("huts", soon()).await;
+    assert_eq!(answer.unwrap_err(), DirectoryError::StoreUnavailable);
     set_mode(&platform, PlatformMode::Up);
     put_rules(&platform, "huts", 100);
     let directory = peer.control.directory.clone();
     tokio::time::timeout(Duration::from_secs(20), async {
-        while directory.wanted("huts", soon()).await.is_err() {
+        while directory.get_or_load("huts", soon()).await.is_err() {
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     })
@@ -88,10 +88,10 @@
     settings.budgets.gossip_interval_ms = NEVER_MS;
     let caller = Peer::with_settings(settings).await;
     caller.announce("repairs", TargetState::Ready);
-    caller.control.directory.wanted("huts", soon()).await.unwrap();
+    caller.control.directory.get_or_load("huts", soon()).await.unwrap();
     let second = put_rules(&platform, "huts", 200);
     until("the member has the second", || member.rules_revision("huts") == second).await;
-    caller.control.directory.heard_rules_revision("huts", second);
+    caller.control.directory.note_rules_revision("huts", second);
     until("the caller has the second", || caller.rules_revision("huts") == second).await;
     assert_eq!(caller.count("rules.from_peer"), 1);
     stop_all(vec![member, caller]).await;
@@ -110,7 +110,10 @@
     let directory = &peer.control.directory;
     until("the target is taken in", || directory.own_service().is_some()).await;
     assert!(directory.view("huts").is_none());
-    assert_ne!(directory.wanted("huts", soon()).await.err(), Some(DirectoryError::UnknownService));
+    assert_ne!(
+        directory.get_or_load("huts", soon()).await.err(),
+        Some(DirectoryError::UnknownService)
+    );
     set_mode(&platform, PlatformMode::Up);
     until("its rules are there", || directory.view("huts").is_some()).await;
     stop_all(vec![peer]).await;
--- a/crates/yuccarackd/tests/control/peers.rs
+++ b/crates/yuccarackd/tests/control/peers.rs
@@ -54,7 +54,7 @@
     }
 
     pub fn announce(&self, service: &str, state: TargetState) {
-        self.control.own_target.announce(announcement(service, state), Instant::now());
+        self.control.own_target.apply_announcement(announcement(service, state), Instant::now());
     }
 
     pub fn count(&self, counter: &str) -> u64 {
--- a/crates/yuccarackd/tests/control/rules.rs
+++ b/crates/yuccarackd/tests/control/rules.rs
@@ -34,7 +34,7 @@
     until("all have the second", || peers.iter().all(|peer| has(peer, second))).await;
     let removal = remove_rules(&platform, SERVICE);
     until("all have the removal", || peers.iter().all(|peer| has(peer, removal))).await;
-    let wanted = peers[0].control.directory.wanted(SERVICE, soon()).await;
+    let wanted = peers[0].control.directory.get_or_load(SERVICE, soon()).await;
     assert_eq!(wanted.unwrap_err(), DirectoryError::UnknownService);
     let by_peers: u64 = peers.iter().map(|peer| peer.count("rules.from_peer")).sum();
     assert!(by_peers > 0, "no rules came from peers");
@@ -56,11 +56,11 @@
     })
     .await;
     assert!(caller.control.directory.view(SERVICE).is_none());
-    let view = caller.control.directory.wanted(SERVICE, soon()).await.unwrap();
+    let view = caller.control.directory.get_or_load(SERVICE, soon()).await.unwrap();
     assert_eq!((view.rules_revision, view.members.len()), (first, 1));
     let second = put_rules(&platform, SERVICE, 200);
     until("the caller has the second", || caller.rules_revision(SERVICE) == second).await;
-    let unknown = caller.control.directory.wanted("nobody", soon()).await;
+    let unknown = caller.control.directory.get_or_load("nobody", soon()).await;
     assert_eq!(unknown.unwrap_err(), DirectoryError::UnknownService);
     stop_all(vec![member, caller]).await;
     platform.stop().await;
@@ -79,7 +79,7 @@
         hut.rules_revision(SERVICE) == huts && repair.rules_revision("repairs") == repairs
     })
     .await;
-    hut.control.directory.wanted("repairs", soon()).await.unwrap();
+    hut.control.directory.get_or_load("repairs", soon()).await.unwrap();
     until("the hut knows the repairer", || hut.members("repairs", TargetState::Ready) == 1).await;
 
     set_mode(&platform, PlatformMode::Down);
@@ -88,7 +88,7 @@
     new.announce(SERVICE, TargetState::Ready);
     until("the new one has rules", || new.rules_revision(SERVICE) == huts).await;
     until("the old one knows the new one", || hut.members(SERVICE, TargetState::Ready) == 2).await;
-    let view = new.control.directory.wanted("repairs", soon()).await.unwrap();
+    let view = new.control.directory.get_or_load("repairs", soon()).await.unwrap();
     assert_eq!((view.rules_revision, view.members.len()), (repairs, 1));
 
     set_mode(&platform, PlatformMode::Up);
--- a/crates/yuccarackd/tests/control/urgent.rs
+++ b/crates/yuccarackd/tests/control/urgent.rs
@@ -5,8 +5,8 @@
 use tokio::time::timeout;
 use yuccarack_platform::rows::TargetState;
 use yuccarackd::protocol::{
-    control::UrgentNews,
-    suspect_news::{SuspectEvent, SuspectNews},
+    control::UrgentUpdate,
+    suspect_update::{SuspectEvent, SuspectUpdate},
 };
 
 use crate::peers::{Peer, platform, stop_all, until};
@@ -23,7 +23,7 @@
         peers.iter().all(|peer| peer.members("huts", TargetState::Ready) == 4)
     })
     .await;
-    let suspect = UrgentNews::Suspects(vec![SuspectNews {
+    let suspect = UrgentUpdate::Suspects(vec![SuspectUpdate {
         service: "huts".to_owned(),
         fingerprint: 42,
         event: SuspectEvent::TargetDied,
--- a/crates/yuccarackd/tests/members.rs
+++ b/crates/yuccarackd/tests/members.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use yuccarackd::{protocol::peer_news::RoutedMember, state::routed::members::Members};
+use yuccarackd::{protocol::peer_update::RoutedMember, state::routed::members::Members};
 
 fn member(instance: &str, address: SocketAddr, service: &str) -> Option<RoutedMember> {
     Some(RoutedMember {
@@ -31,7 +31,7 @@
         assert!(named(&members, "board").is_empty());
         assert_eq!(named(&members, "desk"), ["new"]);
         assert_eq!(members.count(), 1);
-        assert_eq!(members.others_at(shared, "new"), [("old".to_owned(), 5)]);
+        assert_eq!(members.others_at_address(shared, "new"), [("old".to_owned(), 5)]);
     }
 }
 
--- a/crates/yuccarackd/tests/metrics_text.rs
+++ b/crates/yuccarackd/tests/metrics_text.rs
@@ -13,11 +13,11 @@
     let counters = Counters::new();
     counters.add("store.reads_failed");
     let metrics = Metrics::new(counters);
-    metrics.tell("routing_version", "Version.", || 7);
+    metrics.register_gauge("routing_version", "Version.", || 7);
     for end in ["answered", "not_run", "unknown", "target_failed"] {
-        metrics.call_ended(end, Duration::from_millis(3));
+        metrics.observe_call(end, Duration::from_millis(3));
     }
-    let text = metrics.text().expect("text");
+    let text = metrics.encode().expect("text");
     assert!(text.len() > SCRAPED_BYTES, "the histograms fit by themselves");
     let kept = &text[..SCRAPED_BYTES];
     assert!(kept.contains("yuccarack_routing_version 7"), "{kept}");
--- a/crates/yuccarackd/tests/newer_daemons.rs
+++ b/crates/yuccarackd/tests/newer_daemons.rs
@@ -4,7 +4,7 @@
 use yuccarack_config::routing::RoutingTable;
 use yuccarackd::protocol::{
     hop::Hop,
-    peer_news::{PeerNews, RoutedMember},
+    peer_update::{PeerUpdate, RoutedMember},
 };
 
 fn member() -> Value {
@@ -41,7 +41,7 @@
         "members": [{"instance": "n1", "revision": 3, "member": newer, "mood": 1}],
         "known": {"routing": 3, "members": 3, "moods": 3},
     });
-    let news: PeerNews = serde_json::from_value(news).expect("news");
+    let news: PeerUpdate = serde_json::from_value(news).expect("news");
     let known: RoutingTable = serde_json::from_value(table()).expect("a table");
     assert_eq!(news.routing, Some(known));
     assert_eq!(news.members.len(), 1);
--- a/crates/yuccarackd/tests/relay_lines.rs
+++ b/crates/yuccarackd/tests/relay_lines.rs
@@ -14,16 +14,16 @@
     },
     protocol::{
         body::CallBody,
-        peer_news::{ChangesTaken, NewsQuestion, PeerNews, RoutedMember},
+        peer_update::{AcceptedChanges, PeerUpdate, RoutedMember, UpdateRequest},
     },
     state::{
         counters::Counters,
         routed::{
             evacuations::Evacuations,
             members::Members,
-            news_source::{Followed, News, NewsSource},
             routing_state::RoutingState,
             transfers::Transfers,
+            update_source::{FollowedTable, SyncState, UpdateSource},
         },
     },
     transport::upstream::Upstream,
@@ -32,17 +32,17 @@
 /// A relay that the store serves, and its update stream to one daemon.
 struct Relay {
     members: Members,
-    news: News,
+    news: SyncState,
     leaving: CancellationToken,
     lines: CallBody,
 }
 
 impl Relay {
     fn new() -> Self {
-        let (members, news) = (Members::new(), News::new());
-        news.set_source(NewsSource::Store);
-        news.set_known(Followed::Routing, Some(1));
-        news.set_known(Followed::Members, Some(1));
+        let (members, news) = (Members::new(), SyncState::new());
+        news.set_source(UpdateSource::Store);
+        news.set_synced_up_to(FollowedTable::Routing, Some(1));
+        news.set_synced_up_to(FollowedTable::Members, Some(1));
         let (counters, leaving) = (Counters::new(), CancellationToken::new());
         let peers = Peers::new(PeersParts {
             own_address: ([127, 0, 0, 1], 9).into(),
@@ -56,11 +56,11 @@
             counters: counters.clone(),
             events: EventLog::new(Logger::root(Discard, o!()), counters, 100),
         });
-        let query = NewsQuestion {
+        let query = UpdateRequest {
             routing_version: 0,
             members_after: Some(1),
-            is_lasting: true,
-            changes: ChangesTaken::Small,
+            is_streaming: true,
+            changes: AcceptedChanges::Small,
         };
         let lines = RelayStream::new(peers, query).into_body();
         Self { members, news, leaving, lines }
@@ -75,14 +75,14 @@
         Some(data.to_vec())
     }
 
-    async fn next_update(&mut self) -> PeerNews {
+    async fn next_update(&mut self) -> PeerUpdate {
         let line = self.next().await.expect("a line");
         serde_json::from_slice(&line).expect("news")
     }
 }
 
 /// Applies a member's row as if the store had returned it.
-fn change_member(members: &Members, news: &News, revision: u64) {
+fn change_member(members: &Members, news: &SyncState, revision: u64) {
     let member = RoutedMember {
         instance: "n1".to_owned(),
         failure_domain: "a".to_owned(),
@@ -90,7 +90,7 @@
         service: None,
     };
     members.merge("n1", revision, Some(member));
-    news.set_known(Followed::Members, Some(revision));
+    news.set_synced_up_to(FollowedTable::Members, Some(revision));
 }
 
 /// Guards against a change that is lost when it arrives just before a keepalive is due. The relay
@@ -111,7 +111,7 @@
             change_member(&members, &news, 7);
         };
         let (line, ()) = tokio::join!(receiving, changing);
-        let update: PeerNews = serde_json::from_slice(&line)
+        let update: PeerUpdate = serde_json::from_slice(&line)
             .unwrap_or_else(|error| panic!("{early_ms} ms before: {error}"));
         assert_eq!(update.members.len(), 1, "{early_ms} ms before");
     }
@@ -136,7 +136,7 @@
         match is_leaving {
             true => relay.leaving.cancel(),
             false => {
-                relay.news.set_source(NewsSource::Nobody);
+                relay.news.set_source(UpdateSource::Unassigned);
             }
         }
         assert_eq!(relay.next_update().await.known, None);
--- a/crates/yuccarackd/tests/routed_target.rs
+++ b/crates/yuccarackd/tests/routed_target.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use yuccarack_config::heartbeat::{Heartbeat, Leave, TargetPhase};
-use yuccarackd::state::routed::target::{Departed, Heard, RoutedTarget};
+use yuccarackd::state::routed::target::{DepartedTarget, HeartbeatEffect, RoutedTarget};
 
 fn beat(life: u64, sequence: u64) -> Heartbeat {
     Heartbeat {
@@ -22,7 +22,7 @@
 /// A daemon that knows of no earlier word of its target.
 fn settled() -> RoutedTarget {
     let target = RoutedTarget::new();
-    target.settle(None);
+    target.restore_departed(None);
     target
 }
 
@@ -33,25 +33,25 @@
 #[test]
 fn the_latest_word_of_the_latest_life_counts() {
     let (start, target) = (Instant::now(), settled());
-    assert_eq!(target.heard(start, beat(10, 1)), Heard::NewLife);
-    assert_eq!(target.heard(start, beat(10, 2)), Heard::Same);
+    assert_eq!(target.apply_heartbeat(start, beat(10, 1)), HeartbeatEffect::NewLife);
+    assert_eq!(target.apply_heartbeat(start, beat(10, 2)), HeartbeatEffect::Same);
     let draining = Heartbeat { phase: TargetPhase::Draining, ..beat(10, 4) };
-    assert_eq!(target.heard(start, draining), Heard::Changed);
-    assert_eq!(target.heard(start, beat(10, 3)), Heard::Older);
+    assert_eq!(target.apply_heartbeat(start, draining), HeartbeatEffect::Changed);
+    assert_eq!(target.apply_heartbeat(start, beat(10, 3)), HeartbeatEffect::Older);
     assert!(target.is_leaving());
-    assert_eq!(target.heard(start, beat(11, 1)), Heard::NewLife);
-    assert_eq!(target.heard(start, beat(10, 9)), Heard::OlderLife);
+    assert_eq!(target.apply_heartbeat(start, beat(11, 1)), HeartbeatEffect::NewLife);
+    assert_eq!(target.apply_heartbeat(start, beat(10, 9)), HeartbeatEffect::OlderLife);
     assert_eq!(target.current().map(|view| view.life), Some(11));
 }
 
 #[test]
 fn a_target_that_has_left_stays_away() {
     let (start, target) = (Instant::now(), settled());
-    target.heard(start, beat(10, 1));
+    target.apply_heartbeat(start, beat(10, 1));
     let leave = |life| Leave { target: "i-1".to_owned(), life };
-    assert!(!target.left(0, &leave(Some(9))), "the word of an earlier process was taken");
-    assert!(target.left(0, &leave(Some(10))));
-    assert_eq!(target.heard(start, beat(10, 2)), Heard::Older);
+    assert!(!target.apply_leave(0, &leave(Some(9))), "the word of an earlier process was taken");
+    assert!(target.apply_leave(0, &leave(Some(10))));
+    assert_eq!(target.apply_heartbeat(start, beat(10, 2)), HeartbeatEffect::Older);
     assert_eq!(target.current(), None);
 }
 
@@ -60,11 +60,14 @@
 #[test]
 fn a_burst_of_late_heartbeats_changes_nothing() {
     let (start, target) = (Instant::now(), settled());
-    target.heard(start, beat(20, 1));
+    target.apply_heartbeat(start, beat(20, 1));
     for sequence in 1..10 {
-        assert_eq!(target.heard(after(start, 1_000), beat(10, sequence)), Heard::OlderLife);
+        assert_eq!(
+            target.apply_heartbeat(after(start, 1_000), beat(10, sequence)),
+            HeartbeatEffect::OlderLife
+        );
     }
-    target.heard(after(start, 1_500), beat(20, 2));
+    target.apply_heartbeat(after(start, 1_500), beat(20, 2));
     assert_eq!(target.current().map(|view| view.life), Some(20));
 }
 
@@ -74,12 +77,14 @@
 #[test]
 fn a_target_that_started_on_a_clock_set_back_is_believed_in_the_end() {
     let (start, target) = (Instant::now(), settled());
-    target.heard(start, beat(700_000, 8));
-    let heard: Vec<Heard> = (1..=4)
-        .map(|sequence| target.heard(after(start, 1_500 * sequence), beat(100_000, sequence)))
+    target.apply_heartbeat(start, beat(700_000, 8));
+    let heard: Vec<HeartbeatEffect> = (1..=4)
+        .map(|sequence| {
+            target.apply_heartbeat(after(start, 1_500 * sequence), beat(100_000, sequence))
+        })
         .collect();
-    assert_eq!(heard[..2], [Heard::OlderLife, Heard::OlderLife]);
-    assert!(heard.contains(&Heard::NewLife), "never believed: {heard:?}");
+    assert_eq!(heard[..2], [HeartbeatEffect::OlderLife, HeartbeatEffect::OlderLife]);
+    assert!(heard.contains(&HeartbeatEffect::NewLife), "never believed: {heard:?}");
     assert_eq!(target.current().map(|view| view.life), Some(100_000));
 }
 
@@ -90,13 +95,16 @@
 fn a_leave_counts_though_nothing_was_heard_before() {
     let (start, target) = (Instant::now(), settled());
     let leave = Leave { target: "i-1".to_owned(), life: None };
-    assert!(!target.left(1_000, &leave));
-    assert_eq!(target.heard(after(start, 2_000), beat(400, 20)), Heard::Older);
+    assert!(!target.apply_leave(1_000, &leave));
+    assert_eq!(target.apply_heartbeat(after(start, 2_000), beat(400, 20)), HeartbeatEffect::Older);
     assert_eq!(target.current(), None);
     // A process that started after that is another one, and so is another target.
-    assert_eq!(target.heard(after(start, 3_000), beat(1_500, 1)), Heard::NewLife);
+    assert_eq!(
+        target.apply_heartbeat(after(start, 3_000), beat(1_500, 1)),
+        HeartbeatEffect::NewLife
+    );
     let other = Heartbeat { target: "i-2".to_owned(), ..beat(2_000, 1) };
-    assert_eq!(target.heard(after(start, 4_000), other), Heard::NewLife);
+    assert_eq!(target.apply_heartbeat(after(start, 4_000), other), HeartbeatEffect::NewLife);
 }
 
 /// Story: as above, but the word had been given to an earlier process of the daemon, which kept it in
@@ -104,12 +112,13 @@
 #[test]
 fn the_word_to_an_earlier_process_counts() {
     let (start, target) = (Instant::now(), RoutedTarget::new());
-    assert_eq!(target.heard(start, beat(400, 20)), Heard::TooSoon);
-    target.settle(Some(Departed { target: "i-1".to_owned(), last_life: 400 }));
-    assert_eq!(target.heard(start, beat(400, 21)), Heard::Older);
-    assert_eq!(target.heard(start, beat(401, 1)), Heard::NewLife);
+    assert_eq!(target.apply_heartbeat(start, beat(400, 20)), HeartbeatEffect::TooSoon);
+    target
+        .restore_departed(Some(DepartedTarget { target: "i-1".to_owned(), last_incarnation: 400 }));
+    assert_eq!(target.apply_heartbeat(start, beat(400, 21)), HeartbeatEffect::Older);
+    assert_eq!(target.apply_heartbeat(start, beat(401, 1)), HeartbeatEffect::NewLife);
     assert_eq!(target.departed(), None);
-    target.heard(start, Heartbeat { phase: TargetPhase::Draining, ..beat(401, 2) });
-    let departed = Departed { target: "i-1".to_owned(), last_life: 401 };
+    target.apply_heartbeat(start, Heartbeat { phase: TargetPhase::Draining, ..beat(401, 2) });
+    let departed = DepartedTarget { target: "i-1".to_owned(), last_incarnation: 401 };
     assert_eq!(target.departed(), Some(departed));
 }
--- a/crates/yuccarackd/tests/suspects/support.rs
+++ b/crates/yuccarackd/tests/suspects/support.rs
@@ -17,7 +17,7 @@
 use yuccarack_standins::platform::Platform;
 use yuccarackd::{
     coordination::suspects::{SuspectKeeper, Trial, TrialVerdict},
-    protocol::control::UrgentNews,
+    protocol::control::UrgentUpdate,
     state::counters::Counters,
 };
 
@@ -35,7 +35,7 @@
 pub struct Gates {
     pub platform: Platform,
     pub gates: Vec<SuspectKeeper>,
-    ears: Arc<Mutex<Vec<mpsc::Sender<UrgentNews>>>>,
+    ears: Arc<Mutex<Vec<mpsc::Sender<UrgentUpdate>>>>,
     tasks: TaskTracker,
     stop: CancellationToken,
 }
@@ -77,7 +77,7 @@
         let (ears, stop) = (self.ears.clone(), self.stop.clone());
         self.tasks.spawn(async move {
             loop {
-                let news: UrgentNews = tokio::select! {
+                let news: UrgentUpdate = tokio::select! {
                     Some(news) = said.recv() => news,
                     () = stop.cancelled() => return,
                 };
