--- a/crates/yuccarack_config/src/routed_settings.rs
+++ b/crates/yuccarack_config/src/routed_settings.rs
@@ -123,7 +123,7 @@
     ///
     /// [`FileError::Invalid`] with all errors of the text.
     pub fn parse(text: &[u8]) -> Result<Self, FileError> {
-        faults::parse(text, check::faults)
+        faults::parse(text, check::find_faults)
     }
 
     /// Loads the routing table of `routing_file`, if that is set.
@@ -138,8 +138,8 @@
 
     /// Returns the region of `failure_domain`, if it is configured.
     pub fn region_of(&self, failure_domain: &str) -> Option<&RegionName> {
-        let known = self.regions.iter().find(|known| known.failure_domain == failure_domain);
-        known.map(|known| &known.region)
+        let domain = self.regions.iter().find(|domain| domain.failure_domain == failure_domain);
+        domain.map(|domain| &domain.region)
     }
 
     /// Returns the address that other daemons use for the gate.
--- a/crates/yuccarack_config/src/routing.rs
+++ b/crates/yuccarack_config/src/routing.rs
@@ -216,6 +216,6 @@
 
     /// Returns the settings of `service`, if the table has it.
     pub fn service(&self, service: &str) -> Option<&RoutedService> {
-        self.table.services.iter().find(|known| known.name == service)
+        self.table.services.iter().find(|candidate| candidate.name == service)
     }
 }
--- a/crates/yuccarack_config/src/routing_changes.rs
+++ b/crates/yuccarack_config/src/routing_changes.rs
@@ -115,12 +115,13 @@
         if later.base != self.version {
             return Err(ChangesError::Base { base: later.base, version: self.version });
         }
-        let replaced = later.changed_keys();
-        let kept = self.routes.iter().filter(|route| !replaced.contains(&key_of(route)));
-        let routes: Vec<Route> = kept.chain(&later.routes).cloned().collect();
-        let present: HashSet<RouteKeyRef<'_>> = routes.iter().map(key_of).collect();
+        let replaced_keys = later.changed_keys();
+        let kept_routes =
+            self.routes.iter().filter(|route| !replaced_keys.contains(&key_of(route)));
+        let routes: Vec<Route> = kept_routes.chain(&later.routes).cloned().collect();
+        let present_keys: HashSet<RouteKeyRef<'_>> = routes.iter().map(key_of).collect();
         let removed = self.removed.iter().chain(&later.removed);
-        let is_absent = |key: &&RouteKey| !present.contains(&borrowed_key(key));
+        let is_absent = |key: &&RouteKey| !present_keys.contains(&borrowed_key(key));
         let mut removed: Vec<RouteKey> = removed.filter(is_absent).cloned().collect();
         removed.sort_unstable();
         removed.dedup();
@@ -138,12 +139,12 @@
         if self.base != version {
             return Err(ChangesError::Base { base: self.base, version });
         }
-        let replaced = self.changed_keys();
-        let kept = base.into_iter().flat_map(Routing::routes);
-        let kept = kept.filter(|route| !replaced.contains(&key_of(route)));
+        let replaced_keys = self.changed_keys();
+        let kept_routes = base.into_iter().flat_map(Routing::routes);
+        let kept_routes = kept_routes.filter(|route| !replaced_keys.contains(&key_of(route)));
         let table = RoutingTable {
             version: self.version,
-            routes: kept.chain(&self.routes).cloned().collect(),
+            routes: kept_routes.chain(&self.routes).cloned().collect(),
             services: self.services.clone(),
             caller_limits: self.caller_limits.clone(),
         };
--- a/crates/yuccarack_config/src/routing_file.rs
+++ b/crates/yuccarack_config/src/routing_file.rs
@@ -46,7 +46,7 @@
     ///
     /// [`FileError::Invalid`] with all errors of the text.
     pub fn parse(text: &[u8]) -> Result<Self, FileError> {
-        faults::parse(text, check::faults)
+        faults::parse(text, check::find_faults)
     }
 
     /// Converts the file into a routing table.
--- a/crates/yuccarack_config/src/routing_file/check.rs
+++ b/crates/yuccarack_config/src/routing_file/check.rs
@@ -34,26 +34,26 @@
 const WAIT_MAX_MS: u64 = 300_000;
 
 /// Schema of a routing file.
-pub(super) const ROUTING: Kind = Kind::Group(&[
+pub(super) const ROUTING: Kind = Kind::Object(&[
     Field::required("format", Kind::number(1, 1)),
     Field::required("version", Kind::number(1, VERSION_MAX)),
     Field::required("routes", list(&ROUTE, ROUTES_MAX, 1)),
     Field::required("services", list(&SERVICE, SERVICES_MAX, 1)),
-    Field::defaulted("caller_limits", CALLER_LIMITS),
+    Field::optional("caller_limits", CALLER_LIMITS),
 ]);
 
-const ROUTE: Kind = Kind::Group(&[
+const ROUTE: Kind = Kind::Object(&[
     Field::required("name", Kind::Name),
     Field::required("host", Kind::ServiceName),
     Field::required("path_prefix", Kind::PathPrefix),
-    Field::required("is_repeatable", Kind::Flag),
-    Field::defaulted("is_upload", Kind::Flag),
+    Field::required("is_repeatable", Kind::Bool),
+    Field::optional("is_upload", Kind::Bool),
     Field::required("split", SPLIT),
     Field::required("wait_max_ms", Kind::number(1, WAIT_MAX_MS)),
     Field::required("on_time_ms", Kind::number(1, WAIT_MAX_MS)),
     Field::required("targets_max", Kind::number(1, 10)),
     Field::required("rank", Kind::number(0, 255)),
-    Field::defaulted("home_regions", HOME_REGIONS),
+    Field::optional("home_regions", HOME_REGIONS),
 ]);
 
 const HOME_REGIONS: Kind =
@@ -66,26 +66,26 @@
     unique: Unique::Field("service"),
 };
 
-const SHARE: Kind = Kind::Group(&[
+const SHARE: Kind = Kind::Object(&[
     Field::required("service", Kind::ServiceName),
     Field::required("weight", Kind::number(0, 1_000_000)),
 ]);
 
-const SERVICE: Kind = Kind::Group(&[
+const SERVICE: Kind = Kind::Object(&[
     Field::required("name", Kind::ServiceName),
     Field::required("load_path", Kind::PathPrefix),
     Field::required("connections_max", Kind::number(1, 65_535)),
-    Field::defaulted("cold_rate_per_1000_s", Kind::number(0, COLD_RATE_MAX)),
-    Field::defaulted("cold_start_ms", Kind::number(0, COLD_START_MAX_MS)),
+    Field::optional("cold_rate_per_1000_s", Kind::number(0, COLD_RATE_MAX)),
+    Field::optional("cold_start_ms", Kind::number(0, COLD_START_MAX_MS)),
 ]);
 
-const CALLER_LIMITS: Kind = Kind::Group(&[
-    Field::defaulted("head_max_bytes", Kind::number(1_024, 32_768)),
-    Field::defaulted("body_max_bytes", Kind::number(0, 1 << 40)),
+const CALLER_LIMITS: Kind = Kind::Object(&[
+    Field::optional("head_max_bytes", Kind::number(1_024, 32_768)),
+    Field::optional("body_max_bytes", Kind::number(0, 1 << 40)),
 ]);
 
 /// Returns all validation errors of `file`; empty if it is valid.
-pub(super) fn faults(file: &Value) -> Vec<Fault> {
+pub(super) fn find_faults(file: &Value) -> Vec<Fault> {
     let mut faults = Vec::new();
     ROUTING.check(file, "", &mut faults);
     for (index, route) in items(file, "routes").iter().enumerate() {
@@ -126,7 +126,7 @@
     let shares = items(route, "split");
     for (index, share) in shares.iter().enumerate() {
         let Some(service) = share.get("service") else { continue };
-        if !services.iter().any(|known| known.get("name") == Some(service)) {
+        if !services.iter().any(|defined| defined.get("name") == Some(service)) {
             let accepted = "the name of a service under services".to_owned();
             let kind = FaultKind::Value { found: excerpt(service), accepted };
             faults.push(Fault::new(format!("{path}.split[{index}].service"), kind));
@@ -144,17 +144,17 @@
 fn check_duplicate(file: &Value, index: usize, faults: &mut Vec<Fault>) {
     let routes = items(file, "routes");
     let key = |route: &Value| Some((route.get("host")?.clone(), route.get("path_prefix")?.clone()));
-    let Some(own) = key(&routes[index]) else { return };
-    let first = routes[..index].iter().position(|route| key(route).as_ref() == Some(&own));
+    let Some(own_key) = key(&routes[index]) else { return };
+    let first = routes[..index].iter().position(|route| key(route).as_ref() == Some(&own_key));
     if let Some(first) = first {
-        let found = format!("{} {}", excerpt(&own.0), excerpt(&own.1));
+        let found = format!("{} {}", excerpt(&own_key.0), excerpt(&own_key.1));
         let kind = FaultKind::Doubled { found, first: format!("routes[{first}]") };
         faults.push(Fault::new(format!("routes[{index}]"), kind));
     }
 }
 
-fn items<'a>(group: &'a Value, name: &str) -> &'a [Value] {
-    group.get(name).and_then(Value::as_array).map_or(&[], Vec::as_slice)
+fn items<'a>(object: &'a Value, name: &str) -> &'a [Value] {
+    object.get(name).and_then(Value::as_array).map_or(&[], Vec::as_slice)
 }
 
 const fn list(of: &'static Kind, length_max: usize, length_min: usize) -> Kind {
--- a/crates/yuccarack_config/src/rules.rs
+++ b/crates/yuccarack_config/src/rules.rs
@@ -143,7 +143,7 @@
     ///
     /// [`FileError::Invalid`] with all errors of the text.
     pub fn parse(text: &[u8]) -> Result<Self, RulesError> {
-        faults::parse(text, check::faults)
+        faults::parse(text, check::find_faults)
     }
 }
 
--- a/crates/yuccarack_config/src/rules/check.rs
+++ b/crates/yuccarack_config/src/rules/check.rs
@@ -29,62 +29,62 @@
 const WAIT_MAX_MS: u64 = 60_000;
 
 /// Schema of a rules file.
-pub(super) const RULES: Kind = Kind::Group(&[
+pub(super) const RULES: Kind = Kind::Object(&[
     Field::required("format", Kind::number(1, 1)),
-    Field::defaulted("based_on", Kind::number(0, REVISION_MAX)),
+    Field::optional("based_on", Kind::number(0, REVISION_MAX)),
     Field::required("services", list(&SERVICE, SERVICES_MAX, 0, Unique::Field("name"))),
-    Field::defaulted("removed", list(&Kind::ServiceName, SERVICES_MAX, 0, Unique::Value)),
+    Field::optional("removed", list(&Kind::ServiceName, SERVICES_MAX, 0, Unique::Value)),
 ]);
 
-const SERVICE: Kind = Kind::Group(&[
+const SERVICE: Kind = Kind::Object(&[
     Field::required("name", Kind::ServiceName),
     Field::required("routes", list(&ROUTE, ROUTES_MAX, 1, Unique::Field("name"))),
-    Field::defaulted("limits", LIMITS),
-    Field::defaulted("retry", RETRY),
-    Field::defaulted("hedge", HEDGE),
-    Field::defaulted("measuring", MEASURING),
-    Field::defaulted("ejection", EJECTION),
+    Field::optional("limits", LIMITS),
+    Field::optional("retry", RETRY),
+    Field::optional("hedge", HEDGE),
+    Field::optional("measuring", MEASURING),
+    Field::optional("ejection", EJECTION),
 ]);
 
-const ROUTE: Kind = Kind::Group(&[
+const ROUTE: Kind = Kind::Object(&[
     Field::required("name", Kind::Name),
-    Field::defaulted("methods", list(&Kind::Method, METHODS_MAX, 0, Unique::Value)),
+    Field::optional("methods", list(&Kind::Method, METHODS_MAX, 0, Unique::Value)),
     Field::required("path_prefix", Kind::PathPrefix),
-    Field::nullable("repeatable", Kind::Flag),
-    Field::defaulted("deadline_ms", Kind::number(1, DEADLINE_MAX_MS)),
-    Field::defaulted("slot_share_percent", Kind::number(1, 100)),
+    Field::nullable("repeatable", Kind::Bool),
+    Field::optional("deadline_ms", Kind::number(1, DEADLINE_MAX_MS)),
+    Field::optional("slot_share_percent", Kind::number(1, 100)),
 ]);
 
-const LIMITS: Kind = Kind::Group(&[
-    Field::defaulted("queue_length_max", Kind::number(0, 10_000)),
-    Field::defaulted("queue_wait_max_ms", Kind::number(0, WAIT_MAX_MS)),
-    Field::defaulted("caller_share_percent", Kind::number(1, 100)),
+const LIMITS: Kind = Kind::Object(&[
+    Field::optional("queue_length_max", Kind::number(0, 10_000)),
+    Field::optional("queue_wait_max_ms", Kind::number(0, WAIT_MAX_MS)),
+    Field::optional("caller_share_percent", Kind::number(1, 100)),
 ]);
 
-const RETRY: Kind = Kind::Group(&[
-    Field::defaulted("budget_percent", Kind::number(0, 100)),
-    Field::defaulted("tries_max", Kind::number(1, 10)),
+const RETRY: Kind = Kind::Object(&[
+    Field::optional("budget_percent", Kind::number(0, 100)),
+    Field::optional("tries_max", Kind::number(1, 10)),
 ]);
 
-const HEDGE: Kind = Kind::Group(&[
-    Field::defaulted("budget_percent", Kind::number(0, 100)),
-    Field::defaulted("after_percentile", Kind::number(50, 99)),
-    Field::defaulted("delay_min_ms", Kind::number(0, WAIT_MAX_MS)),
+const HEDGE: Kind = Kind::Object(&[
+    Field::optional("budget_percent", Kind::number(0, 100)),
+    Field::optional("after_percentile", Kind::number(50, 99)),
+    Field::optional("delay_min_ms", Kind::number(0, WAIT_MAX_MS)),
 ]);
 
-const MEASURING: Kind = Kind::Group(&[
-    Field::defaulted("bytes_per_s_max", Kind::number(0, 1_048_576)),
-    Field::defaulted("requests_per_1000s_max", Kind::number(0, 1_000_000)),
-    Field::defaulted("time_ms_per_s_max", Kind::number(0, 1_000)),
+const MEASURING: Kind = Kind::Object(&[
+    Field::optional("bytes_per_s_max", Kind::number(0, 1_048_576)),
+    Field::optional("requests_per_1000s_max", Kind::number(0, 1_000_000)),
+    Field::optional("time_ms_per_s_max", Kind::number(0, 1_000)),
 ]);
 
-const EJECTION: Kind = Kind::Group(&[
-    Field::defaulted("share_max_percent", Kind::number(0, 100)),
-    Field::defaulted("failures_in_row", Kind::number(1, 100)),
+const EJECTION: Kind = Kind::Object(&[
+    Field::optional("share_max_percent", Kind::number(0, 100)),
+    Field::optional("failures_in_row", Kind::number(1, 100)),
 ]);
 
 /// Returns all validation errors of `file`; empty if it is valid.
-pub(super) fn faults(file: &Value) -> Vec<Fault> {
+pub(super) fn find_faults(file: &Value) -> Vec<Fault> {
     let mut faults = Vec::new();
     RULES.check(file, "", &mut faults);
     check_removed(file, &mut faults);
@@ -130,33 +130,42 @@
             let kind = FaultKind::Unreachable { found, by: format!("{path}.routes[{by}]") };
             faults.push(Fault::new(format!("{path}.routes[{index}]"), kind));
         };
-        let earlier = &routes[..index];
-        if let Some(by) = all_methods_shadowed_by(earlier, route) {
+        let earlier_routes = &routes[..index];
+        if let Some(by) = all_methods_shadowed_by(earlier_routes, route) {
             report(format!("{:?}", route.path_prefix), by);
             continue;
         }
         for method in &route.methods {
-            if let Some(by) = method_shadowed_by(earlier, method, &route.path_prefix) {
+            if let Some(by) = method_shadowed_by(earlier_routes, method, &route.path_prefix) {
                 report(format!("{method} {:?}", route.path_prefix), by);
             }
         }
     }
 }
 
-fn all_methods_shadowed_by(earlier: &[Option<RouteRules>], route: &RouteRules) -> Option<usize> {
-    earlier.iter().position(|other| {
+fn all_methods_shadowed_by(
+    earlier_routes: &[Option<RouteRules>],
+    route: &RouteRules,
+) -> Option<usize> {
+    earlier_routes.iter().position(|other| {
         other.as_ref().is_some_and(|other| {
             other.methods.is_empty() && route.path_prefix.starts_with(&other.path_prefix)
         })
     })
 }
 
-fn method_shadowed_by(earlier: &[Option<RouteRules>], method: &str, path: &str) -> Option<usize> {
-    earlier.iter().position(|other| other.as_ref().is_some_and(|other| other.matches(method, path)))
+fn method_shadowed_by(
+    earlier_routes: &[Option<RouteRules>],
+    method: &str,
+    path: &str,
+) -> Option<usize> {
+    earlier_routes
+        .iter()
+        .position(|other| other.as_ref().is_some_and(|other| other.matches(method, path)))
 }
 
-fn items<'a>(group: &'a Value, name: &str) -> &'a [Value] {
-    group.get(name).and_then(Value::as_array).map_or(&[], Vec::as_slice)
+fn items<'a>(object: &'a Value, name: &str) -> &'a [Value] {
+    object.get(name).and_then(Value::as_array).map_or(&[], Vec::as_slice)
 }
 
 const fn list(of: &'static Kind, length_max: usize, length_min: usize, unique: Unique) -> Kind {
--- a/crates/yuccarack_config/src/schema.rs
+++ b/crates/yuccarack_config/src/schema.rs
@@ -25,8 +25,8 @@
     /// The field has no default.
     Required,
     /// The field may be missing and then has a default.
-    Defaulted,
-    /// As [`Presence::Defaulted`], and `null` also selects the default.
+    Optional,
+    /// As [`Presence::Optional`], and `null` also selects the default.
     Nullable,
 }
 
@@ -48,7 +48,7 @@
         max: u32,
     },
     /// `true` or `false`.
-    Flag,
+    Bool,
     /// Name of an instance, a failure domain or a route.
     Name,
     /// Name of a service, as in a `Host` header.
@@ -60,7 +60,7 @@
     /// One of these strings.
     OneOf(&'static [&'static str]),
     /// An IP address.
-    Ip,
+    IpAddress,
     /// IP address and port to listen on; with port 0 the kernel chooses the port.
     ListenAddress,
     /// A [`Kind::ListenAddress`] that is advertised to peers, so the unspecified IP address isn't
@@ -80,7 +80,7 @@
         unique: Unique,
     },
     /// A JSON object with these fields and no others.
-    Group(&'static [Field]),
+    Object(&'static [Field]),
 }
 
 /// What has to be unique among the items of a list.
@@ -99,8 +99,8 @@
     }
 
     /// Creates a field with a default.
-    pub const fn defaulted(name: &'static str, kind: Kind) -> Self {
-        Self { name, kind, presence: Presence::Defaulted }
+    pub const fn optional(name: &'static str, kind: Kind) -> Self {
+        Self { name, kind, presence: Presence::Optional }
     }
 
     /// Creates a field with a default that may also be `null`.
@@ -129,7 +129,7 @@
             Self::Rounded { min, max } => {
                 write!(f, "a number from {min} to {max}, rounded down")
             }
-            Self::Flag => write!(f, "true or false"),
+            Self::Bool => write!(f, "true or false"),
             Self::Name => write!(
                 f,
                 "1 to {NAME_LENGTH_MAX} letters, digits, '-', '_' or '.', a letter or digit first"
@@ -146,14 +146,14 @@
                  characters, without '?' and '#'"
             ),
             Self::OneOf(values) => write!(f, "one of {}", values.join(", ")),
-            Self::Ip => write!(f, "an IP number"),
+            Self::IpAddress => write!(f, "an IP number"),
             Self::ListenAddress => write!(f, "an IP number and a port"),
             Self::AdvertisedAddress => write!(f, "the instance's own IP number and a port"),
             Self::PeerAddress => write!(f, "another's IP number and a port from 1 to 65535"),
             Self::List { of, length_min, length_max, .. } => {
                 write!(f, "a list of {length_min} to {length_max}, each {of}")
             }
-            Self::Group(fields) => write!(f, "an object of {}", field_names(fields)),
+            Self::Object(fields) => write!(f, "an object of {}", field_names(fields)),
         }
     }
 }
--- a/crates/yuccarack_config/src/schema/text.rs
+++ b/crates/yuccarack_config/src/schema/text.rs
@@ -22,7 +22,7 @@
             Self::Method => is_method(text),
             Self::PathPrefix => is_path(text),
             Self::OneOf(values) => values.contains(&text),
-            Self::Ip => text.parse::<IpAddr>().is_ok(),
+            Self::IpAddress => text.parse::<IpAddr>().is_ok(),
             Self::ListenAddress => text.parse::<SocketAddr>().is_ok(),
             Self::AdvertisedAddress => is_address(text, |address| !address.ip().is_unspecified()),
             Self::PeerAddress => {
@@ -30,9 +30,9 @@
             }
             Self::Number { .. }
             | Self::Rounded { .. }
-            | Self::Flag
+            | Self::Bool
             | Self::List { .. }
-            | Self::Group(_) => false,
+            | Self::Object(_) => false,
         }
     }
 }
--- a/crates/yuccarack_config/src/schema/validate.rs
+++ b/crates/yuccarack_config/src/schema/validate.rs
@@ -14,8 +14,8 @@
     /// Validates `value`, found at `path`, and adds all of its errors to `faults`.
     pub fn check(&self, value: &Value, path: &str, faults: &mut Vec<Fault>) {
         match (self, value) {
-            (Self::Group(fields), Value::Object(group)) => {
-                check_group(fields, group, path, faults);
+            (Self::Object(fields), Value::Object(object)) => {
+                check_object(fields, object, path, faults);
             }
             (Self::List { of, unique, .. }, Value::Array(items)) => {
                 if !self.accepts(value) {
@@ -37,7 +37,7 @@
             (Self::Rounded { min, max }, Value::Number(number)) => number
                 .as_f64()
                 .is_some_and(|number| (f64::from(*min)..=f64::from(*max)).contains(&number)),
-            (Self::Flag, Value::Bool(_)) => true,
+            (Self::Bool, Value::Bool(_)) => true,
             (Self::List { length_min, length_max, .. }, Value::Array(items)) => {
                 (*length_min..=*length_max).contains(&items.len())
             }
@@ -54,10 +54,15 @@
     }
 }
 
-fn check_group(fields: &[Field], group: &Map<String, Value>, path: &str, faults: &mut Vec<Fault>) {
+fn check_object(
+    fields: &[Field],
+    object: &Map<String, Value>,
+    path: &str,
+    faults: &mut Vec<Fault>,
+) {
     for field in fields {
         let path = join(path, field.name);
-        match (group.get(field.name), field.presence) {
+        match (object.get(field.name), field.presence) {
             (None, Presence::Required) => {
                 let accepted = field.kind.to_string();
                 faults.push(Fault::new(path, FaultKind::Missing { accepted }));
@@ -66,7 +71,7 @@
             (Some(value), _) => field.kind.check(value, &path, faults),
         }
     }
-    for name in group.keys().filter(|name| fields.iter().all(|field| field.name != **name)) {
+    for name in object.keys().filter(|name| fields.iter().all(|field| field.name != **name)) {
         let accepted = field_names(fields);
         faults.push(Fault::new(join(path, name), FaultKind::Unknown { accepted }));
     }
--- a/crates/yuccarack_config/src/settings.rs
+++ b/crates/yuccarack_config/src/settings.rs
@@ -138,7 +138,7 @@
     ///
     /// [`FileError::Invalid`] with all errors of the text.
     pub fn parse(text: &[u8]) -> Result<Self, SettingsError> {
-        faults::parse(text, check::faults)
+        faults::parse(text, check::find_faults)
     }
 }
 
--- a/crates/yuccarack_config/src/settings/check.rs
+++ b/crates/yuccarack_config/src/settings/check.rs
@@ -15,7 +15,7 @@
     ["call_address", "gate_address", "admin_address", "control_address"];
 
 /// Schema of the settings file.
-pub(super) const SETTINGS: Kind = Kind::Group(&[
+pub(super) const SETTINGS: Kind = Kind::Object(&[
     Field::required("instance", Kind::Name),
     Field::required("failure_domain", Kind::Name),
     Field::required("call_address", Kind::ListenAddress),
@@ -25,33 +25,33 @@
     Field::nullable("told_gate_address", Kind::PeerAddress),
     Field::nullable("told_control_address", Kind::PeerAddress),
     Field::required("platform_address", Kind::PeerAddress),
-    Field::defaulted("seed_peers", list(&Kind::PeerAddress, 0)),
+    Field::optional("seed_peers", list(&Kind::PeerAddress, 0)),
     Field::nullable("statsd_address", Kind::PeerAddress),
-    Field::defaulted("announce_from", list(&Kind::Ip, 1)),
-    Field::defaulted("admin_from", list(&Kind::Ip, 0)),
-    Field::defaulted("call_threads", Kind::number(1, 64)),
-    Field::defaulted("log", LOG),
-    Field::defaulted("budgets", BUDGETS),
+    Field::optional("announce_from", list(&Kind::IpAddress, 1)),
+    Field::optional("admin_from", list(&Kind::IpAddress, 0)),
+    Field::optional("call_threads", Kind::number(1, 64)),
+    Field::optional("log", LOG),
+    Field::optional("budgets", BUDGETS),
 ]);
 
 /// Schema of the log settings.
-pub(crate) const LOG: Kind = Kind::Group(&[
-    Field::defaulted("format", Kind::OneOf(&["json", "terminal"])),
-    Field::defaulted("level", Kind::OneOf(&["error", "warning", "info", "debug"])),
+pub(crate) const LOG: Kind = Kind::Object(&[
+    Field::optional("format", Kind::OneOf(&["json", "terminal"])),
+    Field::optional("level", Kind::OneOf(&["error", "warning", "info", "debug"])),
 ]);
 
-const BUDGETS: Kind = Kind::Group(&[
-    Field::defaulted("head_max_bytes", Kind::number(8_192, 1_048_576)),
-    Field::defaulted("replay_body_max_bytes", Kind::number(0, 16_777_216)),
-    Field::defaulted("announce_timeout_ms", Kind::number(100, 10_000)),
-    Field::defaulted("gossip_interval_ms", Kind::number(20, 10_000)),
-    Field::defaulted("drain_notice_ms", Kind::number(0, 30_000)),
-    Field::defaulted("drain_max_ms", Kind::number(100, 3_600_000)),
-    Field::defaulted("platform_timeout_ms", Kind::number(10, 30_000)),
+const BUDGETS: Kind = Kind::Object(&[
+    Field::optional("head_max_bytes", Kind::number(8_192, 1_048_576)),
+    Field::optional("replay_body_max_bytes", Kind::number(0, 16_777_216)),
+    Field::optional("announce_timeout_ms", Kind::number(100, 10_000)),
+    Field::optional("gossip_interval_ms", Kind::number(20, 10_000)),
+    Field::optional("drain_notice_ms", Kind::number(0, 30_000)),
+    Field::optional("drain_max_ms", Kind::number(100, 3_600_000)),
+    Field::optional("platform_timeout_ms", Kind::number(10, 30_000)),
 ]);
 
 /// Returns all validation errors of `file`; empty if it is valid.
-pub(super) fn faults(file: &Value) -> Vec<Fault> {
+pub(super) fn find_faults(file: &Value) -> Vec<Fault> {
     let mut faults = Vec::new();
     SETTINGS.check(file, "", &mut faults);
     check_listen_addresses(file, &mut faults);
@@ -66,9 +66,10 @@
         if address.ends_with(":0") {
             continue;
         }
-        let earlier = &LISTEN_ADDRESSES[..index];
-        let same = |other: &&&str| file.get(**other).and_then(Value::as_str) == Some(address);
-        if let Some(first) = earlier.iter().find(same) {
+        let earlier_names = &LISTEN_ADDRESSES[..index];
+        let has_same_address =
+            |other: &&&str| file.get(**other).and_then(Value::as_str) == Some(address);
+        if let Some(first) = earlier_names.iter().find(has_same_address) {
             let found = format!("{address:?}");
             let kind = FaultKind::Doubled { found, first: (*first).to_owned() };
             faults.push(Fault::new(*name, kind));
@@ -84,13 +85,13 @@
         let value = file.get("budgets").and_then(|budgets| budgets.get(name));
         value.map_or(Some(u64::from(default)), Value::as_u64)
     };
-    let notice = budget("drain_notice_ms", defaults.drain_notice_ms);
-    let drain_max = budget("drain_max_ms", defaults.drain_max_ms);
-    if let (Some(notice), Some(drain_max)) = (notice, drain_max)
-        && notice >= drain_max
+    let notice_ms = budget("drain_notice_ms", defaults.drain_notice_ms);
+    let drain_max_ms = budget("drain_max_ms", defaults.drain_max_ms);
+    if let (Some(notice_ms), Some(drain_max_ms)) = (notice_ms, drain_max_ms)
+        && notice_ms >= drain_max_ms
     {
-        let found = excerpt(&Value::from(notice));
-        let accepted = format!("less than drain_max_ms, which is {drain_max}");
+        let found = excerpt(&Value::from(notice_ms));
+        let accepted = format!("less than drain_max_ms, which is {drain_max_ms}");
         faults.push(Fault::new("budgets.drain_notice_ms", FaultKind::Value { found, accepted }));
     }
 }
--- a/crates/yuccarack_config/tests/reference.rs
+++ b/crates/yuccarack_config/tests/reference.rs
@@ -14,7 +14,7 @@
 /// Adds the expected starts of the reference's lines: path, default and accepted values.
 fn expected_lines(path: &str, kind: &Kind, defaults: &Value, expected: &mut Vec<String>) {
     match kind {
-        Kind::Group(fields) => {
+        Kind::Object(fields) => {
             for field in *fields {
                 let path = match path.is_empty() {
                     true => field.name.to_owned(),
@@ -30,8 +30,8 @@
 
 fn expected_field_lines(path: &str, field: &Field, default: &Value, expected: &mut Vec<String>) {
     match &field.kind {
-        Kind::Group(_) => expected_lines(path, &field.kind, default, expected),
-        Kind::List { of: Kind::Group(_), length_min, length_max, .. } => {
+        Kind::Object(_) => expected_lines(path, &field.kind, default, expected),
+        Kind::List { of: Kind::Object(_), length_min, length_max, .. } => {
             let accepted = format!("a list of {length_min} to {length_max}");
             expected.push(expected_line(path, field, default, &accepted));
             expected_lines(path, &field.kind, default, expected);
--- a/crates/yuccarack_config/tests/routing_changes.rs
+++ b/crates/yuccarack_config/tests/routing_changes.rs
@@ -66,7 +66,7 @@
 
 #[test]
 fn applied_changes_equal_the_full_table() {
-    fn holds(first: Routes, second: Routes) -> bool {
+    fn property(first: Routes, second: Routes) -> bool {
         let (first, second) = (first.routing(4), second.routing(9));
         let changed = RoutingChanges::between(&first, &second).apply(Some(&first));
         let full = RoutingChanges::full(&second).apply(Some(&first));
@@ -75,37 +75,38 @@
             && changed.digest() == second.digest()
             && sorted(&full.expect("a table")) == sorted(&second)
     }
-    QuickCheck::new().tests(RUNS).quickcheck(holds as fn(Routes, Routes) -> bool);
+    QuickCheck::new().tests(RUNS).quickcheck(property as fn(Routes, Routes) -> bool);
 }
 
 #[test]
 fn merged_changes_equal_consecutive_changes() {
-    fn holds(tables: (Routes, Routes, Routes)) -> bool {
+    fn property(tables: (Routes, Routes, Routes)) -> bool {
         let (first, second, third) =
             (tables.0.routing(4), tables.1.routing(9), tables.2.routing(11));
-        let one = RoutingChanges::between(&first, &second);
-        let other = RoutingChanges::between(&second, &third);
-        let merged = one.merged_with(&other).expect("consecutive changes");
-        let from_full =
-            RoutingChanges::full(&second).merged_with(&other).expect("consecutive changes");
+        let first_changes = RoutingChanges::between(&first, &second);
+        let second_changes = RoutingChanges::between(&second, &third);
+        let merged = first_changes.merged_with(&second_changes).expect("consecutive changes");
+        let from_full = RoutingChanges::full(&second)
+            .merged_with(&second_changes)
+            .expect("consecutive changes");
         sorted(&merged.apply(Some(&first)).expect("a table")) == sorted(&third)
             && sorted(&from_full.apply(None).expect("a table")) == sorted(&third)
     }
-    let holds = holds as fn((Routes, Routes, Routes)) -> bool;
-    QuickCheck::new().tests(RUNS).quickcheck(holds);
+    let property = property as fn((Routes, Routes, Routes)) -> bool;
+    QuickCheck::new().tests(RUNS).quickcheck(property);
 }
 
 /// Guards against changes that are applied to another table than the one they were computed for.
 #[test]
 fn changes_of_another_base_are_rejected() {
     let routes = Routes(BTreeMap::from([((0, 0), (0, true)), ((0, 1), (0, true))]));
-    let grown = Routes(BTreeMap::from([((0, 0), (0, true)), ((0, 2), (1, true))]));
-    let changes = RoutingChanges::between(&routes.routing(4), &grown.routing(9));
-    let older = changes.apply(Some(&routes.routing(3)));
-    assert_eq!(older.err(), Some(ChangesError::Base { base: 4, version: 3 }));
-    let differing = Routes(BTreeMap::from([((0, 0), (2, true)), ((0, 1), (0, true))]));
-    let other = changes.apply(Some(&differing.routing(4)));
-    assert!(matches!(other, Err(ChangesError::Digest { .. })), "{other:?}");
+    let changed_routes = Routes(BTreeMap::from([((0, 0), (0, true)), ((0, 2), (1, true))]));
+    let changes = RoutingChanges::between(&routes.routing(4), &changed_routes.routing(9));
+    let wrong_version = changes.apply(Some(&routes.routing(3)));
+    assert_eq!(wrong_version.err(), Some(ChangesError::Base { base: 4, version: 3 }));
+    let other_routes = Routes(BTreeMap::from([((0, 0), (2, true)), ((0, 1), (0, true))]));
+    let wrong_digest = changes.apply(Some(&other_routes.routing(4)));
+    assert!(matches!(wrong_digest, Err(ChangesError::Digest { .. })), "{wrong_digest:?}");
     assert_eq!(changes.merged_with(&changes), Err(ChangesError::Base { base: 4, version: 9 }));
 }
 
@@ -113,7 +114,7 @@
 #[test]
 fn of_routes_with_the_same_key_the_last_one_wins() {
     let mut table = Routes(BTreeMap::from([((0, 0), (0, true))])).routing(4).table().clone();
-    let last = Route { rank: 7, ..table.routes[0].clone() };
-    table.routes.push(last.clone());
-    assert_eq!(Routing::new(table).table().routes, vec![last]);
+    let last_route = Route { rank: 7, ..table.routes[0].clone() };
+    table.routes.push(last_route.clone());
+    assert_eq!(Routing::new(table).table().routes, vec![last_route]);
 }
--- a/crates/yuccarack_config/tests/routing_file.rs
+++ b/crates/yuccarack_config/tests/routing_file.rs
@@ -47,7 +47,7 @@
     file["routes"].as_array_mut().expect("routes").push(duplicate);
     file["routes"][0]["path_prefix"] = json!("/notes");
     file["routes"][1]["path_prefix"] = json!("/notes");
-    let found = faults(&file);
+    let found_paths = faults(&file);
     for path in [
         "routes[1].targets_max",
         "routes[0].path_prefix",
@@ -56,7 +56,10 @@
         "routes[1].split",
         "routes[1]",
     ] {
-        assert!(found.iter().any(|found| found == path), "{path} is missing in {found:?}");
+        assert!(
+            found_paths.iter().any(|found| found == path),
+            "{path} is missing in {found_paths:?}"
+        );
     }
 }
 
--- a/crates/yuccarack_config/tests/rules.rs
+++ b/crates/yuccarack_config/tests/rules.rs
@@ -61,8 +61,8 @@
         "retry": {"tries": 3},
     }));
     file["services"].as_array_mut().unwrap().push(json!({"name": "conditions", "routes": []}));
-    let mut found = paths(&file);
-    found.sort();
+    let mut found_paths = paths(&file);
+    found_paths.sort();
     let expected = [
         "format",
         "services[1].name",
@@ -75,7 +75,7 @@
         "services[2].name",
         "services[2].routes",
     ];
-    assert_eq!(found, expected);
+    assert_eq!(found_paths, expected);
 }
 
 // Guards against a route that is shadowed by a broader one before it. The first match applies, so
--- a/crates/yuccarack_platform/src/accept.rs
+++ b/crates/yuccarack_platform/src/accept.rs
@@ -105,8 +105,8 @@
 ) -> Result<(), AcceptError> {
     let mut backoff = Backoff::new(deadline);
     loop {
-        let put = client.put_object(&proposal.object_name(), proposal.text.clone()).await;
-        let Err(error) = put else { return Ok(()) };
+        let result = client.put_object(&proposal.object_name(), proposal.text.clone()).await;
+        let Err(error) = result else { return Ok(()) };
         if is_permanent(&error) || !backoff.wait().await {
             return Err(AcceptError::NotAccepted(error));
         }
@@ -151,6 +151,6 @@
 /// Returns the wall-clock time of this machine, in ms since 1970; informational only, no decision
 /// depends on it.
 pub fn now_unix_ms() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/yuccarack_platform/src/transfer.rs
+++ b/crates/yuccarack_platform/src/transfer.rs
@@ -43,23 +43,23 @@
 where
     B: Body<Data = Bytes> + Unpin,
 {
-    let mut read = BytesMut::new();
+    let mut received = BytesMut::new();
     let mut interval_start_bytes = 0;
     let mut interval_ends_at = Instant::now() + PROGRESS_INTERVAL;
     loop {
         match timeout_at(interval_ends_at, body.frame()).await {
-            Ok(None) => return Ok(read.freeze()),
+            Ok(None) => return Ok(received.freeze()),
             Ok(Some(frame)) => {
                 if let Ok(data) = frame.map_err(TransferError::Interrupted)?.into_data() {
                     on_bytes(data.len());
-                    read.extend_from_slice(&data);
+                    received.extend_from_slice(&data);
                 }
             }
-            Err(_) if read.len() - interval_start_bytes < PROGRESS_MIN_BYTES => {
-                return Err(TransferError::Stalled { received_bytes: read.len() });
+            Err(_) if received.len() - interval_start_bytes < PROGRESS_MIN_BYTES => {
+                return Err(TransferError::Stalled { received_bytes: received.len() });
             }
             Err(_) => {
-                interval_start_bytes = read.len();
+                interval_start_bytes = received.len();
                 interval_ends_at = Instant::now() + PROGRESS_INTERVAL;
             }
         }
--- a/crates/yuccarack_platform/tests/accept.rs
+++ b/crates/yuccarack_platform/tests/accept.rs
@@ -95,15 +95,16 @@
 async fn a_conflict_names_the_service_and_its_revision_and_writes_nothing() {
     let (platform, client) = start_platform().await;
     let first = apply(&client, &new_proposal(0, &[("conditions", 500)], &[])).await.unwrap();
-    let late = new_proposal(0, &[("repairs", 900), ("conditions", 600)], &[]);
-    let Err(AcceptError::Conflict { based_on, services }) = apply(&client, &late).await else {
+    let late_proposal = new_proposal(0, &[("repairs", 900), ("conditions", 600)], &[]);
+    let Err(AcceptError::Conflict { based_on, services }) = apply(&client, &late_proposal).await
+    else {
         panic!("no conflict");
     };
     assert_eq!(based_on, 0);
     let revision = first.revision;
     assert_eq!(services, [ServiceConflict { service: "conditions".to_owned(), revision }]);
     assert_eq!(rules_of(&client, "repairs").await, None);
-    assert!(read_back(&client, &late.apply_id).await.unwrap().is_none());
+    assert!(read_back(&client, &late_proposal.apply_id).await.unwrap().is_none());
     platform.stop().await;
 }
 
@@ -113,10 +114,11 @@
     let based_on = apply(&client, &new_proposal(0, &[("conditions", 500), ("repairs", 500)], &[]))
         .await
         .unwrap();
-    let one = new_proposal(based_on.revision, &[("conditions", 600)], &[]);
-    let other = new_proposal(based_on.revision, &[("repairs", 700)], &[]);
-    let (one, other) = tokio::join!(apply(&client, &one), apply(&client, &other));
-    assert_ne!(one.unwrap().revision, other.unwrap().revision);
+    let first_change = new_proposal(based_on.revision, &[("conditions", 600)], &[]);
+    let second_change = new_proposal(based_on.revision, &[("repairs", 700)], &[]);
+    let (first, second) =
+        tokio::join!(apply(&client, &first_change), apply(&client, &second_change));
+    assert_ne!(first.unwrap().revision, second.unwrap().revision);
     platform.stop().await;
 }
 
@@ -128,8 +130,8 @@
     let (platform, client) = start_platform().await;
     let first = apply(&client, &new_proposal(0, &[("repairs", 500)], &[])).await.unwrap();
     let removal = apply(&client, &new_proposal(first.revision, &[], &["repairs"])).await.unwrap();
-    let late = apply(&client, &new_proposal(first.revision, &[("repairs", 600)], &[])).await;
-    assert!(matches!(late, Err(AcceptError::Conflict { .. })), "{late:?}");
+    let late_result = apply(&client, &new_proposal(first.revision, &[("repairs", 600)], &[])).await;
+    assert!(matches!(late_result, Err(AcceptError::Conflict { .. })), "{late_result:?}");
     let found = rules_of(&client, "repairs").await;
     assert_eq!(found, Some((removal.revision, RulesRow::Removed)));
     let based_on_removal = new_proposal(removal.revision, &[("repairs", 600)], &[]);
@@ -219,8 +221,8 @@
     let first = apply(&client, &proposal).await.unwrap();
     apply(&client, &new_proposal(first.revision, &[("conditions", 600)], &[])).await.unwrap();
     let commits = platform.stats().commits;
-    let again = apply(&client, &proposal).await.unwrap();
-    assert_eq!(again, first);
+    let second = apply(&client, &proposal).await.unwrap();
+    assert_eq!(second, first);
     assert_eq!(platform.stats().commits, commits);
     platform.stop().await;
 }
@@ -246,9 +248,9 @@
     platform.set_faults(PlatformFaults { mode: PlatformMode::Down, ..Default::default() });
     let proposal = new_proposal(0, &[("conditions", 500)], &[]);
     let deadline = Instant::now() + Duration::from_millis(100);
-    let refused = accept(&client, &proposal, deadline).await;
-    let Err(AcceptError::NotAccepted(PlatformError::Refused { status: 503 })) = refused else {
-        panic!("{refused:?}");
+    let result = accept(&client, &proposal, deadline).await;
+    let Err(AcceptError::NotAccepted(PlatformError::Refused { status: 503 })) = result else {
+        panic!("{result:?}");
     };
     platform.set_faults(PlatformFaults::default());
     apply(&client, &proposal).await.unwrap();
--- a/crates/yuccarack_platform/tests/transfer.rs
+++ b/crates/yuccarack_platform/tests/transfer.rs
@@ -37,44 +37,45 @@
 /// Guards against a limit on the total time, with which a large body on a slow link never arrives.
 #[tokio::test(start_paused = true)]
 async fn a_slow_body_is_read_fully_while_it_makes_progress() {
-    let mut counted = 0;
-    let slow = body(100, 4 * 1024, Duration::from_millis(200));
-    let read = read_full(slow, |bytes| counted += bytes).await.expect("the full body");
+    let mut counted_bytes = 0;
+    let slow_body = body(100, 4 * 1024, Duration::from_millis(200));
+    let read = read_full(slow_body, |bytes| counted_bytes += bytes).await.expect("the full body");
     assert_eq!(read.len(), 400 * 1024);
-    assert_eq!(counted, 400 * 1024);
+    assert_eq!(counted_bytes, 400 * 1024);
 }
 
 /// Guards against a transfer that never ends because single bytes keep arriving.
 #[tokio::test(start_paused = true)]
 async fn a_trickling_body_is_aborted() {
     let started_at = Instant::now();
-    let trickle = body(10_000, 1, Duration::from_millis(100));
-    let read = read_full(trickle, |_| ()).await;
-    assert!(matches!(read, Err(TransferError::Stalled { received_bytes: 9..=10 })), "{read:?}");
+    let trickling_body = body(10_000, 1, Duration::from_millis(100));
+    let result = read_full(trickling_body, |_| ()).await;
+    assert!(matches!(result, Err(TransferError::Stalled { received_bytes: 9..=10 })), "{result:?}");
     assert_eq!(started_at.elapsed(), PROGRESS_INTERVAL);
 }
 
 /// Guards against waiting forever for a body that stops after it has made progress.
 #[tokio::test(start_paused = true)]
 async fn a_body_that_stops_midway_is_aborted() {
-    let start = body(3, PROGRESS_MIN_BYTES, Duration::from_millis(400));
-    let stopped = StreamBody::new(stream::unfold((start, 0), |(mut start, sent)| async move {
-        if sent == 3 {
-            std::future::pending::<()>().await;
-        }
-        Some((start.frame().await?, (start, sent + 1)))
-    }));
+    let frames = body(3, PROGRESS_MIN_BYTES, Duration::from_millis(400));
+    let stopping_body =
+        StreamBody::new(stream::unfold((frames, 0), |(mut frames, sent)| async move {
+            if sent == 3 {
+                std::future::pending::<()>().await;
+            }
+            Some((frames.frame().await?, (frames, sent + 1)))
+        }));
     let started_at = Instant::now();
-    let read = read_full(stopped.boxed_unsync(), |_| ()).await;
-    assert!(matches!(read, Err(TransferError::Stalled { .. })), "{read:?}");
+    let result = read_full(stopping_body.boxed_unsync(), |_| ()).await;
+    assert!(matches!(result, Err(TransferError::Stalled { .. })), "{result:?}");
     assert_eq!(started_at.elapsed(), PROGRESS_INTERVAL * 3);
 }
 
 #[tokio::test(start_paused = true)]
 async fn an_interrupted_body_is_not_taken_for_complete() {
     let pieces = [Ok(Frame::data(Bytes::from_static(b"half"))), Err(BrokenConnection)];
-    let read = read_full(StreamBody::new(stream::iter(pieces)), |_| ()).await;
-    assert!(matches!(read, Err(TransferError::Interrupted(BrokenConnection))), "{read:?}");
+    let result = read_full(StreamBody::new(stream::iter(pieces)), |_| ()).await;
+    assert!(matches!(result, Err(TransferError::Interrupted(BrokenConnection))), "{result:?}");
 }
 
 /// Starts a platform that sends each response head at once and the body in pieces 20 ms apart.
