--- a/crates/yuccarackd/src/protocol/announce.rs
+++ b/crates/yuccarackd/src/protocol/announce.rs
@@ -1,4 +1,4 @@
-//! What a target says of itself to its daemon.
+//! Announcement that a target sends to the daemon of its instance.
 
 use std::net::SocketAddr;
 
@@ -6,32 +6,32 @@
 use yuccarack_platform::rows::TargetState;
 
 wire_data! {
-    /// Body of `POST /announce`, sent every second or so and at each change.
+    /// Body of `POST /announce`, sent about once a second and on each change.
     pub struct Announcement {
         /// Service that the target serves.
         pub service: ServiceName,
         /// Number that differs between two starts of the target.
         pub boot_id: u64,
-        /// Address on which the target takes calls.
+        /// Address on which the target accepts calls.
         pub call_address: SocketAddr,
-        /// Path of the target's load report, if it has one.
+        /// Path of the load report of the target, if it serves one.
         #[serde(default)]
         pub load_path: Option<String>,
-        /// Requests the target runs at once.
+        /// Number of requests that the target runs at once.
         pub slots: u16,
-        /// Connections the target takes.
+        /// Number of connections that the target accepts.
         pub connections_max: u16,
-        /// Where the target is in its life.
+        /// Lifecycle state of the target.
         pub state: TargetState,
     }
 }
 
 impl Announcement {
-    /// Checks what the types can't say.
+    /// Checks the constraints that the types don't express.
     ///
     /// # Errors
     ///
-    /// The first fault found.
+    /// Returns the first constraint that is violated.
     pub fn check(&self) -> Result<(), AnnounceError> {
         if self.service.is_empty() || !self.service.bytes().all(is_service_byte) {
             return Err(AnnounceError::Service);
@@ -50,19 +50,19 @@
     }
 }
 
-/// Why an announcement was refused.
+/// Reason why an announcement is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AnnounceError {
-    /// The service's name is empty or has a byte that no host name has.
+    /// The service name is empty or contains a byte that isn't allowed in a host name.
     #[error("service: letters, digits, '-', '.' and '_' are accepted")]
     Service,
-    /// A target without slots can't serve.
+    /// A target without slots can't serve requests.
     #[error("slots: 1 to 65535 are accepted")]
     Slots,
-    /// A target without connections can't be reached.
+    /// A target that accepts no connections can't be reached.
     #[error("connections_max: 1 to 65535 are accepted")]
     Connections,
-    /// The load path isn't a path.
+    /// The load path doesn't start with `/`.
     #[error("load_path: has to start with '/'")]
     LoadPath,
 }
--- a/crates/yuccarackd/src/protocol/body.rs
+++ b/crates/yuccarackd/src/protocol/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests and answers on their way through the daemon.
+//! Request and response bodies on their way through the daemon.
 
 use bytes::{Bytes, BytesMut};
 use futures_util::{StreamExt, stream};
@@ -11,52 +11,53 @@
 
 use super::streamed_body::StreamedBody;
 
-/// A body of any origin; an error in it must reach the reader as a broken message.
+/// A body from any source. An error in it has to reach the reader as an incomplete message.
 pub type CallBody = UnsyncBoxBody<Bytes, BodyError>;
 
-/// Why a body ended before its end.
+/// Reason why a body ended early.
 #[derive(Debug, Error)]
 pub enum BodyError {
-    /// The connection it came over broke, or its framing is wrong.
-    #[error("the body was cut")]
+    /// The connection that carried the body failed, or its framing is invalid.
+    #[error("the connection failed before the end of the body")]
     Truncated(#[source] hyper::Error),
-    /// The call's deadline passed while the body was on its way.
-    #[error("the deadline passed before the body's end")]
+    /// The deadline of the call passed during the transfer of the body.
+    #[error("the deadline passed before the end of the body")]
     DeadlinePassed,
-    /// More of it came than is allowed.
-    #[error("the body is longer than allowed")]
+    /// The body exceeds its size limit.
+    #[error("the body exceeds its size limit")]
     TooLong,
-    /// It was offered to another receiver, or taken by one.
-    #[error("the body is no longer offered here")]
+    /// The body was offered to another receiver, or another receiver has read from it.
+    #[error("the body was withdrawn in favor of another receiver")]
     Withdrawn,
 }
 
-/// A body with nothing in it.
+/// Returns a body without any data.
 pub fn empty() -> CallBody {
     Empty::new().map_err(|never| match never {}).boxed_unsync()
 }
 
-/// A body that is all there.
+/// Returns a body that consists of `bytes`.
 pub fn full(bytes: Bytes) -> CallBody {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// `body`, which breaks off after `max_bytes`; for one that doesn't tell its length.
+/// Limits `body` to `max_bytes`, for a body of undeclared length. A longer one fails with
+/// [`BodyError::TooLong`].
 pub fn limited(body: CallBody, max_bytes: u64) -> CallBody {
     let max_bytes = usize::try_from(max_bytes).unwrap_or(usize::MAX);
     let own_error = |error: Box<dyn std::error::Error + Send + Sync>| match error.downcast() {
         Ok(error) => *error,
-        // The limit's own error, since the body has none but ours.
+        // `Limited` fails either with the error of the body or with its own one.
         Err(_) => BodyError::TooLong,
     };
     Limited::new(body, max_bytes).map_err(own_error).boxed_unsync()
 }
 
-/// The start of a body, and the rest of it if there is more.
+/// The first part of a body, and the remainder if there is more.
 pub struct BodyStart {
-    /// What has arrived.
+    /// Data that has arrived.
     pub start: Bytes,
-    /// What is still to come; unset when the body has ended.
+    /// Data that is still to come; `None` when the body has ended.
     pub rest: Option<CallBody>,
 }
 
@@ -65,7 +66,7 @@
     ///
     /// # Errors
     ///
-    /// The body's own error; what had arrived is lost with it.
+    /// Returns the error of the body; data that arrived before it is lost.
     pub async fn read(mut body: CallBody, threshold_bytes: usize) -> Result<Self, BodyError> {
         let mut start = BytesMut::new();
         while start.len() <= threshold_bytes {
@@ -79,7 +80,7 @@
         Ok(Self { start: start.freeze(), rest: Some(body) })
     }
 
-    /// The body as it was, its start first.
+    /// Reassembles the body from its start and the remainder.
     pub fn into_body(self) -> CallBody {
         match self.rest {
             None => full(self.start),
@@ -92,20 +93,21 @@
     }
 }
 
-/// A request's body that is sent once, or as often as wanted if it is all there.
+/// Body of a request: sent once while it streams, or any number of times once it is buffered.
 pub enum SendableBody {
-    /// All there, for as many tries as wanted.
+    /// Fully received, for any number of attempts.
     Buffered(Bytes),
-    /// Still arriving, for the first one who takes any of it.
+    /// Still arriving, for the first receiver that reads from it.
     Streamed(StreamedBody),
 }
 
 impl SendableBody {
-    /// Takes a body in; one of up to `buffered_max_bytes` is read whole first.
+    /// Takes over a body and buffers it first if its declared length is at most
+    /// `buffered_max_bytes`.
     ///
     /// # Errors
     ///
-    /// The body's own error; nothing was sent.
+    /// Returns the error of the body; nothing was sent in that case.
     pub async fn read(
         parts: &Parts,
         body: CallBody,
@@ -118,7 +120,7 @@
         Ok(Self::Buffered(read.start))
     }
 
-    /// The whole body, where it is all there.
+    /// Returns the complete body if it is buffered.
     pub fn buffered(&self) -> Option<&Bytes> {
         match self {
             Self::Buffered(bytes) => Some(bytes),
@@ -126,12 +128,12 @@
         }
     }
 
-    /// Whether it is all there.
+    /// Returns whether the body is buffered.
     pub fn is_buffered(&self) -> bool {
         matches!(self, Self::Buffered(_))
     }
 
-    /// Whether it can be sent another time.
+    /// Returns whether the body can be sent to another receiver.
     pub fn can_be_sent(&self) -> bool {
         match self {
             Self::Buffered(_) => true,
@@ -139,7 +141,7 @@
         }
     }
 
-    /// The body for a try that may send it again itself.
+    /// Returns the body for an attempt that may send it several times itself.
     pub fn resendable(&self) -> Self {
         match self {
             Self::Buffered(bytes) => Self::Buffered(bytes.clone()),
@@ -147,7 +149,7 @@
         }
     }
 
-    /// The body for the next try, which reads it at once.
+    /// Returns the body for the next attempt, which reads it at once.
     pub fn next_body(&self) -> CallBody {
         match self {
             Self::Buffered(bytes) if bytes.is_empty() => empty(),
@@ -156,7 +158,7 @@
         }
     }
 
-    /// The body, if it is streamed: it can be offered before it is sent.
+    /// Returns the body if it streams. Only a streamed body can be offered before it is sent.
     pub fn streamed(&self) -> Option<&StreamedBody> {
         match self {
             Self::Buffered(_) => None,
@@ -165,7 +167,8 @@
     }
 }
 
-/// A body of unknown length isn't kept: reading ahead would hold up a stream.
+/// Returns whether a body is buffered. One of unknown length isn't, since reading ahead would stall
+/// a stream.
 fn is_buffered(parts: &Parts, buffered_max_bytes: usize) -> bool {
     if parts.headers.contains_key(header::TRANSFER_ENCODING) {
         return false;
--- a/crates/yuccarackd/src/protocol/call.rs
+++ b/crates/yuccarackd/src/protocol/call.rs
@@ -1,4 +1,4 @@
-//! What a request's head says of the call: service, caller, deadline, key, ids.
+//! Parses the head of a request: service, caller, deadline, idempotency key and ids.
 
 use std::{
     net::IpAddr,
@@ -13,51 +13,51 @@
     ids::{AttemptId, CallerId, IdempotencyKey, RequestId, ServiceName},
 };
 
-/// Longest time a caller may give a call.
+/// Longest deadline that a caller may set.
 const DEADLINE_MAX: Duration = Duration::from_secs(300);
 
-/// Longest idempotency key that is kept.
+/// Longest idempotency key that is accepted.
 const KEY_MAX_BYTES: usize = 200;
 
-/// Deepest chain of calls; a deeper one is a loop of services calling each other.
+/// Largest depth of nested calls. A deeper chain is a loop of services that call each other.
 const DEPTH_MAX: u8 = 32;
 
-/// A head that can't be understood.
+/// An invalid request head.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum CallError {
     /// Neither the service header nor the host names a service.
-    #[error("no service is named")]
+    #[error("neither the service header nor the host names a service")]
     NoService,
-    /// A header's value is out of its range.
-    #[error("header {0} can't be understood")]
+    /// The value of a header is malformed or out of range.
+    #[error("header {0} has an invalid value")]
     BadHeader(&'static str),
 }
 
-/// What a request's head says of the call.
+/// Properties of a call according to the head of its request.
 #[derive(Clone, Debug)]
 pub struct CallHead {
-    /// Service it is for.
+    /// Service that the call is for.
     pub service: ServiceName,
-    /// Who is counted for it.
+    /// Caller that the call is accounted to.
     pub caller: CallerId,
-    /// When its caller gives up, where the caller said so.
+    /// Instant at which the caller gives up, if the caller set a deadline.
     pub deadline: Option<Instant>,
-    /// Its idempotency key.
+    /// Idempotency key, if the caller set one.
     pub key: Option<IdempotencyKey>,
-    /// Its name along all attempts.
+    /// Id shared by all attempts of the call.
     pub request_id: RequestId,
-    /// Its attempt, where a daemon has given it one.
+    /// Id of the attempt, if a daemon has assigned one.
     pub attempt: Option<AttemptId>,
-    /// How many services it has come through.
+    /// Number of services that the chain of calls has passed through.
     pub depth: u8,
 }
 
 impl CallHead {
-    /// Reads the head of a request that came from `peer` at `now`.
+    /// Parses the head of a request that came from `peer` at `now`.
     ///
     /// # Errors
     ///
-    /// [`CallError`] names the header at fault.
+    /// Returns a [`CallError`] that names the header at fault.
     pub fn parse(
         parts: &Parts,
         peer: IpAddr,
@@ -78,12 +78,13 @@
     }
 }
 
-/// Spells an id as headers do.
+/// Formats an id as headers carry it.
 pub fn format_id(id: u128) -> String {
     format!("{id:032x}")
 }
 
-/// Time left until `deadline`, as the deadline header spells it; what has passed leaves 0.
+/// Returns the time until `deadline` in ms, as the deadline header carries it; 0 once it has
+/// passed.
 pub fn remaining_ms(deadline: Instant, now: Instant) -> u64 {
     let left = deadline.saturating_duration_since(now).as_millis();
     u64::try_from(left).unwrap_or(u64::MAX)
@@ -138,7 +139,7 @@
     u128::from_str_radix(text, 16).map(Some).map_err(|_| CallError::BadHeader(name))
 }
 
-/// The one value of a header; two values of one name can't both be meant.
+/// Returns the only value of a header. Two values are rejected, since they contradict each other.
 fn text<'a>(map: &'a HeaderMap, name: &'static str) -> Result<Option<&'a str>, CallError> {
     let mut values = map.get_all(name).iter();
     let Some(value) = values.next() else {
--- a/crates/yuccarackd/src/protocol/control.rs
+++ b/crates/yuccarackd/src/protocol/control.rs
@@ -1,4 +1,4 @@
-//! Messages between daemons, written with postcard; each question gets one answer.
+//! Control messages between daemons, encoded with postcard. Each request gets one response.
 
 use std::net::SocketAddr;
 
@@ -12,117 +12,118 @@
 
 use super::suspect_update::SuspectUpdate;
 
-/// Largest control message that is sent or read, in bytes.
+/// Largest control message that is sent or accepted, in bytes.
 pub const MESSAGE_MAX_BYTES: usize = 512 * 1024;
 
 wire_data! {
-    /// What a daemon asks or tells another.
+    /// Request of one daemon to another.
     pub enum ControlRequest {
-        /// Compares what both know of a service; answered by [`ControlResponse::News`].
+        /// Compares what both daemons know of a service; answered by [`ControlResponse::News`].
         Sync(SyncRequest),
-        /// Tells what the other was seen to lack; answered by [`ControlResponse::Taken`].
+        /// Sends what the other daemon was found to lack; answered by [`ControlResponse::Taken`].
         Push(ServiceUpdate),
-        /// Tells what can't wait; answered by [`ControlResponse::Taken`].
+        /// Sends an update that can't wait for the next exchange; answered by
+        /// [`ControlResponse::Taken`].
         Urgent(UrgentUpdate),
-        /// Asks whether the other reaches a member of its own service; answered by
+        /// Asks whether the other daemon reaches a member of its own service; answered by
         /// [`ControlResponse::Probed`].
         Probe {
             /// Instance of the member.
             instance: InstanceId,
         },
-        /// Asks for a sign of life; answered by [`ControlResponse::Taken`].
+        /// Checks that the other daemon is alive; answered by [`ControlResponse::Taken`].
         Ping,
     }
 
-    /// What the asker knows of a service.
+    /// What the requesting daemon knows of a service.
     pub struct SyncRequest {
         /// The service.
         pub service: ServiceName,
-        /// Version of its rules, 0 for none.
+        /// Version of the rules that the requester has, 0 for none.
         pub rules_revision: Revision,
-        /// Hash over its members, 0 for none.
+        /// Hash over the members that the requester knows, 0 for none.
         pub members_digest: u64,
-        /// Whether the asker is a member of the service itself.
+        /// Whether the requester is a member of the service itself.
         pub is_member: bool,
-        /// Whether to answer with all members instead of the latest changes.
+        /// Whether to respond with all members instead of the latest changes.
         pub wants_all: bool,
     }
 
-    /// What a daemon answers.
+    /// Response of a daemon to a [`ControlRequest`].
     pub enum ControlResponse {
-        /// What the asker lacks.
+        /// What the requester lacks.
         News(ServiceUpdate),
-        /// The service isn't known here; these daemons may know it.
+        /// The service isn't known to the responding daemon, but these daemons may know it.
         Elsewhere {
             /// Control addresses of members of other services.
             peers: Vec<SocketAddr>,
         },
-        /// Whether the member answers.
+        /// Result of a probe.
         Probed {
-            /// Whether it does.
+            /// Whether the member responded.
             is_reachable: bool,
         },
-        /// It was taken in.
+        /// The request was applied.
         Taken,
-        /// The question can't be read, as after an upgrade of the asker.
+        /// The request can't be decoded, for example after an upgrade of the requester.
         NotUnderstood,
     }
 
-    /// What somebody lacks of a service.
+    /// What the receiver lacks of a service.
     pub struct ServiceUpdate {
         /// The service.
         pub service: ServiceName,
         /// Version of the rules that the sender has, 0 for none.
         pub rules_revision: Revision,
-        /// The rules of that version, when the receiver's are older.
+        /// The rules of that version, if the receiver has older ones.
         pub rules: Option<RulesRow>,
         /// Hash over the sender's members, 0 for none.
         pub members_digest: u64,
-        /// Members, those that have gone included.
+        /// Member rows, including those of removed members.
         pub members: Vec<MemberRow>,
         /// Whether these are all members that the sender knows.
         pub has_all_members: bool,
-        /// Time after which the receiver may ask again, if it isn't a member, in ms.
+        /// Least time until the next exchange if the receiver isn't a member, in ms.
         pub pace_ms: u32,
     }
 
-    /// What can't wait for the next exchange; goes to members of the own service.
+    /// Update that can't wait for the next exchange; sent to members of the own service.
     pub enum UrgentUpdate {
-        /// What became known of requests that may crash targets, in the order it happened.
+        /// Changes of crash suspects, in the order in which they happened.
         Suspects(Vec<SuspectUpdate>),
     }
 }
 
-/// Why a message can't be written or read.
+/// Reason why a message can't be encoded or decoded.
 #[derive(Debug, Error)]
 pub enum MessageError {
-    /// It is longer than [`MESSAGE_MAX_BYTES`].
-    #[error("a control message of {length_bytes} bytes is too long")]
+    /// The message is longer than [`MESSAGE_MAX_BYTES`].
+    #[error("a control message of {length_bytes} bytes exceeds the size limit")]
     TooLong {
-        /// Its length.
+        /// Length of the message.
         length_bytes: usize,
     },
-    /// It has another form.
-    #[error("a control message has another form")]
+    /// The message isn't valid postcard for its type.
+    #[error("malformed control message")]
     Malformed(#[from] postcard::Error),
 }
 
-/// Writes a message.
+/// Encodes a message.
 ///
 /// # Errors
 ///
-/// [`MessageError::TooLong`].
+/// Returns [`MessageError::TooLong`] for a message beyond the size limit.
 pub fn encode<T: Serialize>(message: &T) -> Result<Vec<u8>, MessageError> {
     let bytes = postcard::to_stdvec(message)?;
     check_length(bytes.len())?;
     Ok(bytes)
 }
 
-/// Reads a message.
+/// Decodes a message.
 ///
 /// # Errors
 ///
-/// Any [`MessageError`].
+/// Returns a [`MessageError`] for a message that is malformed or beyond the size limit.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, MessageError> {
     check_length(bytes.len())?;
     Ok(postcard::from_bytes(bytes)?)
--- a/crates/yuccarackd/src/protocol/forwarding.rs
+++ b/crates/yuccarackd/src/protocol/forwarding.rs
@@ -1,4 +1,4 @@
-//! Which headers go on to the next hop.
+//! Selects the headers that are forwarded to the next hop.
 
 use http::{
     HeaderMap, HeaderName, HeaderValue,
@@ -12,7 +12,7 @@
     peer_update::{ACCEPTED_CHANGES, CRASH_SUSPECTS, UPDATE_REQUEST},
 };
 
-/// Headers that speak of one connection only (RFC 9110, section 7.6.1).
+/// Headers that apply to a single connection (RFC 9110, section 7.6.1).
 const HOP_BY_HOP: [HeaderName; 8] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
@@ -24,7 +24,7 @@
     HeaderName::from_static("keep-alive"),
 ];
 
-/// Headers by which daemons speak to each other; outside callers can't set them.
+/// Headers that daemons exchange among themselves. External callers can't set them.
 const INTERNAL_HEADERS: [&str; 12] = [
     headers::OUTCOME,
     headers::REASON,
@@ -40,7 +40,7 @@
     CRASH_SUSPECTS,
 ];
 
-/// Takes away what belongs to the connection the message came over.
+/// Removes the headers that apply only to the connection that carried the message.
 pub fn strip_hop_by_hop(map: &mut HeaderMap) {
     for name in connection_options(map) {
         map.remove(name);
@@ -48,18 +48,19 @@
     for name in HOP_BY_HOP {
         map.remove(name);
     }
-    // The daemon's own server answers an Expect; passing it on would ask for a second answer.
+    // The server of this daemon answers an Expect header itself. Forwarding it would request a
+    // second interim response.
     map.remove(header::EXPECT);
 }
 
-/// Takes away what only a daemon may say.
+/// Removes the headers that only a daemon may set.
 pub fn strip_internal_headers(map: &mut HeaderMap) {
     for name in INTERNAL_HEADERS {
         map.remove(name);
     }
 }
 
-/// Puts `value` under `name` where it can be spelt in a header.
+/// Sets header `name` to `value`; does nothing if `value` isn't a valid header value.
 pub fn set_header(map: &mut HeaderMap, name: impl IntoHeaderName, value: &str) {
     if let Ok(value) = HeaderValue::from_str(value) {
         map.insert(name, value);
--- a/crates/yuccarackd/src/protocol/gate_status.rs
+++ b/crates/yuccarackd/src/protocol/gate_status.rs
@@ -1,4 +1,4 @@
-//! What a gate tells of itself with each answer to a routed request, in one header.
+//! Status of a gate, which goes with each response to a routed request in one header.
 
 use std::{str::FromStr, time::Duration};
 
@@ -9,18 +9,18 @@
 /// Name of the header.
 pub const GATE_STATUS: &str = "yuccarack-gate";
 
-/// What a gate tells of itself.
+/// Status of a gate: its load and the version of its routing table.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GateStatus {
-    /// Its load.
+    /// Load of the gate.
     pub load: GateLoad,
-    /// Its routing table; 0 for none.
+    /// Version of the gate's routing table, 0 for none.
     pub routing_version: RoutingVersion,
 }
 
-/// A header in another form.
+/// A malformed gate status header.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-#[error("the gate's header can't be read")]
+#[error("the gate status header is malformed")]
 pub struct GateStatusError;
 
 impl std::fmt::Display for GateStatus {
--- a/crates/yuccarackd/src/protocol/hop.rs
+++ b/crates/yuccarackd/src/protocol/hop.rs
@@ -1,4 +1,4 @@
-//! What an entry tells a gate of a routed request, in one header.
+//! Metadata of a routed request that an entry sends to a gate in one header.
 
 use std::{net::SocketAddr, str::FromStr};
 
@@ -13,37 +13,37 @@
 /// Name of the header.
 pub const HOP: &str = "yuccarack-hop";
 
-/// Separator of the fields; no service name and no address has it.
+/// Separator of the fields. Neither service names nor addresses contain it.
 const SEPARATOR: char = ';';
 
-/// What an entry tells a gate of a routed request.
+/// Metadata of a routed request, from the entry to the gate.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Hop {
-    /// This try.
+    /// Id of this attempt.
     pub attempt: AttemptId,
-    /// Service that has to run it.
+    /// Service that has to run the request.
     pub service: ServiceName,
-    /// Requests of one kind take alike long.
+    /// Kind of the request; requests of one kind have similar service times.
     pub kind: u64,
-    /// Time after which nobody waits for the answer, in ms from the sending on.
+    /// Time until nobody waits for the response any more, in ms from sending.
     pub left_ms: u32,
-    /// Time within which the answer is of full use, in ms from the sending on.
+    /// Time within which the response has its full value, in ms from sending.
     pub on_time_left_ms: u32,
-    /// How urgent it is; 0 is the most urgent.
+    /// Priority of the request; 0 is the most urgent.
     pub rank: u8,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub is_repeatable: bool,
-    /// Whether it may wait at the gate.
+    /// Whether the request may wait at the gate.
     pub may_wait: bool,
-    /// Routing table of the entry.
+    /// Version of the entry's routing table.
     pub routing_version: RoutingVersion,
-    /// Gate address of the entry's daemon, where its news can be had.
+    /// Gate address of the entry's daemon, which serves updates to the gate.
     pub sender: SocketAddr,
 }
 
-/// A hop header in another form.
+/// A malformed hop header.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-#[error("the hop header can't be read")]
+#[error("the hop header is malformed")]
 pub struct HopError;
 
 impl std::fmt::Display for Hop {
@@ -71,7 +71,7 @@
     fn from_str(text: &str) -> Result<Self, HopError> {
         let mut fields = text.split(SEPARATOR);
         let mut next = || fields.next().ok_or(HopError);
-        // What a newer daemon says behind these is passed over.
+        // Further fields, which a newer daemon may append, are ignored.
         Ok(Self {
             attempt: u128::from_str_radix(next()?, 16).map_err(|_| HopError)?,
             service: next()?.to_owned(),
--- a/crates/yuccarackd/src/protocol/mod.rs
+++ b/crates/yuccarackd/src/protocol/mod.rs
@@ -1,4 +1,4 @@
-//! Headers and messages, and what they mean.
+//! Headers and messages that daemons, targets and operators exchange.
 
 pub mod announce;
 pub mod body;
--- a/crates/yuccarackd/src/protocol/packed_changes.rs
+++ b/crates/yuccarackd/src/protocol/packed_changes.rs
@@ -1,4 +1,4 @@
-//! Changes of the routing table as they go between daemons: compressed JSON.
+//! Compressed JSON form in which changes of the routing table travel between daemons.
 
 use std::io::{Read, Write};
 
@@ -7,32 +7,32 @@
 use thiserror::Error;
 use yuccarack_config::{routing::RoutingVersion, routing_changes::RoutingChanges, shared_data};
 
-/// Largest JSON that is unpacked, in bytes; some 200,000 routes.
+/// Largest JSON that is unpacked, in bytes; enough for some 200,000 routes.
 const UNPACKED_MAX_BYTES: u64 = 64 * 1024 * 1024;
 
 shared_data! {
-    /// Packed [`RoutingChanges`].
+    /// [`RoutingChanges`] in compressed form.
     pub struct PackedChanges {
-        /// Version of the table that they apply to; 0 for a table without routes.
+        /// Version of the table that the changes apply to; 0 for a table without routes.
         pub base: RoutingVersion,
         /// Version of the table that results.
         pub version: RoutingVersion,
-        /// JSON of the changes, compressed by deflate, in base64.
+        /// JSON of the changes, compressed with deflate and encoded as base64.
         pub body: String,
     }
 }
 
-/// Changes that can't be packed or unpacked.
+/// Reason why changes can't be packed or unpacked.
 #[derive(Debug, Error)]
 pub enum PackError {
-    /// They have another form.
-    #[error("the changes' JSON can't be read or written: {0}")]
+    /// The JSON of the changes is invalid.
+    #[error("the JSON of the routing changes is invalid: {0}")]
     Json(#[from] serde_json::Error),
-    /// They are not in base64.
-    #[error("the changes are not in base64: {0}")]
+    /// The packed changes aren't valid base64.
+    #[error("the packed routing changes are not valid base64: {0}")]
     Base64(#[from] base64::DecodeError),
-    /// They can't be compressed or decompressed.
-    #[error("the changes can't be compressed or decompressed: {0}")]
+    /// Compression or decompression failed.
+    #[error("compressing or decompressing the routing changes failed: {0}")]
     Deflate(#[from] std::io::Error),
 }
 
@@ -41,7 +41,7 @@
     ///
     /// # Errors
     ///
-    /// [`PackError::Json`] and [`PackError::Deflate`].
+    /// Returns [`PackError::Json`] or [`PackError::Deflate`].
     pub fn new(changes: &RoutingChanges) -> Result<Self, PackError> {
         let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
         encoder.write_all(&serde_json::to_vec(changes)?)?;
@@ -49,11 +49,11 @@
         Ok(Self { base: changes.base, version: changes.version, body })
     }
 
-    /// The changes.
+    /// Unpacks the changes. JSON beyond the size limit is cut off and so rejected as invalid.
     ///
     /// # Errors
     ///
-    /// [`PackError`].
+    /// Returns a [`PackError`] if the packed form is invalid.
     pub fn unpack(&self) -> Result<RoutingChanges, PackError> {
         let compressed = STANDARD.decode(&self.body)?;
         let mut json = Vec::new();
--- a/crates/yuccarackd/src/protocol/peer_update.rs
+++ b/crates/yuccarackd/src/protocol/peer_update.rs
@@ -1,4 +1,4 @@
-//! What daemons for routed calls tell each other, so that few of them need ask the store.
+//! Updates that daemons for routed calls exchange, so that few of them have to query the store.
 
 use std::{fmt, net::SocketAddr, str::FromStr};
 
@@ -12,48 +12,49 @@
 
 use super::{forwarding, packed_changes::PackedChanges};
 
-/// Header of a question for news; its value is a [`UpdateRequest`].
+/// Header of a request for updates; its value is an [`UpdateRequest`].
 pub const UPDATE_REQUEST: &str = "yuccarack-news";
 
-/// Header of a question whose asker takes changes of the routing table instead of the whole; its value
-/// says which, as in [`AcceptedChanges`].
+/// Header of a request whose sender accepts changes of the routing table instead of the full table;
+/// its value is an [`AcceptedChanges`].
 pub const ACCEPTED_CHANGES: &str = "yuccarack-news-changes";
 
-/// Largest packed changes that count as small, in bytes: sent to ten daemons at once, they keep a link of
-/// 10 Mbit/s busy for half a second.
+/// Largest packed changes that count as small, in bytes. Sent to ten daemons at once, they occupy a
+/// link of 10 Mbit/s for half a second.
 pub const SMALL_CHANGES_MAX_BYTES: usize = 64 * 1024;
 
-/// Header by which a gate tells others of requests that were running when its target died: their
-/// fingerprints in hex, with commas between.
+/// Header in which a gate reports requests that were running when its target died, as a
+/// comma-separated list of hex fingerprints.
 pub const CRASH_SUSPECTS: &str = "yuccarack-crashed";
 
-/// What a daemon asks another one.
+/// Request of a daemon for updates from another daemon.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UpdateRequest {
-    /// Routing table of the asker; only a newer one is told.
+    /// Version of the requester's routing table; only a newer table is sent.
     pub routing_version: RoutingVersion,
-    /// Whether members are wanted too: those whose rows are newer than this.
+    /// Revision after which changed members are requested too; `None` requests no members.
     pub members_after: Option<Revision>,
-    /// Whether the answer goes on with each change, a line of JSON for each, until one side ends it.
+    /// Whether the response is a stream with one line of JSON per change, until either side ends
+    /// it.
     pub is_streaming: bool,
-    /// Changes of the routing table that the asker takes.
+    /// Changes of the routing table that the requester accepts.
     pub changes: AcceptedChanges,
 }
 
-/// Changes of the routing table that a daemon takes.
+/// Changes of the routing table that a daemon accepts instead of a full table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum AcceptedChanges {
-    /// None: it takes whole tables only.
+    /// No changes, only full tables.
     #[default]
     None,
-    /// Changes of up to [`SMALL_CHANGES_MAX_BYTES`], and nothing instead of larger ones.
+    /// Changes of up to [`SMALL_CHANGES_MAX_BYTES`]. Larger ones are omitted without a replacement.
     Small,
-    /// Changes of any size; of a version that isn't known any more, all routes.
+    /// Changes of any size, or all routes if the base version is no longer known.
     All,
 }
 
 impl AcceptedChanges {
-    /// How the header spells it; none where the header is left out.
+    /// Formats the header value; `None` if the header is omitted.
     fn as_header(self) -> Option<&'static str> {
         match self {
             Self::None => None,
@@ -66,25 +67,25 @@
         match value.map(HeaderValue::as_bytes) {
             Some(b"small") => Self::Small,
             Some(b"all") => Self::All,
-            // What a later version means by another word is answered with a whole table.
+            // A value defined by a later version gets a full table as the response.
             _ => Self::None,
         }
     }
 }
 
 impl UpdateRequest {
-    /// Reads the question from `headers`; none if there is no question.
+    /// Parses the request from `headers`; returns `None` if they contain no request.
     ///
     /// # Errors
     ///
-    /// [`UpdateRequestError`].
+    /// Returns [`UpdateRequestError`] for a malformed header.
     pub fn from_headers(headers: &HeaderMap) -> Option<Result<Self, UpdateRequestError>> {
         let text = headers.get(UPDATE_REQUEST)?.to_str().map_err(|_| UpdateRequestError);
         let changes = AcceptedChanges::from_header(headers.get(ACCEPTED_CHANGES));
         Some(text.and_then(str::parse).map(|question: Self| Self { changes, ..question }))
     }
 
-    /// Writes the question into `headers`.
+    /// Writes the request into `headers`.
     pub fn write_to(&self, headers: &mut HeaderMap) {
         forwarding::set_header(headers, UPDATE_REQUEST, &self.to_string());
         if let Some(value) = self.changes.as_header() {
@@ -93,9 +94,9 @@
     }
 }
 
-/// A question for news in another form.
+/// A malformed request for updates.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-#[error("the question for news can't be read")]
+#[error("the update request header is malformed")]
 pub struct UpdateRequestError;
 
 impl fmt::Display for UpdateRequest {
@@ -135,39 +136,39 @@
 }
 
 shared_data! {
-    /// One instance and what it serves; a row of the members' table.
+    /// One instance and the service of its target; a row of the members table.
     pub struct RoutedMember {
         /// The instance.
         pub instance: InstanceId,
         /// Failure domain of the instance.
         pub failure_domain: DomainName,
-        /// Where its gate is reached.
+        /// Address of the instance's gate.
         pub gate_address: SocketAddr,
-        /// Service that its target serves; none while it has no target.
+        /// Service of its target; `None` while the instance has no target.
         pub service: Option<ServiceName>,
     }
 
-    /// A row of the members' table as it stands or as it went.
+    /// A row of the members table, or its removal, with a revision.
     pub struct VersionedMember {
         /// Key of the row: the instance.
         pub instance: InstanceId,
-        /// Revision that wrote it or took it away.
+        /// Revision that wrote or removed the row.
         pub revision: Revision,
-        /// The member; none once its row was taken away.
+        /// The member; `None` once its row is removed.
         pub member: Option<RoutedMember>,
     }
 
-    /// Whether a failure domain is evacuated: nothing more is sent to its targets.
+    /// Evacuation state of a failure domain. Targets of an evacuated one receive no requests.
     pub struct VersionedEvacuation {
         /// The failure domain.
         pub failure_domain: DomainName,
-        /// Revision that evacuated it or took that back.
+        /// Revision that started or cancelled the evacuation.
         pub revision: Revision,
         /// Whether it is evacuated.
         pub is_evacuated: bool,
     }
 
-    /// Up to where the store's tables are known.
+    /// Revisions up to which the tables of the store are synced.
     pub struct SyncedRevisions {
         /// Revision up to which all changes of the operators' document are known.
         pub routing: Revision,
@@ -175,30 +176,32 @@
         pub members: Revision,
     }
 
-    /// What a daemon knows.
+    /// State that a daemon sends to another one.
     pub struct PeerUpdate {
-        /// Version of its routing table, 0 without one.
+        /// Version of the sender's routing table, 0 without one.
         pub routing_version: RoutingVersion,
-        /// The table, if it is newer than the asker's and that one doesn't take changes; an answer that
-        /// goes on leaves large ones out.
+        /// The table, if it is newer than the requester's and the requester doesn't accept changes.
+        /// A streamed response omits large tables.
         pub routing: Option<RoutingTable>,
-        /// What the asker's table lacks, as far as it takes changes.
+        /// Changes that the requester's table lacks, as far as the requester accepts changes.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub changes: Option<PackedChanges>,
-        /// The members that were asked for.
+        /// The members that were requested.
         pub members: Vec<VersionedMember>,
-        /// Whether those are all that there are; others have gone.
+        /// Whether these are all members, so that any other one has been removed.
         pub is_whole: bool,
-        /// All evacuations that it knows, with those that were taken back.
+        /// All evacuations known to the sender, including cancelled ones.
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         pub evacuations: Vec<VersionedEvacuation>,
-        /// Up to where it knows the store's tables; none while the store doesn't answer it.
+        /// Revisions up to which the sender is synced with the store; `None` while the store
+        /// doesn't respond to it.
         pub known: Option<SyncedRevisions>,
     }
 }
 
 impl PeerUpdate {
-    /// All members that there are, and the revision as of which that is so; none if not all are told.
+    /// Returns the ids of all members and the revision of that list; `None` if the list is
+    /// incomplete.
     pub fn complete_as_of(&self) -> Option<(Revision, Vec<InstanceId>)> {
         let known = self.known.as_ref().filter(|_| self.is_whole)?;
         let listed = self.members.iter().filter(|dated| dated.member.is_some());
--- a/crates/yuccarackd/src/protocol/refusal.rs
+++ b/crates/yuccarackd/src/protocol/refusal.rs
@@ -1,4 +1,4 @@
-//! Every response that is ours and not the target's: its reason, its outcome, its form.
+//! Responses that a daemon sends itself instead of the target: their reason, outcome and form.
 
 use std::time::Duration;
 
@@ -8,19 +8,19 @@
 
 use super::body::{self, CallBody};
 
-/// What is proved of a request that got no response from its target.
+/// What is known about the execution of a request without a response from its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    /// Nothing of it was handed to a target, or the target shed it.
+    /// Nothing of the request reached a target, or the target shed it.
     NotRun,
-    /// Something of it was handed to a target; it may have run.
+    /// Part of the request reached a target; it may have run.
     Unknown,
-    /// It has run to its end, and its response can't be told any more.
+    /// The request ran to its end, but its response is no longer available.
     Run,
 }
 
 impl Outcome {
-    /// Its spelling in the outcome header.
+    /// Returns the value of the outcome header.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotRun => "not_run",
@@ -29,7 +29,8 @@
         }
     }
 
-    /// Reads the outcome header of a daemon's response.
+    /// Parses the outcome header of a response from a daemon; an unknown value counts as
+    /// [`Outcome::Unknown`].
     pub fn from_headers(map: &http::HeaderMap) -> Option<Self> {
         match map.get(headers::OUTCOME)?.as_bytes() {
             b"not_run" => Some(Self::NotRun),
@@ -39,69 +40,69 @@
     }
 }
 
-/// Why a call gets an response of ours.
+/// Reason why a daemon responds itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Reason {
-    /// The head of the request can't be understood.
+    /// The head of the request is invalid.
     BadRequest,
-    /// A request that must not repeat came without an idempotency key.
+    /// A request that must not be repeated has no idempotency key.
     NoIdempotencyKey,
-    /// The key was used before for another request.
+    /// The key was used before for a different request.
     KeyReused,
-    /// No rules of such a service are in force.
+    /// No rules are in force for the service.
     UnknownService,
-    /// No route of the service takes the request.
+    /// No route of the service matches the request.
     UnknownRoute,
     /// No routing table is known yet.
     NoRouting,
-    /// The body is longer than operators accept.
+    /// The body exceeds the limit set by operators.
     BodyTooLarge,
-    /// No connection to the gate could be made.
+    /// No connection to the gate could be established.
     NoConnection,
-    /// The gate's target serves another service.
+    /// The gate's target serves a different service.
     OtherService,
-    /// The service has no target that takes work.
+    /// The service has no target that accepts requests.
     NoTarget,
-    /// The platform is away and its word is needed.
+    /// The decision needs the platform's store, which is unavailable.
     StoreUnavailable,
-    /// The gate has no target of that service, or none that takes work.
+    /// The gate has no target of that service, or none that accepts requests.
     NotReady,
-    /// The gate or its target is leaving.
+    /// The gate or its target is shutting down.
     Draining,
-    /// Operators want the targets of the gate's failure domain to get nothing.
+    /// Operators evacuate the failure domain of the gate.
     Evacuated,
-    /// The gate's admission refused; the inner word says why.
+    /// The admission control of the gate rejected the request; the field tells why.
     Admission(&'static str),
-    /// Runs of such requests fail for want of another service.
+    /// Requests of this kind fail because another service is short of capacity.
     DependencyShortage,
     /// Too many claims of this gate wait for the platform.
     ClaimsBusy,
-    /// A request with this key is running, or its fate is unknown.
+    /// A request with this key is running, or its outcome is unknown.
     InProgress,
-    /// A request with this key has run, and its response was too large to keep.
+    /// A request with this key has run, and its response was too large to store.
     ResponseNotStored,
     /// The request has crashed targets twice.
     Quarantined,
-    /// The request is a crash suspect and is on trial elsewhere.
+    /// The request is a crash suspect and is on trial at another gate.
     OnTrial,
     /// The target shed the request before running it.
     Shed,
-    /// No connection to the gate or the target could be made.
+    /// No connection to the gate or the target could be established.
     Unreachable,
-    /// The connection broke after something was handed over.
+    /// The connection failed after part of the request was dispatched.
     Broken,
-    /// The target died with the request in flight; the request is a crash suspect.
+    /// The target died with the request in flight, which makes the request a crash suspect.
     TargetDied,
-    /// The deadline passed.
+    /// The deadline of the call passed.
     DeadlinePassed,
-    /// The caller's body ended before its end.
+    /// The caller's body ended early.
     CallerBodyCut,
-    /// The daemon is stopping and its time for work in flight is over.
+    /// The daemon is stopping and its grace period for requests in flight is over.
     Stopping,
 }
 
 impl Reason {
-    /// Reasons that a gate gives for a routed request.
+    /// Reasons that a gate may give for a routed request.
     const SENT_BY_GATES: [Self; 18] = [
         Self::BadRequest,
         Self::NotReady,
@@ -123,7 +124,7 @@
         Self::Admission(RefusedReason::Leaving.as_str()),
     ];
 
-    /// Its spelling in the reason header and in counters.
+    /// Returns the value of the reason header, which is also the name in counters.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::BadRequest => "bad_request",
@@ -157,7 +158,7 @@
         }
     }
 
-    /// Reads the reason header of a daemon's response; one that isn't known counts as broken.
+    /// Parses the reason header of a response from a daemon; an unknown value counts as broken.
     pub fn from_headers(map: &http::HeaderMap) -> Self {
         let text = map.get(headers::REASON).and_then(|value| value.to_str().ok()).unwrap_or("");
         let known = Self::SENT_BY_GATES.into_iter().find(|reason| reason.as_str() == text);
@@ -194,40 +195,40 @@
     }
 }
 
-/// One refusal: why, what is proved, and when to come back.
+/// A refusal of a request: its reason, its outcome and when to retry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Reason of the refusal.
     pub reason: Reason,
-    /// What is proved of the request.
+    /// What is known about the execution of the request.
     pub outcome: Outcome,
-    /// When it is worth asking again, where that is known.
+    /// Time after which a retry may succeed, if known.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// A refusal with the proof that nothing of the request ran.
+    /// Creates a refusal of a request that verifiably did not run.
     pub fn not_run(reason: Reason) -> Self {
         Self { reason, outcome: Outcome::NotRun, retry_after: None }
     }
 
-    /// The word that nobody knows whether the request ran.
+    /// Creates a refusal of a request that may have run.
     pub fn unknown(reason: Reason) -> Self {
         Self { reason, outcome: Outcome::Unknown, retry_after: None }
     }
 
-    /// Whether it is proved that nothing of the request ran.
+    /// Returns whether it is verified that nothing of the request ran.
     pub fn is_not_run(&self) -> bool {
         self.outcome == Outcome::NotRun
     }
 
-    /// Says when to come back.
+    /// Sets the time after which a retry may succeed.
     pub fn with_retry_after(mut self, retry_after: Duration) -> Self {
         self.retry_after = Some(retry_after);
         self
     }
 
-    /// The response that tells the caller.
+    /// Converts the refusal into the response to the caller.
     pub fn into_response(self) -> Response<CallBody> {
         let mut response = Response::new(body::empty());
         *response.status_mut() = self.reason.status();
@@ -240,10 +241,11 @@
         response
     }
 
-    /// The response that tells the caller of a routed request.
+    /// Converts the refusal into the response to the caller of a routed request.
     ///
-    /// A caller takes 503 as proof that nothing ran, so only what is proved gets it; and what is
-    /// proved gets nothing else, so that its caller may come back.
+    /// Callers take status 503 as the guarantee that nothing ran. So a request that verifiably did
+    /// not run gets 503 and no other server error, which lets its caller retry, and no other
+    /// request gets it.
     pub fn into_routed_response(self) -> Response<CallBody> {
         let retry_after = self.retry_after;
         let status = self.routed_status();
@@ -266,7 +268,8 @@
     }
 }
 
-/// `Retry-After` knows whole seconds only; rounding down would invite callers too early.
+/// Rounds up to whole seconds, the unit of `Retry-After`. Rounding down would let callers retry too
+/// early.
 fn whole_seconds(time: Duration) -> u64 {
     let rounded_up = time.as_secs() + u64::from(time.subsec_nanos() > 0);
     rounded_up.max(1)
--- a/crates/yuccarackd/src/protocol/status.rs
+++ b/crates/yuccarackd/src/protocol/status.rs
@@ -1,4 +1,4 @@
-//! What the admin endpoint answers.
+//! Responses of the admin endpoint.
 
 use yuccarack_config::{
     ids::{DomainName, Incarnation, InstanceId, Revision, ServiceName},
@@ -9,41 +9,41 @@
 use super::announce::Announcement;
 
 wire_kind! {
-    /// Whether the platform's table answered last time.
+    /// Availability of the platform's table at the last request.
     pub enum StoreStatus {
-        /// It answered.
+        /// The table responded.
         Reachable,
-        /// It did not.
+        /// The table did not respond.
         Away,
     }
 }
 
 wire_data! {
-    /// Answer to `GET /status`.
+    /// Response to `GET /status`.
     pub struct StatusReport {
-        /// Name of this instance.
+        /// Id of this instance.
         pub instance: InstanceId,
-        /// Its failure domain.
+        /// Failure domain of this instance.
         pub failure_domain: DomainName,
-        /// Number of its life, once its target has announced itself.
+        /// Incarnation of this instance, once its target has announced itself.
         pub incarnation: Option<Incarnation>,
-        /// Where its target is in its life; silence counts as draining.
+        /// Lifecycle state of the target; one that stopped announcing itself counts as draining.
         pub target_state: Option<TargetState>,
-        /// What its target last said.
+        /// Latest announcement of the target.
         pub target: Option<Announcement>,
-        /// Services that it knows.
+        /// Services known to this daemon.
         pub services: Vec<ServiceStatus>,
-        /// Whether the store answers.
+        /// Availability of the store.
         pub store: StoreStatus,
         /// Whether this daemon is stopping.
         pub is_draining: bool,
     }
 
-    /// What is known of one service.
+    /// What this daemon knows of one service.
     pub struct ServiceStatus {
-        /// Its name.
+        /// Name of the service.
         pub name: ServiceName,
-        /// Whether it is the own target's.
+        /// Whether the target of this instance belongs to the service.
         pub is_own: bool,
         /// Whether rules are in force.
         pub has_rules: bool,
@@ -51,15 +51,15 @@
         pub rules_revision: Revision,
         /// Number of its targets.
         pub members: usize,
-        /// Rises with any change.
+        /// Number that rises with each change.
         pub generation: u64,
     }
 
-    /// Answer to a call that was refused.
+    /// Response to a request that the admin endpoint refused.
     pub struct Refusal {
-        /// Why, in snake case.
+        /// Reason, in snake case.
         pub reason: String,
-        /// What exactly.
+        /// Details for the operator.
         pub detail: String,
     }
 }
--- a/crates/yuccarackd/src/protocol/streamed_body.rs
+++ b/crates/yuccarackd/src/protocol/streamed_body.rs
@@ -1,4 +1,4 @@
-//! A request's body that arrives while it is sent, and stays with its call until somebody takes it.
+//! A request body that streams from its caller and stays with its call until a receiver reads it.
 
 use std::{
     pin::Pin,
@@ -14,10 +14,10 @@
 
 use super::body::{BodyError, CallBody};
 
-/// A body that is offered to one receiver after the other until one begins to read it.
+/// A body that is offered to one receiver after another until one begins to read it.
 ///
-/// Failure: a request with a large body is turned away by a gate that has no slot. Its body can't be
-/// sent a second time, so that the first gate's word would be the last one.
+/// Guards against a request with a large body that is rejected by a gate without a free slot: its
+/// body could not be sent a second time, so the refusal of the first gate would be final.
 #[derive(Clone)]
 pub struct StreamedBody {
     slot: Arc<Mutex<Slot>>,
@@ -25,43 +25,43 @@
 
 struct Slot {
     body: Option<CallBody>,
-    /// Number of the newest offer; older ones are void.
+    /// Number of the latest offer; older ones are void.
     offer: u64,
 }
 
-/// Says that the receiver wants the body.
+/// Signal that a receiver is ready to read the body.
 #[derive(Clone, Debug, Default)]
 pub struct DemandSignal(Arc<Notify>);
 
 impl DemandSignal {
-    /// Starts as not demand.
+    /// Creates a signal that is not set.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Lets the body go.
+    /// Signals that the receiver is ready, which releases the body.
     pub fn notify(&self) {
         self.0.notify_one();
     }
 }
 
 impl StreamedBody {
-    /// Takes in a body of which nothing was read.
+    /// Takes over a body of which nothing has been read.
     pub fn new(body: CallBody) -> Self {
         Self { slot: Arc::new(Mutex::new(Slot { body: Some(body), offer: 0 })) }
     }
 
-    /// Whether nobody has begun to read it.
+    /// Returns whether no receiver has begun to read the body.
     pub fn is_unread(&self) -> bool {
         self.slot.lock().body.is_some()
     }
 
-    /// The body for whoever reads it at once.
+    /// Offers the body to a receiver that reads it at once.
     pub fn offer(&self) -> CallBody {
         self.make_offer(None).boxed_unsync()
     }
 
-    /// The body for a receiver that says first whether it is `demand`.
+    /// Offers the body to a receiver that signals `demand` before it reads.
     pub fn offer_when(&self, demand: &DemandSignal) -> CallBody {
         let wait = Box::pin(Arc::clone(&demand.0).notified_owned());
         self.make_offer(Some(wait)).boxed_unsync()
@@ -76,7 +76,7 @@
     }
 }
 
-/// One offer of a body, which takes it when it is first read.
+/// One offer of a body, which takes the body out of its slot on the first read.
 struct OfferedBody {
     slot: Arc<Mutex<Slot>>,
     offer: u64,
--- a/crates/yuccarackd/src/protocol/suspect_update.rs
+++ b/crates/yuccarackd/src/protocol/suspect_update.rs
@@ -1,4 +1,4 @@
-//! News about requests that may crash targets, from daemon to daemon of one service.
+//! Updates on requests that may crash targets, exchanged by the daemons of one service.
 
 use yuccarack_config::{
     ids::{Fingerprint, InstanceId, ServiceName},
@@ -6,31 +6,31 @@
 };
 
 wire_kind! {
-    /// What became known of a suspect.
+    /// Change in the state of a crash suspect.
     pub enum SuspectEvent {
-        /// A target died with it in flight.
+        /// A target died while it ran the request.
         TargetDied,
-        /// It crashed a second target and isn't run for a time.
+        /// The request crashed a second target and isn't run for some time.
         Quarantined,
-        /// It runs alone on one target.
+        /// The request runs alone on one target.
         TrialStarted,
-        /// Its trial ended before anything was learned.
+        /// The trial ended without a result.
         TrialAbandoned,
-        /// It ran alone and its target lives.
+        /// The request ran alone and its target survived.
         Cleared,
     }
 }
 
 wire_data! {
-    /// One event of one suspect.
+    /// One event of one crash suspect.
     pub struct SuspectUpdate {
         /// Service that the request is for.
         pub service: ServiceName,
-        /// What the request is recognised by.
+        /// Fingerprint that identifies the request.
         pub fingerprint: Fingerprint,
-        /// What became known.
+        /// The event.
         pub event: SuspectEvent,
-        /// Instance that saw it.
+        /// Instance that observed the event.
         pub instance: InstanceId,
     }
 }
--- a/crates/yuccarackd/src/state/byte_budget.rs
+++ b/crates/yuccarackd/src/state/byte_budget.rs
@@ -1,4 +1,4 @@
-//! What control messages may cost, in bytes a second.
+//! Bandwidth budget for control messages between daemons.
 
 use std::{sync::Arc, time::Instant};
 
@@ -6,9 +6,9 @@
 
 use super::counters::Counters;
 
-/// Bytes a daemon may send and receive in a second, on average.
+/// Average rate at which a daemon may send and receive control messages, in bytes a second.
 pub const BYTES_PER_S: f64 = 2_048.0;
-/// Bytes that may be saved up, for the bursts of a start or of a change.
+/// Largest unspent budget, which covers the bursts at a start or after a change.
 const BURST_MAX_BYTES: f64 = 30.0 * BYTES_PER_S;
 
 struct Balance {
@@ -16,7 +16,7 @@
     updated_at: Instant,
 }
 
-/// Bytes that control messages may still cost; clones share it.
+/// Remaining budget for control messages, a token bucket; clones share it.
 #[derive(Clone)]
 pub struct ByteBudget {
     balance: Arc<Mutex<Balance>>,
@@ -24,26 +24,26 @@
 }
 
 impl ByteBudget {
-    /// Starts with all that may be saved up.
+    /// Starts with the largest unspent budget.
     pub fn new(counters: Counters, now: Instant) -> Self {
         let balance = Balance { available_bytes: BURST_MAX_BYTES, updated_at: now };
         Self { balance: Arc::new(Mutex::new(balance)), counters }
     }
 
-    /// Counts a message that was sent.
+    /// Charges a message that was sent.
     pub fn record_sent(&self, bytes: usize) {
         self.counters.add("control.sent_messages");
         self.spend("control.sent_bytes", bytes);
     }
 
-    /// Counts a message that was received.
+    /// Charges a message that was received.
     pub fn record_received(&self, bytes: usize) {
         self.counters.add("control.received_messages");
         self.spend("control.received_bytes", bytes);
     }
 
-    /// Whether more than `reserve_bytes` are left; what can't wait is sent regardless and leaves a
-    /// debt.
+    /// Returns whether more than `reserve_bytes` are left. Messages that can't wait are sent
+    /// regardless, so the budget may be negative.
     pub fn has_more_than(&self, reserve_bytes: u32, now: Instant) -> bool {
         let mut balance = self.balance.lock();
         let passed_s = now.saturating_duration_since(balance.updated_at).as_secs_f64();
--- a/crates/yuccarackd/src/state/call_log.rs
+++ b/crates/yuccarackd/src/state/call_log.rs
@@ -1,4 +1,4 @@
-//! What became of recent calls, in a bounded memory, for operators who ask about one.
+//! Bounded log of the steps of recent calls, which operators query for single calls.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -17,10 +17,10 @@
 
 use crate::protocol::{body::CallBody, refusal::Refusal};
 
-/// Calls that are remembered; at some 400 B each, under half a megabyte.
+/// Largest number of calls in the log; at some 400 B each it stays below half a megabyte.
 const CALLS_MAX: usize = 1024;
 
-/// Events that are remembered of one call.
+/// Largest number of events per call.
 const EVENTS_MAX: usize = 32;
 
 /// One step of a call.
@@ -29,70 +29,70 @@
 pub enum CallEvent {
     /// A gate was chosen.
     Chosen {
-        /// Its instance.
+        /// Instance of the gate.
         instance: InstanceId,
         /// The candidates that were compared.
         weighed: Vec<Candidate>,
     },
-    /// A second gate was asked because the first was late.
+    /// A hedged request was sent to a second gate because the first one was late.
     Hedged {
-        /// Its instance.
+        /// Instance of the second gate.
         instance: InstanceId,
     },
-    /// A gate answered.
+    /// A gate responded.
     Answered {
-        /// Its instance.
+        /// Instance of the gate.
         instance: InstanceId,
-        /// The answer's status.
+        /// Status of the response.
         status: u16,
-        /// Time from sending until the answer's head, in µs.
+        /// Time from sending the request until the response head, in µs.
         took_us: u64,
-        /// Its reason, where the answer is a refusal.
+        /// Reason header, if the response is a refusal.
         reason: Option<String>,
-        /// The gate's load, as it said.
+        /// Load that the gate reported.
         load: Option<String>,
     },
-    /// Another try was made.
+    /// Another attempt was made.
     Retried {
-        /// Why.
+        /// Reason of the attempt.
         reason: &'static str,
     },
-    /// No other try was made.
+    /// No further attempt was made.
     GaveUp {
-        /// Why.
+        /// Reason for giving up.
         reason: &'static str,
     },
-    /// The entry refused.
+    /// The entry refused the call.
     Refused {
-        /// Why.
+        /// Reason of the refusal.
         reason: &'static str,
-        /// What is proved.
+        /// What is known about the execution of the request.
         outcome: &'static str,
     },
 }
 
-/// A candidate for a try, with what was known of it.
+/// A candidate for an attempt and what was known of it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Candidate {
-    /// Its instance.
+    /// Instance of the candidate.
     pub instance: InstanceId,
-    /// Time in which it was expected to answer, in µs.
+    /// Expected response time, in µs.
     pub expected_us: u64,
-    /// Age of the news of its load, in µs; unset without any.
+    /// Age of the latest load report, in µs; `None` without a report.
     pub news_age_us: Option<u64>,
 }
 
-/// One step with its time.
+/// One step of a call with its time.
 #[derive(Clone, Debug, Serialize)]
 pub struct TimedEvent {
-    /// Time since the call's first step, in µs.
+    /// Time since the first step of the call, in µs.
     pub after_us: u64,
     /// The step.
     #[serde(flatten)]
     pub event: CallEvent,
 }
 
-/// What became of recent calls; clones share it.
+/// Steps of recent calls; clones share the log.
 #[derive(Clone, Debug, Default)]
 pub struct CallLog {
     state: Arc<Mutex<State>>,
@@ -111,12 +111,12 @@
 }
 
 impl CallLog {
-    /// Starts empty.
+    /// Creates an empty log.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes a step of a call; the oldest call makes room.
+    /// Adds a step of a call. A new call evicts the oldest one if the log is full.
     pub fn note(&self, id: RequestId, event: CallEvent) {
         let now = Instant::now();
         let state = &mut *self.state.lock();
@@ -134,7 +134,7 @@
         }
     }
 
-    /// The steps of a call, if it is still remembered.
+    /// Returns the steps of a call, if it is still in the log.
     pub fn find(&self, id: RequestId) -> Option<Vec<TimedEvent>> {
         self.state.lock().calls.get(&id).map(|call| call.events.clone())
     }
@@ -162,18 +162,18 @@
 }
 
 impl CallEvent {
-    /// A gate was chosen.
+    /// Creates the event for the choice of a gate.
     pub fn chosen(instance: &str, weighed: &[WeighedView]) -> Self {
         let weighed = weighed.iter().map(Candidate::new).collect();
         Self::Chosen { instance: instance.to_owned(), weighed }
     }
 
-    /// A second gate was asked.
+    /// Creates the event for a hedged request.
     pub fn hedged(instance: &str) -> Self {
         Self::Hedged { instance: instance.to_owned() }
     }
 
-    /// A gate answered after `took`.
+    /// Creates the event for a response that took `duration`.
     pub fn answered(
         instance: &str,
         status: StatusCode,
@@ -189,17 +189,17 @@
         }
     }
 
-    /// Another try was made.
+    /// Creates the event for another attempt.
     pub fn retried(reason: &'static str) -> Self {
         Self::Retried { reason }
     }
 
-    /// No other try was made.
+    /// Creates the event for giving up.
     pub fn gave_up(reason: &'static str) -> Self {
         Self::GaveUp { reason }
     }
 
-    /// The entry refused.
+    /// Creates the event for a refusal by the entry.
     pub fn refused(refusal: &Refusal) -> Self {
         Self::Refused { reason: refusal.reason.as_str(), outcome: refusal.outcome.as_str() }
     }
--- a/crates/yuccarackd/src/state/counters.rs
+++ b/crates/yuccarackd/src/state/counters.rs
@@ -1,4 +1,4 @@
-//! Counters: one number for each refusal, retry, hedge, claim and control event.
+//! Counters of refusals, retries, hedges, claims and control events.
 
 use std::{
     collections::BTreeMap,
@@ -9,7 +9,7 @@
 use cadence::{Counted, StatsdClient, UdpMetricSink};
 use parking_lot::Mutex;
 
-/// Start of every counter's name at the metrics collector.
+/// Prefix of every counter at the metrics collector.
 const PREFIX: &str = "yuccarack";
 
 /// All counters of one daemon; clones share them.
@@ -20,16 +20,16 @@
 }
 
 impl Counters {
-    /// Makes counters that are only readable here.
+    /// Creates counters that aren't sent to a collector.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Sends each count to the statsd collector at `address` too.
+    /// Also sends each count to the statsd collector at `address`.
     ///
     /// # Errors
     ///
-    /// The operating system's, when no UDP socket can be had.
+    /// Returns the error of the operating system if the UDP socket can't be created.
     pub fn with_collector(mut self, address: SocketAddr) -> std::io::Result<Self> {
         let unspecified = if address.is_ipv4() { "0.0.0.0:0" } else { "[::]:0" };
         let socket = UdpSocket::bind(unspecified)?;
@@ -56,7 +56,7 @@
             }
         }
         if let Some(collector) = &self.collector {
-            // A collector that is away must never hold up a call, so its failure is left at that.
+            // An unreachable collector must never delay a call, so a failed send is ignored.
             let _ = collector.count(name, i64::try_from(number).unwrap_or(i64::MAX));
         }
     }
@@ -66,7 +66,7 @@
         self.add(&format!("{group}.{reason}"));
     }
 
-    /// All counters that have counted something.
+    /// Returns all counters that have been incremented.
     pub fn snapshot(&self) -> BTreeMap<String, u64> {
         self.numbers.lock().clone()
     }
--- a/crates/yuccarackd/src/state/directory.rs
+++ b/crates/yuccarackd/src/state/directory.rs
@@ -1,4 +1,4 @@
-//! The services that this daemon calls or serves: their rules and members.
+//! Rules and members of the services that this daemon calls or serves.
 
 use std::{
     collections::HashMap,
@@ -18,42 +18,42 @@
 use super::service_entry::ServiceEntry;
 pub use super::service_entry::ServiceView;
 
-/// How long a failed look-up answers for the ones that follow it.
+/// Time for which a failed lookup is returned to later callers without another lookup.
 const FAILURE_TTL: Duration = Duration::from_secs(1);
-/// Most failed look-ups that are remembered at once.
+/// Largest number of failed lookups that are cached.
 const FAILURES_MAX: usize = 1024;
-/// Most look-ups that wait for their turn.
+/// Largest number of queued lookups.
 const LOOKUPS_MAX: usize = 64;
-/// Least time between two refreshes of a service on word of newer rules.
+/// Least time between two refreshes of a service that are triggered by a report of newer rules.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Why a service's view can't be had.
+/// Reason why the view of a service is unavailable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DirectoryError {
     /// No rules are in force for the service.
     #[error("no rules are in force for this service")]
     UnknownService,
-    /// The store is away and no peer that could be asked knows the service.
-    #[error("the store is away and no peer knows this service")]
+    /// The store is unavailable and no reachable peer knows the service.
+    #[error("the store is unavailable and no peer knows this service")]
     StoreUnavailable,
-    /// Too many services are being looked up.
-    #[error("too many services are being looked up")]
+    /// Too many lookups are queued.
+    #[error("too many service lookups are queued")]
     TooManyLookups,
-    /// The deadline passed before an answer came.
-    #[error("no answer came before the deadline")]
+    /// The deadline passed before the lookup ended.
+    #[error("the service lookup did not end before the deadline")]
     DeadlinePassed,
 }
 
-/// A service that wants to be loaded.
+/// Request to load a service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Lookup {
     /// The service.
     pub service: ServiceName,
-    /// Whether an older view is there to go on with.
+    /// Whether an older view exists that stays in use meanwhile.
     pub is_refresh: bool,
 }
 
-/// Look-ups under way and the failed ones of the last second.
+/// Pending lookups, and those that failed within [`FAILURE_TTL`].
 #[derive(Default)]
 struct Lookups {
     waiting: HashMap<ServiceName, Instant>,
@@ -67,7 +67,7 @@
     lookups: Mutex<Lookups>,
     lookup_sender: mpsc::Sender<Lookup>,
     lookup_receiver: Mutex<Option<mpsc::Receiver<Lookup>>>,
-    /// Rises whenever a look-up ends, well or not.
+    /// Number that rises whenever a lookup succeeds or fails.
     lookups_ended: watch::Sender<u64>,
     own_service: RwLock<Option<ServiceName>>,
     own_generation: watch::Sender<u64>,
@@ -80,7 +80,7 @@
 }
 
 impl Directory {
-    /// Starts with nothing known.
+    /// Creates an empty directory.
     pub fn new() -> Self {
         let (lookup_sender, lookup_receiver) = mpsc::channel(LOOKUPS_MAX);
         let inner = Inner {
@@ -96,7 +96,7 @@
         Self { inner: Arc::new(inner) }
     }
 
-    /// What is known of `service`, which counts as used now; none while it is loading.
+    /// Returns the view of `service` and marks it as used; `None` while it is loading.
     pub fn view(&self, service: &str) -> Option<Arc<ServiceView>> {
         let services = self.inner.services.read();
         let entry = services.get(service)?;
@@ -107,11 +107,13 @@
         Some(Arc::clone(entry.view()))
     }
 
-    /// What is known of `service`, loaded on first use; one load serves all who wait for it.
+    /// Returns the view of `service` and loads it on first use. One lookup serves all callers that
+    /// wait.
     ///
     /// # Errors
     ///
-    /// Any [`DirectoryError`]; a failure answers at once for a second.
+    /// Returns a [`DirectoryError`]. A failed lookup is returned at once to callers within the next
+    /// second.
     pub async fn get_or_load(
         &self,
         service: &str,
@@ -131,7 +133,8 @@
         }
     }
 
-    /// Takes word that rules of `revision` are in force somewhere; newer ones are fetched soon.
+    /// Notes that rules of `revision` are in force elsewhere, and requests a refresh if they are
+    /// newer.
     pub fn note_rules_revision(&self, service: &str, revision: Revision) {
         let known = self.peek(service).map(|view| view.rules_revision);
         if known.is_none_or(|known| revision <= known) {
@@ -145,32 +148,32 @@
         }
         lookups.refreshed_at.insert(service.to_owned(), now);
         let lookup = Lookup { service: service.to_owned(), is_refresh: true };
-        // When the queue is full the next answer's header brings the same word again.
+        // If the queue is full, the header of the next response reports the revision again.
         let _ = self.inner.lookup_sender.try_send(lookup);
     }
 
-    /// Version of the own service's rules that is in force here; 0 before any.
+    /// Returns the revision of the own service's rules in force here; 0 before any.
     pub fn own_rules_revision(&self) -> Revision {
         let own = self.own_service().and_then(|service| self.peek(&service));
         own.map_or(0, |view| view.rules_revision)
     }
 
-    /// Service of the target beside this daemon, once it has announced itself.
+    /// Returns the service of this instance's target, once the target has announced itself.
     pub fn own_service(&self) -> Option<ServiceName> {
         self.inner.own_service.read().clone()
     }
 
-    /// Follows the generation of the own service's view.
+    /// Subscribes to the generation of the own service's view.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.inner.own_generation.subscribe()
     }
 
-    /// What is known of `service`, without counting as use.
+    /// Returns the view of `service` without marking it as used.
     pub fn peek(&self, service: &str) -> Option<Arc<ServiceView>> {
         self.inner.services.read().get(service).map(|entry| Arc::clone(entry.view()))
     }
 
-    /// All services that are known, without counting as use.
+    /// Returns the views of all services, ordered by name, without marking them as used.
     pub fn views(&self) -> Vec<Arc<ServiceView>> {
         let services = self.inner.services.read();
         let mut views: Vec<_> = services.values().map(|entry| Arc::clone(entry.view())).collect();
@@ -178,61 +181,64 @@
         views
     }
 
-    /// Hash over the members of `service` that haven't gone, 0 for none; equal on daemons that know the same.
+    /// Returns a hash over the present members of `service`, 0 for none. It is equal on daemons
+    /// that know the same members.
     pub fn members_digest(&self, service: &str) -> u64 {
         self.inner.services.read().get(service).map_or(0, ServiceEntry::digest)
     }
 
-    /// Rows of all members of `service`, those of the gone included.
+    /// Returns the rows of all members of `service`, including removed members.
     pub fn member_rows(&self, service: &str) -> Vec<MemberRow> {
         self.inner.services.read().get(service).map(ServiceEntry::rows).unwrap_or_default()
     }
 
-    /// The `count` member rows of `service` that were taken in last, the gone included.
+    /// Returns the `count` member rows of `service` that changed last, including removed members.
     pub fn latest_rows(&self, service: &str, count: usize) -> Vec<MemberRow> {
         let services = self.inner.services.read();
         services.get(service).map(|entry| entry.latest_rows(count)).unwrap_or_default()
     }
 
-    /// Rules of `service` and their revision as they go to other daemons, once there were any.
+    /// Returns the rules of `service` and their revision as sent to other daemons, once there were
+    /// any.
     pub fn rules_row(&self, service: &str) -> Option<(Revision, RulesRow)> {
         self.inner.services.read().get(service)?.rules_row()
     }
 
-    /// Row of one member, a gone one included.
+    /// Returns the row of one member, even if the member is removed.
     pub fn member_row(&self, service: &str, instance: &str) -> Option<MemberRow> {
         self.inner.services.read().get(service)?.row(instance).cloned()
     }
 
-    /// Makes `service` the own one, which is never forgotten.
+    /// Sets the own service, which is never forgotten.
     pub fn set_own_service(&self, service: &str) {
         *self.inner.own_service.write() = Some(service.to_owned());
         self.with_entry(service, |_| ());
     }
 
-    /// Takes rules in if they are newer than those known; says whether they were.
+    /// Applies rules if they are newer than the known ones; returns whether they were.
     pub fn merge_rules(&self, service: &str, revision: Revision, row: &RulesRow) -> bool {
         self.with_entry(service, |entry| entry.merge_rules(revision, row))
     }
 
-    /// Takes those rows in that are newer than the known ones; gives these back.
+    /// Applies the rows that are newer than the known ones and returns them.
     pub fn merge_members(&self, service: &str, rows: Vec<MemberRow>) -> Vec<MemberRow> {
         let now = Instant::now();
         self.with_entry(service, |entry| entry.merge_members(rows, now))
     }
 
-    /// Forgets members of a foreign `service` that `listed` doesn't name.
+    /// Drops the members of `service`, which isn't the own one, that are not in `listed`.
     pub fn drop_unlisted(&self, service: &str, listed: &[MemberRow]) {
         self.with_entry(service, |entry| entry.drop_unlisted(listed));
     }
 
-    /// Forgets members of `service` that have been gone for `retention`; gives their rows back.
+    /// Drops members of `service` that were removed at least `retention` ago and returns their
+    /// rows.
     pub fn forget_removed(&self, service: &str, retention: Duration) -> Vec<MemberRow> {
         let Some(before) = Instant::now().checked_sub(retention) else { return Vec::new() };
         self.with_entry(service, |entry| entry.forget_removed(before))
     }
 
-    /// Forgets services that nobody has used for `retention`, but for the own one.
+    /// Drops services that were not used for `retention`, except for the own one.
     pub fn forget_unused(&self, retention: Duration) -> Vec<ServiceName> {
         let retention_ms = u64::try_from(retention.as_millis()).unwrap_or(u64::MAX);
         let oldest_ms = self.now_ms().saturating_sub(retention_ms);
@@ -244,23 +250,24 @@
         services.extract_if(|name, entry| is_unused(name, entry)).map(|(name, _)| name).collect()
     }
 
-    /// The queue of look-ups; whoever takes it has to answer them. Only the first taker gets it.
+    /// Returns the queue of lookups on the first call and `None` afterwards. The receiver has to
+    /// complete or fail each lookup.
     pub fn take_lookup_receiver(&self) -> Option<mpsc::Receiver<Lookup>> {
         self.inner.lookup_receiver.lock().take()
     }
 
-    /// Whether all that the store or a peer knew of `service` has been taken in once.
+    /// Returns whether everything known to the store or a peer about `service` was applied once.
     pub fn is_loaded(&self, service: &str) -> bool {
         self.inner.services.read().get(service).is_some_and(ServiceEntry::is_loaded)
     }
 
-    /// Ends a look-up whose result has been merged.
+    /// Ends a lookup whose result has been merged.
     pub fn complete_lookup(&self, service: &str) {
         self.with_entry(service, ServiceEntry::mark_loaded);
         self.end_lookup(service);
     }
 
-    /// Ends a look-up that gave nothing.
+    /// Ends a lookup without a result and caches `error`.
     pub fn fail_lookup(&self, service: &str, error: DirectoryError) {
         let now = Instant::now();
         {
@@ -295,7 +302,8 @@
         Ok(())
     }
 
-    /// Runs `change` on the service's entry, made if missing, and tells of a changed own view.
+    /// Runs `change` on the service's entry, which is created if missing, and notifies subscribers
+    /// if the view of the own service changed.
     fn with_entry<T>(&self, service: &str, change: impl FnOnce(&mut ServiceEntry) -> T) -> T {
         let now_ms = self.now_ms();
         let (result, generation) = {
--- a/crates/yuccarackd/src/state/explain.rs
+++ b/crates/yuccarackd/src/state/explain.rs
@@ -1,22 +1,22 @@
-//! Answers operators who ask what became of one call.
+//! Explains single calls to operators, by the call log.
 
 use serde_json::Value;
 
 use super::call_log::CallLog;
 
-/// Tells what became of a call.
+/// Returns the logged steps of a call.
 #[derive(Clone, Debug)]
 pub struct Explainer {
     call_log: CallLog,
 }
 
 impl Explainer {
-    /// Makes an explainer of the calls in `call_log`.
+    /// Creates an explainer for the calls in `call_log`.
     pub fn new(call_log: CallLog) -> Self {
         Self { call_log }
     }
 
-    /// The steps of the call of `id`, 32 hex digits, if it is still remembered.
+    /// Returns the steps of the call with the hexadecimal `id`, if it is still in the log.
     pub fn explain(&self, id: &str) -> Option<Value> {
         let id = u128::from_str_radix(id, 16).ok()?;
         let events = self.call_log.find(id)?;
--- a/crates/yuccarackd/src/state/mod.rs
+++ b/crates/yuccarackd/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! What this daemon knows.
+//! State of this daemon: what it knows of services, targets, peers and the store.
 
 pub mod byte_budget;
 pub mod call_log;
--- a/crates/yuccarackd/src/state/own_target.rs
+++ b/crates/yuccarackd/src/state/own_target.rs
@@ -1,4 +1,4 @@
-//! The target beside this daemon, as it announced itself.
+//! State of the target on this instance, by its announcements.
 
 use std::{
     sync::Arc,
@@ -11,17 +11,17 @@
 
 use crate::protocol::announce::Announcement;
 
-/// What is known of the target beside this daemon.
+/// What is known of the target on this instance.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetView {
-    /// Its latest announcement.
+    /// Latest announcement of the target.
     pub announcement: Announcement,
-    /// Whether it stopped announcing itself.
+    /// Whether the target stopped announcing itself.
     pub is_silent: bool,
 }
 
 impl TargetView {
-    /// Where the target is in its life; silence counts as leaving.
+    /// Returns the lifecycle state of the target; a silent one counts as draining.
     pub fn state(&self) -> TargetState {
         match (self.announcement.state, self.is_silent) {
             (TargetState::Gone, _) => TargetState::Gone,
@@ -31,7 +31,7 @@
     }
 }
 
-/// The target beside this daemon; clones share it.
+/// The target on this instance; clones share it.
 #[derive(Clone)]
 pub struct OwnTarget {
     view: Arc<watch::Sender<Option<Arc<TargetView>>>>,
@@ -39,33 +39,33 @@
 }
 
 impl OwnTarget {
-    /// Starts with no target known.
+    /// Starts without a known target.
     pub fn new() -> Self {
         let (view, _) = watch::channel(None);
         Self { view: Arc::new(view), announced_at: Arc::default() }
     }
 
-    /// What is known now, if the target has announced itself.
+    /// Returns the current view, if the target has announced itself.
     pub fn current(&self) -> Option<Arc<TargetView>> {
         self.view.borrow().clone()
     }
 
-    /// Follows the changes.
+    /// Subscribes to changes of the view.
     pub fn subscribe(&self) -> watch::Receiver<Option<Arc<TargetView>>> {
         self.view.subscribe()
     }
 
-    /// Takes an announcement in; says whether it changed anything.
+    /// Applies an announcement; returns whether it changed the view.
     pub fn apply_announcement(&self, announcement: Announcement, now: Instant) -> bool {
         *self.announced_at.lock() = Some(now);
         self.replace(TargetView { announcement, is_silent: false })
     }
 
-    /// Marks a target silent that was last heard `timeout` or more before `now`; says whether
-    /// that changed anything.
+    /// Marks the target silent if its latest announcement is at least `timeout` old at `now`;
+    /// returns whether that changed the view.
     ///
-    /// Guards against a target that is killed, frozen or cut off and so never says that it
-    /// leaves: it would go on getting work. Silence is all such a target shows, and any
+    /// Guards against a target that is killed, frozen or cut off, so that it never announces its
+    /// shutdown and would go on receiving requests. Silence is the only sign of it, and any
     /// announcement ends it.
     pub fn check_silence(&self, now: Instant, timeout: Duration) -> bool {
         let announced_at = *self.announced_at.lock();
--- a/crates/yuccarackd/src/state/reachability.rs
+++ b/crates/yuccarackd/src/state/reachability.rs
@@ -1,4 +1,4 @@
-//! Which other daemons answered when they were last asked.
+//! Reachability of other daemons, by the results of the latest requests to them.
 
 use std::{
     collections::HashMap,
@@ -9,7 +9,7 @@
 use parking_lot::Mutex;
 use yuccarack_config::ids::InstanceId;
 
-/// What was observed of a daemon that doesn't answer.
+/// Failed requests to a daemon since its latest response.
 struct Silence {
     since: Instant,
     failures: u32,
@@ -21,38 +21,38 @@
     responded_at: Option<Instant>,
 }
 
-/// Which other daemons answer; clones share it.
+/// Which other daemons respond; clones share it.
 #[derive(Clone, Default)]
 pub struct Reachability {
     observed: Arc<Mutex<Observed>>,
 }
 
 impl Reachability {
-    /// Starts with nobody known to be silent.
+    /// Starts with all daemons considered reachable.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes in that `instance` answered.
+    /// Records a response of `instance`.
     pub fn record_response(&self, instance: &str, now: Instant) {
         let mut observed = self.observed.lock();
         observed.silent.remove(instance);
         observed.responded_at = Some(now);
     }
 
-    /// Takes in that `instance` gave no answer.
+    /// Records a request to `instance` that failed.
     pub fn record_failure(&self, instance: &str, now: Instant) {
         let mut observed = self.observed.lock();
         let new = || Silence { since: now, failures: 0 };
         observed.silent.entry(instance.to_owned()).or_insert_with(new).failures += 1;
     }
 
-    /// Whether `instance` answered when it was last asked, or hasn't been asked.
+    /// Returns whether the latest request to `instance` succeeded, or none was sent yet.
     pub fn is_reachable(&self, instance: &str) -> bool {
         !self.observed.lock().silent.contains_key(instance)
     }
 
-    /// Whether `instance` has been silent for `time` over `failures` questions or more.
+    /// Returns whether `instance` has been silent for `time` and over `failures` requests or more.
     pub fn is_silent_for(
         &self,
         instance: &str,
@@ -65,13 +65,13 @@
         silence.failures >= failures && now.saturating_duration_since(silence.since) >= time
     }
 
-    /// Whether anybody answered within the last `time`.
+    /// Returns whether any daemon responded within the last `time`.
     pub fn has_response_within(&self, time: Duration, now: Instant) -> bool {
         let responded_at = self.observed.lock().responded_at;
         responded_at.is_some_and(|at| now.saturating_duration_since(at) < time)
     }
 
-    /// Forgets those for whom `is_known` doesn't hold.
+    /// Drops the instances for which `is_known` returns false.
     pub fn retain(&self, is_known: impl Fn(&str) -> bool) {
         self.observed.lock().silent.retain(|instance, _| is_known(instance));
     }
--- a/crates/yuccarackd/src/state/routed/boot_clock.rs
+++ b/crates/yuccarackd/src/state/routed/boot_clock.rs
@@ -4,12 +4,12 @@
 
 use rustix::time::{ClockId, Timespec, clock_gettime};
 
-/// Time for which the machine was suspended since its start.
+/// Returns the time for which the machine was suspended since its start.
 ///
-/// Failure: a machine is suspended with a request in its hands and goes on seconds later. The
-/// steady clock stood still meanwhile, so the request's deadline still seems to be ahead, though
-/// its caller was told long ago that it is over. The clock that counts from the machine's start
-/// went on, so the difference between the two is what a deadline has to be moved by.
+/// Guards against a machine that is suspended with a request in flight and resumes seconds later.
+/// The monotonic clock stands still meanwhile, so the deadline of the request seems to lie ahead
+/// although its caller has given up. The boot-time clock goes on, so a deadline has to be moved
+/// forward by the difference between the two clocks.
 pub fn time_suspended() -> Duration {
     let since_boot = duration(clock_gettime(ClockId::Boottime));
     since_boot.saturating_sub(duration(clock_gettime(ClockId::Monotonic)))
--- a/crates/yuccarackd/src/state/routed/evacuations.rs
+++ b/crates/yuccarackd/src/state/routed/evacuations.rs
@@ -1,4 +1,4 @@
-//! Failure domains that operators evacuate: their targets get nothing.
+//! Failure domains that operators have evacuated, whose targets receive no requests.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -8,7 +8,7 @@
 
 use crate::protocol::peer_update::VersionedEvacuation;
 
-/// Failure domains that are evacuated; clones share them.
+/// Evacuations of failure domains; clones share them.
 #[derive(Clone, Debug, Default)]
 pub struct Evacuations {
     inner: Arc<Inner>,
@@ -16,12 +16,12 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    /// The latest of each failure domain, evacuated or taken back.
+    /// Latest state of each failure domain, including cancelled evacuations.
     known: RwLock<BTreeMap<DomainName, State>>,
     generation: watch::Sender<u64>,
 }
 
-/// Whether a failure domain is evacuated, and the revision that says so.
+/// Whether a failure domain is evacuated, and the revision of that state.
 #[derive(Clone, Copy, Debug)]
 struct State {
     revision: Revision,
@@ -29,37 +29,37 @@
 }
 
 impl Evacuations {
-    /// Starts without any.
+    /// Starts without evacuations.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Rises with each change.
+    /// Returns a number that rises with each change.
     pub fn generation(&self) -> u64 {
         *self.inner.generation.borrow()
     }
 
-    /// Tells of each change.
+    /// Subscribes to changes of the generation.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.inner.generation.subscribe()
     }
 
-    /// Whether the targets of `domain` get nothing.
+    /// Returns whether `domain` is evacuated, so that its targets receive no requests.
     pub fn is_evacuated(&self, domain: &str) -> bool {
         self.inner.known.read().get(domain).is_some_and(|state| state.is_evacuated)
     }
 
-    /// How many failure domains are evacuated.
+    /// Returns the number of evacuated failure domains.
     pub fn count(&self) -> usize {
         self.inner.known.read().values().filter(|state| state.is_evacuated).count()
     }
 
-    /// Takes a row in unless a newer one is known; says whether it changes anything.
+    /// Applies a row unless a newer one is known; returns whether the domain's state changed.
     ///
-    /// Failure: a peer that lags sends an evacuation that was taken back, and a healthy failure domain gets
-    /// no work.
-    pub fn merge(&self, rows: &VersionedEvacuation) -> bool {
-        let VersionedEvacuation { failure_domain, revision, is_evacuated } = rows;
+    /// Guards against a lagging peer that sends an evacuation which was cancelled since, so that a
+    /// healthy failure domain would get no requests.
+    pub fn merge(&self, evacuation: &VersionedEvacuation) -> bool {
+        let VersionedEvacuation { failure_domain, revision, is_evacuated } = evacuation;
         let state = State { revision: *revision, is_evacuated: *is_evacuated };
         let mut known = self.inner.known.write();
         let old = known.get(failure_domain).copied();
@@ -75,7 +75,8 @@
         is_change
     }
 
-    /// Evacuations that a whole reading at `revision`, which listed those of `listed`, shows to be taken back.
+    /// Returns cancellations for the evacuations that are missing from `listed`, a full listing of
+    /// the store at `revision`.
     pub fn find_cancelled(
         &self,
         revision: Revision,
@@ -93,7 +94,7 @@
         cancelled.collect()
     }
 
-    /// All that is known, as other daemons are notified.
+    /// Returns all known evacuations, including cancelled ones, as sent to other daemons.
     pub fn all(&self) -> Vec<VersionedEvacuation> {
         let known = self.inner.known.read();
         let rows = known.iter().map(|(domain, state)| VersionedEvacuation {
--- a/crates/yuccarackd/src/state/routed/live_settings.rs
+++ b/crates/yuccarackd/src/state/routed/live_settings.rs
@@ -1,4 +1,4 @@
-//! The settings of this process, which may change while it runs.
+//! Settings of this process, which may be reloaded while it runs.
 
 use std::{path::Path, sync::Arc};
 
@@ -11,14 +11,14 @@
     current: Arc<RwLock<Arc<RoutedSettings>>>,
 }
 
-/// What a new reading of the settings changed.
+/// Effect of reloading the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReloadOutcome {
-    /// Nothing.
+    /// The settings are the same as before.
     Same,
-    /// What can change while the process runs.
+    /// All changes are in force.
     Changed,
-    /// Something else too, which takes effect at the next start.
+    /// Some changes take effect only at the next start.
     ChangedInPart,
 }
 
@@ -28,16 +28,17 @@
         Self { current: Arc::new(RwLock::new(Arc::new(settings))) }
     }
 
-    /// The settings in force.
+    /// Returns the settings in force.
     pub fn current(&self) -> Arc<RoutedSettings> {
         Arc::clone(&self.current.read())
     }
 
-    /// Reads the file at `path` anew; addresses, names and logs stay as they were at the start.
+    /// Reloads the file at `path`. Addresses, names and log settings stay as they were at the
+    /// start.
     ///
     /// # Errors
     ///
-    /// The file can't be loaded, or all of its faults; what was in force stays so.
+    /// Returns a [`FileError`] if the file can't be read or is invalid; the settings in force stay.
     pub fn reload(&self, path: &Path) -> Result<ReloadOutcome, FileError> {
         let loaded = RoutedSettings::load(path)?;
         let old = self.current();
--- a/crates/yuccarackd/src/state/routed/members.rs
+++ b/crates/yuccarackd/src/state/routed/members.rs
@@ -1,4 +1,4 @@
-//! All instances and what they serve.
+//! Membership table: all instances and the services that they serve.
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc};
 
@@ -8,7 +8,7 @@
 
 use crate::protocol::peer_update::{RoutedMember, VersionedMember};
 
-/// All instances and what they serve; clones share it.
+/// All instances and the services that they serve; clones share the table.
 #[derive(Clone, Debug, Default)]
 pub struct Members {
     inner: Arc<Inner>,
@@ -18,22 +18,23 @@
 struct Inner {
     table: RwLock<Table>,
     generation: watch::Sender<u64>,
-    /// Whether the whole table has been read once.
+    /// Whether the full table has been read once.
     is_loaded: watch::Sender<bool>,
 }
 
-/// The rows, and who is at each gate's address.
+/// The rows, and the instance at each gate address.
 #[derive(Debug, Default)]
 struct Table {
     known: HashMap<InstanceId, Known>,
-    /// The latest one of the instances whose rows name an address.
+    /// The instance with the latest row among those whose rows name the address.
     ///
-    /// Failure: an instance is lost, another one of a different service gets its address, and the row of
-    /// the lost one stands. All that is sent by that row is refused by the other one's gate.
+    /// Guards against an instance that is lost while its row remains, and whose address is then
+    /// assigned to an instance of another service. The gate there would refuse all requests sent by
+    /// the old row.
     at_address: HashMap<SocketAddr, InstanceId>,
 }
 
-/// What is known of an instance, and the revision that says so.
+/// Row of an instance and its revision; no member after the removal of the row.
 #[derive(Clone, Debug)]
 struct Known {
     revision: Revision,
@@ -41,17 +42,18 @@
 }
 
 impl Members {
-    /// Starts without any.
+    /// Starts without members.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Rises with each change.
+    /// Returns a number that rises with each change.
     pub fn generation(&self) -> u64 {
         *self.inner.generation.borrow()
     }
 
-    /// Takes a row in unless a newer one is known; none means that the row has gone.
+    /// Applies a row unless a newer one is known; `None` stands for a removed row. Returns whether
+    /// it was applied.
     pub fn merge(&self, instance: &str, revision: Revision, member: Option<RoutedMember>) -> bool {
         let mut table = self.inner.table.write();
         if table.known.get(instance).is_some_and(|known| known.revision >= revision) {
@@ -63,7 +65,8 @@
         true
     }
 
-    /// Drops whoever isn't among `listed` of a whole reading of the table at `revision`.
+    /// Removes the members that are missing from `listed`, a full listing of the table at
+    /// `revision`.
     pub fn drop_unlisted(&self, revision: Revision, listed: &[InstanceId]) {
         let mut table = self.inner.table.write();
         let is_removed = |instance: &InstanceId, known: &Known| {
@@ -84,18 +87,18 @@
         }
     }
 
-    /// Notes that the whole table has been read.
+    /// Notes that the full table has been read.
     pub fn mark_loaded(&self) {
         self.inner.is_loaded.send_replace(true);
     }
 
-    /// Waits until the whole table has been read once.
+    /// Waits until the full table has been read once.
     pub async fn wait_loaded(&self) {
-        // The sender lives as long as these members.
+        // The sender lives as long as `self`, so this can't fail.
         let _ = self.inner.is_loaded.subscribe().wait_for(|is_loaded| *is_loaded).await;
     }
 
-    /// The row of `instance`, with its revision; 0 without one.
+    /// Returns the row of `instance` and its revision; 0 and `None` without a row.
     pub fn row(&self, instance: &str) -> (Revision, Option<Arc<RoutedMember>>) {
         let table = self.inner.table.read();
         match table.known.get(instance) {
@@ -104,23 +107,24 @@
         }
     }
 
-    /// Those that serve `service`.
+    /// Returns the members that serve `service`.
     pub fn of_service(&self, service: &str) -> Vec<Arc<RoutedMember>> {
         let serves = |member: &Arc<RoutedMember>| member.service.as_deref() == Some(service);
         self.all().into_iter().filter(serves).collect()
     }
 
-    /// All that are there, without those whose address another one has got since.
+    /// Returns all members, except those whose address belongs to another instance by a later row.
     pub fn all(&self) -> Vec<Arc<RoutedMember>> {
         self.inner.table.read().present().cloned().collect()
     }
 
-    /// How many are there.
+    /// Returns the number of members.
     pub fn count(&self) -> usize {
         self.inner.table.read().present().count()
     }
 
-    /// Instances other than `own` whose rows name the address of its gate, and the revisions of those.
+    /// Returns the instances other than `own` whose rows name the gate address `address`, with the
+    /// revisions of the rows.
     pub fn others_at_address(&self, address: SocketAddr, own: &str) -> Vec<(InstanceId, Revision)> {
         let table = self.inner.table.read();
         let is_there = |known: &Known| {
@@ -131,12 +135,12 @@
         there.map(|(instance, known)| (instance.clone(), known.revision)).collect()
     }
 
-    /// How many of them say what they serve.
+    /// Returns the number of members that have a service.
     pub fn serving_count(&self) -> usize {
         self.all().iter().filter(|member| member.service.is_some()).count()
     }
 
-    /// All rows that changed after `revision`, as another daemon is told.
+    /// Returns all rows that changed after `revision`, as sent to other daemons.
     pub fn changed_after(&self, revision: Revision) -> Vec<VersionedMember> {
         let table = self.inner.table.read();
         let changed = table.known.iter().filter(|(_, known)| known.revision > revision);
@@ -148,7 +152,7 @@
         dated.collect()
     }
 
-    /// Tells of each change.
+    /// Subscribes to changes of the generation.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.inner.generation.subscribe()
     }
--- a/crates/yuccarackd/src/state/routed/metrics.rs
+++ b/crates/yuccarackd/src/state/routed/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters, histograms and gauges of routed calls, in the text form that scrapers read.
+//! Counters, histograms and gauges of routed calls in the OpenMetrics text format.
 
 use std::{sync::Arc, time::Duration};
 
@@ -21,22 +21,22 @@
 
 use crate::state::counters::Counters;
 
-/// Start of every metric's name.
+/// Prefix of every metric.
 const PREFIX: &str = "yuccarack";
 
-/// Shortest time that a histogram tells apart, in seconds: a call through two idle daemons.
+/// Upper bound of the first bucket, in seconds: the duration of a call through two idle daemons.
 const BUCKET_FIRST_S: f64 = 0.000_5;
 
-/// Each bucket is as many duration_histogram as long as the one before.
+/// Ratio between the bounds of consecutive buckets.
 const BUCKET_FACTOR: f64 = 2.0;
 
-/// Buckets; the last one ends at 8 s, beyond the longest wait of a route.
+/// Number of buckets. The last one ends at 8 s, beyond the longest wait that a route allows.
 const BUCKETS: u16 = 15;
 
-/// How a call ended.
+/// Labels of the call histogram.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct CallLabels {
-    /// `answered`, `target_failed`, `not_run` or `unknown`.
+    /// Outcome of the call: `answered`, `target_failed`, `not_run` or `unknown`.
     pub end: &'static str,
 }
 
@@ -49,26 +49,26 @@
     queue: Histogram,
     target: Histogram,
     first_byte: Histogram,
-    tries: Histogram,
+    attempts: Histogram,
     gauges: Arc<Mutex<Vec<ReadGauge>>>,
     readings: Arc<Mutex<Registry>>,
     histograms: Arc<Mutex<Registry>>,
 }
 
-/// A number that is read when metrics are asked for.
+/// A gauge whose value is read on each scrape.
 struct ReadGauge {
     name: &'static str,
     help: &'static str,
     read: Box<dyn Fn() -> i64 + Send + Sync>,
 }
 
-/// Metrics that can't be written.
+/// Error while encoding the metrics.
 #[derive(Debug, Error)]
-#[error("metrics can't be written: {0}")]
+#[error("encoding the metrics failed: {0}")]
 pub struct MetricsError(#[from] std::fmt::Error);
 
 impl Metrics {
-    /// Makes metrics that tell `counters` too.
+    /// Creates the metrics, which include `counters`.
     pub fn new(counters: Counters) -> Self {
         let mut registry = Registry::with_prefix(PREFIX);
         let calls =
@@ -82,8 +82,8 @@
         let first_byte = duration_histogram();
         let help = "Time from handing over until the head of the answer.";
         registry.register("target_first_byte_seconds", help, first_byte.clone());
-        let tries = Histogram::new([1.0, 2.0, 3.0, 4.0, 5.0, 6.0]);
-        registry.register("tries", "Gates that a call was offered to.", tries.clone());
+        let attempts = Histogram::new([1.0, 2.0, 3.0, 4.0, 5.0, 6.0]);
+        registry.register("tries", "Gates that a call was offered to.", attempts.clone());
         let gauges: Arc<Mutex<Vec<ReadGauge>>> = Arc::default();
         let mut readings = Registry::with_prefix(PREFIX);
         let collector = Readings { counters, gauges: Arc::clone(&gauges) };
@@ -93,14 +93,14 @@
             queue,
             target,
             first_byte,
-            tries,
+            attempts,
             gauges,
             readings: Arc::new(Mutex::new(readings)),
             histograms: Arc::new(Mutex::new(registry)),
         }
     }
 
-    /// Tells a number that `read` knows, from now on.
+    /// Registers a gauge whose value is the result of `read` at each scrape.
     pub fn register_gauge(
         &self,
         name: &'static str,
@@ -110,37 +110,37 @@
         self.gauges.lock().push(ReadGauge { name, help, read: Box::new(read) });
     }
 
-    /// Notes the end of a call.
+    /// Records the outcome and the duration of a call.
     pub fn observe_call(&self, end: &'static str, duration: Duration) {
         self.calls.get_or_create(&CallLabels { end }).observe(duration.as_secs_f64());
     }
 
-    /// Notes a wait for a slot.
+    /// Records the wait for a slot.
     pub fn observe_queue_time(&self, time: Duration) {
         self.queue.observe(time.as_secs_f64());
     }
 
-    /// Notes the time that a target duration.
+    /// Records the time from dispatch to a target until its full response.
     pub fn observe_target_duration(&self, time: Duration) {
         self.target.observe(time.as_secs_f64());
     }
 
-    /// Notes the time until the head of a target's answer.
+    /// Records the time from dispatch to a target until its response head.
     pub fn observe_first_byte(&self, time: Duration) {
         self.first_byte.observe(time.as_secs_f64());
     }
 
-    /// Notes to how many gates a call was offered.
-    pub fn observe_attempts(&self, tries: usize) {
-        self.tries.observe(tries as f64);
+    /// Records the number of gates to which a call was offered.
+    pub fn observe_attempts(&self, attempts: usize) {
+        self.attempts.observe(attempts as f64);
     }
 
-    /// All metrics as text: gauges, counters, then the far longer histograms, since some scrapers
-    /// keep only the first few KiB.
+    /// Encodes all metrics as text: gauges, counters, then the far longer histograms, since some
+    /// scrapers read only the first few KiB.
     ///
     /// # Errors
     ///
-    /// [`MetricsError`] when one of them can't be written.
+    /// Returns [`MetricsError`] if a metric can't be encoded.
     pub fn encode(&self) -> Result<String, MetricsError> {
         let mut text = String::new();
         encode_registry(&mut text, &self.readings.lock())?;
--- a/crates/yuccarackd/src/state/routed/mod.rs
+++ b/crates/yuccarackd/src/state/routed/mod.rs
@@ -1,4 +1,4 @@
-//! What a daemon for routed calls knows: routes, members, its target.
+//! State of a daemon for routed calls: routing table, members, target and settings.
 
 pub mod boot_clock;
 pub mod evacuations;
--- a/crates/yuccarackd/src/state/routed/recent_changes.rs
+++ b/crates/yuccarackd/src/state/routed/recent_changes.rs
@@ -1,13 +1,13 @@
-//! The last changes of the routing table, for daemons that have an earlier version.
+//! Recent changes of the routing table, for daemons that have an earlier version.
 
 use std::collections::VecDeque;
 
 use yuccarack_config::{routing::RoutingVersion, routing_changes::RoutingChanges};
 
-/// Most changes that are kept.
+/// Largest number of changes that are stored.
 const CHANGES_MAX: usize = 64;
 
-/// Most routes in all of them; a route takes some 300 bytes.
+/// Largest number of routes in all stored changes; a route takes some 300 bytes.
 const ROUTES_MAX: usize = 20_000;
 
 /// Consecutive changes, the oldest first, that lead to the table in force.
@@ -18,8 +18,8 @@
 }
 
 impl RecentChanges {
-    /// Adds `changes`; without any, or where some are missing before them, what was kept leads nowhere
-    /// and goes.
+    /// Appends `changes`. Without any, or if they don't follow the last ones, the stored changes no
+    /// longer lead to the table in force and are dropped.
     pub fn push(&mut self, changes: Option<RoutingChanges>) {
         let last = self.changes.back().map(|last| last.version);
         let follows = |changes: &RoutingChanges| last.is_none_or(|last| last == changes.base);
@@ -35,7 +35,7 @@
         }
     }
 
-    /// All changes since version `base` as one; none if they aren't kept.
+    /// Merges all changes since version `base`; returns `None` if they are no longer stored.
     pub fn since(&self, base: RoutingVersion) -> Option<RoutingChanges> {
         let first = self.changes.iter().position(|changes| changes.base == base)?;
         let mut later = self.changes.iter().skip(first);
--- a/crates/yuccarackd/src/state/routed/routing_state.rs
+++ b/crates/yuccarackd/src/state/routed/routing_state.rs
@@ -1,4 +1,4 @@
-//! The routing table in force.
+//! Routing table in force, and newer versions that are known to exist.
 
 use std::{
     sync::Arc,
@@ -22,15 +22,15 @@
     newer: Arc<Mutex<Option<NewerVersion>>>,
 }
 
-/// A newer version than the one in force that is known to exist.
+/// The newest version that is known to exist while an older one is in force.
 #[derive(Clone, Copy, Debug)]
 struct NewerVersion {
     version: RoutingVersion,
-    /// When the first newer one was known of.
+    /// Time at which the first newer version became known.
     since: Instant,
 }
 
-/// A table and when it came in force.
+/// A table and the time at which it took effect.
 #[derive(Clone, Debug)]
 struct ActiveTable {
     routing: Arc<Routing>,
@@ -48,22 +48,22 @@
         }
     }
 
-    /// The table in force, once there is one.
+    /// Returns the table in force, once there is one.
     pub fn current(&self) -> Option<Arc<Routing>> {
         self.current.read().as_ref().map(|in_force| Arc::clone(&in_force.routing))
     }
 
-    /// For how long it has been in force.
+    /// Returns the time for which the current table has been in force.
     pub fn in_force_for(&self) -> Option<Duration> {
         self.current.read().as_ref().map(|in_force| in_force.since.elapsed())
     }
 
-    /// Version of the table in force, 0 without one.
+    /// Returns the version of the table in force, 0 without one.
     pub fn version(&self) -> RoutingVersion {
         *self.changed.borrow()
     }
 
-    /// Notes that `version` exists; says whether it is newer than the one in force.
+    /// Notes that `version` exists; returns whether it is newer than the one in force.
     pub fn note_version(&self, version: RoutingVersion) -> bool {
         let mut newer = self.newer.lock();
         if version <= self.version() {
@@ -76,41 +76,43 @@
         true
     }
 
-    /// Newest version that is known of.
+    /// Returns the newest version that is known to exist.
     pub fn newest_version(&self) -> RoutingVersion {
         self.newer.lock().map_or_else(|| self.version(), |newer| newer.version)
     }
 
-    /// Time since a newer version than the one in force was first known of; zero without one.
+    /// Returns the time since a newer version than the one in force became known; zero without one.
     pub fn behind_for(&self) -> Duration {
         self.newer.lock().map_or(Duration::ZERO, |newer| newer.since.elapsed())
     }
 
-    /// Tells of each change.
+    /// Subscribes to changes of the version in force.
     pub fn subscribe(&self) -> watch::Receiver<RoutingVersion> {
         self.changed.subscribe()
     }
 
-    /// Puts `table` in force if it is newer; says whether it is.
+    /// Puts `table` in force if it is newer; returns whether it is.
     ///
-    /// Failure: an answer of the store that was long on its way, or a peer that lags, brings an
-    /// older table, and requests go where operators no longer want them.
+    /// Guards against a delayed response of the store or a lagging peer that brings an older table,
+    /// by which requests would go where operators no longer want them.
     pub fn offer(&self, table: RoutingTable) -> bool {
         let current = self.current();
         if current.as_ref().is_some_and(|current| current.version() >= table.version) {
             return false;
         }
-        // Outside the lock, so that calls don't wait while a large table is indexed and compared.
+        // Runs outside the lock, so that calls don't wait while a large table is indexed and
+        // compared.
         let routing = Routing::new(table);
         let changes = current.map(|current| RoutingChanges::between(&current, &routing));
         self.install(routing, changes)
     }
 
-    /// Puts the table in force that `changes` make of the current one, if it is newer; says whether it is.
+    /// Applies `changes` to the current table and puts the result in force if it is newer; returns
+    /// whether it is.
     ///
     /// # Errors
     ///
-    /// [`ChangesError`] if they don't fit the current table, which stays in force.
+    /// Returns a [`ChangesError`] if the changes don't fit the current table, which stays in force.
     pub fn apply(&self, changes: RoutingChanges) -> Result<bool, ChangesError> {
         let current = self.current();
         if current.as_ref().is_some_and(|current| current.version() >= changes.version) {
@@ -125,8 +127,8 @@
         Ok(self.install(routing, changes))
     }
 
-    /// What turns the table of version `base` into the current one; all of it where `base` is too old.
-    /// None without a table, or if `base` is not older.
+    /// Returns the changes from version `base` to the current table, or the full table if `base` is
+    /// too old. Returns `None` without a table, or if `base` is not older.
     pub fn changes_since(&self, base: RoutingVersion) -> Option<RoutingChanges> {
         let current = self.current.read();
         let ActiveTable { routing, recent, .. } = current.as_ref()?;
@@ -137,8 +139,8 @@
         Some(recent.since(base).unwrap_or_else(whole))
     }
 
-    /// Puts `routing` in force unless a newer one came meanwhile; `changes` lead to it from the table
-    /// that it was compared with.
+    /// Puts `routing` in force unless a newer table was installed meanwhile. `changes` lead to it
+    /// from the table with which it was compared.
     fn install(&self, routing: Routing, changes: Option<RoutingChanges>) -> bool {
         let version = routing.version();
         let mut current = self.current.write();
--- a/crates/yuccarackd/src/state/routed/target.rs
+++ b/crates/yuccarackd/src/state/routed/target.rs
@@ -1,4 +1,4 @@
-//! The target on this instance, by what it says of itself.
+//! State of the target on this instance, by its heartbeats and leave notices.
 
 use std::{
     net::SocketAddr,
@@ -22,105 +22,110 @@
 
 #[derive(Debug, Default)]
 struct State {
-    /// Life and name of the latest process that was heard of.
+    /// Incarnation and id of the latest accepted process.
     latest: Option<(TargetIncarnation, TargetId)>,
-    /// Highest number of a heartbeat of that process.
+    /// Highest sequence number among the heartbeats of that process.
     sequence: u64,
-    /// Whether that process said that it leaves; it doesn't come back.
+    /// Whether that process sent its leave notice; it never becomes ready again.
     has_left: bool,
-    /// When that process was heard of last.
+    /// Time of its latest heartbeat.
     last_heartbeat_at: Option<Instant>,
-    /// A process that seems to be an older one and goes on speaking.
+    /// A process with an earlier start that keeps sending heartbeats.
     candidate: Option<CandidateProcess>,
     departed: Option<DepartedTarget>,
-    /// Whether it is known, as far as it can be, what an earlier process of this daemon was told.
+    /// Whether the leave notices to earlier processes of this daemon are known as far as possible.
     is_restored: bool,
 }
 
-/// A target that said that it leaves, to this process or to an earlier one of this daemon.
+/// A target that sent its leave notice to this process or to an earlier one of this daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DepartedTarget {
-    /// Its name.
+    /// Id of the target.
     pub target: TargetId,
-    /// Processes that started up to then are gone; target and daemon share their machine's clock.
+    /// Latest start of a process that counts as exited. Target and daemon share the clock of their
+    /// machine.
     pub last_incarnation: TargetIncarnation,
 }
 
-/// A process whose start seems to lie before that of the known one.
+/// A process whose start seems to precede that of the latest accepted process.
 #[derive(Debug)]
 struct CandidateProcess {
     life: TargetIncarnation,
     target: TargetId,
     sequence: u64,
-    /// Heartbeats of it, each newer than the one before.
+    /// Number of its heartbeats, each newer than the one before.
     heartbeats: u32,
 }
 
-/// Heartbeats of a process with an earlier start after which it is believed to live.
+/// Heartbeats after which a process with an earlier start is accepted as the running one.
 ///
-/// Heartbeats that were held up come in a burst and end; those of a living process go on.
+/// Delayed heartbeats arrive in a burst that ends; a running process keeps sending them.
 const CANDIDATE_HEARTBEATS_MIN: u32 = 3;
 
-/// Silence of the known process after which another with an earlier start may be believed: three
-/// heartbeats of today's targets.
+/// Silence of the accepted process after which one with an earlier start may replace it: three
+/// heartbeat intervals of the present targets.
 const SILENCE_MIN: Duration = Duration::from_millis(4_500);
 
-/// Time by which two heartbeats may differ in the end of one cold time, for their time on the way.
+/// Largest difference between two heartbeats in the end of the same cold period, due to their
+/// transit times.
 const COLD_JITTER: Duration = Duration::from_millis(250);
 
-/// The target as it stands.
+/// Current view of the target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetView {
-    /// Its name.
+    /// Id of the target.
     pub target: TargetId,
-    /// Its process.
+    /// Incarnation of its process.
     pub life: TargetIncarnation,
-    /// Service that it serves.
+    /// Service that the target serves.
     pub service: ServiceName,
-    /// Where it takes requests.
+    /// Address on which the target accepts requests.
     pub address: SocketAddr,
-    /// Requests that it runs at once.
+    /// Number of requests that the target runs at once.
     pub slots: u16,
-    /// Whether it takes work.
+    /// Lifecycle phase, which tells whether the target accepts requests.
     pub phase: TargetPhase,
-    /// Whether it is cold by its latest word.
+    /// Whether the target was cold at its latest heartbeat.
     pub is_cold: bool,
-    /// Until when it is cold, as it was or will be.
+    /// End of the latest cold period, which may lie in the past.
     pub cold_until: Instant,
 }
 
-/// What a word of a target changes.
+/// Effect of a heartbeat on the state. The log writes the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeartbeatEffect {
-    /// A process that wasn't known.
+    /// The heartbeat comes from a new process.
     NewLife,
-    /// The same process says something else.
+    /// The same process reports a change.
     Changed,
-    /// The same process says the same.
+    /// The same process reports no change.
     Same,
-    /// An older heartbeat of the process that is known.
+    /// The heartbeat is not newer than the latest one, or its process has left.
     Older,
-    /// A heartbeat of a process that has been replaced.
+    /// The heartbeat comes from a process that has been replaced.
     OlderLife,
-    /// It isn't known yet whether the target had said before that it leaves.
+    /// It isn't known yet whether the target has sent a leave notice to an earlier process of this
+    /// daemon.
     TooSoon,
 }
 
 impl RoutedTarget {
-    /// Starts without a target: whatever an earlier process of this daemon was told counts no more.
+    /// Starts without a target, whatever earlier processes of this daemon were told.
     ///
-    /// Failure: a daemon restarts beside a target that had said that it leaves, takes it for ready
-    /// and sends it work. So nothing is sent before the target has spoken to this process.
+    /// Guards against a daemon that restarts next to a target which has sent its leave notice, and
+    /// that would take the target for ready. So no requests are sent before the target's first
+    /// heartbeat to this process.
     pub fn new() -> Self {
         Self { state: Arc::default(), view: Arc::new(watch::Sender::new(None)) }
     }
 
-    /// The target, if one has spoken and has not left.
+    /// Returns the target, if one has sent a heartbeat and has not left.
     pub fn current(&self) -> Option<Arc<TargetView>> {
         self.view.borrow().clone()
     }
 
-    /// Takes in what an earlier process of this daemon was told; heartbeats count from then on.
+    /// Restores the leave notice received by an earlier process of this daemon. Heartbeats are
+    /// accepted from then on.
     pub fn restore_departed(&self, departed: Option<DepartedTarget>) {
         let mut state = self.state.lock();
         state.is_restored = true;
@@ -129,7 +134,8 @@
         }
     }
 
-    /// The target that leaves or has left, as a later process of this daemon has to know it.
+    /// Returns the target that is leaving or has left, to be stored for a later process of this
+    /// daemon.
     pub fn departed(&self) -> Option<DepartedTarget> {
         if !self.is_leaving() {
             return None;
@@ -139,7 +145,7 @@
         Some(DepartedTarget { target, last_incarnation })
     }
 
-    /// Whether a target was here and leaves or has left.
+    /// Returns whether a target was known and is leaving or has left.
     pub fn is_leaving(&self) -> bool {
         match self.current() {
             Some(view) => view.phase == TargetPhase::Draining,
@@ -150,16 +156,16 @@
         }
     }
 
-    /// Tells of changes.
+    /// Subscribes to changes of the view.
     pub fn subscribe(&self) -> watch::Receiver<Option<Arc<TargetView>>> {
         self.view.subscribe()
     }
 
-    /// Takes a heartbeat in.
+    /// Applies a heartbeat.
     ///
-    /// Failure: a heartbeat is held up on its way, arrives after its sender has died and another
-    /// process has taken its place, and brings the dead one back. The start of the process tells
-    /// which one is the later, and the number of the heartbeat orders those of one process.
+    /// Guards against a delayed heartbeat that arrives after its sender has died and another
+    /// process has replaced it, and that would restore the dead process. The start time orders
+    /// processes, and the sequence number orders the heartbeats of one process.
     pub fn apply_heartbeat(&self, now: Instant, heartbeat: Heartbeat) -> HeartbeatEffect {
         let mut state = self.state.lock();
         if !state.is_restored {
@@ -180,8 +186,8 @@
         if effect == HeartbeatEffect::Same { HeartbeatEffect::Changed } else { effect }
     }
 
-    /// Takes in that the target leaves, at `unix_ms` of this machine's clock; says whether that is
-    /// word of the present one.
+    /// Applies a leave notice that arrived at `unix_ms` of this machine's clock; returns whether it
+    /// comes from the current process.
     pub fn apply_leave(&self, unix_ms: u64, leave: &Leave) -> bool {
         let mut state = self.state.lock();
         let is_present = state.latest.as_ref().is_some_and(|(life, target)| {
@@ -236,10 +242,11 @@
 }
 
 impl State {
-    /// Whether the heartbeat is of a process that had said that it leaves.
+    /// Returns whether the heartbeat comes from a process that has sent its leave notice.
     ///
-    /// Failure: a daemon restarts, the first that it hears of its target is that it leaves, and a
-    /// heartbeat from before arrives after that. Taken for a new target it would get work again.
+    /// Guards against a restarted daemon that receives the leave notice first and a delayed
+    /// heartbeat from before it afterwards, which would look like a new target that gets requests
+    /// again.
     fn is_departed(&self, heartbeat: &Heartbeat) -> bool {
         let is_known = self.latest.is_some();
         !is_known
@@ -248,10 +255,10 @@
             })
     }
 
-    /// Whether a process with an earlier start is the living one all the same.
+    /// Returns whether a process with an earlier start is nevertheless the running one.
     ///
-    /// Failure: a machine's clock is set back, its target starts again, and its daemon takes the
-    /// living process for a dead one for as long as the clock was set back.
+    /// Guards against a machine whose clock is set back before its target restarts. The daemon
+    /// would take the running process for a dead one for as long as the clock was set back.
     fn is_accepted(&mut self, now: Instant, heartbeat: &Heartbeat) -> bool {
         let is_silent =
             self.last_heartbeat_at.is_none_or(|at| now.duration_since(at) >= SILENCE_MIN);
@@ -288,12 +295,12 @@
         }
     }
 
-    /// Whether both are the same process.
+    /// Returns whether both views are of the same process.
     pub fn is_same_process(&self, other: &Self) -> bool {
         self.life == other.life && self.target == other.target
     }
 
-    /// Whether `later` tells of a cold time that isn't known.
+    /// Returns whether `later` reports a cold period that isn't known yet.
     fn is_newly_cold(&self, later: &Self) -> bool {
         later.is_cold && later.cold_until > self.cold_until + COLD_JITTER
     }
--- a/crates/yuccarackd/src/state/routed/transfers.rs
+++ b/crates/yuccarackd/src/state/routed/transfers.rs
@@ -1,4 +1,4 @@
-//! Transfers of the routing table that are under way.
+//! Transfers of the routing table in progress, and whether they advance.
 
 use std::{sync::Arc, time::Instant};
 
@@ -10,20 +10,20 @@
     struct TransferKey;
 }
 
-/// Transfers under way; clones share them.
+/// Transfers in progress; clones share them.
 #[derive(Clone, Debug, Default)]
 pub struct Transfers {
     inner: Arc<Mutex<SlotMap<TransferKey, Progress>>>,
 }
 
-/// One transfer; it ends when this is dropped.
+/// A transfer, which ends when this is dropped.
 #[derive(Debug)]
 pub struct Transfer {
     transfers: Transfers,
     key: TransferKey,
 }
 
-/// Bytes of two consecutive intervals.
+/// Bytes received in the current and the previous interval.
 #[derive(Clone, Copy, Debug)]
 struct Progress {
     interval_started_at: Instant,
@@ -32,19 +32,20 @@
 }
 
 impl Transfers {
-    /// Starts without any.
+    /// Starts without transfers.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes a transfer that begins.
+    /// Registers a transfer that begins.
     pub fn begin(&self) -> Transfer {
         let progress = Progress { interval_started_at: Instant::now(), bytes: 0, bytes_before: 0 };
         let key = self.inner.lock().insert(progress);
         Transfer { transfers: self.clone(), key }
     }
 
-    /// Whether one of them makes progress: another one beside it would only take its bandwidth.
+    /// Returns whether a transfer makes progress. A second one would only compete for its
+    /// bandwidth.
     pub fn is_any_progressing(&self) -> bool {
         let now = Instant::now();
         self.inner.lock().values_mut().any(|progress| {
@@ -55,7 +56,7 @@
 }
 
 impl Transfer {
-    /// Notes that `bytes` more have arrived.
+    /// Records that `bytes` more have arrived.
     pub fn record_bytes(&self, bytes: usize) {
         let now = Instant::now();
         if let Some(progress) = self.transfers.inner.lock().get_mut(self.key) {
--- a/crates/yuccarackd/src/state/routed/update_source.rs
+++ b/crates/yuccarackd/src/state/routed/update_source.rs
@@ -1,4 +1,4 @@
-//! Where this daemon's news come from, and up to where it knows the store's tables.
+//! Source of this daemon's updates, and how far it is synced with the tables of the store.
 
 use std::sync::Arc;
 
@@ -7,19 +7,19 @@
 
 use crate::protocol::peer_update::SyncedRevisions;
 
-/// Who tells this daemon of changes.
+/// Source from which this daemon receives updates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum UpdateSource {
-    /// Unassigned who hears the store; peers are asked.
+    /// No source that queries the store; peers are polled.
     #[default]
     Unassigned,
-    /// The store.
+    /// The store itself.
     Store,
-    /// Another daemon of the failure domain, which asks the store.
+    /// Another daemon of the failure domain, which queries the store.
     Relay,
 }
 
-/// Where this daemon's news come from; clones share it.
+/// Source of updates and sync progress; clones share them.
 #[derive(Clone, Debug)]
 pub struct SyncState {
     inner: Arc<Inner>,
@@ -28,21 +28,22 @@
 #[derive(Debug)]
 struct Inner {
     source: watch::Sender<UpdateSource>,
-    /// Whether this daemon asks the store itself.
+    /// Whether this daemon queries the store itself.
     queries_store: watch::Sender<bool>,
     synced: watch::Sender<SyncedTables>,
 }
 
-/// Up to where each table is synced; none until it has been read whole, or must be again.
+/// Revision up to which each table is synced; `None` if the full table has to be read first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SyncedTables {
     routing: Option<Revision>,
     members: Option<Revision>,
-    /// Revision as of which the members were listed whole last: no row that went before it is synced of.
+    /// Revision of the latest full listing of members. Rows that were removed before it are not
+    /// known.
     members_listed_at: Revision,
 }
 
-/// A table that is followed.
+/// A table of the store that daemons follow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FollowedTable {
     /// The operators' document.
@@ -52,7 +53,7 @@
 }
 
 impl SyncState {
-    /// Starts with the store as the one to ask.
+    /// Starts with the store to be queried and no synced tables.
     pub fn new() -> Self {
         let inner = Inner {
             source: watch::Sender::default(),
@@ -62,17 +63,17 @@
         Self { inner: Arc::new(inner) }
     }
 
-    /// Who tells this daemon of changes.
+    /// Returns the current source of updates.
     pub fn source(&self) -> UpdateSource {
         *self.inner.source.borrow()
     }
 
-    /// Tells when that changes.
+    /// Subscribes to changes of the source.
     pub fn subscribe(&self) -> watch::Receiver<UpdateSource> {
         self.inner.source.subscribe()
     }
 
-    /// Notes who tells; returns who did before.
+    /// Sets the source of updates; returns the previous one.
     pub fn set_source(&self, source: UpdateSource) -> UpdateSource {
         let mut before = source;
         self.inner.source.send_if_modified(|current| {
@@ -82,25 +83,25 @@
         before
     }
 
-    /// Whether this daemon asks the store itself.
+    /// Returns whether this daemon queries the store itself.
     pub fn queries_store(&self) -> bool {
         *self.inner.queries_store.borrow()
     }
 
-    /// Has this daemon ask the store itself, or no longer.
-    pub fn set_queries_store(&self, asks: bool) {
+    /// Sets whether this daemon queries the store itself.
+    pub fn set_queries_store(&self, queries: bool) {
         self.inner
             .queries_store
-            .send_if_modified(|current| std::mem::replace(current, asks) != asks);
+            .send_if_modified(|current| std::mem::replace(current, queries) != queries);
     }
 
-    /// Waits until this daemon asks the store itself, or until it no longer does.
-    pub async fn wait_queries_store(&self, asks: bool) {
-        // The sender lives as long as this.
-        let _ = self.inner.queries_store.subscribe().wait_for(|current| *current == asks).await;
+    /// Waits until [`Self::queries_store`] equals `queries`.
+    pub async fn wait_queries_store(&self, queries: bool) {
+        // The sender lives as long as `self`, so this can't fail.
+        let _ = self.inner.queries_store.subscribe().wait_for(|current| *current == queries).await;
     }
 
-    /// Up to where the changes of a table are synced; none if it has to be read whole.
+    /// Returns the revision up to which a table is synced; `None` if it has to be read in full.
     pub fn synced_up_to(&self, table: FollowedTable) -> Option<Revision> {
         let synced = *self.inner.synced.borrow();
         match table {
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Notes up to where the changes of a table are synced; none if it has to be read whole.
+    /// Sets the revision up to which a table is synced; `None` if it has to be read in full.
     pub fn set_synced_up_to(&self, table: FollowedTable, up_to: Option<Revision>) {
         self.inner.synced.send_if_modified(|synced| {
             let field = match table {
@@ -120,11 +121,11 @@
         });
     }
 
-    /// Notes up to where a relay knows the tables; one that lags takes nothing back.
+    /// Advances the synced revisions to those of a relay; a lagging relay doesn't set them back.
     ///
-    /// Failure: a relay tells of a routing table that it leaves out for its size, and the store doesn't
-    /// give it. Asked for changes after that, the store would never tell of it; so `has_routing` says
-    /// whether the relay's table is synced here.
+    /// `has_routing` tells whether the relay's routing table is known here. Guards against a relay
+    /// that announces a large routing table without sending it while the store fails to deliver it:
+    /// a query for later changes would never return that table.
     pub fn note_relay_synced(&self, relay: SyncedRevisions, has_routing: bool) {
         let later = |table, revision| Some(self.synced_up_to(table).unwrap_or(0).max(revision));
         self.set_synced_up_to(FollowedTable::Members, later(FollowedTable::Members, relay.members));
@@ -136,31 +137,33 @@
         }
     }
 
-    /// Notes that all members were listed as of `revision`.
+    /// Notes that all members were listed at `revision`.
     pub fn set_members_listed(&self, revision: Revision) {
         self.inner.synced.send_modify(|synced| synced.members_listed_at = revision);
     }
 
-    /// Whether this daemon knows of each member's row that went after `revision`.
+    /// Returns whether this daemon knows all member rows that were removed after `revision`.
     pub fn knows_removals_after(&self, revision: Revision) -> bool {
         revision >= self.inner.synced.borrow().members_listed_at
     }
 
-    /// Tells of each change of what is synced.
+    /// Subscribes to changes of the synced revisions.
     pub fn subscribe_synced(&self) -> watch::Receiver<SyncedTables> {
         self.inner.synced.subscribe()
     }
 
-    /// Whether the tables are not synced yet, so that it isn't decided either who tells of them.
+    /// Returns whether the tables are not synced yet, so that it is undecided who provides updates.
     pub fn is_starting(&self) -> bool {
         let synced = *self.inner.synced.borrow();
         let is_unknown = synced.routing.is_none() || synced.members.is_none();
         is_unknown && self.source() != UpdateSource::Relay
     }
 
-    /// What this daemon may tell others as heard of the store; none unless the store answers it.
+    /// Returns the synced revisions that this daemon may relay; `None` unless the store responds to
+    /// it.
     ///
-    /// Failure: two daemons tell each other what each has of the other, and neither hears the store.
+    /// Guards against two daemons that confirm each other's revisions while neither reaches the
+    /// store.
     pub fn synced_for_relay(&self) -> Option<SyncedRevisions> {
         let synced = *self.inner.synced.borrow();
         if self.source() != UpdateSource::Store || !self.queries_store() {
--- a/crates/yuccarackd/src/state/service_entry.rs
+++ b/crates/yuccarackd/src/state/service_entry.rs
@@ -1,4 +1,4 @@
-//! What is known of one service, and which newer may replace it.
+//! State of one service, and the order that decides which rules and member rows replace others.
 
 use std::{
     collections::{BTreeMap, HashSet},
@@ -16,28 +16,28 @@
 };
 use yuccarack_platform::rows::{MemberRow, RulesRow, TargetState};
 
-/// What the request path sees of a service; never changes, a newer one takes its place.
+/// Immutable view of a service for the request path; each change replaces it by a new one.
 #[derive(Clone, Debug)]
 pub struct ServiceView {
-    /// The service's name.
+    /// Name of the service.
     pub name: ServiceName,
-    /// Its rules; none before any were accepted and after they were taken away.
+    /// Rules of the service; `None` before any were accepted and after their removal.
     pub rules: Option<Arc<ServiceRules>>,
     /// Version of the rules, or of their removal; 0 before any.
     pub rules_revision: Revision,
-    /// Its targets but for those that have gone, in order of their instances.
+    /// Its present targets, ordered by instance.
     pub members: Arc<Vec<MemberRow>>,
-    /// Rises with any change of this view.
+    /// Number that rises with each change of this view.
     pub generation: u64,
 }
 
-/// A member and when its present row was taken in.
+/// A member row and the time at which it was applied.
 struct MemberEntry {
     row: MemberRow,
     since: Instant,
 }
 
-/// All that is known of one service.
+/// Everything known of one service.
 pub(super) struct ServiceEntry {
     view: Arc<ServiceView>,
     members: BTreeMap<InstanceId, MemberEntry>,
@@ -81,24 +81,25 @@
         self.is_loaded = true;
     }
 
-    /// Hash over the members that haven't gone; equal on daemons that know the same.
+    /// Returns a hash over the present members, which is equal on daemons that know the same
+    /// members.
     pub(super) fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// All member rows, those of the gone included.
+    /// Returns all member rows, including those of removed members.
     pub(super) fn rows(&self) -> Vec<MemberRow> {
         self.members.values().map(|entry| entry.row.clone()).collect()
     }
 
-    /// The `count` member rows that were taken in last, those of the gone included.
+    /// Returns the `count` member rows that were applied last, including those of removed members.
     pub(super) fn latest_rows(&self, count: usize) -> Vec<MemberRow> {
         let mut entries: Vec<&MemberEntry> = self.members.values().collect();
         entries.sort_by_key(|entry| std::cmp::Reverse(entry.since));
         entries.into_iter().take(count).map(|entry| entry.row.clone()).collect()
     }
 
-    /// Rules and their revision as they go to other daemons.
+    /// Returns the rules and their revision as sent to other daemons.
     pub(super) fn rules_row(&self) -> Option<(Revision, RulesRow)> {
         if self.view.rules_revision == 0 {
             return None;
@@ -114,11 +115,11 @@
         self.members.get(instance).map(|entry| &entry.row)
     }
 
-    /// Takes rules in if they are newer; says whether they were.
+    /// Applies rules if they are newer; returns whether they were.
     ///
-    /// Guards against reverting to older rules, as when a lagging peer or a late answer of the
-    /// table brings them: revisions only rise at the table, so the higher one is the one that was
-    /// accepted last. A removal has a revision too, so a body from before it loses as well.
+    /// Guards against reverting to older rules, which a lagging peer or a late response of the
+    /// table may bring. The table only raises revisions, so the higher one was accepted last. A
+    /// removal has a revision too, so rules from before it are rejected as well.
     pub(super) fn merge_rules(&mut self, revision: Revision, row: &RulesRow) -> bool {
         if revision <= self.view.rules_revision {
             return false;
@@ -133,13 +134,14 @@
         true
     }
 
-    /// Takes the rows in that are newer than those known; gives these back.
+    /// Applies the rows that are newer than the known ones and returns them.
     pub(super) fn merge_members(&mut self, rows: Vec<MemberRow>, now: Instant) -> Vec<MemberRow> {
         let mut newer = Vec::new();
         for row in rows {
             let is_accepted = match self.members.get(&row.instance) {
                 Some(known) => is_newer(&row, &known.row),
-                // The end of somebody unknown is no newer; taken in, it would go round for ever.
+                // The removal of an unknown member isn't applied, since it would circulate among
+                // the daemons for ever.
                 None => row.state != TargetState::Gone,
             };
             if !is_accepted {
@@ -154,7 +156,7 @@
         newer
     }
 
-    /// Forgets members that `listed` doesn't name.
+    /// Drops members that are not in `listed`.
     pub(super) fn drop_unlisted(&mut self, listed: &[MemberRow]) {
         let names: HashSet<&str> = listed.iter().map(|row| row.instance.as_str()).collect();
         let count = self.members.len();
@@ -164,7 +166,7 @@
         }
     }
 
-    /// Forgets members that have been gone since `before`; gives their rows back.
+    /// Drops members that have been removed since before `before`, and returns their rows.
     pub(super) fn forget_removed(&mut self, before: Instant) -> Vec<MemberRow> {
         let is_old =
             |entry: &MemberEntry| entry.row.state == TargetState::Gone && entry.since < before;
@@ -192,18 +194,18 @@
     }
 }
 
-/// Whether `new` may take the place of `known`.
+/// Returns whether `new` may replace `known`.
 ///
-/// Guards against old newer that brings back the dead or undoes a drain, as when a peer repeats
-/// what it heard before a partition: within a life the sequence rises with each change, and a
-/// new life has a higher incarnation. A death that a peer wrote keeps the sequence of the row it
-/// ended, so at equal numbers gone wins.
+/// Guards against outdated rows that restore a removed member or undo a drain, such as those that a
+/// peer repeats after a partition. The sequence rises with each change within an incarnation, and a
+/// restart raises the incarnation. A removal written by a peer keeps the sequence of the row that
+/// it ends, so at equal numbers the removal wins.
 pub fn is_newer(new: &MemberRow, known: &MemberRow) -> bool {
     let order = |row: &MemberRow| (row.incarnation, row.sequence, row.state == TargetState::Gone);
     order(new) > order(known)
 }
 
-/// Hash over what orders rows; 0 for none.
+/// Returns a hash over the numbers that order rows; 0 for no rows.
 fn digest<'a>(rows: impl Iterator<Item = &'a MemberRow>) -> u64 {
     let mut hash = Xxh3::new();
     let mut is_empty = true;
--- a/crates/yuccarackd/src/state/store_health.rs
+++ b/crates/yuccarackd/src/state/store_health.rs
@@ -1,4 +1,4 @@
-//! Whether the platform's table answered when it was last asked.
+//! Availability of the platform's table at the latest request.
 
 use std::sync::{
     Arc,
@@ -7,24 +7,24 @@
 
 use yuccarack_platform::PlatformError;
 
-/// Whether the store answers; clones share it.
+/// Whether the store responds; clones share it.
 #[derive(Clone, Debug, Default)]
 pub struct StoreHealth {
     is_unavailable: Arc<AtomicBool>,
 }
 
 impl StoreHealth {
-    /// Starts with the store taken for present.
+    /// Starts with the store considered available.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Whether the last question got no answer.
+    /// Returns whether the latest request got no response.
     pub fn is_unavailable(&self) -> bool {
         self.is_unavailable.load(Ordering::Relaxed)
     }
 
-    /// Takes the result of a question in; says whether the store went or came back with it.
+    /// Records the result of a request; returns whether the availability changed.
     pub fn record<T>(&self, result: &Result<T, PlatformError>) -> bool {
         let is_unavailable = match result {
             Ok(_) | Err(PlatformError::Conflict { .. }) => false,
