--- a/crates/yuccarackd/src/coordination/routed/peers/mod.rs
+++ b/crates/yuccarackd/src/coordination/routed/peers/mod.rs
@@ -219,7 +219,7 @@
             return Response::new(RelayStream::new(self.clone(), query).into_body());
         }
         match serde_json::to_vec(&self.update_for(&query, parts.news.synced_for_relay())) {
-            Ok(text) => Response::new(body::full(text.into())),
+            Ok(json) => Response::new(body::full(json.into())),
             Err(error) => {
                 parts.events.write(|| UpdateNotEncoded { cause: error.to_string() });
                 status_only(StatusCode::INTERNAL_SERVER_ERROR)
@@ -293,22 +293,23 @@
         let changes = self.changes_to_request();
         // Without the store this query is sent twice a second; a list of all members each time
         // would fill thin links.
-        let members_known = self.inner.parts.news.synced_up_to(FollowedTable::Members).unwrap_or(0);
+        let members_synced_to =
+            self.inner.parts.news.synced_up_to(FollowedTable::Members).unwrap_or(0);
         let routing_version = match self.inner.needs_full_routing.load(Ordering::Relaxed) {
             true => 0,
             false => self.inner.parts.routing.version(),
         };
         let query = UpdateRequest {
             routing_version,
-            members_after: (scope == UpdateScope::All).then_some(members_known),
+            members_after: (scope == UpdateScope::All).then_some(members_synced_to),
             is_streaming: false,
             changes,
         };
         let sent = self.send(address, &query, Freshness::Kept);
         let response = timeout(RESPONSE_HEAD_TIMEOUT, sent).await??;
         let transfer = self.inner.parts.transfers.begin();
-        let text = read_full(response.into_body(), |bytes| transfer.record_bytes(bytes)).await?;
-        Ok(serde_json::from_slice(&text)?)
+        let body = read_full(response.into_body(), |bytes| transfer.record_bytes(bytes)).await?;
+        Ok(serde_json::from_slice(&body)?)
     }
 
     /// Sends `query` to the daemon whose gate is at `address`.
--- a/crates/yuccarackd/src/coordination/routed/relay_follower.rs
+++ b/crates/yuccarackd/src/coordination/routed/relay_follower.rs
@@ -315,7 +315,7 @@
                 true => self.peers.note_omitted_table(address, version),
                 false => self.peers.note_version(address, version),
             }
-            // What such a daemon knows is true all the same, but there will be no more of it.
+            // The update of a daemon that is no relay is valid all the same, but no more will follow.
             let known = known.ok_or(RelayError::NotRelay)?;
             parts.news.note_relay_synced(known, parts.routing.version() >= version);
             parts.news.set_queries_store(false);
--- a/crates/yuccarackd/src/coordination/routed/row_publisher.rs
+++ b/crates/yuccarackd/src/coordination/routed/row_publisher.rs
@@ -211,8 +211,8 @@
         }
     }
 
-    /// Stores that the target leaves, for a later process of this daemon; no daemon deletes this
-    /// row.
+    /// Stores the departure of the target for a later process of this daemon; without one the row
+    /// is deleted.
     async fn store_departure(&self, departed: Option<&DepartedTarget>) {
         let row = departed.map(|departed| LeavingRow {
             target: departed.target.clone(),
--- a/crates/yuccarackd/tests/routed/relays.rs
+++ b/crates/yuccarackd/tests/routed/relays.rs
@@ -129,8 +129,8 @@
     }
 }
 
-/// Guards against followers that wait for relays which were killed or which the store refuses: they
-/// have to query the store themselves.
+/// Guards against followers that wait for relays which were killed: they have to query the store
+/// themselves.
 #[tokio::test]
 async fn without_relays_the_store_is_queried() {
     let mut deployment = start_settled("relays-gone").await;
@@ -278,8 +278,8 @@
 async fn gauge(deployment: &Deployment, number: usize, name: &str) -> Option<usize> {
     let address = deployment.instances[number].address("metrics_address");
     let query = Question::new(Method::GET, "/metrics");
-    let followers = Asker::new(Duration::from_secs(1)).ask(address, query).await.ok()?;
-    let text = String::from_utf8_lossy(&followers.body).into_owned();
+    let response = Asker::new(Duration::from_secs(1)).ask(address, query).await.ok()?;
+    let text = String::from_utf8_lossy(&response.body).into_owned();
     let line = text.lines().find(|line| line.split(' ').next() == Some(name))?;
     line.split(' ').nth(1)?.parse().ok()
 }
