--- a/crates/yuccarackd/src/coordination/entry/try_sender.rs
+++ b/crates/yuccarackd/src/coordination/entry/attempt_sender.rs
@@ -11,7 +11,7 @@
 
 use super::{
     Entry,
-    fate::Fate,
+    outcome_tracker::OutcomeTracker,
     service::{ChosenGate, EntryService},
 };
 use crate::{
@@ -26,17 +26,17 @@
 };
 
 /// A try that brought no answer worth passing on at once.
-pub struct FailedTry {
+pub struct FailedAttempt {
     /// How it ended.
     pub failure: TryFailure,
     /// Whether the claim at the gates guards a further try even of a request that must not repeat.
     pub is_guarded: bool,
     /// What the caller gets if no further try is made.
-    pub answer: Result<Response<CallBody>, Refusal>,
+    pub response: Result<Response<CallBody>, Refusal>,
 }
 
 /// A try that is to be sent.
-pub struct ReadyTry {
+pub struct PreparedAttempt {
     /// Where to.
     pub chosen: ChosenGate,
     /// Its name.
@@ -46,41 +46,44 @@
 }
 
 /// Sends tries of one call; apart from the tries themselves so that two can be on their way at once.
-pub struct TrySender<'a> {
+pub struct AttemptSender<'a> {
     /// The entry.
     pub entry: &'a Entry,
     /// The call's service.
     pub service: &'a EntryService,
     /// What is proved of the call.
-    pub fate: &'a Fate,
+    pub tracker: &'a OutcomeTracker,
     /// What the call's head says.
     pub head: CallHead,
     /// When the caller gives up.
     pub deadline: Instant,
 }
 
-impl TrySender<'_> {
+impl AttemptSender<'_> {
     /// Sends one try; dropping this future cancels it at its gate.
     ///
     /// # Errors
     ///
     /// A try without an answer worth passing on at once.
-    pub async fn send(&self, ready: ReadyTry) -> Result<Response<CallBody>, Box<FailedTry>> {
-        let mut record = TryRecord::new(self.service, &ready.chosen);
-        self.fate.sent();
-        let sent = if ready.chosen.instance == self.entry.parts.instance {
-            Ok(self.ask_own_gate(ready.attempt, ready.request).await)
+    pub async fn send(
+        &self,
+        prepared: PreparedAttempt,
+    ) -> Result<Response<CallBody>, Box<FailedAttempt>> {
+        let mut record = AttemptRecord::new(self.service, &prepared.chosen);
+        self.tracker.record_sent();
+        let result = if prepared.chosen.instance == self.entry.parts.instance {
+            Ok(self.send_local(prepared.attempt, prepared.request).await)
         } else {
-            let address = ready.chosen.address;
-            self.entry.parts.upstream.send(address, ready.request, Freshness::Kept).await
+            let address = prepared.chosen.address;
+            self.entry.parts.upstream.send(address, prepared.request, Freshness::Kept).await
         };
-        match sent {
-            Ok(answer) => self.judge(answer, &mut record),
-            Err(error) => Err(Box::new(self.link_failed(&error, &mut record))),
+        match result {
+            Ok(response) => self.classify_response(response, &mut record),
+            Err(error) => Err(Box::new(self.classify_send_error(&error, &mut record))),
         }
     }
 
-    async fn ask_own_gate(
+    async fn send_local(
         &self,
         attempt: AttemptId,
         request: Request<CallBody>,
@@ -91,106 +94,119 @@
         self.entry.parts.gate.handle(call).await
     }
 
-    fn judge(
+    fn classify_response(
         &self,
-        answer: Response<CallBody>,
-        record: &mut TryRecord<'_>,
-    ) -> Result<Response<CallBody>, Box<FailedTry>> {
-        let load = load_of(&answer);
-        self.hear_revision(&answer);
-        let outcome = Outcome::from_headers(answer.headers());
-        self.note(CallEvent::answered(&record.instance, answer.status(), record.took(), &answer));
+        response: Response<CallBody>,
+        record: &mut AttemptRecord<'_>,
+    ) -> Result<Response<CallBody>, Box<FailedAttempt>> {
+        let load = parse_load(&response);
+        self.note_rules_revision(&response);
+        let outcome = Outcome::from_headers(response.headers());
+        self.log_event(CallEvent::answered(
+            &record.instance,
+            response.status(),
+            record.elapsed(),
+            &response,
+        ));
         let failure = match outcome {
             Some(Outcome::NotRun) => {
-                self.fate.proved_not_run();
-                record.end(CallEnd::Refused, load);
+                self.tracker.record_not_run();
+                record.finish(CallEnd::Refused, load);
                 TryFailure::RefusedNotRun
             }
             Some(Outcome::Unknown) => {
-                record.end(CallEnd::Broken, load);
+                record.finish(CallEnd::Broken, load);
                 TryFailure::BrokenUnknown
             }
-            None if answer.status().is_server_error() => {
-                record.end(CallEnd::TargetFailed { took: record.took() }, load);
+            None if response.status().is_server_error() => {
+                record.finish(CallEnd::TargetFailed { took: record.elapsed() }, load);
                 TryFailure::TargetError
             }
             None | Some(Outcome::Run) => {
-                record.end(CallEnd::Answered { took: record.took() }, load);
-                return Ok(answer);
+                record.finish(CallEnd::Answered { took: record.elapsed() }, load);
+                return Ok(response);
             }
         };
-        if is_final(&answer) {
-            return Ok(answer);
+        if is_final(&response) {
+            return Ok(response);
         }
-        Err(Box::new(FailedTry { failure, is_guarded: false, answer: Ok(answer) }))
+        Err(Box::new(FailedAttempt { failure, is_guarded: false, response: Ok(response) }))
     }
 
     /// A request that broke on the way to a gate may be sent again even when it must not repeat:
     /// whichever gate gets it has to claim its key first, and only one can.
-    fn link_failed(&self, error: &SendError, record: &mut TryRecord<'_>) -> FailedTry {
-        record.end(CallEnd::Broken, None);
+    fn classify_send_error(
+        &self,
+        error: &SendError,
+        record: &mut AttemptRecord<'_>,
+    ) -> FailedAttempt {
+        record.finish(CallEnd::Broken, None);
         let counters = &self.entry.parts.counters;
         if error.is_not_sent() {
-            self.fate.proved_not_run();
+            self.tracker.record_not_run();
             counters.add("entry.gate_unreachable");
             let refusal = Refusal::not_run(Reason::Unreachable);
             let failure = TryFailure::BrokenNotRun;
-            return FailedTry { failure, is_guarded: true, answer: Err(refusal) };
+            return FailedAttempt { failure, is_guarded: true, response: Err(refusal) };
         }
         counters.add("entry.gate_link_broken");
         let refusal = Refusal::unknown(Reason::Broken);
-        FailedTry { failure: TryFailure::BrokenUnknown, is_guarded: true, answer: Err(refusal) }
+        FailedAttempt {
+            failure: TryFailure::BrokenUnknown,
+            is_guarded: true,
+            response: Err(refusal),
+        }
     }
 
-    fn hear_revision(&self, answer: &Response<CallBody>) {
-        let revision = answer.headers().get(headers::RULES_REVISION);
+    fn note_rules_revision(&self, response: &Response<CallBody>) {
+        let revision = response.headers().get(headers::RULES_REVISION);
         let revision = revision.and_then(|value| value.to_str().ok()?.parse().ok());
         if let Some(revision) = revision {
             self.entry.parts.directory.note_rules_revision(&self.head.service, revision);
         }
     }
 
-    fn note(&self, event: CallEvent) {
+    fn log_event(&self, event: CallEvent) {
         self.entry.parts.call_log.note(self.head.request_id, event);
     }
 }
 
 /// Tells the chooser how a try ended; dropped without an end, the try was cancelled.
-struct TryRecord<'a> {
+struct AttemptRecord<'a> {
     service: &'a EntryService,
     key: Option<TargetKey>,
     instance: String,
     started_at: Instant,
 }
 
-impl<'a> TryRecord<'a> {
+impl<'a> AttemptRecord<'a> {
     fn new(service: &'a EntryService, chosen: &ChosenGate) -> Self {
         let instance = chosen.instance.clone();
         Self { service, key: Some(chosen.key), instance, started_at: Instant::now() }
     }
 
-    fn took(&self) -> Duration {
+    fn elapsed(&self) -> Duration {
         self.started_at.elapsed()
     }
 
-    fn end(&mut self, end: CallEnd, load: Option<LoadReport>) {
+    fn finish(&mut self, end: CallEnd, load: Option<LoadReport>) {
         if let Some(key) = self.key.take() {
-            self.service.end_try(Instant::now(), key, end, load);
+            self.service.record_attempt_end(Instant::now(), key, end, load);
         }
     }
 }
 
-impl Drop for TryRecord<'_> {
+impl Drop for AttemptRecord<'_> {
     fn drop(&mut self) {
-        self.end(CallEnd::Cancelled, None);
+        self.finish(CallEnd::Cancelled, None);
     }
 }
 
 /// An answer that no other gate would give differently, or that must not be asked for again.
 ///
 /// A crash suspect isn't repeated by us: it would take the next target down as well.
-fn is_final(answer: &Response<CallBody>) -> bool {
-    let reason = answer.headers().get(headers::REASON).map(|value| value.as_bytes());
+fn is_final(response: &Response<CallBody>) -> bool {
+    let reason = response.headers().get(headers::REASON).map(|value| value.as_bytes());
     let is_final_reason = matches!(
         reason,
         Some(
@@ -206,9 +222,9 @@
                 | b"deadline_passed"
         )
     );
-    is_final_reason || answer.status() == StatusCode::NOT_IMPLEMENTED
+    is_final_reason || response.status() == StatusCode::NOT_IMPLEMENTED
 }
 
-fn load_of(answer: &Response<CallBody>) -> Option<LoadReport> {
-    answer.headers().get(headers::LOAD)?.to_str().ok()?.parse().ok()
+fn parse_load(response: &Response<CallBody>) -> Option<LoadReport> {
+    response.headers().get(headers::LOAD)?.to_str().ok()?.parse().ok()
 }
--- a/crates/yuccarackd/src/coordination/entry/tries.rs
+++ b/crates/yuccarackd/src/coordination/entry/attempts.rs
@@ -11,10 +11,10 @@
 
 use super::{
     Entry,
+    attempt_sender::{AttemptSender, FailedAttempt, PreparedAttempt},
     call::EntryCall,
-    fate::Fate,
+    outcome_tracker::OutcomeTracker,
     service::EntryService,
-    try_sender::{FailedTry, ReadyTry, TrySender},
 };
 use crate::{
     protocol::{
@@ -25,23 +25,23 @@
 };
 
 /// The tries of one call.
-pub struct Tries<'a> {
+pub struct Attempts<'a> {
     entry: &'a Entry,
     call: EntryCall,
     service: &'a EntryService,
-    fate: &'a Fate,
-    tried: Vec<TargetKey>,
+    tracker: &'a OutcomeTracker,
+    attempted: Vec<TargetKey>,
 }
 
-impl<'a> Tries<'a> {
+impl<'a> Attempts<'a> {
     /// Makes the tries of `call`; what is proved of them goes to `fate`.
     pub fn new(
         entry: &'a Entry,
         call: EntryCall,
         service: &'a EntryService,
-        fate: &'a Fate,
+        tracker: &'a OutcomeTracker,
     ) -> Self {
-        Self { entry, call, service, fate, tried: Vec::new() }
+        Self { entry, call, service, tracker, attempted: Vec::new() }
     }
 
     /// Tries until there is an answer or the policy gives up.
@@ -50,42 +50,43 @@
     ///
     /// The last try's refusal.
     pub async fn run(mut self) -> Result<Response<CallBody>, Refusal> {
-        let mut last: Option<Box<FailedTry>> = None;
+        let mut last_failure: Option<Box<FailedAttempt>> = None;
         for number in 1..=u8::MAX {
-            let ready = match self.ready_try() {
-                Ok(ready) => ready,
+            let prepared = match self.prepare_attempt() {
+                Ok(prepared) => prepared,
                 // With every gate tried, the last word of a gate tells the caller more.
-                Err(refusal) => return last.map_or(Err(refusal), |failed| failed.answer),
+                Err(refusal) => return last_failure.map_or(Err(refusal), |failed| failed.response),
             };
-            let failed = match self.send_hedged(ready).await {
-                Ok(answer) => return Ok(answer),
+            let failed = match self.send_hedged(prepared).await {
+                Ok(response) => return Ok(response),
                 Err(failed) => failed,
             };
-            if !self.goes_on(number, &failed) {
-                return failed.answer;
+            if !self.decide_retry(number, &failed) {
+                return failed.response;
             }
-            last = Some(failed);
+            last_failure = Some(failed);
         }
-        last.map_or(Err(Refusal::not_run(Reason::NoTarget)), |failed| failed.answer)
+        last_failure.map_or(Err(Refusal::not_run(Reason::NoTarget)), |failed| failed.response)
     }
 
-    fn ready_try(&mut self) -> Result<ReadyTry, Refusal> {
-        let chosen = self.service.start_try(Instant::now(), &self.tried).map_err(|why| {
-            self.entry.parts.counters.add_reason("choice.refused", why.as_str());
-            Refusal::not_run(Reason::NoTarget).with_retry_after(super::LOOKUP_RETRY_AFTER)
-        })?;
-        self.tried.push(chosen.key);
-        self.note(CallEvent::chosen(&chosen.instance, &chosen.weighed));
-        let (attempt, request) = self.call.next_try();
-        Ok(ReadyTry { chosen, attempt, request })
+    fn prepare_attempt(&mut self) -> Result<PreparedAttempt, Refusal> {
+        let chosen =
+            self.service.start_attempt(Instant::now(), &self.attempted).map_err(|why| {
+                self.entry.parts.counters.add_reason("choice.refused", why.as_str());
+                Refusal::not_run(Reason::NoTarget).with_retry_after(super::LOOKUP_RETRY_AFTER)
+            })?;
+        self.attempted.push(chosen.key);
+        self.log_event(CallEvent::chosen(&chosen.instance, &chosen.candidates));
+        let (attempt, request) = self.call.next_attempt();
+        Ok(PreparedAttempt { chosen, attempt, request })
     }
 
-    fn goes_on(&self, number: u8, failed: &FailedTry) -> bool {
-        let ended = Try {
+    fn decide_retry(&self, number: u8, failed: &FailedAttempt) -> bool {
+        let ended_attempt = Try {
             number,
             deadline: self.call.deadline,
             failure: failed.failure,
-            repeatable: self.call.repeatable || failed.is_guarded,
+            repeatable: self.call.is_repeatable || failed.is_guarded,
             depth: self.call.head.depth,
         };
         let counters = &self.entry.parts.counters;
@@ -93,76 +94,79 @@
             counters.add_reason("retry.gave_up", "body_not_kept");
             return false;
         }
-        match self.service.decide(Instant::now(), ended) {
+        match self.service.decide_retry(Instant::now(), ended_attempt) {
             RetryDecision::Again { reason } => {
                 counters.add_reason("retry.again", reason.as_str());
-                self.note(CallEvent::retried(reason.as_str()));
+                self.log_event(CallEvent::retried(reason.as_str()));
                 true
             }
             RetryDecision::GiveUp { reason } => {
                 counters.add_reason("retry.gave_up", reason.as_str());
-                self.note(CallEvent::gave_up(reason.as_str()));
+                self.log_event(CallEvent::gave_up(reason.as_str()));
                 false
             }
         }
     }
 
     /// Sends a try, and another to a second gate when the first one is late and the policy pays.
-    async fn send_hedged(&mut self, ready: ReadyTry) -> Result<Response<CallBody>, Box<FailedTry>> {
+    async fn send_hedged(
+        &mut self,
+        prepared: PreparedAttempt,
+    ) -> Result<Response<CallBody>, Box<FailedAttempt>> {
         let delay = match self.service.hedge_delay(Instant::now()) {
             Some(delay) if self.call.can_be_hedged() => delay,
-            _ => return self.sender().send(ready).await,
+            _ => return self.sender().send(prepared).await,
         };
         let sender = self.sender();
-        let mut first = Box::pin(sender.send(ready));
+        let mut first = Box::pin(sender.send(prepared));
         tokio::select! {
             biased;
-            end = &mut first => return end,
+            result = &mut first => return result,
             () = sleep(delay) => {}
         }
-        let Some(second) = self.ready_hedge() else {
+        let Some(second) = self.prepare_hedge() else {
             return first.await;
         };
         let mut second = Box::pin(sender.send(second));
-        let (end, is_first) = tokio::select! {
-            end = &mut first => (end, true),
-            end = &mut second => (end, false),
+        let (result, is_first) = tokio::select! {
+            result = &mut first => (result, true),
+            result = &mut second => (result, false),
         };
-        match end {
+        match result {
             // Dropping the other try cancels it at its gate.
-            Ok(answer) => {
+            Ok(response) => {
                 let winner = if is_first { "first_won" } else { "second_won" };
                 self.entry.parts.counters.add_reason("hedge", winner);
-                Ok(answer)
+                Ok(response)
             }
             Err(_) if is_first => second.await,
             Err(_) => first.await,
         }
     }
 
-    fn ready_hedge(&mut self) -> Option<ReadyTry> {
+    fn prepare_hedge(&mut self) -> Option<PreparedAttempt> {
         let counters = &self.entry.parts.counters;
         if !self.service.spend_hedge(Instant::now()) {
             counters.add_reason("hedge", "budget_spent");
             return None;
         }
         counters.add_reason("hedge", "sent");
-        let ready = self.ready_try().ok()?;
-        self.note(CallEvent::hedged(&ready.chosen.instance));
-        Some(ready)
+        let prepared = self.prepare_attempt().ok()?;
+        self.log_event(CallEvent::hedged(&prepared.chosen.instance));
+        Some(prepared)
     }
 
-    fn sender(&self) -> TrySender<'a> {
-        TrySender {
+    fn sender(&self) -> AttemptSender<'a> {
+        AttemptSender {
             entry: self.entry,
             service: self.service,
-            fate: self.fate,
+            tracker: self.tracker,
             head: self.call.head.clone(),
             deadline: self.call.deadline,
         }
     }
 
-    fn note(&self, event: CallEvent) {
+    fn log_event(&self, event: CallEvent) {
         self.entry.parts.call_log.note(self.call.head.request_id, event);
     }
 }
--- a/crates/yuccarackd/src/coordination/entry/call.rs
+++ b/crates/yuccarackd/src/coordination/entry/call.rs
@@ -19,7 +19,7 @@
     /// When its caller gives up.
     pub deadline: Instant,
     /// Whether it may run more than once.
-    pub repeatable: bool,
+    pub is_repeatable: bool,
     parts: Parts,
     body: SendableBody,
 }
@@ -34,13 +34,13 @@
     pub async fn read(
         head: CallHead,
         deadline: Instant,
-        repeatable: bool,
+        is_repeatable: bool,
         parts: Parts,
         body: CallBody,
-        kept_max_bytes: usize,
+        buffered_max_bytes: usize,
     ) -> Result<Self, BodyError> {
-        let body = SendableBody::read(&parts, body, kept_max_bytes).await?;
-        Ok(Self { head, deadline, repeatable, parts, body })
+        let body = SendableBody::read(&parts, body, buffered_max_bytes).await?;
+        Ok(Self { head, deadline, is_repeatable, parts, body })
     }
 
     /// Whether it can be sent another time.
@@ -50,11 +50,11 @@
 
     /// Whether it can be sent to two gates at once.
     pub fn can_be_hedged(&self) -> bool {
-        self.repeatable && self.body.is_buffered()
+        self.is_repeatable && self.body.is_buffered()
     }
 
     /// The next try, as a gate gets it, with the name of its attempt.
-    pub fn next_try(&mut self) -> (AttemptId, Request<CallBody>) {
+    pub fn next_attempt(&mut self) -> (AttemptId, Request<CallBody>) {
         let attempt: AttemptId = rand::rng().random();
         let mut request = Request::new(self.body.next_body());
         *request.method_mut() = self.parts.method.clone();
@@ -69,11 +69,11 @@
         forwarding::set_header(map, headers::REQUEST_ID, &format_id(self.head.request_id));
         forwarding::set_header(map, headers::ATTEMPT_ID, &format_id(attempt));
         forwarding::set_header(map, headers::DEPTH, &self.head.depth.to_string());
-        if !self.repeatable {
+        if !self.is_repeatable {
             map.insert(headers::ONCE, HeaderValue::from_static("true"));
         }
-        let left = remaining_ms(self.deadline, Instant::now());
-        map.insert(headers::DEADLINE_MS, HeaderValue::from(left));
+        let left_ms = remaining_ms(self.deadline, Instant::now());
+        map.insert(headers::DEADLINE_MS, HeaderValue::from(left_ms));
         if !map.contains_key(header::HOST) {
             forwarding::set_header(map, "host", &self.head.service);
         }
--- a/crates/yuccarackd/src/coordination/entry/mod.rs
+++ b/crates/yuccarackd/src/coordination/entry/mod.rs
@@ -1,10 +1,10 @@
 //! The entry: takes a call, chooses its gate, owns its deadline, retries and hedges.
 
+pub mod attempt_sender;
+pub mod attempts;
 pub mod call;
-pub mod fate;
+pub mod outcome_tracker;
 pub mod service;
-pub mod tries;
-pub mod try_sender;
 
 use std::{
     collections::HashMap,
@@ -22,7 +22,9 @@
     rules::ServiceRules,
 };
 
-use self::{call::EntryCall, fate::Fate, service::EntryService, tries::Tries};
+use self::{
+    attempts::Attempts, call::EntryCall, outcome_tracker::OutcomeTracker, service::EntryService,
+};
 use super::gate::Gate;
 use crate::{
     protocol::{
@@ -43,7 +45,7 @@
 };
 
 /// Time for reading a body and finding the service while the route's deadline isn't known yet.
-const LOOKUP_DEADLINE: Duration = Duration::from_secs(2);
+const LOOKUP_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// When a caller may come back to a service that couldn't be looked up or has no target.
 const LOOKUP_RETRY_AFTER: Duration = Duration::from_secs(1);
@@ -58,7 +60,7 @@
     /// Failure domain of this instance.
     pub failure_domain: DomainName,
     /// Largest body that is kept to be sent again, in bytes.
-    pub kept_body_max_bytes: usize,
+    pub buffered_body_max_bytes: usize,
     /// Services, their rules and members.
     pub directory: Directory,
     /// The gate beside this entry.
@@ -95,8 +97,8 @@
             Err(_) => return self.finish(Err(Refusal::not_run(Reason::BadRequest)), None),
         };
         let request_id = head.request_id;
-        let answer = self.answer(head, parts, body, now).await;
-        self.finish(answer, Some(request_id))
+        let response = self.process(head, parts, body, now).await;
+        self.finish(response, Some(request_id))
     }
 }
 
@@ -106,20 +108,20 @@
         Self { parts, services: RwLock::default() }
     }
 
-    async fn answer(
+    async fn process(
         &self,
         head: CallHead,
         parts: Parts,
         body: CallBody,
         now: Instant,
     ) -> Result<Response<CallBody>, Refusal> {
-        let look_up_by = head.deadline.unwrap_or(now + LOOKUP_DEADLINE);
-        let view = self.view(&head.service, look_up_by).await?;
+        let lookup_deadline = head.deadline.unwrap_or(now + LOOKUP_TIMEOUT);
+        let view = self.get_or_load_view(&head.service, lookup_deadline).await?;
         let rules = view.rules.as_ref().ok_or(Refusal::not_run(Reason::UnknownService))?;
-        let (deadline, repeatable) = route(rules, &head, &parts, now)?;
+        let (deadline, is_repeatable) = resolve_route(rules, &head, &parts, now)?;
         let service = self.service(&view)?;
-        let kept_max = self.parts.kept_body_max_bytes;
-        let reading = EntryCall::read(head, deadline, repeatable, parts, body, kept_max);
+        let buffered_max = self.parts.buffered_body_max_bytes;
+        let reading = EntryCall::read(head, deadline, is_repeatable, parts, body, buffered_max);
         let call = match timeout_at(deadline.into(), reading).await {
             Ok(Ok(call)) => call,
             Ok(Err(_)) => return Err(Refusal::not_run(Reason::CallerBodyCut)),
@@ -133,29 +135,33 @@
         call: EntryCall,
         service: Arc<EntryService>,
     ) -> Result<Response<CallBody>, Refusal> {
-        let fate = Fate::new();
+        let tracker = OutcomeTracker::new();
         let deadline = call.deadline;
-        service.first_try(Instant::now());
-        let tries = Tries::new(self, call, &service, &fate);
-        match timeout_at(deadline.into(), tries.run()).await {
-            Ok(Ok(mut answer)) => {
-                fate.correct(&mut answer);
-                Ok(answer)
+        service.record_first_attempt(Instant::now());
+        let attempts = Attempts::new(self, call, &service, &tracker);
+        match timeout_at(deadline.into(), attempts.run()).await {
+            Ok(Ok(mut response)) => {
+                tracker.correct_outcome(&mut response);
+                Ok(response)
             }
-            Ok(Err(refusal)) => Err(Refusal { outcome: fate.outcome(), ..refusal }),
+            Ok(Err(refusal)) => Err(Refusal { outcome: tracker.outcome(), ..refusal }),
             Err(_) => {
-                let outcome = fate.outcome();
+                let outcome = tracker.outcome();
                 Err(Refusal { outcome, ..Refusal::unknown(Reason::DeadlinePassed) })
             }
         }
     }
 
-    async fn view(&self, service: &str, look_up_by: Instant) -> Result<Arc<ServiceView>, Refusal> {
+    async fn get_or_load_view(
+        &self,
+        service: &str,
+        lookup_deadline: Instant,
+    ) -> Result<Arc<ServiceView>, Refusal> {
         if let Some(view) = self.parts.directory.view(service) {
             return Ok(view);
         }
-        let wanted = self.parts.directory.get_or_load(service, look_up_by).await;
-        wanted.map_err(|error| match error {
+        let loaded = self.parts.directory.get_or_load(service, lookup_deadline).await;
+        loaded.map_err(|error| match error {
             DirectoryError::UnknownService => Refusal::not_run(Reason::UnknownService),
             DirectoryError::DeadlinePassed => Refusal::not_run(Reason::DeadlinePassed),
             DirectoryError::StoreUnavailable | DirectoryError::TooManyLookups => {
@@ -166,12 +172,12 @@
 
     fn service(&self, view: &ServiceView) -> Result<Arc<EntryService>, Refusal> {
         if let Some(service) = self.services.read().get(&view.name) {
-            service.follow(view);
+            service.sync_view(view);
             return Ok(Arc::clone(service));
         }
-        let home = self.parts.failure_domain.clone();
-        let service =
-            EntryService::new(view, home).map_err(|_| Refusal::not_run(Reason::UnknownService))?;
+        let local_domain = self.parts.failure_domain.clone();
+        let service = EntryService::new(view, local_domain)
+            .map_err(|_| Refusal::not_run(Reason::UnknownService))?;
         let mut services = self.services.write();
         let service = services.entry(view.name.clone()).or_insert_with(|| Arc::new(service));
         Ok(Arc::clone(service))
@@ -180,11 +186,11 @@
     /// Counts and logs the end of a call and puts it into the form that its caller gets.
     fn finish(
         &self,
-        answer: Result<Response<CallBody>, Refusal>,
+        response: Result<Response<CallBody>, Refusal>,
         request_id: Option<u128>,
     ) -> Response<CallBody> {
-        let mut answer = match answer {
-            Ok(answer) => answer,
+        let mut response = match response {
+            Ok(response) => response,
             Err(refusal) => {
                 self.parts.counters.add_reason(REFUSED, refusal.reason.as_str());
                 if let Some(id) = request_id {
@@ -193,7 +199,7 @@
                 refusal.into_response()
             }
         };
-        let map = answer.headers_mut();
+        let map = response.headers_mut();
         map.remove(headers::LOAD);
         map.remove(headers::RULES_REVISION);
         if let Some(id) = request_id {
@@ -202,12 +208,12 @@
         if self.parts.leaving.is_cancelled() {
             map.insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
-        answer
+        response
     }
 }
 
 /// Deadline and repeatability of a call by its route.
-fn route(
+fn resolve_route(
     rules: &ServiceRules,
     head: &CallHead,
     parts: &Parts,
@@ -216,10 +222,10 @@
     let (method, path) = (parts.method.as_str(), parts.uri.path());
     let route = rules.routes.iter().find(|route| route.matches(method, path));
     let route = route.ok_or(Refusal::not_run(Reason::UnknownRoute))?;
-    let repeatable = route.is_repeatable(method);
-    if !repeatable && head.key.is_none() {
+    let is_repeatable = route.is_repeatable(method);
+    if !is_repeatable && head.key.is_none() {
         return Err(Refusal::not_run(Reason::NoIdempotencyKey));
     }
     let route_deadline = now + Duration::from_millis(u64::from(route.deadline_ms));
-    Ok((head.deadline.unwrap_or(route_deadline), repeatable))
+    Ok((head.deadline.unwrap_or(route_deadline), is_repeatable))
 }
--- a/crates/yuccarackd/src/coordination/entry/fate.rs
+++ b/crates/yuccarackd/src/coordination/entry/outcome_tracker.rs
@@ -13,40 +13,41 @@
 /// `not_run` reaches the caller although the first one ran. So `not_run` goes out only when it is
 /// proved of every try, abandoned hedges included.
 #[derive(Debug, Default)]
-pub struct Fate {
-    may_have_run: AtomicUsize,
+pub struct OutcomeTracker {
+    may_have_run_count: AtomicUsize,
 }
 
-impl Fate {
+impl OutcomeTracker {
     /// Starts before the first try.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// Notes that a try goes out.
-    pub fn sent(&self) {
-        self.may_have_run.fetch_add(1, Ordering::AcqRel);
+    pub fn record_sent(&self) {
+        self.may_have_run_count.fetch_add(1, Ordering::AcqRel);
     }
 
     /// Notes the proof that a try did not run.
-    pub fn proved_not_run(&self) {
-        self.may_have_run.fetch_sub(1, Ordering::AcqRel);
+    pub fn record_not_run(&self) {
+        self.may_have_run_count.fetch_sub(1, Ordering::AcqRel);
     }
 
     /// What is proved now.
     pub fn outcome(&self) -> Outcome {
-        match self.may_have_run.load(Ordering::Acquire) {
+        match self.may_have_run_count.load(Ordering::Acquire) {
             0 => Outcome::NotRun,
             _ => Outcome::Unknown,
         }
     }
 
     /// Corrects an answer that speaks of its own try only.
-    pub fn correct(&self, answer: &mut Response<CallBody>) {
-        let says_not_run = Outcome::from_headers(answer.headers()) == Some(Outcome::NotRun);
-        if says_not_run && self.outcome() == Outcome::Unknown {
+    pub fn correct_outcome(&self, response: &mut Response<CallBody>) {
+        let is_reported_not_run =
+            Outcome::from_headers(response.headers()) == Some(Outcome::NotRun);
+        if is_reported_not_run && self.outcome() == Outcome::Unknown {
             let unknown = HeaderValue::from_static(Outcome::Unknown.as_str());
-            answer.headers_mut().insert(headers::OUTCOME, unknown);
+            response.headers_mut().insert(headers::OUTCOME, unknown);
         }
     }
 }
--- a/crates/yuccarackd/src/coordination/entry/service.rs
+++ b/crates/yuccarackd/src/coordination/entry/service.rs
@@ -49,7 +49,7 @@
     /// Where it takes requests.
     pub address: SocketAddr,
     /// The candidates that were compared.
-    pub weighed: Vec<WeighedView>,
+    pub candidates: Vec<WeighedView>,
 }
 
 impl EntryService {
@@ -58,12 +58,12 @@
     /// # Errors
     ///
     /// The absence of rules.
-    pub fn new(view: &ServiceView, home: DomainName) -> Result<Self, NoRules> {
+    pub fn new(view: &ServiceView, local_domain: DomainName) -> Result<Self, NoRules> {
         let rules = view.rules.as_ref().ok_or(NoRules)?;
         let mut policies = Policies {
             generation: view.generation,
             rules_revision: view.rules_revision,
-            chooser: Chooser::new(ChooserConfig::new(&rules.ejection), home),
+            chooser: Chooser::new(ChooserConfig::new(&rules.ejection), local_domain),
             retry: RetryPolicy::new(&rules.retry),
             hedge: HedgePolicy::new(&rules.hedge),
             gates: HashMap::new(),
@@ -74,7 +74,7 @@
     }
 
     /// Follows changed rules and members.
-    pub fn follow(&self, view: &ServiceView) {
+    pub fn sync_view(&self, view: &ServiceView) {
         let mut policies = self.policies.lock();
         if policies.generation == view.generation {
             return;
@@ -94,7 +94,7 @@
     }
 
     /// Notes a call's first try, which earns budgets their share.
-    pub fn first_try(&self, now: Instant) {
+    pub fn record_first_attempt(&self, now: Instant) {
         let mut policies = self.policies.lock();
         policies.retry.first_try(now);
         policies.hedge.first_try(now);
@@ -105,22 +105,28 @@
     /// # Errors
     ///
     /// Why there is none.
-    pub fn start_try(
+    pub fn start_attempt(
         &self,
         now: Instant,
-        tried: &[TargetKey],
+        attempted: &[TargetKey],
     ) -> Result<ChosenGate, ChoiceRefusal> {
         let policies = &mut *self.policies.lock();
-        let key = policies.chooser.choose(now, &mut policies.rng, tried)?;
+        let key = policies.chooser.choose(now, &mut policies.rng, attempted)?;
         let instance = policies.chooser.instance_of(key).ok_or(ChoiceRefusal::NoMembers)?.clone();
         let address = *policies.gates.get(&instance).ok_or(ChoiceRefusal::NoMembers)?;
-        let weighed = policies.chooser.weighed(now);
+        let candidates = policies.chooser.weighed(now);
         policies.chooser.started(now, key);
-        Ok(ChosenGate { key, instance, address, weighed })
+        Ok(ChosenGate { key, instance, address, candidates })
     }
 
     /// Notes how a try ended.
-    pub fn end_try(&self, now: Instant, key: TargetKey, end: CallEnd, load: Option<LoadReport>) {
+    pub fn record_attempt_end(
+        &self,
+        now: Instant,
+        key: TargetKey,
+        end: CallEnd,
+        load: Option<LoadReport>,
+    ) {
         let mut policies = self.policies.lock();
         policies.chooser.finished(now, key, end, load);
         match end {
@@ -131,8 +137,8 @@
     }
 
     /// Whether a failed try is worth another.
-    pub fn decide(&self, now: Instant, ended: Try) -> RetryDecision {
-        self.policies.lock().retry.decide(now, ended)
+    pub fn decide_retry(&self, now: Instant, ended_attempt: Try) -> RetryDecision {
+        self.policies.lock().retry.decide(now, ended_attempt)
     }
 
     /// Time after which a second gate is asked, if at all.
--- a/crates/yuccarackd/src/coordination/gate/guarded_body.rs
+++ b/crates/yuccarackd/src/coordination/gate/guarded_body.rs
@@ -13,29 +13,29 @@
     time::{Sleep, sleep_until},
 };
 
-use super::{hand_over::DeathWatch, in_flight::FlightGuard, slots::SlotLease};
+use super::{dispatch::CrashCheck, in_flight::InFlightGuard, slots::SlotLease};
 use crate::{
     coordination::suspects::RunningTrial,
     protocol::body::{BodyError, CallBody},
 };
 
 /// What a request holds while it is on the target.
-pub struct OnTarget {
+pub struct RunningRequest {
     /// Its slot.
     pub slot: SlotLease,
     /// Its presence in the record of requests in flight.
-    pub flight: FlightGuard,
+    pub in_flight: InFlightGuard,
     /// Its trial, where it is a crash suspect.
     pub trial: Option<RunningTrial>,
     /// Looks whether the target has died.
-    pub watch: DeathWatch,
+    pub crash_check: CrashCheck,
 }
 
-impl OnTarget {
+impl RunningRequest {
     /// Ends a request whose answer came whole.
-    pub fn done(self) {
-        self.slot.done();
-        self.flight.ended();
+    pub fn finish(self) {
+        self.slot.finish();
+        self.in_flight.finish();
         if let Some(trial) = self.trial {
             trial.ended_well();
         }
@@ -45,35 +45,35 @@
     ///
     /// Failure: a target dies in the middle of an answer, the gate passes the broken answer on and
     /// asks no further, and the request takes the next target when it is sent again.
-    pub fn broke(self) -> JoinHandle<bool> {
-        let Self { slot, flight, trial, watch } = self;
-        slot.failed();
+    pub fn finish_broken(self) -> JoinHandle<bool> {
+        let Self { slot, in_flight, trial, crash_check } = self;
+        slot.finish_failed();
         // Both without a word: they stay open to blame for some seconds.
-        drop((flight, trial));
-        watch.look()
+        drop((in_flight, trial));
+        crash_check.start()
     }
 
     /// Ends a request that the target shed before running it.
-    pub fn shed(self) {
-        self.slot.shed();
-        self.flight.ended();
+    pub fn finish_shed(self) {
+        self.slot.finish_shed();
+        self.in_flight.finish();
         if let Some(trial) = self.trial {
             trial.not_run();
         }
     }
 
     /// Ends a request of which nothing reached the target.
-    pub fn not_sent(self) {
-        self.slot.failed();
-        self.flight.ended();
+    pub fn finish_not_sent(self) {
+        self.slot.finish_failed();
+        self.in_flight.finish();
         if let Some(trial) = self.trial {
             trial.not_run();
         }
     }
 
     /// Ends a request whose deadline passed.
-    pub fn late(self) {
-        self.slot.failed();
+    pub fn finish_late(self) {
+        self.slot.finish_failed();
     }
 }
 
@@ -82,30 +82,30 @@
 /// A target that trickles its answer would otherwise keep a slot for as long as it likes.
 pub struct GuardedBody {
     body: CallBody,
-    on_target: Option<OnTarget>,
+    running: Option<RunningRequest>,
     deadline: Pin<Box<Sleep>>,
 }
 
 impl GuardedBody {
     /// Guards `body` until `deadline`.
-    pub fn new(body: CallBody, on_target: OnTarget, deadline: Instant) -> Self {
+    pub fn new(body: CallBody, running: RunningRequest, deadline: Instant) -> Self {
         let deadline = Box::pin(sleep_until(deadline.into()));
-        let mut guarded = Self { body, on_target: Some(on_target), deadline };
+        let mut guarded = Self { body, running: Some(running), deadline };
         if guarded.body.is_end_stream() {
-            guarded.end(OnTarget::done);
+            guarded.finish_with(RunningRequest::finish);
         }
         guarded
     }
 
     fn note_progress(&self) {
-        if let Some(on_target) = &self.on_target {
-            on_target.slot.moved();
+        if let Some(running) = &self.running {
+            running.slot.record_progress();
         }
     }
 
-    fn end(&mut self, how: impl FnOnce(OnTarget)) {
-        if let Some(on_target) = self.on_target.take() {
-            how(on_target);
+    fn finish_with(&mut self, finish: impl FnOnce(RunningRequest)) {
+        if let Some(running) = self.running.take() {
+            finish(running);
         }
     }
 }
@@ -118,16 +118,16 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
-        if self.deadline.as_mut().poll(cx).is_ready() && self.on_target.is_some() {
-            self.end(OnTarget::late);
+        if self.deadline.as_mut().poll(cx).is_ready() && self.running.is_some() {
+            self.finish_with(RunningRequest::finish_late);
             return Poll::Ready(Some(Err(BodyError::DeadlinePassed)));
         }
         let frame = ready!(Pin::new(&mut self.body).poll_frame(cx));
         match &frame {
-            Some(Ok(_)) if self.body.is_end_stream() => self.end(OnTarget::done),
+            Some(Ok(_)) if self.body.is_end_stream() => self.finish_with(RunningRequest::finish),
             Some(Ok(_)) => self.note_progress(),
-            Some(Err(_)) => self.end(|on_target| drop(on_target.broke())),
-            None => self.end(OnTarget::done),
+            Some(Err(_)) => self.finish_with(|running| drop(running.finish_broken())),
+            None => self.finish_with(RunningRequest::finish),
         }
         Poll::Ready(frame)
     }
--- a/crates/yuccarackd/src/coordination/gate/mod.rs
+++ b/crates/yuccarackd/src/coordination/gate/mod.rs
@@ -4,11 +4,11 @@
 //! is proof that a request did not run.
 
 pub mod call;
-pub mod door;
+pub mod dispatch;
 pub mod guarded_body;
-pub mod hand_over;
 pub mod in_flight;
-mod permits;
+mod prerequisites;
+pub mod server;
 pub mod slots;
 pub mod target;
 
@@ -28,9 +28,9 @@
 
 use self::{
     call::GateCall,
-    hand_over::HandOver,
-    in_flight::InFlight,
-    permits::{Claimed, claim_request, release},
+    dispatch::Dispatch,
+    in_flight::InFlightRequests,
+    prerequisites::{ClaimResult, claim_request, release_claim},
     slots::SlotLease,
     target::GateTarget,
 };
@@ -81,11 +81,11 @@
 /// The gate of one target.
 pub struct Gate {
     parts: GateParts,
-    in_flight: InFlight,
+    in_flight: InFlightRequests,
     target: RwLock<Option<Arc<GateTarget>>>,
     draining: CancellationToken,
     /// Boot id of the last life whose death was laid to its requests.
-    blamed_life: Mutex<Option<u64>>,
+    blamed_boot_id: Mutex<Option<u64>>,
 }
 
 impl Gate {
@@ -93,24 +93,24 @@
     pub fn new(parts: GateParts) -> Self {
         Self {
             parts,
-            in_flight: InFlight::new(),
+            in_flight: InFlightRequests::new(),
             target: RwLock::new(None),
             draining: CancellationToken::new(),
-            blamed_life: Mutex::new(None),
+            blamed_boot_id: Mutex::new(None),
         }
     }
 
     /// Answers one request: the target's answer, or a refusal with what is proved.
     pub async fn handle(self: &Arc<Self>, call: GateCall) -> Response<CallBody> {
-        let mut answer = match self.run(call).await {
-            Ok(answer) => answer,
+        let mut response = match self.run(call).await {
+            Ok(response) => response,
             Err(refusal) => {
                 self.parts.counters.add_reason(REFUSED, refusal.reason.as_str());
                 refusal.into_response()
             }
         };
-        self.stamp(&mut answer);
-        answer
+        self.add_status_headers(&mut response);
+        response
     }
 
     /// Takes no new work from now on.
@@ -133,40 +133,42 @@
 
     /// Follows announcements and rules until `stop`.
     pub async fn follow(self: Arc<Self>, stop: CancellationToken) {
-        let mut announced = self.parts.own_target.subscribe();
+        let mut announcements = self.parts.own_target.subscribe();
         let mut rules = self.parts.directory.subscribe();
         loop {
-            self.take_changes(&stop).await;
+            self.apply_changes(&stop).await;
             tokio::select! {
-                changed = announced.changed() => if changed.is_err() { return },
+                changed = announcements.changed() => if changed.is_err() { return },
                 changed = rules.changed() => if changed.is_err() { return },
                 () = stop.cancelled() => return,
             }
         }
     }
 
-    async fn take_changes(&self, stop: &CancellationToken) {
+    async fn apply_changes(&self, stop: &CancellationToken) {
         let Some(view) = self.parts.own_target.current() else {
             return;
         };
         let service = view.announcement.service.as_str();
         self.parts.suspects.follow(service.to_owned());
-        let known = self.parts.directory.view(service);
-        let Some(rules) = known.as_ref().and_then(|known| known.rules.clone()) else {
+        let service_view = self.parts.directory.view(service);
+        let Some(rules) = service_view.as_ref().and_then(|service_view| service_view.rules.clone())
+        else {
             *self.target.write() = None;
             return;
         };
-        let has_alternatives = known.is_some_and(|known| self.has_others_ready(&known.members));
+        let has_alternatives = service_view
+            .is_some_and(|service_view| self.has_other_ready_target(&service_view.members));
         let old = self.target();
-        let same_life = old.filter(|old| old.is_same_process(&view));
-        if let Some(old) = same_life {
+        let same_process = old.filter(|old| old.is_same_process(&view));
+        if let Some(old) = same_process {
             let target = old.with_changes(view, rules);
             target.slots.set_alternatives(has_alternatives);
             *self.target.write() = Some(Arc::new(target));
             return;
         }
-        if let Some(dead) = self.target() {
-            self.blame_dead(&dead).await;
+        if let Some(previous) = self.target() {
+            self.blame_in_flight(&previous).await;
         }
         info!(self.parts.logger, "target taken in";
             "service" => service, "boot_id" => view.announcement.boot_id,
@@ -179,7 +181,7 @@
         *self.target.write() = Some(Arc::new(target));
     }
 
-    fn has_others_ready(&self, members: &[MemberRow]) -> bool {
+    fn has_other_ready_target(&self, members: &[MemberRow]) -> bool {
         let mut others = members.iter().filter(|member| member.instance != self.parts.instance);
         others.any(|member| member.state == TargetState::Ready)
     }
@@ -192,35 +194,35 @@
     /// Failure: each request that meets the dead port, and the new life's first announcement, find
     /// others that are only connecting or run on the new life already, and a bystander's trial
     /// among them is quarantined. So each life dies once.
-    async fn blame_dead(&self, target: &GateTarget) {
+    async fn blame_in_flight(&self, target: &GateTarget) {
         if target.view.state() != TargetState::Ready {
             // It said that it would leave, so its closed port is no death.
             return;
         }
-        let life = target.view.announcement.boot_id;
-        if self.blamed_life.lock().replace(life) == Some(life) {
+        let boot_id = target.view.announcement.boot_id;
+        if self.blamed_boot_id.lock().replace(boot_id) == Some(boot_id) {
             return;
         }
-        let dead = self.in_flight.take_dead(Instant::now());
-        if !dead.is_empty() {
-            self.target_died(dead).await;
+        let suspects = self.in_flight.take_crash_suspects(Instant::now());
+        if !suspects.is_empty() {
+            self.report_crash(suspects).await;
         }
     }
 
     async fn run(self: &Arc<Self>, mut call: GateCall) -> Result<Response<CallBody>, Refusal> {
         let target = self.ready_target(&call)?;
-        let (number, route) = target.route(call.method(), call.path())?;
+        let (route_index, route) = target.find_route(call.method(), call.path())?;
         // Failure: a file by which orders must not repeat any more is in force, one gate hasn't heard
         // of it, and a resend that lands there runs without a claim. So the stricter word counts, the
         // entry's or the gate's.
-        let repeatable = route.is_repeatable(call.method().as_str()) && !call.is_once();
+        let is_repeatable = route.is_repeatable(call.method().as_str()) && !call.is_once();
         let fingerprint = call.fingerprint().await?;
         let is_suspect = self.is_suspect(&call.head.service, fingerprint).await?;
-        let claim = match claim_request(&call, repeatable, fingerprint)? {
+        let claim = match claim_request(&call, is_repeatable, fingerprint)? {
             None => None,
             Some(request) => match self.claim(request).await? {
-                Claimed::Recorded(answer) => return Ok(answer),
-                Claimed::Mine(claim) => Some(claim),
+                ClaimResult::Recorded(response) => return Ok(response),
+                ClaimResult::Granted(claim) => Some(claim),
             },
         };
         // After the claim: a key that is taken needs no trial, and a claim that gets none is
@@ -231,19 +233,19 @@
         };
         let offer = Offer {
             caller: xxh3_64(call.head.caller.as_bytes()),
-            route: number,
+            route: route_index,
             deadline: call.deadline,
             alone: trial.is_some(),
         };
         let slot = match target.slots.admit(offer).await {
             Ok(slot) => slot,
             Err(refusal) => {
-                release(claim).await;
+                release_claim(claim).await;
                 return Err(Refusal::not_run(Reason::Admission(refusal.reason.as_str()))
                     .with_retry_after(refusal.retry_after));
             }
         };
-        self.hand_over(target.clone(), call, fingerprint, slot, trial, claim).await
+        self.dispatch(target.clone(), call, fingerprint, slot, trial, claim).await
     }
 
     fn ready_target(&self, call: &GateCall) -> Result<Arc<GateTarget>, Refusal> {
@@ -259,7 +261,7 @@
         Ok(target)
     }
 
-    async fn hand_over(
+    async fn dispatch(
         self: &Arc<Self>,
         target: Arc<GateTarget>,
         call: GateCall,
@@ -268,33 +270,37 @@
         trial: Option<Trial>,
         claim: Option<Claim>,
     ) -> Result<Response<CallBody>, Refusal> {
-        let hand_over = HandOver {
+        let dispatch = Dispatch {
             gate: Arc::clone(self),
             target,
-            flight: in_flight::Flight { fingerprint, alone: trial.is_some() },
+            in_flight_request: in_flight::InFlightRequest {
+                fingerprint,
+                is_alone: trial.is_some(),
+            },
             slot,
             trial,
         };
         match claim {
-            None => hand_over.run(call).await,
-            Some(claim) => hand_over.run_claimed(call, claim).await,
+            None => dispatch.run(call).await,
+            Some(claim) => dispatch.run_claimed(call, claim).await,
         }
     }
 
     /// Tells all members of the service which requests were on the target when it died.
-    async fn target_died(&self, dead: Vec<in_flight::Flight>) {
+    async fn report_crash(&self, suspects: Vec<in_flight::InFlightRequest>) {
         let Some(service) = self.parts.directory.own_service() else {
             return;
         };
         self.parts.counters.add("gate.target_died");
-        info!(self.parts.logger, "target died"; "service" => &service, "in_flight" => dead.len());
-        let flights = dead.into_iter().map(|flight| (flight.fingerprint, flight.alone)).collect();
-        self.parts.suspects.target_died(&service, flights).await;
+        info!(self.parts.logger, "target died"; "service" => &service, "in_flight" => suspects.len());
+        let fingerprints =
+            suspects.into_iter().map(|suspect| (suspect.fingerprint, suspect.is_alone)).collect();
+        self.parts.suspects.target_died(&service, fingerprints).await;
     }
 
     /// Load and rules revision travel with every answer, so that they cost no message of their own.
-    fn stamp(&self, answer: &mut Response<CallBody>) {
-        let map = answer.headers_mut();
+    fn add_status_headers(&self, response: &mut Response<CallBody>) {
+        let map = response.headers_mut();
         forwarding::set_header(map, headers::INSTANCE, &self.parts.instance);
         if let Some(target) = self.target() {
             forwarding::set_header(map, headers::LOAD, &target.slots.load().to_string());
@@ -305,7 +311,7 @@
 }
 
 /// Says of a failure on the way to the target what is proved.
-fn unsent(reason: Reason, is_not_sent: bool) -> Refusal {
+fn send_error_refusal(reason: Reason, is_not_sent: bool) -> Refusal {
     let outcome = if is_not_sent { Outcome::NotRun } else { Outcome::Unknown };
     Refusal { reason, outcome, retry_after: None }
 }
--- a/crates/yuccarackd/src/coordination/gate/permits.rs
+++ b/crates/yuccarackd/src/coordination/gate/prerequisites.rs
@@ -21,8 +21,8 @@
 };
 
 /// The claim of a request, or the answer that makes one needless.
-pub(super) enum Claimed {
-    Mine(Claim),
+pub(super) enum ClaimResult {
+    Granted(Claim),
     Recorded(Response<CallBody>),
 }
 
@@ -75,10 +75,10 @@
     ///
     /// Before it gets a slot, so that a slow store never holds the slots of requests that need no
     /// claim.
-    pub(super) async fn claim(&self, request: ClaimRequest) -> Result<Claimed, Refusal> {
+    pub(super) async fn claim(&self, request: ClaimRequest) -> Result<ClaimResult, Refusal> {
         match self.parts.claims.claim(request).await {
-            ClaimVerdict::Mine(claim) => Ok(Claimed::Mine(claim)),
-            ClaimVerdict::Recorded(outcome) => Ok(Claimed::Recorded(replay(outcome)?)),
+            ClaimVerdict::Mine(claim) => Ok(ClaimResult::Granted(claim)),
+            ClaimVerdict::Recorded(outcome) => Ok(ClaimResult::Recorded(replay_response(outcome)?)),
             ClaimVerdict::InProgress => {
                 Err(Refusal::unknown(Reason::InProgress).with_retry_after(NOT_READY_RETRY_AFTER))
             }
@@ -91,7 +91,7 @@
 }
 
 /// Gives a claim back before its request is told that it did not run.
-pub(super) async fn release(claim: Option<Claim>) {
+pub(super) async fn release_claim(claim: Option<Claim>) {
     if let Some(claim) = claim {
         claim.release_seen().await;
     }
@@ -100,10 +100,10 @@
 /// The claim that a request needs before it may run; none for one that may repeat.
 pub(super) fn claim_request(
     call: &GateCall,
-    repeatable: bool,
+    is_repeatable: bool,
     fingerprint: Fingerprint,
 ) -> Result<Option<ClaimRequest>, Refusal> {
-    if repeatable {
+    if is_repeatable {
         return Ok(None);
     }
     let Some(key) = call.head.key.clone() else {
@@ -122,20 +122,20 @@
 ///
 /// Failure: an answer too large to keep is replayed without its body, and its caller takes an
 /// empty success for the whole answer. So such a run is only told of.
-fn replay(outcome: RecordedOutcome) -> Result<Response<CallBody>, Refusal> {
+fn replay_response(outcome: RecordedOutcome) -> Result<Response<CallBody>, Refusal> {
     let Some(bytes) = outcome.body else {
         let outcome = Outcome::Run;
         return Err(Refusal { reason: Reason::ResponseNotStored, outcome, retry_after: None });
     };
     let body = body::full(bytes.into());
-    let mut answer = Response::new(body);
+    let mut response = Response::new(body);
     if let Ok(status) = http::StatusCode::from_u16(outcome.status) {
-        *answer.status_mut() = status;
+        *response.status_mut() = status;
     }
-    let map = answer.headers_mut();
+    let map = response.headers_mut();
     map.insert(headers::REPLAYED, HeaderValue::from_static("true"));
     if let Some(content_type) = outcome.content_type {
         forwarding::set_header(map, "content-type", &content_type);
     }
-    Ok(answer)
+    Ok(response)
 }
--- a/crates/yuccarackd/src/coordination/gate/door.rs
+++ b/crates/yuccarackd/src/coordination/gate/server.rs
@@ -16,18 +16,18 @@
 };
 
 /// Reads what other daemons send and passes it to the gate.
-pub struct GateDoor {
+pub struct GateServer {
     gate: Arc<Gate>,
 }
 
-impl GateDoor {
+impl GateServer {
     /// Makes the door of `gate`.
     pub fn new(gate: Arc<Gate>) -> Self {
         Self { gate }
     }
 }
 
-impl CallHandler for GateDoor {
+impl CallHandler for GateServer {
     async fn handle(
         self: Arc<Self>,
         arrival: Arrival,
--- a/crates/yuccarackd/src/coordination/gate/slots.rs
+++ b/crates/yuccarackd/src/coordination/gate/slots.rs
@@ -68,15 +68,15 @@
     pub async fn admit(&self, offer: Offer) -> Result<SlotLease, Refusal> {
         let (key, settled) = match self.offer(offer) {
             Ok(lease) => return Ok(lease),
-            Err(Waiting::Refused(refusal)) => return Err(refusal),
-            Err(Waiting::Queued(key, settled)) => (key, settled),
+            Err(NotStarted::Refused(refusal)) => return Err(refusal),
+            Err(NotStarted::Queued(key, settled)) => (key, settled),
         };
-        let place = QueuePlace { slots: self.clone(), key: Some(key), settled };
-        place.settle().await
+        let waiter = Waiter { slots: self.clone(), key: Some(key), settled };
+        waiter.settle().await
     }
 
     /// Notes that a piece of a long request or answer has passed.
-    pub fn moved(&self, key: RunKey) {
+    pub fn record_progress(&self, key: RunKey) {
         self.shared.state.lock().admission.moved(Instant::now(), key);
     }
 
@@ -103,17 +103,17 @@
         }
     }
 
-    fn offer(&self, offer: Offer) -> Result<SlotLease, Waiting> {
+    fn offer(&self, offer: Offer) -> Result<SlotLease, NotStarted> {
         let mut state = self.shared.state.lock();
         match state.admission.offer(Instant::now(), offer) {
             Offered::Run(key) => Ok(SlotLease::new(self.clone(), key)),
-            Offered::Refused(refusal) => Err(Waiting::Refused(refusal)),
+            Offered::Refused(refusal) => Err(NotStarted::Refused(refusal)),
             Offered::Wait(key) => {
                 let (sender, settled) = oneshot::channel();
                 state.waiting.insert(key, sender);
                 drop(state);
                 self.shared.changed.notify_one();
-                Err(Waiting::Queued(key, settled))
+                Err(NotStarted::Queued(key, settled))
             }
         }
     }
@@ -141,14 +141,14 @@
                 return;
             }
             for settled in settled {
-                self.tell(now, settled);
+                self.notify_waiter(now, settled);
             }
         }
     }
 
-    fn tell(&mut self, now: Instant, settled: Settled) {
+    fn notify_waiter(&mut self, now: Instant, settled: Settled) {
         match settled {
-            Settled::Run(wait, run) => self.hand_slot(now, wait, run),
+            Settled::Run(wait, run) => self.assign_slot(now, wait, run),
             Settled::Refused(wait, refusal) => {
                 if let Some(waiter) = self.waiting.remove(&wait) {
                     let _ = waiter.send(Err(refusal));
@@ -158,30 +158,30 @@
     }
 
     /// A waiter that has just gone away can't take its slot; nobody else would ever release it.
-    fn hand_slot(&mut self, now: Instant, wait: WaitKey, run: RunKey) {
-        let taken = match self.waiting.remove(&wait) {
+    fn assign_slot(&mut self, now: Instant, wait: WaitKey, run: RunKey) {
+        let is_delivered = match self.waiting.remove(&wait) {
             Some(waiter) => waiter.send(Ok(run)).is_ok(),
             None => false,
         };
-        if !taken {
+        if !is_delivered {
             self.admission.release(now, run, RunEnd::Cancelled);
         }
     }
 }
 
-enum Waiting {
+enum NotStarted {
     Refused(Refusal),
     Queued(WaitKey, oneshot::Receiver<Settlement>),
 }
 
 /// A place in the queue; dropping it, as a caller's hang-up does, gives it up.
-struct QueuePlace {
+struct Waiter {
     slots: Slots,
     key: Option<WaitKey>,
     settled: oneshot::Receiver<Settlement>,
 }
 
-impl QueuePlace {
+impl Waiter {
     async fn settle(mut self) -> Result<SlotLease, Refusal> {
         let settled = (&mut self.settled).await;
         self.key = None;
@@ -194,7 +194,7 @@
     }
 }
 
-impl Drop for QueuePlace {
+impl Drop for Waiter {
     fn drop(&mut self) {
         let Some(key) = self.key.take() else {
             return;
@@ -224,40 +224,40 @@
     }
 
     /// Notes that a piece of a long request or answer has passed.
-    pub fn moved(&self) {
+    pub fn record_progress(&self) {
         if let Some(key) = self.key {
-            self.slots.moved(key);
+            self.slots.record_progress(key);
         }
     }
 
     /// Tells of pieces that pass while the slot itself is held elsewhere.
-    pub fn movement(&self) -> impl Fn() + Send + use<> {
+    pub fn progress_callback(&self) -> impl Fn() + Send + use<> {
         let (slots, key) = (self.slots.clone(), self.key);
         move || {
             if let Some(key) = key {
-                slots.moved(key);
+                slots.record_progress(key);
             }
         }
     }
 
     /// Gives the slot back after the target's answer.
-    pub fn done(mut self) {
+    pub fn finish(mut self) {
         let took = self.started_at.elapsed();
-        self.end(RunEnd::Done { took });
+        self.release(RunEnd::Done { took });
     }
 
     /// Gives the slot back after the target failed.
-    pub fn failed(mut self) {
+    pub fn finish_failed(mut self) {
         let took = self.started_at.elapsed();
-        self.end(RunEnd::Failed { took });
+        self.release(RunEnd::Failed { took });
     }
 
     /// Gives the slot back after the target shed the request.
-    pub fn shed(mut self) {
-        self.end(RunEnd::Shed);
+    pub fn finish_shed(mut self) {
+        self.release(RunEnd::Shed);
     }
 
-    fn end(&mut self, end: RunEnd) {
+    fn release(&mut self, end: RunEnd) {
         if let Some(key) = self.key.take() {
             self.slots.release(key, end);
         }
@@ -266,6 +266,6 @@
 
 impl Drop for SlotLease {
     fn drop(&mut self) {
-        self.end(RunEnd::Cancelled);
+        self.release(RunEnd::Cancelled);
     }
 }
--- a/crates/yuccarackd/src/coordination/gate/target.rs
+++ b/crates/yuccarackd/src/coordination/gate/target.rs
@@ -38,7 +38,7 @@
     }
 
     /// Uses only `usable` of the announced slots, until the next announcement or rules.
-    pub fn use_slots(&self, usable: u16) {
+    pub fn limit_slots(&self, usable: u16) {
         self.slots.configure(admission_config(usable, &self.rules));
     }
 
@@ -74,7 +74,7 @@
     /// # Errors
     ///
     /// A refusal when no route takes it.
-    pub fn route(&self, method: &Method, path: &str) -> Result<(usize, &RouteRules), Refusal> {
+    pub fn find_route(&self, method: &Method, path: &str) -> Result<(usize, &RouteRules), Refusal> {
         let mut routes = self.rules.routes.iter().enumerate();
         routes
             .find(|(_, route)| route.matches(method.as_str(), path))
@@ -83,11 +83,11 @@
 }
 
 fn admission_config(slots: u16, rules: &ServiceRules) -> AdmissionConfig {
-    let shares = rules.routes.iter();
+    let routes = rules.routes.iter();
     AdmissionConfig {
         slots,
         limits: rules.limits.clone(),
-        routes: shares
+        routes: routes
             .map(|route| RouteShare { slot_share_percent: route.slot_share_percent })
             .collect(),
     }
--- a/crates/yuccarackd/src/coordination/measuring.rs
+++ b/crates/yuccarackd/src/coordination/measuring.rs
@@ -110,6 +110,6 @@
         if usable < slots {
             self.counters.add("measuring.slots_lowered");
         }
-        target.use_slots(usable);
+        target.limit_slots(usable);
     }
 }
--- a/crates/yuccarackd/src/coordination/routed/entry/attempts.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/attempts.rs
@@ -17,7 +17,7 @@
 };
 use crate::{
     coordination::{
-        entry::fate::Fate,
+        entry::outcome_tracker::OutcomeTracker,
         routed::{gate::GateRequest, log_lines::AttemptEnded},
     },
     protocol::{
@@ -34,7 +34,7 @@
     entry: &'a RoutedEntry,
     call: RoutedCall,
     service: Arc<RoutedService>,
-    fate: &'a Fate,
+    tracker: &'a OutcomeTracker,
     gates: &'a AttemptedGates,
     asked: Asked,
     /// Number of targets that may have run the request.
@@ -57,14 +57,14 @@
         entry: &'a RoutedEntry,
         call: RoutedCall,
         service: Arc<RoutedService>,
-        fate: &'a Fate,
+        tracker: &'a OutcomeTracker,
         gates: &'a AttemptedGates,
     ) -> Self {
         Self {
             entry,
             call,
             service,
-            fate,
+            tracker,
             gates,
             asked: Asked::default(),
             targets_run: 0,
@@ -170,7 +170,7 @@
 
     async fn send(&mut self, gate: &ChosenGate) -> Reply {
         let sent = SentAttempt { service: Arc::clone(&self.service), key: gate.key, end: None };
-        self.fate.sent();
+        self.tracker.record_sent();
         self.gates.start(&gate.member.instance);
         let now = Instant::now();
         let settings = self.entry.parts.settings.current();
@@ -185,7 +185,7 @@
         if let Reply::Refused(refusal) = &reply
             && refusal.is_not_run()
         {
-            self.fate.proved_not_run();
+            self.tracker.record_not_run();
             self.record_retry_after(refusal);
         }
         sent.finish(reply.to_try_end());
--- a/crates/yuccarackd/src/coordination/routed/entry/mod.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/mod.rs
@@ -37,7 +37,7 @@
 };
 use super::{deadline::CallDeadline, events::EventLog, gate::Gate, peers::Peers};
 use crate::{
-    coordination::entry::fate::Fate,
+    coordination::entry::outcome_tracker::OutcomeTracker,
     protocol::{
         body::{CallBody, SendableBody, limited},
         refusal::{Reason, Refusal},
@@ -236,14 +236,14 @@
     ) -> Result<Response<CallBody>, Refusal> {
         let service = self.service(&call.service);
         service.record_request();
-        let fate = Fate::new();
+        let tracker = OutcomeTracker::new();
         let deadline = call.deadline.at();
-        let attempts = Attempts::new(self, call, service, &fate, gates);
+        let attempts = Attempts::new(self, call, service, &tracker, gates);
         match timeout_at(deadline.into(), attempts.run()).await {
             Ok(Ok(response)) => Ok(response),
-            Ok(Err(refusal)) => Err(Refusal { outcome: fate.outcome(), ..refusal }),
+            Ok(Err(refusal)) => Err(Refusal { outcome: tracker.outcome(), ..refusal }),
             Err(_) => {
-                let outcome = fate.outcome();
+                let outcome = tracker.outcome();
                 Err(Refusal { outcome, ..Refusal::unknown(Reason::DeadlinePassed) })
             }
         }
--- a/crates/yuccarackd/src/daemon/assembly.rs
+++ b/crates/yuccarackd/src/daemon/assembly.rs
@@ -13,7 +13,7 @@
         claims::ClaimKeeper,
         control_plane::ControlPlane,
         entry::{Entry, EntryParts},
-        gate::{Gate, GateParts, door::GateDoor},
+        gate::{Gate, GateParts, server::GateServer},
         measuring::Measuring,
         suspects::SuspectKeeper,
     },
@@ -66,7 +66,7 @@
         Entry::new(EntryParts {
             instance: self.settings.instance.clone(),
             failure_domain: self.settings.failure_domain.clone(),
-            kept_body_max_bytes: self.settings.budgets.replay_body_max_bytes as usize,
+            buffered_body_max_bytes: self.settings.budgets.replay_body_max_bytes as usize,
             directory: control.directory.clone(),
             gate,
             upstream: self.upstream.clone(),
@@ -87,7 +87,7 @@
     pub fn serve_daemons(&self, listener: TcpListener, gate: Arc<Gate>) {
         let server = self.server(listener, "gate");
         let (tasks, stop) = (self.tasks.gate.clone(), self.stops.gate.clone());
-        self.tasks.rest.spawn(server.run(Arc::new(GateDoor::new(gate)), tasks, stop));
+        self.tasks.rest.spawn(server.run(Arc::new(GateServer::new(gate)), tasks, stop));
     }
 
     fn server(&self, listener: TcpListener, counter_group: &'static str) -> CallServer {
