--- a/crates/yuccarackd/src/coordination/routed/catch_up.rs
+++ b/crates/yuccarackd/src/coordination/routed/catch_up.rs
@@ -48,7 +48,7 @@
     pub async fn run(self) {
         loop {
             let notice = self.peers.next_newer_table().await;
-            if !notice.is_omitted && self.follower.news.source() != UpdateSource::Unassigned {
+            if !notice.is_omitted && self.follower.sync_state.source() != UpdateSource::Unassigned {
                 self.wait_for_update(notice.version).await;
             }
             self.fetch(notice).await;
@@ -102,7 +102,7 @@
     /// which retries it anyway.
     fn next_source(&self, source: Source) -> Source {
         match source {
-            Source::Peer if self.follower.news.source() != UpdateSource::Unassigned => {
+            Source::Peer if self.follower.sync_state.source() != UpdateSource::Unassigned => {
                 Source::Store
             }
             Source::Peer | Source::Store => Source::Peer,
--- a/crates/yuccarackd/src/coordination/routed/control_server.rs
+++ b/crates/yuccarackd/src/coordination/routed/control_server.rs
@@ -98,8 +98,8 @@
 
     fn record_heartbeat(&self, heartbeat: Heartbeat) -> StatusCode {
         let Heartbeat { target, life, sequence, service, phase, .. } = heartbeat.clone();
-        let heard = self.target.apply_heartbeat(Instant::now(), heartbeat);
-        if heard == HeartbeatEffect::Same {
+        let effect = self.target.apply_heartbeat(Instant::now(), heartbeat);
+        if effect == HeartbeatEffect::Same {
             return StatusCode::OK;
         }
         self.events.write(|| HeartbeatReceived {
@@ -108,9 +108,9 @@
             sequence,
             service,
             phase: format!("{phase:?}"),
-            heard: format!("{heard:?}"),
+            heard: format!("{effect:?}"),
         });
-        match heard {
+        match effect {
             // A success would promise the dead process something that has no effect.
             HeartbeatEffect::OlderLife => StatusCode::CONFLICT,
             HeartbeatEffect::TooSoon => StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/yuccarackd/src/coordination/routed/log_lines/cluster_state.rs
+++ b/crates/yuccarackd/src/coordination/routed/log_lines/cluster_state.rs
@@ -202,9 +202,9 @@
 }
 
 impl EvacuationChanged {
-    /// Builds the line of `dated`, which came `from` the store or another daemon.
-    pub fn new(dated: VersionedEvacuation, from: String) -> Self {
-        let VersionedEvacuation { failure_domain, revision, is_evacuated } = dated;
+    /// Builds the line of `evacuation`, which came `from` the store or another daemon.
+    pub fn new(evacuation: VersionedEvacuation, from: String) -> Self {
+        let VersionedEvacuation { failure_domain, revision, is_evacuated } = evacuation;
         Self { failure_domain, is_evacuated, revision, from }
     }
 }
--- a/crates/yuccarackd/src/coordination/routed/peers/intake.rs
+++ b/crates/yuccarackd/src/coordination/routed/peers/intake.rs
@@ -48,13 +48,13 @@
                 parts.events.write(|| RoutingInForce { version, revision: None, from, behind_ms });
             }
         }
-        for dated in update.evacuations {
-            if parts.evacuations.merge(&dated) {
-                parts.events.write(|| EvacuationChanged::new(dated, address.to_string()));
+        for evacuation in update.evacuations {
+            if parts.evacuations.merge(&evacuation) {
+                parts.events.write(|| EvacuationChanged::new(evacuation, address.to_string()));
             }
         }
-        for dated in update.members {
-            let VersionedMember { instance, revision, member } = dated;
+        for row in update.members {
+            let VersionedMember { instance, revision, member } = row;
             let service = member.as_ref().and_then(|member| member.service.clone());
             if parts.members.merge(&instance, revision, member) {
                 let (member, from) = (instance, "peer");
@@ -63,7 +63,7 @@
         }
         if let Some((revision, listed)) = listed {
             parts.members.drop_unlisted(revision, &listed);
-            parts.news.set_members_listed(revision);
+            parts.sync_state.set_members_listed(revision);
         }
     }
 
--- a/crates/yuccarackd/src/coordination/routed/peers/mod.rs
+++ b/crates/yuccarackd/src/coordination/routed/peers/mod.rs
@@ -114,7 +114,7 @@
     /// Evacuated failure domains.
     pub evacuations: Evacuations,
     /// Source of this daemon's updates.
-    pub news: SyncState,
+    pub sync_state: SyncState,
     /// Transfers of the routing table in progress.
     pub transfers: Transfers,
     /// Cancelled once this daemon is told to stop.
@@ -167,7 +167,7 @@
     /// Queries peers while the store is unavailable, and checks against other relays while it is
     /// available.
     pub async fn run(self, stop: CancellationToken) {
-        let mut source_changes = self.inner.parts.news.subscribe();
+        let mut source_changes = self.inner.parts.sync_state.subscribe();
         loop {
             let source = *source_changes.borrow_and_update();
             self.query_random_peer(source).await;
@@ -218,7 +218,7 @@
         if query.is_streaming {
             return Response::new(RelayStream::new(self.clone(), query).into_body());
         }
-        match serde_json::to_vec(&self.update_for(&query, parts.news.synced_for_relay())) {
+        match serde_json::to_vec(&self.update_for(&query, parts.sync_state.synced_for_relay())) {
             Ok(json) => Response::new(body::full(json.into())),
             Err(error) => {
                 parts.events.write(|| UpdateNotEncoded { cause: error.to_string() });
@@ -248,7 +248,7 @@
         // Rows that were removed before this daemon listed the members are not among its known
         // changes.
         let after = query.members_after;
-        let knows_changes = |after: Revision| parts.news.knows_removals_after(after);
+        let knows_changes = |after: Revision| parts.sync_state.knows_removals_after(after);
         let is_whole = known.is_some() && after.is_some_and(|after| !knows_changes(after));
         let after = if is_whole { Some(0) } else { after };
         let members = after.map(|after| parts.members.changed_after(after));
@@ -294,7 +294,7 @@
         // Without the store this query is sent twice a second; a list of all members each time
         // would fill thin links.
         let members_synced_to =
-            self.inner.parts.news.synced_up_to(FollowedTable::Members).unwrap_or(0);
+            self.inner.parts.sync_state.synced_up_to(FollowedTable::Members).unwrap_or(0);
         let routing_version = match self.inner.needs_full_routing.load(Ordering::Relaxed) {
             true => 0,
             false => self.inner.parts.routing.version(),
--- a/crates/yuccarackd/src/coordination/routed/relay_follower.rs
+++ b/crates/yuccarackd/src/coordination/routed/relay_follower.rs
@@ -155,7 +155,7 @@
         loop {
             changes.borrow_and_update();
             let Standing::IsTold(relays) = self.standing() else {
-                self.peers.parts().news.set_queries_store(true);
+                self.peers.parts().sync_state.set_queries_store(true);
                 if changes.changed().await.is_err() {
                     return;
                 }
@@ -193,15 +193,15 @@
     /// Lets the store be queried in place of relays; while those are reachable, only at this
     /// daemon's turn. Returns when to go on.
     async fn query_store_without_relay(&mut self, none: NoRelayAvailable) -> Instant {
-        let news = self.peers.parts().news.clone();
-        let is_served = news.queries_store() && news.source() == UpdateSource::Store;
+        let sync_state = self.peers.parts().sync_state.clone();
+        let is_served = sync_state.queries_store() && sync_state.source() == UpdateSource::Store;
         let has_routes = self.peers.parts().routing.version() > 0;
         if is_served || !none.are_unserved || !has_routes {
-            news.set_queries_store(true);
+            sync_state.set_queries_store(true);
             return none.retry_at;
         }
-        news.set_queries_store(false);
-        news.set_source(UpdateSource::Unassigned);
+        sync_state.set_queries_store(false);
+        sync_state.set_source(UpdateSource::Unassigned);
         let interval = store_look_interval(self.domain_size());
         let now = Instant::now();
         let new_period =
@@ -213,7 +213,7 @@
         unserved.poll_at = now + jittered(interval);
         if self.store.row(MEMBERS_TABLE, &self.instance).await.is_ok() {
             // Other daemons find out by querying all daemons that they know.
-            news.set_queries_store(true);
+            sync_state.set_queries_store(true);
         }
         none.retry_at
     }
@@ -254,7 +254,7 @@
         parts.counters.add("relay.lost");
         let cause = error.to_string();
         parts.events.write(|| RelayLost { relay: relay.clone(), cause });
-        if parts.news.source() == UpdateSource::Relay {
+        if parts.sync_state.source() == UpdateSource::Relay {
             self.unserved = None;
         }
         let is_unserved = matches!(error, RelayError::NotRelay);
@@ -279,8 +279,8 @@
         if let Ok(result) = timeout_at(self.relays_only_until, &mut lines).await {
             return result;
         }
-        if parts.routing.version() == 0 && parts.news.source() != UpdateSource::Relay {
-            parts.news.set_queries_store(true);
+        if parts.routing.version() == 0 && parts.sync_state.source() != UpdateSource::Relay {
+            parts.sync_state.set_queries_store(true);
         }
         lines.await
     }
@@ -289,7 +289,7 @@
         let parts = self.peers.parts();
         let query = UpdateRequest {
             routing_version: parts.routing.version(),
-            members_after: Some(parts.news.synced_up_to(FollowedTable::Members).unwrap_or(0)),
+            members_after: Some(parts.sync_state.synced_up_to(FollowedTable::Members).unwrap_or(0)),
             is_streaming: true,
             changes: AcceptedChanges::Small,
         };
@@ -317,9 +317,9 @@
             }
             // The update of a daemon that is no relay is valid all the same, but no more will follow.
             let known = known.ok_or(RelayError::NotRelay)?;
-            parts.news.note_relay_synced(known, parts.routing.version() >= version);
-            parts.news.set_queries_store(false);
-            if parts.news.set_source(UpdateSource::Relay) != UpdateSource::Relay {
+            parts.sync_state.note_relay_synced(known, parts.routing.version() >= version);
+            parts.sync_state.set_queries_store(false);
+            if parts.sync_state.set_source(UpdateSource::Relay) != UpdateSource::Relay {
                 parts.events.write(|| RelayConnected { relay: relay.to_owned() });
             }
             if self.standing() == Standing::Asks {
--- a/crates/yuccarackd/src/coordination/routed/relay_stream.rs
+++ b/crates/yuccarackd/src/coordination/routed/relay_stream.rs
@@ -62,9 +62,9 @@
     pub fn new(peers: Peers, query: UpdateRequest) -> Self {
         let parts = peers.parts();
         parts.counters.add("relay.asked");
-        let (routing, known) = (parts.routing.subscribe(), parts.news.subscribe_synced());
+        let (routing, known) = (parts.routing.subscribe(), parts.sync_state.subscribe_synced());
         let evacuations = parts.evacuations.subscribe();
-        let source = parts.news.subscribe();
+        let source = parts.sync_state.subscribe();
         let (is_first, has_ended) = (true, false);
         Self { peers, query, routing, evacuations, known, source, is_first, has_ended }
     }
@@ -90,7 +90,8 @@
             return Some(Bytes::from_static(b"\n"));
         }
         let is_leaving = self.peers.parts().leaving.is_cancelled();
-        let known = if is_leaving { None } else { self.peers.parts().news.synced_for_relay() };
+        let known =
+            if is_leaving { None } else { self.peers.parts().sync_state.synced_for_relay() };
         let mut update = self.peers.update_for(&self.query, known);
         update.routing.take_if(|table| table.routes.len() > FULL_TABLE_ROUTES_MAX);
         self.has_ended = update.known.is_none();
@@ -114,9 +115,10 @@
             0 => START_WAIT_MAX_WITHOUT_ROUTES,
             _ => START_WAIT_MAX,
         };
-        let (news, leaving) = (self.peers.parts().news.clone(), self.peers.parts().leaving.clone());
+        let (sync_state, leaving) =
+            (self.peers.parts().sync_state.clone(), self.peers.parts().leaving.clone());
         let started = async {
-            while news.is_starting() {
+            while sync_state.is_starting() {
                 tokio::select! {
                     () = leaving.cancelled() => return,
                     _ = self.known.changed() => {}
--- a/crates/yuccarackd/src/coordination/routed/store_follower.rs
+++ b/crates/yuccarackd/src/coordination/routed/store_follower.rs
@@ -96,7 +96,7 @@
     /// Log for changes and store failures.
     pub events: EventLog,
     /// Source of this daemon's updates, and the revision up to which each table is synced.
-    pub news: SyncState,
+    pub sync_state: SyncState,
     /// Time of the store's last response.
     pub last_response: LastStoreResponse,
     /// Transfers of the routing table in progress.
@@ -160,7 +160,7 @@
         sleep_until(self.first_read_at).await;
         let mut retry = RETRY_FIRST;
         while let Err(error) = self.query_members().await {
-            self.news.set_queries_store(false);
+            self.sync_state.set_queries_store(false);
             self.mark_unavailable(FollowedTable::Members, &error);
             sleep(jittered(retry)).await;
             retry = (retry * 2).min(self.retry_max());
@@ -179,7 +179,7 @@
         if let Ok(result) = timeout(PROMPT_RESPONSE_MAX, &mut poll).await {
             return result;
         }
-        self.news.set_queries_store(true);
+        self.sync_state.set_queries_store(true);
         poll.await
     }
 
@@ -204,9 +204,9 @@
         loop {
             tokio::select! {
                 () = stop.cancelled() => return,
-                () = self.news.wait_queries_store(true) => {}
+                () = self.sync_state.wait_queries_store(true) => {}
             }
-            let wait = match self.news.source() {
+            let wait = match self.sync_state.source() {
                 UpdateSource::Store if Instant::now() >= cautious_until => FEED_WAIT,
                 UpdateSource::Store => FEED_WAIT_CAUTIOUS,
                 UpdateSource::Relay | UpdateSource::Unassigned => FEED_WAIT_FIRST,
@@ -214,7 +214,7 @@
             let result = tokio::select! {
                 () = stop.cancelled() => return,
                 // A relay sends what the cancelled poll has not returned yet.
-                () = self.news.wait_queries_store(false) => continue,
+                () = self.sync_state.wait_queries_store(false) => continue,
                 result = self.poll(table, wait) => result,
             };
             let pause = match result {
@@ -226,7 +226,7 @@
                 Err(error) => {
                     if matches!(error, FeedError::HistoryLost) {
                         // Only a full read of the table shows what was missed.
-                        self.news.set_synced_up_to(table, None);
+                        self.sync_state.set_synced_up_to(table, None);
                     }
                     self.mark_unavailable(table, &error);
                     cautious_until = Instant::now() + CAUTIOUS_PERIOD;
@@ -257,33 +257,33 @@
                 transfer.record_bytes(bytes);
             }
         };
-        let Some(after) = self.news.synced_up_to(table) else {
+        let Some(after) = self.sync_state.synced_up_to(table) else {
             let snapshot = self.store.read(table_name(table), on_bytes).await?;
             let revision = snapshot.revision;
             match table {
                 FollowedTable::Routing => self.apply_full_routing(snapshot),
                 FollowedTable::Members => self.apply_full_members(snapshot),
             }
-            self.news.set_synced_up_to(table, Some(revision));
+            self.sync_state.set_synced_up_to(table, Some(revision));
             return Ok(table == FollowedTable::Members);
         };
         let changes = self.store.changes(table_name(table), after, wait, on_bytes).await?;
         let has_changes = !changes.rows.is_empty();
         changes.rows.into_iter().for_each(|row| self.apply_row(table, row));
-        self.news.set_synced_up_to(table, Some(changes.revision.max(after)));
+        self.sync_state.set_synced_up_to(table, Some(changes.revision.max(after)));
         Ok(has_changes)
     }
 
     fn mark_available(&self, table: FollowedTable) {
         self.last_response.record();
-        if self.news.set_source(UpdateSource::Store) == UpdateSource::Unassigned {
+        if self.sync_state.set_source(UpdateSource::Store) == UpdateSource::Unassigned {
             self.events.write(|| StoreAvailable { table: table_name(table) });
         }
     }
 
     fn mark_unavailable(&self, table: FollowedTable, error: &FeedError) {
         self.counters.add("store.failures");
-        if self.news.set_source(UpdateSource::Unassigned) != UpdateSource::Unassigned {
+        if self.sync_state.set_source(UpdateSource::Unassigned) != UpdateSource::Unassigned {
             let (table, cause) = (table_name(table), error.to_string());
             self.events.write(|| StoreUnavailable { table, cause });
         }
--- a/crates/yuccarackd/src/coordination/routed/store_follower/intake.rs
+++ b/crates/yuccarackd/src/coordination/routed/store_follower/intake.rs
@@ -26,7 +26,7 @@
         let listed: Vec<_> = snapshot.rows.iter().map(|row| row.key.clone()).collect();
         snapshot.rows.into_iter().for_each(|row| self.apply_member_row(row));
         self.members.drop_unlisted(snapshot.revision, &listed);
-        self.news.set_members_listed(snapshot.revision);
+        self.sync_state.set_members_listed(snapshot.revision);
         self.members.mark_loaded();
     }
 
@@ -40,9 +40,9 @@
         }
     }
 
-    fn apply_evacuation(&self, dated: VersionedEvacuation) {
-        if self.evacuations.merge(&dated) {
-            self.events.write(|| EvacuationChanged::new(dated, STORE.to_owned()));
+    fn apply_evacuation(&self, evacuation: VersionedEvacuation) {
+        if self.evacuations.merge(&evacuation) {
+            self.events.write(|| EvacuationChanged::new(evacuation, STORE.to_owned()));
         }
     }
 
--- a/crates/yuccarackd/src/coordination/routed/sweeper.rs
+++ b/crates/yuccarackd/src/coordination/routed/sweeper.rs
@@ -43,7 +43,7 @@
     /// Members known to this daemon.
     pub members: Members,
     /// Source of this daemon's updates, which shows whether it queries the store.
-    pub news: SyncState,
+    pub sync_state: SyncState,
     /// Log for deleted rows.
     pub events: EventLog,
 }
@@ -54,7 +54,7 @@
         let mut absences = Absences::new(self.remove_after);
         loop {
             sleep(jittered(self.remove_after / PROBES_BEFORE_REMOVAL)).await;
-            if !self.news.queries_store() {
+            if !self.sync_state.queries_store() {
                 absences = Absences::new(self.remove_after);
                 continue;
             }
--- a/crates/yuccarackd/src/daemon/routed/wiring.rs
+++ b/crates/yuccarackd/src/daemon/routed/wiring.rs
@@ -92,16 +92,16 @@
     pub(super) fn start_state(&self) -> (Peers, RowPublisher) {
         let platform = PlatformClient::new(self.settings.current().store_address, RESPONSE_TIMEOUT);
         let store = StoreClient::new(platform, self.counters.clone());
-        let (news, transfers) = (SyncState::new(), Transfers::new());
+        let (sync_state, transfers) = (SyncState::new(), Transfers::new());
         // Who is told by a relay is known with the members.
-        news.set_queries_store(false);
+        sync_state.set_queries_store(false);
         let settings = self.settings.current();
         let peers = Peers::new(PeersParts {
             own_address: settings.advertised_gate_address(),
             routing: self.routing.clone(),
             members: self.members.clone(),
             evacuations: self.evacuations.clone(),
-            news: news.clone(),
+            sync_state: sync_state.clone(),
             transfers: transfers.clone(),
             leaving: self.stops.leaving.clone(),
             upstream: self.upstream.clone(),
@@ -117,7 +117,7 @@
             evacuations: self.evacuations.clone(),
             counters: self.counters.clone(),
             events: self.events.clone(),
-            news,
+            sync_state,
             last_response: LastStoreResponse::new(),
             transfers,
             first_read_at: match settings.is_first_start {
@@ -143,8 +143,11 @@
         let (metrics, routing, age) = (&self.metrics, self.routing.clone(), self.routing.clone());
         let (newest, behind) = (self.routing.clone(), self.routing.clone());
         let (members, target) = (self.members.clone(), self.target.clone());
-        let (news, told, last_response) =
-            (follower.news.clone(), follower.news.clone(), follower.last_response.clone());
+        let (news, told, last_response) = (
+            follower.sync_state.clone(),
+            follower.sync_state.clone(),
+            follower.last_response.clone(),
+        );
         metrics.register_gauge(
             "routing_version",
             "Version of the routing table in force.",
@@ -222,7 +225,7 @@
             remove_after: Duration::from_millis(settings.bounds.gone_after_ms.into()),
             store: follower.store.clone(),
             members: follower.members.clone(),
-            news: follower.news.clone(),
+            sync_state: follower.sync_state.clone(),
             events: follower.events.clone(),
         }
     }
--- a/crates/yuccarackd/tests/catch_up.rs
+++ b/crates/yuccarackd/tests/catch_up.rs
@@ -125,23 +125,23 @@
     routing: RoutingState,
     peers: Peers,
     transfers: Transfers,
-    news: SyncState,
+    sync_state: SyncState,
     door: Door,
     catch_up: CatchUp,
 }
 
 async fn start_fetching(source: UpdateSource) -> FetchingDaemon {
-    let (routing, members, news) = (RoutingState::new(), Members::new(), SyncState::new());
+    let (routing, members, sync_state) = (RoutingState::new(), Members::new(), SyncState::new());
     let (counters, transfers) = (Counters::new(), Transfers::new());
     let events = EventLog::new(Logger::root(Discard, o!()), counters.clone(), 100);
-    news.set_source(source);
+    sync_state.set_source(source);
     let evacuations = Evacuations::new();
     let peers = Peers::new(PeersParts {
         own_address: ([127, 0, 0, 1], 9).into(),
         routing: routing.clone(),
         members: members.clone(),
         evacuations: evacuations.clone(),
-        news: news.clone(),
+        sync_state: sync_state.clone(),
         transfers: transfers.clone(),
         leaving: CancellationToken::new(),
         upstream: Upstream::new(TaskTracker::new()),
@@ -157,13 +157,13 @@
         evacuations,
         counters,
         events,
-        news: news.clone(),
+        sync_state: sync_state.clone(),
         last_response: LastStoreResponse::new(),
         transfers: transfers.clone(),
         first_read_at: tokio::time::Instant::now(),
     };
     let catch_up = CatchUp::new(peers.clone(), follower);
-    FetchingDaemon { routing, peers, transfers, news, door, catch_up }
+    FetchingDaemon { routing, peers, transfers, sync_state, door, catch_up }
 }
 
 /// Guards against a daemon that waits for the next change after a failed fetch.
@@ -269,7 +269,7 @@
 #[tokio::test]
 async fn a_daemon_without_the_store_requests_only_changed_members() {
     let daemon = start_fetching(UpdateSource::Unassigned).await;
-    daemon.news.set_synced_up_to(FollowedTable::Members, Some(7));
+    daemon.sync_state.set_synced_up_to(FollowedTable::Members, Some(7));
     let peer = Peer::start(0).await;
     daemon.peers.note_sender(peer.server.address());
     tokio::select! {
--- a/crates/yuccarackd/tests/relay_lines.rs
+++ b/crates/yuccarackd/tests/relay_lines.rs
@@ -32,24 +32,24 @@
 /// A relay that the store serves, and its update stream to one daemon.
 struct Relay {
     members: Members,
-    news: SyncState,
+    sync_state: SyncState,
     leaving: CancellationToken,
     lines: CallBody,
 }
 
 impl Relay {
     fn new() -> Self {
-        let (members, news) = (Members::new(), SyncState::new());
-        news.set_source(UpdateSource::Store);
-        news.set_synced_up_to(FollowedTable::Routing, Some(1));
-        news.set_synced_up_to(FollowedTable::Members, Some(1));
+        let (members, sync_state) = (Members::new(), SyncState::new());
+        sync_state.set_source(UpdateSource::Store);
+        sync_state.set_synced_up_to(FollowedTable::Routing, Some(1));
+        sync_state.set_synced_up_to(FollowedTable::Members, Some(1));
         let (counters, leaving) = (Counters::new(), CancellationToken::new());
         let peers = Peers::new(PeersParts {
             own_address: ([127, 0, 0, 1], 9).into(),
             routing: RoutingState::new(),
             members: members.clone(),
             evacuations: Evacuations::new(),
-            news: news.clone(),
+            sync_state: sync_state.clone(),
             transfers: Transfers::new(),
             leaving: leaving.clone(),
             upstream: Upstream::new(TaskTracker::new()),
@@ -63,7 +63,7 @@
             changes: AcceptedChanges::Small,
         };
         let lines = RelayStream::new(peers, query).into_body();
-        Self { members, news, leaving, lines }
+        Self { members, sync_state, leaving, lines }
     }
 
     /// Returns the next line; none at the end. An empty line is a keepalive.
@@ -82,7 +82,7 @@
 }
 
 /// Applies a member's row as if the store had returned it.
-fn change_member(members: &Members, news: &SyncState, revision: u64) {
+fn change_member(members: &Members, sync_state: &SyncState, revision: u64) {
     let member = RoutedMember {
         instance: "n1".to_owned(),
         failure_domain: "a".to_owned(),
@@ -90,7 +90,7 @@
         service: None,
     };
     members.merge("n1", revision, Some(member));
-    news.set_synced_up_to(FollowedTable::Members, Some(revision));
+    sync_state.set_synced_up_to(FollowedTable::Members, Some(revision));
 }
 
 /// Guards against a change that is lost when it arrives just before a keepalive is due. The relay
@@ -101,14 +101,14 @@
     for early_ms in 0..30 {
         let mut relay = Relay::new();
         assert!(relay.next_update().await.known.is_some());
-        let (members, news) = (relay.members.clone(), relay.news.clone());
+        let (members, sync_state) = (relay.members.clone(), relay.sync_state.clone());
         let receiving = async {
             let first = relay.next().await.expect("a line");
             if first != b"\n" { first } else { relay.next().await.expect("a line") }
         };
         let changing = async {
             sleep(RELAY_KEEPALIVE_INTERVAL - Duration::from_millis(early_ms)).await;
-            change_member(&members, &news, 7);
+            change_member(&members, &sync_state, 7);
         };
         let (line, ()) = tokio::join!(receiving, changing);
         let update: PeerUpdate = serde_json::from_slice(&line)
@@ -136,7 +136,7 @@
         match is_leaving {
             true => relay.leaving.cancel(),
             false => {
-                relay.news.set_source(UpdateSource::Unassigned);
+                relay.sync_state.set_source(UpdateSource::Unassigned);
             }
         }
         assert_eq!(relay.next_update().await.known, None);
