--- a/crates/yuccarackd/src/coordination/routed/gate/cold.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/cold.rs
@@ -38,7 +38,7 @@
             return None;
         }
         let age = match unix_ms() {
-            Ok(now_ms) => Duration::from_millis(now_ms.saturating_sub(view.life)),
+            Ok(now_ms) => Duration::from_millis(now_ms.saturating_sub(view.incarnation)),
             Err(error) => {
                 self.parts.events.write(|| ClockUnusable { cause: error.to_string() });
                 return None;
--- a/crates/yuccarackd/src/coordination/routed/gate/crash_tracker.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/crash_tracker.rs
@@ -116,7 +116,7 @@
         parts.counters.add("gate.target_died");
         parts.events.write(|| TargetDied {
             target: target.target.clone(),
-            life: target.life,
+            life: target.incarnation,
             fingerprint: format!("{fingerprint:016x}"),
         });
         self.inner.counts.lock().died(Instant::now().into(), fingerprint);
--- a/crates/yuccarackd/src/coordination/routed/gate/mod.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/mod.rs
@@ -310,7 +310,7 @@
         self.parts.events.write(|| TargetAdmitted {
             target: view.target.clone(),
             service: view.service.clone(),
-            life: view.life,
+            life: view.incarnation,
             slots: view.slots,
         });
         let added = Arc::new(self.activate_target(view, cold_rate));
--- a/crates/yuccarackd/src/protocol/body.rs
+++ b/crates/yuccarackd/src/protocol/body.rs
@@ -116,8 +116,8 @@
         if !is_buffered(parts, buffered_max_bytes) {
             return Ok(Self::Streamed(StreamedBody::new(body)));
         }
-        let read = BodyStart::read(body, buffered_max_bytes).await?;
-        Ok(Self::Buffered(read.start))
+        let received = BodyStart::read(body, buffered_max_bytes).await?;
+        Ok(Self::Buffered(received.start))
     }
 
     /// Returns the complete body if it is buffered.
--- a/crates/yuccarackd/src/protocol/peer_update.rs
+++ b/crates/yuccarackd/src/protocol/peer_update.rs
@@ -203,8 +203,8 @@
     /// Returns the ids of all members and the revision of that list; `None` if the list is
     /// incomplete.
     pub fn complete_as_of(&self) -> Option<(Revision, Vec<InstanceId>)> {
-        let known = self.known.as_ref().filter(|_| self.is_whole)?;
-        let listed = self.members.iter().filter(|dated| dated.member.is_some());
-        Some((known.members, listed.map(|dated| dated.instance.clone()).collect()))
+        let synced = self.known.as_ref().filter(|_| self.is_whole)?;
+        let listed = self.members.iter().filter(|row| row.member.is_some());
+        Some((synced.members, listed.map(|row| row.instance.clone()).collect()))
     }
 }
--- a/crates/yuccarackd/src/state/routed/evacuations.rs
+++ b/crates/yuccarackd/src/state/routed/evacuations.rs
@@ -17,7 +17,7 @@
 #[derive(Debug, Default)]
 struct Inner {
     /// Latest state of each failure domain, including cancelled evacuations.
-    known: RwLock<BTreeMap<DomainName, State>>,
+    states: RwLock<BTreeMap<DomainName, State>>,
     generation: watch::Sender<u64>,
 }
 
@@ -46,12 +46,12 @@
 
     /// Returns whether `domain` is evacuated, so that its targets receive no requests.
     pub fn is_evacuated(&self, domain: &str) -> bool {
-        self.inner.known.read().get(domain).is_some_and(|state| state.is_evacuated)
+        self.inner.states.read().get(domain).is_some_and(|state| state.is_evacuated)
     }
 
     /// Returns the number of evacuated failure domains.
     pub fn count(&self) -> usize {
-        self.inner.known.read().values().filter(|state| state.is_evacuated).count()
+        self.inner.states.read().values().filter(|state| state.is_evacuated).count()
     }
 
     /// Applies a row unless a newer one is known; returns whether the domain's state changed.
@@ -61,13 +61,13 @@
     pub fn merge(&self, evacuation: &VersionedEvacuation) -> bool {
         let VersionedEvacuation { failure_domain, revision, is_evacuated } = evacuation;
         let state = State { revision: *revision, is_evacuated: *is_evacuated };
-        let mut known = self.inner.known.write();
-        let old = known.get(failure_domain).copied();
+        let mut states = self.inner.states.write();
+        let old = states.get(failure_domain).copied();
         if old.is_some_and(|old| old.revision >= state.revision) {
             return false;
         }
-        known.insert(failure_domain.clone(), state);
-        drop(known);
+        states.insert(failure_domain.clone(), state);
+        drop(states);
         let is_change = old.is_some_and(|old| old.is_evacuated) != state.is_evacuated;
         if is_change {
             self.inner.generation.send_modify(|generation| *generation += 1);
@@ -82,11 +82,11 @@
         revision: Revision,
         listed: &[DomainName],
     ) -> Vec<VersionedEvacuation> {
-        let known = self.inner.known.read();
+        let states = self.inner.states.read();
         let is_cancelled = |(domain, state): &(&DomainName, &State)| {
             state.is_evacuated && state.revision < revision && !listed.contains(domain)
         };
-        let cancelled = known.iter().filter(is_cancelled).map(|(domain, _)| VersionedEvacuation {
+        let cancelled = states.iter().filter(is_cancelled).map(|(domain, _)| VersionedEvacuation {
             failure_domain: domain.clone(),
             revision,
             is_evacuated: false,
@@ -96,8 +96,8 @@
 
     /// Returns all known evacuations, including cancelled ones, as sent to other daemons.
     pub fn all(&self) -> Vec<VersionedEvacuation> {
-        let known = self.inner.known.read();
-        let rows = known.iter().map(|(domain, state)| VersionedEvacuation {
+        let states = self.inner.states.read();
+        let rows = states.iter().map(|(domain, state)| VersionedEvacuation {
             failure_domain: domain.clone(),
             revision: state.revision,
             is_evacuated: state.is_evacuated,
--- a/crates/yuccarackd/src/state/routed/members.rs
+++ b/crates/yuccarackd/src/state/routed/members.rs
@@ -25,7 +25,7 @@
 /// The rows, and the instance at each gate address.
 #[derive(Debug, Default)]
 struct Table {
-    known: HashMap<InstanceId, Known>,
+    rows: HashMap<InstanceId, TableRow>,
     /// The instance with the latest row among those whose rows name the address.
     ///
     /// Guards against an instance that is lost while its row remains, and whose address is then
@@ -36,7 +36,7 @@
 
 /// Row of an instance and its revision; no member after the removal of the row.
 #[derive(Clone, Debug)]
-struct Known {
+struct TableRow {
     revision: Revision,
     member: Option<Arc<RoutedMember>>,
 }
@@ -56,10 +56,10 @@
     /// it was applied.
     pub fn merge(&self, instance: &str, revision: Revision, member: Option<RoutedMember>) -> bool {
         let mut table = self.inner.table.write();
-        if table.known.get(instance).is_some_and(|known| known.revision >= revision) {
+        if table.rows.get(instance).is_some_and(|row| row.revision >= revision) {
             return false;
         }
-        table.set(instance, Known { revision, member: member.map(Arc::new) });
+        table.set(instance, TableRow { revision, member: member.map(Arc::new) });
         drop(table);
         self.inner.generation.send_modify(|generation| *generation += 1);
         true
@@ -69,17 +69,17 @@
     /// `revision`.
     pub fn drop_unlisted(&self, revision: Revision, listed: &[InstanceId]) {
         let mut table = self.inner.table.write();
-        let is_removed = |instance: &InstanceId, known: &Known| {
-            known.member.is_some() && known.revision <= revision && !listed.contains(instance)
+        let is_removed = |instance: &InstanceId, row: &TableRow| {
+            row.member.is_some() && row.revision <= revision && !listed.contains(instance)
         };
         let removed: Vec<InstanceId> = table
-            .known
+            .rows
             .iter()
-            .filter(|(instance, known)| is_removed(instance, known))
+            .filter(|(instance, row)| is_removed(instance, row))
             .map(|(instance, _)| instance.clone())
             .collect();
         for instance in &removed {
-            table.set(instance, Known { revision, member: None });
+            table.set(instance, TableRow { revision, member: None });
         }
         drop(table);
         if !removed.is_empty() {
@@ -101,8 +101,8 @@
     /// Returns the row of `instance` and its revision; 0 and `None` without a row.
     pub fn row(&self, instance: &str) -> (Revision, Option<Arc<RoutedMember>>) {
         let table = self.inner.table.read();
-        match table.known.get(instance) {
-            Some(Known { revision, member: Some(member) }) => (*revision, Some(member.clone())),
+        match table.rows.get(instance) {
+            Some(TableRow { revision, member: Some(member) }) => (*revision, Some(member.clone())),
             _ => (0, None),
         }
     }
@@ -127,12 +127,12 @@
     /// revisions of the rows.
     pub fn others_at_address(&self, address: SocketAddr, own: &str) -> Vec<(InstanceId, Revision)> {
         let table = self.inner.table.read();
-        let is_there = |known: &Known| {
-            known.member.as_ref().is_some_and(|member| member.gate_address == address)
+        let is_at_address = |row: &TableRow| {
+            row.member.as_ref().is_some_and(|member| member.gate_address == address)
         };
-        let others = table.known.iter().filter(|(instance, _)| *instance != own);
-        let there = others.filter(|(_, known)| is_there(known));
-        there.map(|(instance, known)| (instance.clone(), known.revision)).collect()
+        let others = table.rows.iter().filter(|(instance, _)| *instance != own);
+        let matching = others.filter(|(_, row)| is_at_address(row));
+        matching.map(|(instance, row)| (instance.clone(), row.revision)).collect()
     }
 
     /// Returns the number of members that have a service.
@@ -143,13 +143,13 @@
     /// Returns all rows that changed after `revision`, as sent to other daemons.
     pub fn changed_after(&self, revision: Revision) -> Vec<VersionedMember> {
         let table = self.inner.table.read();
-        let changed = table.known.iter().filter(|(_, known)| known.revision > revision);
-        let dated = changed.map(|(instance, known)| VersionedMember {
+        let changed = table.rows.iter().filter(|(_, row)| row.revision > revision);
+        let versioned = changed.map(|(instance, row)| VersionedMember {
             instance: instance.clone(),
-            revision: known.revision,
-            member: known.member.as_deref().cloned(),
+            revision: row.revision,
+            member: row.member.as_deref().cloned(),
         });
-        dated.collect()
+        versioned.collect()
     }
 
     /// Subscribes to changes of the generation.
@@ -159,38 +159,38 @@
 }
 
 impl Table {
-    fn set(&mut self, instance: &str, known: Known) {
-        let new_address = known.member.as_ref().map(|member| member.gate_address);
-        let revision = known.revision;
-        let old = self.known.insert(instance.to_owned(), known);
+    fn set(&mut self, instance: &str, row: TableRow) {
+        let new_address = row.member.as_ref().map(|member| member.gate_address);
+        let revision = row.revision;
+        let old = self.rows.insert(instance.to_owned(), row);
         let old_address = old.and_then(|old| old.member).map(|member| member.gate_address);
         if let Some(address) = old_address.filter(|address| Some(*address) != new_address)
-            && self.at_address.get(&address).is_some_and(|there| there == instance)
+            && self.at_address.get(&address).is_some_and(|occupant| occupant == instance)
         {
             self.find_latest_at(address);
         }
         let Some(address) = new_address else { return };
-        let there = self.at_address.get(&address).and_then(|there| self.known.get(there));
-        if there.is_none_or(|there| there.revision <= revision) {
+        let occupant = self.at_address.get(&address).and_then(|occupant| self.rows.get(occupant));
+        if occupant.is_none_or(|occupant| occupant.revision <= revision) {
             self.at_address.insert(address, instance.to_owned());
         }
     }
 
     fn find_latest_at(&mut self, address: SocketAddr) {
-        let is_there = |known: &Known| {
-            known.member.as_ref().is_some_and(|member| member.gate_address == address)
+        let is_at_address = |row: &TableRow| {
+            row.member.as_ref().is_some_and(|member| member.gate_address == address)
         };
-        let there = self.known.iter().filter(|(_, known)| is_there(known));
-        match there.max_by_key(|(_, known)| known.revision) {
+        let matching = self.rows.iter().filter(|(_, row)| is_at_address(row));
+        match matching.max_by_key(|(_, row)| row.revision) {
             Some((instance, _)) => self.at_address.insert(address, instance.clone()),
             None => self.at_address.remove(&address),
         };
     }
 
     fn present(&self) -> impl Iterator<Item = &Arc<RoutedMember>> {
-        let members = self.known.values().filter_map(|known| known.member.as_ref());
+        let members = self.rows.values().filter_map(|row| row.member.as_ref());
         members.filter(|member| {
-            self.at_address.get(&member.gate_address).is_none_or(|there| *there == member.instance)
+            self.at_address.get(&member.gate_address).is_none_or(|found| *found == member.instance)
         })
     }
 }
--- a/crates/yuccarackd/src/state/routed/routing_state.rs
+++ b/crates/yuccarackd/src/state/routed/routing_state.rs
@@ -135,8 +135,8 @@
         if base >= routing.version() {
             return None;
         }
-        let whole = || RoutingChanges::full(routing);
-        Some(recent.since(base).unwrap_or_else(whole))
+        let full = || RoutingChanges::full(routing);
+        Some(recent.since(base).unwrap_or_else(full))
     }
 
     /// Puts `routing` in force unless a newer table was installed meanwhile. `changes` lead to it
@@ -144,10 +144,10 @@
     fn install(&self, routing: Routing, changes: Option<RoutingChanges>) -> bool {
         let version = routing.version();
         let mut current = self.current.write();
-        if current.as_ref().is_some_and(|known| known.routing.version() >= version) {
+        if current.as_ref().is_some_and(|active| active.routing.version() >= version) {
             return false;
         }
-        let mut recent = current.take().map(|known| known.recent).unwrap_or_default();
+        let mut recent = current.take().map(|active| active.recent).unwrap_or_default();
         recent.push(changes);
         *current = Some(ActiveTable { routing: Arc::new(routing), since: Instant::now(), recent });
         drop(current);
--- a/crates/yuccarackd/src/state/routed/target.rs
+++ b/crates/yuccarackd/src/state/routed/target.rs
@@ -50,7 +50,7 @@
 /// A process whose start seems to precede that of the latest accepted process.
 #[derive(Debug)]
 struct CandidateProcess {
-    life: TargetIncarnation,
+    incarnation: TargetIncarnation,
     target: TargetId,
     sequence: u64,
     /// Number of its heartbeats, each newer than the one before.
@@ -76,7 +76,7 @@
     /// Id of the target.
     pub target: TargetId,
     /// Incarnation of its process.
-    pub life: TargetIncarnation,
+    pub incarnation: TargetIncarnation,
     /// Service that the target serves.
     pub service: ServiceName,
     /// Address on which the target accepts requests.
@@ -190,8 +190,8 @@
     /// comes from the current process.
     pub fn apply_leave(&self, unix_ms: u64, leave: &Leave) -> bool {
         let mut state = self.state.lock();
-        let is_present = state.latest.as_ref().is_some_and(|(life, target)| {
-            *target == leave.target && leave.life.is_none_or(|left| left >= *life)
+        let is_present = state.latest.as_ref().is_some_and(|(start, target)| {
+            *target == leave.target && leave.life.is_none_or(|left| left >= *start)
         });
         if is_present {
             state.has_left = true;
@@ -216,7 +216,7 @@
         let is_same = self
             .latest
             .as_ref()
-            .is_some_and(|(life, target)| *life == heartbeat.life && *target == heartbeat.target);
+            .is_some_and(|(start, target)| *start == heartbeat.life && *target == heartbeat.target);
         if is_same {
             if self.has_left || heartbeat.sequence <= self.sequence {
                 return HeartbeatEffect::Older;
@@ -225,7 +225,7 @@
             self.last_heartbeat_at = Some(now);
             return HeartbeatEffect::Same;
         }
-        let is_older = self.latest.as_ref().is_some_and(|(life, _)| *life > heartbeat.life);
+        let is_older = self.latest.as_ref().is_some_and(|(start, _)| *start > heartbeat.life);
         if self.is_departed(heartbeat) {
             return HeartbeatEffect::Older;
         }
@@ -263,13 +263,13 @@
         let is_silent =
             self.last_heartbeat_at.is_none_or(|at| now.duration_since(at) >= SILENCE_MIN);
         let known = self.candidate.take().filter(|candidate| {
-            candidate.life == heartbeat.life && candidate.target == heartbeat.target
+            candidate.incarnation == heartbeat.life && candidate.target == heartbeat.target
         });
         let (last_sequence, heartbeats) =
             known.map_or((0, 0), |known| (known.sequence, known.heartbeats));
         let is_newer = heartbeats == 0 || heartbeat.sequence > last_sequence;
         let candidate = CandidateProcess {
-            life: heartbeat.life,
+            incarnation: heartbeat.life,
             target: heartbeat.target.clone(),
             sequence: heartbeat.sequence.max(last_sequence),
             heartbeats: heartbeats + u32::from(is_newer),
@@ -285,7 +285,7 @@
         let cold_for = Duration::from_millis(heartbeat.cold_for_ms.into());
         Self {
             target: heartbeat.target,
-            life: heartbeat.life,
+            incarnation: heartbeat.life,
             service: heartbeat.service,
             address: heartbeat.address,
             slots: heartbeat.slots.max(1),
@@ -297,7 +297,7 @@
 
     /// Returns whether both views are of the same process.
     pub fn is_same_process(&self, other: &Self) -> bool {
-        self.life == other.life && self.target == other.target
+        self.incarnation == other.incarnation && self.target == other.target
     }
 
     /// Returns whether `later` reports a cold period that isn't known yet.
--- a/crates/yuccarackd/tests/forwarding.rs
+++ b/crates/yuccarackd/tests/forwarding.rs
@@ -1,12 +1,12 @@
-//! Headers that belong to one connection stay there.
+//! Removal of headers that apply to a single connection.
 
 use http::{HeaderMap, HeaderValue, header};
 use yuccarackd::protocol::forwarding::strip_hop_by_hop;
 
-// A caller's connection says `Connection: close, x-hop`. Passed on, its close would end the kept
-// connection to the target after each call, and x-hop would leak to where it has no meaning.
+// A caller sends `Connection: close, x-hop`. Forwarded, `close` would end the keep-alive connection
+// to the target after each call, and `x-hop` would reach a hop for which it has no meaning.
 #[test]
-fn headers_of_one_connection_are_not_passed_on() {
+fn hop_by_hop_headers_are_not_forwarded() {
     let mut map = HeaderMap::new();
     map.insert(header::CONNECTION, HeaderValue::from_static("close, X-Hop"));
     map.insert("x-hop", HeaderValue::from_static("1"));
--- a/crates/yuccarackd/tests/members.rs
+++ b/crates/yuccarackd/tests/members.rs
@@ -1,4 +1,4 @@
-//! Which instances are there, by rows of the members' table.
+//! Membership by the rows of the members table.
 
 use std::net::SocketAddr;
 
@@ -13,13 +13,13 @@
     })
 }
 
-fn named(members: &Members, service: &str) -> Vec<String> {
+fn instances_of(members: &Members, service: &str) -> Vec<String> {
     members.of_service(service).iter().map(|member| member.instance.clone()).collect()
 }
 
-/// Guards against requests for a lost instance that go to the one which has got its address.
+/// Guards against requests for a lost instance that go to the instance which now has its address.
 #[test]
-fn a_lost_instance_whose_address_another_one_has_is_not_there() {
+fn a_lost_instance_whose_address_is_reused_is_not_a_member() {
     let shared = SocketAddr::from(([10, 0, 0, 1], 8000));
     let orders =
         [[("old", 5, "board"), ("new", 9, "desk")], [("new", 9, "desk"), ("old", 5, "board")]];
@@ -28,25 +28,25 @@
         for (instance, revision, service) in rows {
             members.merge(instance, revision, member(instance, shared, service));
         }
-        assert!(named(&members, "board").is_empty());
-        assert_eq!(named(&members, "desk"), ["new"]);
+        assert!(instances_of(&members, "board").is_empty());
+        assert_eq!(instances_of(&members, "desk"), ["new"]);
         assert_eq!(members.count(), 1);
         assert_eq!(members.others_at_address(shared, "new"), [("old".to_owned(), 5)]);
     }
 }
 
-/// Guards against an instance that stays unknown after the one which had its address has gone.
+/// Guards against an instance that stays unknown after the later one at its address was removed.
 #[test]
-fn an_instance_is_there_again_once_the_later_one_at_its_address_has_gone() {
+fn an_instance_is_a_member_again_once_the_later_one_at_its_address_is_removed() {
     let shared = SocketAddr::from(([10, 0, 0, 1], 8000));
     let members = Members::new();
     members.merge("first", 5, member("first", shared, "board"));
     members.merge("second", 9, member("second", shared, "desk"));
     members.merge("second", 12, None);
-    assert_eq!(named(&members, "board"), ["first"]);
+    assert_eq!(instances_of(&members, "board"), ["first"]);
     members.merge("second", 13, member("second", SocketAddr::from(([10, 0, 0, 2], 8000)), "desk"));
     assert_eq!(
-        (named(&members, "board"), named(&members, "desk")),
+        (instances_of(&members, "board"), instances_of(&members, "desk")),
         (vec!["first".to_owned()], vec!["second".to_owned()])
     );
     members.drop_unlisted(20, &["second".to_owned()]);
--- a/crates/yuccarackd/tests/metrics_text.rs
+++ b/crates/yuccarackd/tests/metrics_text.rs
@@ -1,13 +1,13 @@
-//! Text of the metrics as scrapers read it.
+//! Order of the metrics in their text form.
 
 use std::time::Duration;
 
 use yuccarackd::state::{counters::Counters, routed::metrics::Metrics};
 
-/// Bytes that a scraper with a small buffer keeps.
+/// Number of bytes that a scraper with a small buffer reads.
 const SCRAPED_BYTES: usize = 4 * 1024;
 
-/// Guards against gauges and counters that a scraper cuts off because histograms precede them.
+/// Guards against gauges and counters that a scraper truncates because histograms precede them.
 #[test]
 fn gauges_and_counters_precede_histograms() {
     let counters = Counters::new();
@@ -18,9 +18,9 @@
         metrics.observe_call(end, Duration::from_millis(3));
     }
     let text = metrics.encode().expect("text");
-    assert!(text.len() > SCRAPED_BYTES, "the histograms fit by themselves");
-    let kept = &text[..SCRAPED_BYTES];
-    assert!(kept.contains("yuccarack_routing_version 7"), "{kept}");
-    assert!(kept.contains("yuccarack_store_reads_failed_total 1"), "{kept}");
+    assert!(text.len() > SCRAPED_BYTES, "the text fits into the buffer of the scraper");
+    let scraped = &text[..SCRAPED_BYTES];
+    assert!(scraped.contains("yuccarack_routing_version 7"), "{scraped}");
+    assert!(scraped.contains("yuccarack_store_reads_failed_total 1"), "{scraped}");
     assert!(text.ends_with("# EOF\n"));
 }
--- a/crates/yuccarackd/tests/newer_daemons.rs
+++ b/crates/yuccarackd/tests/newer_daemons.rs
@@ -1,4 +1,4 @@
-//! What daemons of a newer version say is understood as far as it is known.
+//! Compatibility with messages of newer daemons, which may contain unknown fields.
 
 use serde_json::{Value, json};
 use yuccarack_config::routing::RoutingTable;
@@ -24,32 +24,33 @@
     })
 }
 
-/// Story: the daemons of a deployment are replaced one after the other. The newer ones write a field
-/// more into their rows and news; those that aren't replaced yet kept both out, so that each half of
-/// the deployment served without the other.
+/// Guards against a rolling update in which the newer daemons add a field to their rows and
+/// updates. The older daemons rejected both, so that each half of the deployment served without the
+/// other.
 #[test]
-fn fields_of_newer_daemons_are_passed_over() {
+fn unknown_fields_of_newer_daemons_are_ignored() {
     let mut newer = member();
     newer["mood"] = json!({"is": "calm"});
-    let read: RoutedMember = serde_json::from_value(newer.clone()).expect("a member");
-    assert_eq!(read, serde_json::from_value(member()).expect("a member"));
+    let parsed: RoutedMember = serde_json::from_value(newer.clone()).expect("a member");
+    assert_eq!(parsed, serde_json::from_value(member()).expect("a member"));
     let mut routing = table();
     routing["routes"][0]["mood"] = json!(1);
     routing["mood"] = json!([]);
-    let news = json!({
+    let update = json!({
         "routing_version": 7, "routing": routing, "is_whole": false, "mood": null,
         "members": [{"instance": "n1", "revision": 3, "member": newer, "mood": 1}],
         "known": {"routing": 3, "members": 3, "moods": 3},
     });
-    let news: PeerUpdate = serde_json::from_value(news).expect("news");
+    let update: PeerUpdate = serde_json::from_value(update).expect("news");
     let known: RoutingTable = serde_json::from_value(table()).expect("a table");
-    assert_eq!(news.routing, Some(known));
-    assert_eq!(news.members.len(), 1);
+    assert_eq!(update.routing, Some(known));
+    assert_eq!(update.members.len(), 1);
 }
 
-/// Story: the same with the word that goes with each hop; the request would be refused as malformed.
+/// Guards against the same failure with the hop header, where requests would be refused as
+/// malformed.
 #[test]
-fn a_hop_may_say_more_than_is_known() {
+fn unknown_fields_of_a_hop_header_are_ignored() {
     let text = "00000000000000000000000000000007;board;a;900;300;1;1;0;7;10.0.0.1:80";
     let known: Hop = text.parse().expect("a hop");
     let newer: Hop = format!("{text};calm;9").parse().expect("a newer hop");
--- a/crates/yuccarackd/tests/news_source.rs
+++ b/crates/yuccarackd/tests/news_source.rs
@@ -1,52 +1,57 @@
-//! Up to where a daemon takes the store's tables for known.
+//! Revisions up to which a daemon counts the tables of the store as synced.
 
 use yuccarackd::{
     protocol::peer_update::SyncedRevisions,
     state::routed::update_source::{FollowedTable, SyncState, UpdateSource},
 };
 
-/// Story: a relay tells of a large routing table by its version only, and the store turns the daemon
-/// away that would read it. Once the store is back, the daemon must ask from before that table on.
+/// Guards against a relay that announces a large routing table by its version only while the store
+/// rejects the daemon's read of it. Once the store responds again, the daemon has to query the
+/// changes from before that table.
 #[test]
-fn a_table_that_was_only_told_of_is_not_taken_for_known() {
-    let news = SyncState::new();
-    news.set_synced_up_to(FollowedTable::Routing, Some(3));
-    news.set_synced_up_to(FollowedTable::Members, Some(3));
-    news.note_relay_synced(SyncedRevisions { routing: 9, members: 9 }, false);
-    assert_eq!(news.synced_up_to(FollowedTable::Routing), Some(3));
-    assert_eq!(news.synced_up_to(FollowedTable::Members), Some(9));
-    news.note_relay_synced(SyncedRevisions { routing: 9, members: 9 }, true);
-    assert_eq!(news.synced_up_to(FollowedTable::Routing), Some(9));
+fn a_table_that_was_only_announced_is_not_synced() {
+    let state = SyncState::new();
+    state.set_synced_up_to(FollowedTable::Routing, Some(3));
+    state.set_synced_up_to(FollowedTable::Members, Some(3));
+    state.note_relay_synced(SyncedRevisions { routing: 9, members: 9 }, false);
+    assert_eq!(state.synced_up_to(FollowedTable::Routing), Some(3));
+    assert_eq!(state.synced_up_to(FollowedTable::Members), Some(9));
+    state.note_relay_synced(SyncedRevisions { routing: 9, members: 9 }, true);
+    assert_eq!(state.synced_up_to(FollowedTable::Routing), Some(9));
 }
 
-/// Story: a daemon changes from one relay to another that lags. It keeps what it knows.
+/// Guards against a daemon that changes to a lagging relay and loses its own progress.
 #[test]
-fn a_relay_that_lags_takes_nothing_back() {
-    let news = SyncState::new();
-    news.note_relay_synced(SyncedRevisions { routing: 9, members: 9 }, true);
-    news.note_relay_synced(SyncedRevisions { routing: 5, members: 5 }, true);
-    assert_eq!(news.synced_up_to(FollowedTable::Routing), Some(9));
-    assert_eq!(news.synced_up_to(FollowedTable::Members), Some(9));
+fn a_lagging_relay_does_not_reset_the_synced_revisions() {
+    let state = SyncState::new();
+    state.note_relay_synced(SyncedRevisions { routing: 9, members: 9 }, true);
+    state.note_relay_synced(SyncedRevisions { routing: 5, members: 5 }, true);
+    assert_eq!(state.synced_up_to(FollowedTable::Routing), Some(9));
+    assert_eq!(state.synced_up_to(FollowedTable::Members), Some(9));
 }
 
-/// Story: two daemons that are told by each other would go on for good with what both had last.
+/// Guards against two daemons that relay to each other and so keep an outdated state for ever.
 #[test]
-fn only_who_hears_the_store_tells_others() {
-    let news = SyncState::new();
-    news.note_relay_synced(SyncedRevisions { routing: 1, members: 1 }, true);
-    for (source, queries_store, tells) in [
+fn only_a_daemon_that_the_store_responds_to_relays() {
+    let state = SyncState::new();
+    state.note_relay_synced(SyncedRevisions { routing: 1, members: 1 }, true);
+    for (source, queries_store, relays) in [
         (UpdateSource::Store, true, true),
         (UpdateSource::Store, false, false),
         (UpdateSource::Relay, false, false),
         (UpdateSource::Relay, true, false),
         (UpdateSource::Unassigned, true, false),
     ] {
-        news.set_source(source);
-        news.set_queries_store(queries_store);
-        assert_eq!(news.synced_for_relay().is_some(), tells, "{source:?}, asks: {queries_store}");
+        state.set_source(source);
+        state.set_queries_store(queries_store);
+        assert_eq!(
+            state.synced_for_relay().is_some(),
+            relays,
+            "{source:?}, queries: {queries_store}"
+        );
     }
-    news.set_source(UpdateSource::Store);
-    news.set_queries_store(true);
-    news.set_synced_up_to(FollowedTable::Members, None);
-    assert!(news.synced_for_relay().is_none(), "a table that has to be read whole");
+    state.set_source(UpdateSource::Store);
+    state.set_queries_store(true);
+    state.set_synced_up_to(FollowedTable::Members, None);
+    assert!(state.synced_for_relay().is_none(), "a table has to be read in full first");
 }
--- a/crates/yuccarackd/tests/routed_target.rs
+++ b/crates/yuccarackd/tests/routed_target.rs
@@ -1,11 +1,11 @@
-//! What a daemon believes of the target beside it.
+//! State of the target on an instance, by its heartbeats and leave notices.
 
 use std::time::{Duration, Instant};
 
 use yuccarack_config::heartbeat::{Heartbeat, Leave, TargetPhase};
 use yuccarackd::state::routed::target::{DepartedTarget, HeartbeatEffect, RoutedTarget};
 
-fn beat(life: u64, sequence: u64) -> Heartbeat {
+fn heartbeat(life: u64, sequence: u64) -> Heartbeat {
     Heartbeat {
         target: "i-1".to_owned(),
         life,
@@ -19,8 +19,8 @@
     }
 }
 
-/// A daemon that knows of no earlier word of its target.
-fn settled() -> RoutedTarget {
+/// A target state without leave notices to earlier processes of the daemon.
+fn restored() -> RoutedTarget {
     let target = RoutedTarget::new();
     target.restore_departed(None);
     target
@@ -31,94 +31,100 @@
 }
 
 #[test]
-fn the_latest_word_of_the_latest_life_counts() {
-    let (start, target) = (Instant::now(), settled());
-    assert_eq!(target.apply_heartbeat(start, beat(10, 1)), HeartbeatEffect::NewLife);
-    assert_eq!(target.apply_heartbeat(start, beat(10, 2)), HeartbeatEffect::Same);
-    let draining = Heartbeat { phase: TargetPhase::Draining, ..beat(10, 4) };
+fn the_latest_heartbeat_of_the_latest_incarnation_counts() {
+    let (start, target) = (Instant::now(), restored());
+    assert_eq!(target.apply_heartbeat(start, heartbeat(10, 1)), HeartbeatEffect::NewLife);
+    assert_eq!(target.apply_heartbeat(start, heartbeat(10, 2)), HeartbeatEffect::Same);
+    let draining = Heartbeat { phase: TargetPhase::Draining, ..heartbeat(10, 4) };
     assert_eq!(target.apply_heartbeat(start, draining), HeartbeatEffect::Changed);
-    assert_eq!(target.apply_heartbeat(start, beat(10, 3)), HeartbeatEffect::Older);
+    assert_eq!(target.apply_heartbeat(start, heartbeat(10, 3)), HeartbeatEffect::Older);
     assert!(target.is_leaving());
-    assert_eq!(target.apply_heartbeat(start, beat(11, 1)), HeartbeatEffect::NewLife);
-    assert_eq!(target.apply_heartbeat(start, beat(10, 9)), HeartbeatEffect::OlderLife);
-    assert_eq!(target.current().map(|view| view.life), Some(11));
+    assert_eq!(target.apply_heartbeat(start, heartbeat(11, 1)), HeartbeatEffect::NewLife);
+    assert_eq!(target.apply_heartbeat(start, heartbeat(10, 9)), HeartbeatEffect::OlderLife);
+    assert_eq!(target.current().map(|view| view.incarnation), Some(11));
 }
 
 #[test]
-fn a_target_that_has_left_stays_away() {
-    let (start, target) = (Instant::now(), settled());
-    target.apply_heartbeat(start, beat(10, 1));
+fn a_target_that_has_left_does_not_return() {
+    let (start, target) = (Instant::now(), restored());
+    target.apply_heartbeat(start, heartbeat(10, 1));
     let leave = |life| Leave { target: "i-1".to_owned(), life };
-    assert!(!target.apply_leave(0, &leave(Some(9))), "the word of an earlier process was taken");
+    assert!(
+        !target.apply_leave(0, &leave(Some(9))),
+        "a leave notice of an earlier process was applied"
+    );
     assert!(target.apply_leave(0, &leave(Some(10))));
-    assert_eq!(target.apply_heartbeat(start, beat(10, 2)), HeartbeatEffect::Older);
+    assert_eq!(target.apply_heartbeat(start, heartbeat(10, 2)), HeartbeatEffect::Older);
     assert_eq!(target.current(), None);
 }
 
-/// Story: heartbeats of a dead process were held up by a cut link and arrive in a burst, seconds after
-/// another process has taken its place. None of them counts.
+/// Guards against heartbeats of a dead process that an interrupted link delayed, and that arrive in
+/// a burst seconds after another process has replaced it.
 #[test]
-fn a_burst_of_late_heartbeats_changes_nothing() {
-    let (start, target) = (Instant::now(), settled());
-    target.apply_heartbeat(start, beat(20, 1));
+fn a_burst_of_delayed_heartbeats_is_ignored() {
+    let (start, target) = (Instant::now(), restored());
+    target.apply_heartbeat(start, heartbeat(20, 1));
     for sequence in 1..10 {
         assert_eq!(
-            target.apply_heartbeat(after(start, 1_000), beat(10, sequence)),
+            target.apply_heartbeat(after(start, 1_000), heartbeat(10, sequence)),
             HeartbeatEffect::OlderLife
         );
     }
-    target.apply_heartbeat(after(start, 1_500), beat(20, 2));
-    assert_eq!(target.current().map(|view| view.life), Some(20));
+    target.apply_heartbeat(after(start, 1_500), heartbeat(20, 2));
+    assert_eq!(target.current().map(|view| view.incarnation), Some(20));
 }
 
-/// Story: a machine's clock is set back by ten minutes and its target starts again. Its start seems to
-/// lie before that of the process it replaces; it is believed once the other has fallen silent and it
-/// goes on speaking.
+/// Guards against a machine whose clock is set back by ten minutes before its target restarts. The
+/// start of the new process seems to precede that of the old one, so it is accepted once the old
+/// one is silent and the new one keeps sending heartbeats.
 #[test]
-fn a_target_that_started_on_a_clock_set_back_is_believed_in_the_end() {
-    let (start, target) = (Instant::now(), settled());
-    target.apply_heartbeat(start, beat(700_000, 8));
-    let heard: Vec<HeartbeatEffect> = (1..=4)
+fn a_target_that_starts_after_its_clock_was_set_back_is_accepted_in_the_end() {
+    let (start, target) = (Instant::now(), restored());
+    target.apply_heartbeat(start, heartbeat(700_000, 8));
+    let effects: Vec<HeartbeatEffect> = (1..=4)
         .map(|sequence| {
-            target.apply_heartbeat(after(start, 1_500 * sequence), beat(100_000, sequence))
+            target.apply_heartbeat(after(start, 1_500 * sequence), heartbeat(100_000, sequence))
         })
         .collect();
-    assert_eq!(heard[..2], [HeartbeatEffect::OlderLife, HeartbeatEffect::OlderLife]);
-    assert!(heard.contains(&HeartbeatEffect::NewLife), "never believed: {heard:?}");
-    assert_eq!(target.current().map(|view| view.life), Some(100_000));
+    assert_eq!(effects[..2], [HeartbeatEffect::OlderLife, HeartbeatEffect::OlderLife]);
+    assert!(effects.contains(&HeartbeatEffect::NewLife), "never accepted: {effects:?}");
+    assert_eq!(target.current().map(|view| view.incarnation), Some(100_000));
 }
 
-/// Story: a daemon is restarted in a roll. The first that its new process hears of the target is that
-/// it leaves, and two seconds later a heartbeat from before that arrives. The target got work again,
-/// later than the time that it had given.
+/// Guards against a daemon that restarts during a rolling update, receives the leave notice of its
+/// target first and a delayed heartbeat from before it two seconds later. The target received
+/// requests again, after the time at which it had announced to leave.
 #[test]
-fn a_leave_counts_though_nothing_was_heard_before() {
-    let (start, target) = (Instant::now(), settled());
+fn a_leave_notice_counts_without_an_earlier_heartbeat() {
+    let (start, target) = (Instant::now(), restored());
     let leave = Leave { target: "i-1".to_owned(), life: None };
     assert!(!target.apply_leave(1_000, &leave));
-    assert_eq!(target.apply_heartbeat(after(start, 2_000), beat(400, 20)), HeartbeatEffect::Older);
+    assert_eq!(
+        target.apply_heartbeat(after(start, 2_000), heartbeat(400, 20)),
+        HeartbeatEffect::Older
+    );
     assert_eq!(target.current(), None);
-    // A process that started after that is another one, and so is another target.
+    // A process that started after the notice is a new one, and so is another target.
     assert_eq!(
-        target.apply_heartbeat(after(start, 3_000), beat(1_500, 1)),
+        target.apply_heartbeat(after(start, 3_000), heartbeat(1_500, 1)),
         HeartbeatEffect::NewLife
     );
-    let other = Heartbeat { target: "i-2".to_owned(), ..beat(2_000, 1) };
+    let other = Heartbeat { target: "i-2".to_owned(), ..heartbeat(2_000, 1) };
     assert_eq!(target.apply_heartbeat(after(start, 4_000), other), HeartbeatEffect::NewLife);
 }
 
-/// Story: as above, but the word had been given to an earlier process of the daemon, which kept it in
-/// the store.
+/// Guards against the same failure where an earlier process of the daemon received the leave notice
+/// and wrote it to the store.
 #[test]
-fn the_word_to_an_earlier_process_counts() {
+fn a_leave_notice_to_an_earlier_process_counts() {
     let (start, target) = (Instant::now(), RoutedTarget::new());
-    assert_eq!(target.apply_heartbeat(start, beat(400, 20)), HeartbeatEffect::TooSoon);
+    assert_eq!(target.apply_heartbeat(start, heartbeat(400, 20)), HeartbeatEffect::TooSoon);
     target
         .restore_departed(Some(DepartedTarget { target: "i-1".to_owned(), last_incarnation: 400 }));
-    assert_eq!(target.apply_heartbeat(start, beat(400, 21)), HeartbeatEffect::Older);
-    assert_eq!(target.apply_heartbeat(start, beat(401, 1)), HeartbeatEffect::NewLife);
+    assert_eq!(target.apply_heartbeat(start, heartbeat(400, 21)), HeartbeatEffect::Older);
+    assert_eq!(target.apply_heartbeat(start, heartbeat(401, 1)), HeartbeatEffect::NewLife);
     assert_eq!(target.departed(), None);
-    target.apply_heartbeat(start, Heartbeat { phase: TargetPhase::Draining, ..beat(401, 2) });
+    target.apply_heartbeat(start, Heartbeat { phase: TargetPhase::Draining, ..heartbeat(401, 2) });
     let departed = DepartedTarget { target: "i-1".to_owned(), last_incarnation: 401 };
     assert_eq!(target.departed(), Some(departed));
 }
