--- a/crates/yuccarackd/src/protocol/peer_update.rs
+++ b/crates/yuccarackd/src/protocol/peer_update.rs
@@ -82,7 +82,7 @@
     pub fn from_headers(headers: &HeaderMap) -> Option<Result<Self, UpdateRequestError>> {
         let text = headers.get(UPDATE_REQUEST)?.to_str().map_err(|_| UpdateRequestError);
         let changes = AcceptedChanges::from_header(headers.get(ACCEPTED_CHANGES));
-        Some(text.and_then(str::parse).map(|question: Self| Self { changes, ..question }))
+        Some(text.and_then(str::parse).map(|request: Self| Self { changes, ..request }))
     }
 
     /// Writes the request into `headers`.
--- a/crates/yuccarackd/src/state/routed/target.rs
+++ b/crates/yuccarackd/src/state/routed/target.rs
@@ -63,7 +63,7 @@
 const CANDIDATE_HEARTBEATS_MIN: u32 = 3;
 
 /// Silence of the accepted process after which one with an earlier start may replace it: three
-/// heartbeat intervals of the present targets.
+/// heartbeat intervals of current targets.
 const SILENCE_MIN: Duration = Duration::from_millis(4_500);
 
 /// Largest difference between two heartbeats in the end of the same cold period, due to their
--- a/crates/yuccarackd/src/state/service_entry.rs
+++ b/crates/yuccarackd/src/state/service_entry.rs
@@ -151,7 +151,7 @@
             self.members.insert(row.instance.clone(), MemberEntry { row, since: now });
         }
         if !newer.is_empty() {
-            self.members_changed();
+            self.rebuild_members();
         }
         newer
     }
@@ -162,7 +162,7 @@
         let count = self.members.len();
         self.members.retain(|instance, _| names.contains(instance.as_str()));
         if self.members.len() != count {
-            self.members_changed();
+            self.rebuild_members();
         }
     }
 
@@ -173,12 +173,12 @@
         let old: Vec<MemberRow> =
             self.members.extract_if(.., |_, entry| is_old(entry)).map(|(_, e)| e.row).collect();
         if !old.is_empty() {
-            self.members_changed();
+            self.rebuild_members();
         }
         old
     }
 
-    fn members_changed(&mut self) {
+    fn rebuild_members(&mut self) {
         let present = self.members.values().filter(|entry| entry.row.state != TargetState::Gone);
         let members: Vec<MemberRow> = present.map(|entry| entry.row.clone()).collect();
         let mut view = self.next_view();
