--- a/crates/yuccarackd/src/coordination/entry/attempt_sender.rs
+++ b/crates/yuccarackd/src/coordination/entry/attempt_sender.rs
@@ -1,4 +1,4 @@
-//! One try on its way to a gate, and what its end says of call and gate.
+//! Sends one attempt to a gate and classifies its result for the retry policy and the gate choice.
 
 use std::time::{Duration, Instant};
 
@@ -25,46 +25,47 @@
     transport::{connection::SendError, upstream::Freshness},
 };
 
-/// A try that brought no answer worth passing on at once.
+/// An attempt that failed or was refused, after which the retry policy decides.
 pub struct FailedAttempt {
-    /// How it ended.
+    /// How the attempt failed.
     pub failure: TryFailure,
-    /// Whether the claim at the gates guards a further try even of a request that must not repeat.
+    /// Whether another attempt is safe even for a request that must not repeat, as a gate has to
+    /// claim its key first.
     pub is_guarded: bool,
-    /// What the caller gets if no further try is made.
+    /// Response or refusal for the caller if no further attempt is made.
     pub response: Result<Response<CallBody>, Refusal>,
 }
 
-/// A try that is to be sent.
+/// An attempt that is ready to be sent.
 pub struct PreparedAttempt {
-    /// Where to.
+    /// Gate that the attempt goes to.
     pub chosen: ChosenGate,
-    /// Its name.
+    /// ID of the attempt.
     pub attempt: AttemptId,
-    /// What the gate gets.
+    /// Request as sent to the gate.
     pub request: Request<CallBody>,
 }
 
-/// Sends tries of one call; apart from the tries themselves so that two can be on their way at once.
+/// Sends attempts of one call. It is separate from `Attempts` so that two can run at once.
 pub struct AttemptSender<'a> {
-    /// The entry.
+    /// Entry that the call arrived at.
     pub entry: &'a Entry,
-    /// The call's service.
+    /// Service that the call goes to.
     pub service: &'a EntryService,
-    /// What is proved of the call.
+    /// Outcome of the call over all its attempts.
     pub tracker: &'a OutcomeTracker,
-    /// What the call's head says.
+    /// Metadata from the call's head.
     pub head: CallHead,
-    /// When the caller gives up.
+    /// Time at which the caller gives up.
     pub deadline: Instant,
 }
 
 impl AttemptSender<'_> {
-    /// Sends one try; dropping this future cancels it at its gate.
+    /// Sends one attempt. Dropping the future cancels the attempt at its gate.
     ///
     /// # Errors
     ///
-    /// A try without an answer worth passing on at once.
+    /// Returns the failed attempt with its response or refusal.
     pub async fn send(
         &self,
         prepared: PreparedAttempt,
@@ -133,8 +134,10 @@
         Err(Box::new(FailedAttempt { failure, is_guarded: false, response: Ok(response) }))
     }
 
-    /// A request that broke on the way to a gate may be sent again even when it must not repeat:
-    /// whichever gate gets it has to claim its key first, and only one can.
+    /// Classifies an attempt whose connection failed.
+    ///
+    /// Another attempt is safe even for a request that must not repeat: a gate has to claim its key
+    /// first, and only one gate can.
     fn classify_send_error(
         &self,
         error: &SendError,
@@ -171,7 +174,8 @@
     }
 }
 
-/// Tells the chooser how a try ended; dropped without an end, the try was cancelled.
+/// A running attempt, whose end is reported to the service; dropped unfinished, it is reported as
+/// cancelled.
 struct AttemptRecord<'a> {
     service: &'a EntryService,
     key: Option<TargetKey>,
@@ -202,9 +206,10 @@
     }
 }
 
-/// An answer that no other gate would give differently, or that must not be asked for again.
+/// Returns whether no further attempt is made after `response`, as every gate would respond alike
+/// or another attempt would do harm.
 ///
-/// A crash suspect isn't repeated by us: it would take the next target down as well.
+/// A suspect isn't retried here because it could crash the next target as well.
 fn is_final(response: &Response<CallBody>) -> bool {
     let reason = response.headers().get(headers::REASON).map(|value| value.as_bytes());
     let is_final_reason = matches!(
--- a/crates/yuccarackd/src/coordination/entry/attempts.rs
+++ b/crates/yuccarackd/src/coordination/entry/attempts.rs
@@ -1,4 +1,4 @@
-//! The tries of one call: first, retries, hedges.
+//! Makes the attempts of one call: the first one, retries and hedges.
 
 use std::time::Instant;
 
@@ -24,7 +24,7 @@
     state::call_log::CallEvent,
 };
 
-/// The tries of one call.
+/// All attempts of one call.
 pub struct Attempts<'a> {
     entry: &'a Entry,
     call: EntryCall,
@@ -34,7 +34,7 @@
 }
 
 impl<'a> Attempts<'a> {
-    /// Makes the tries of `call`; what is proved of them goes to `fate`.
+    /// Prepares the attempts of `call`; `tracker` records which of them may have run.
     pub fn new(
         entry: &'a Entry,
         call: EntryCall,
@@ -44,17 +44,17 @@
         Self { entry, call, service, tracker, attempted: Vec::new() }
     }
 
-    /// Tries until there is an answer or the policy gives up.
+    /// Makes attempts until one succeeds or the retry policy gives up.
     ///
     /// # Errors
     ///
-    /// The last try's refusal.
+    /// Returns the last refusal, whose outcome holds for its own attempt only.
     pub async fn run(mut self) -> Result<Response<CallBody>, Refusal> {
         let mut last_failure: Option<Box<FailedAttempt>> = None;
         for number in 1..=u8::MAX {
             let prepared = match self.prepare_attempt() {
                 Ok(prepared) => prepared,
-                // With every gate tried, the last word of a gate tells the caller more.
+                // If no gate is left, the last gate's response tells the caller more than the refusal.
                 Err(refusal) => return last_failure.map_or(Err(refusal), |failed| failed.response),
             };
             let failed = match self.send_hedged(prepared).await {
@@ -71,8 +71,8 @@
 
     fn prepare_attempt(&mut self) -> Result<PreparedAttempt, Refusal> {
         let chosen =
-            self.service.start_attempt(Instant::now(), &self.attempted).map_err(|why| {
-                self.entry.parts.counters.add_reason("choice.refused", why.as_str());
+            self.service.start_attempt(Instant::now(), &self.attempted).map_err(|reason| {
+                self.entry.parts.counters.add_reason("choice.refused", reason.as_str());
                 Refusal::not_run(Reason::NoTarget).with_retry_after(super::LOOKUP_RETRY_AFTER)
             })?;
         self.attempted.push(chosen.key);
@@ -108,7 +108,8 @@
         }
     }
 
-    /// Sends a try, and another to a second gate when the first one is late and the policy pays.
+    /// Sends an attempt, and a hedge to a second gate if the first one is slow and the hedge budget
+    /// allows it.
     async fn send_hedged(
         &mut self,
         prepared: PreparedAttempt,
@@ -133,7 +134,7 @@
             result = &mut second => (result, false),
         };
         match result {
-            // Dropping the other try cancels it at its gate.
+            // The other attempt is dropped, which cancels it at its gate.
             Ok(response) => {
                 let winner = if is_first { "first_won" } else { "second_won" };
                 self.entry.parts.counters.add_reason("hedge", winner);
--- a/crates/yuccarackd/src/coordination/entry/call.rs
+++ b/crates/yuccarackd/src/coordination/entry/call.rs
@@ -1,4 +1,4 @@
-//! One call as it stands at its entry, ready to be sent once or more.
+//! A call at its entry, from which the request of each attempt is built.
 
 use std::time::Instant;
 
@@ -12,25 +12,25 @@
     forwarding,
 };
 
-/// One call at its entry.
+/// A call at its entry.
 pub struct EntryCall {
-    /// What its head says.
+    /// Metadata from the call's head.
     pub head: CallHead,
-    /// When its caller gives up.
+    /// Time at which the caller gives up.
     pub deadline: Instant,
-    /// Whether it may run more than once.
+    /// Whether the call may run more than once.
     pub is_repeatable: bool,
     parts: Parts,
     body: SendableBody,
 }
 
 impl EntryCall {
-    /// Takes a call in; a body of up to `kept_max_bytes` is read whole first, so that it can be
-    /// sent again.
+    /// Reads a call. A body of up to `buffered_max_bytes` is buffered so that it can be sent again;
+    /// a larger one is streamed.
     ///
     /// # Errors
     ///
-    /// The body's own error; nothing was sent.
+    /// Returns an error if the body can't be read; nothing was sent.
     pub async fn read(
         head: CallHead,
         deadline: Instant,
@@ -43,17 +43,17 @@
         Ok(Self { head, deadline, is_repeatable, parts, body })
     }
 
-    /// Whether it can be sent another time.
+    /// Returns whether the body is still available for another attempt.
     pub fn can_be_sent(&self) -> bool {
         self.body.can_be_sent()
     }
 
-    /// Whether it can be sent to two gates at once.
+    /// Returns whether the call can be sent to two gates at once.
     pub fn can_be_hedged(&self) -> bool {
         self.is_repeatable && self.body.is_buffered()
     }
 
-    /// The next try, as a gate gets it, with the name of its attempt.
+    /// Builds the gate's request for the next attempt, and returns it with the attempt's ID.
     pub fn next_attempt(&mut self) -> (AttemptId, Request<CallBody>) {
         let attempt: AttemptId = rand::rng().random();
         let mut request = Request::new(self.body.next_body());
@@ -81,7 +81,7 @@
     }
 }
 
-/// The request target as a server gets it.
+/// Returns `uri` in origin form, the path and query that a server expects.
 pub fn origin_form(uri: &Uri) -> Uri {
     let path = uri.path_and_query().map_or("/", |path| path.as_str());
     path.parse().unwrap_or_else(|_| Uri::from_static("/"))
--- a/crates/yuccarackd/src/coordination/entry/mod.rs
+++ b/crates/yuccarackd/src/coordination/entry/mod.rs
@@ -1,4 +1,4 @@
-//! The entry: takes a call, chooses its gate, owns its deadline, retries and hedges.
+//! The entry, which accepts calls, chooses their gates and owns deadlines, retries and hedges.
 
 pub mod attempt_sender;
 pub mod attempts;
@@ -44,38 +44,39 @@
     },
 };
 
-/// Time for reading a body and finding the service while the route's deadline isn't known yet.
+/// Timeout for looking up the service of a call without a deadline of its own; the route's deadline
+/// isn't known yet.
 const LOOKUP_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// When a caller may come back to a service that couldn't be looked up or has no target.
+/// `Retry-After` for a service that couldn't be looked up or has no target.
 const LOOKUP_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Group of the entry's refusal counters.
+/// Prefix of the entry's refusal counters; the reason follows.
 const REFUSED: &str = "entry.refused";
 
-/// What the entry works with.
+/// Dependencies of an [`Entry`].
 pub struct EntryParts {
-    /// Name of this instance.
+    /// Instance that this daemon runs on, whose gate is called directly.
     pub instance: InstanceId,
-    /// Failure domain of this instance.
+    /// Failure domain of this instance, whose targets are preferred.
     pub failure_domain: DomainName,
-    /// Largest body that is kept to be sent again, in bytes.
+    /// Largest body that is buffered so that it can be sent again, in bytes.
     pub buffered_body_max_bytes: usize,
-    /// Services, their rules and members.
+    /// Services with their rules and members.
     pub directory: Directory,
-    /// The gate beside this entry.
+    /// The gate in the same process, which is called directly.
     pub gate: Arc<Gate>,
-    /// Connections to other gates.
+    /// Connection pool for requests to other gates.
     pub upstream: Upstream,
-    /// What became of recent calls.
+    /// Log of recent calls, from which operators query a call's events.
     pub call_log: CallLog,
-    /// Counters.
+    /// Counters of calls, refusals and attempts.
     pub counters: Counters,
-    /// Cancelled when callers are to take their next call elsewhere.
+    /// Cancelled when this daemon starts to leave, so that callers send their next call elsewhere.
     pub leaving: CancellationToken,
 }
 
-/// The entry of one daemon.
+/// The entry of one daemon, which accepts calls and forwards them to gates.
 pub struct Entry {
     parts: EntryParts,
     services: RwLock<HashMap<ServiceName, Arc<EntryService>>>,
@@ -103,7 +104,7 @@
 }
 
 impl Entry {
-    /// Makes an entry that knows no service yet.
+    /// Creates an entry without known services.
     pub fn new(parts: EntryParts) -> Self {
         Self { parts, services: RwLock::default() }
     }
@@ -183,7 +184,7 @@
         Ok(Arc::clone(service))
     }
 
-    /// Counts and logs the end of a call and puts it into the form that its caller gets.
+    /// Counts and logs the end of a call and converts its result to the caller's response.
     fn finish(
         &self,
         response: Result<Response<CallBody>, Refusal>,
@@ -212,7 +213,9 @@
     }
 }
 
-/// Deadline and repeatability of a call by its route.
+/// Returns the deadline of a call and whether its route allows it to repeat.
+///
+/// The caller's own deadline takes precedence over the route's.
 fn resolve_route(
     rules: &ServiceRules,
     head: &CallHead,
--- a/crates/yuccarackd/src/coordination/entry/outcome_tracker.rs
+++ b/crates/yuccarackd/src/coordination/entry/outcome_tracker.rs
@@ -1,4 +1,4 @@
-//! What is proved of a request over all its tries.
+//! Tracks the outcome of a request over all its attempts.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 
@@ -7,33 +7,33 @@
 
 use crate::protocol::{body::CallBody, refusal::Outcome};
 
-/// Counts the tries that may have run.
+/// Counts the attempts that may have run.
 ///
-/// Failure: the first try's link breaks after hand-over, the second try is refused, and its
-/// `not_run` reaches the caller although the first one ran. So `not_run` goes out only when it is
-/// proved of every try, abandoned hedges included.
+/// A caller gets `not_run` only if it is confirmed for every attempt, abandoned hedges included.
+/// Otherwise the connection of a first attempt could break after its dispatch, a second attempt be
+/// refused, and the second one's `not_run` reach the caller although the first one ran.
 #[derive(Debug, Default)]
 pub struct OutcomeTracker {
     may_have_run_count: AtomicUsize,
 }
 
 impl OutcomeTracker {
-    /// Starts before the first try.
+    /// Creates a tracker for a request without attempts.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes that a try goes out.
+    /// Records that an attempt is sent, so it may run.
     pub fn record_sent(&self) {
         self.may_have_run_count.fetch_add(1, Ordering::AcqRel);
     }
 
-    /// Notes the proof that a try did not run.
+    /// Records that an attempt is confirmed not to have run.
     pub fn record_not_run(&self) {
         self.may_have_run_count.fetch_sub(1, Ordering::AcqRel);
     }
 
-    /// What is proved now.
+    /// Returns `NotRun` if that is confirmed for all attempts, and `Unknown` otherwise.
     pub fn outcome(&self) -> Outcome {
         match self.may_have_run_count.load(Ordering::Acquire) {
             0 => Outcome::NotRun,
@@ -41,7 +41,8 @@
         }
     }
 
-    /// Corrects an answer that speaks of its own try only.
+    /// Replaces `not_run` in a response by `unknown` if another attempt may have run, as a response
+    /// reports the outcome of its own attempt only.
     pub fn correct_outcome(&self, response: &mut Response<CallBody>) {
         let is_reported_not_run =
             Outcome::from_headers(response.headers()) == Some(Outcome::NotRun);
--- a/crates/yuccarackd/src/coordination/entry/service.rs
+++ b/crates/yuccarackd/src/coordination/entry/service.rs
@@ -1,4 +1,4 @@
-//! One service as this entry sees it: the policies with what they have learnt.
+//! State of one service at an entry: its members and the policies for choice, retries and hedges.
 
 use std::{
     collections::HashMap,
@@ -24,7 +24,7 @@
 
 use crate::state::directory::ServiceView;
 
-/// The policies of one service at this entry.
+/// A service at one entry.
 pub struct EntryService {
     policies: Mutex<Policies>,
 }
@@ -39,25 +39,26 @@
     rng: SmallRng,
 }
 
-/// A gate that was chosen.
+/// A gate chosen for an attempt, which counts as sent there.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChosenGate {
-    /// Its target at the chooser.
+    /// Key of the gate's target in the chooser.
     pub key: TargetKey,
-    /// Its instance.
+    /// Instance that the gate runs on.
     pub instance: InstanceId,
-    /// Where it takes requests.
+    /// Address on which the gate accepts requests.
     pub address: SocketAddr,
-    /// The candidates that were compared.
+    /// Candidates that were compared, for the call log.
     pub candidates: Vec<WeighedView>,
 }
 
 impl EntryService {
-    /// Starts with the rules and members of `view`; `home` is this instance's failure domain.
+    /// Creates a service with the rules and members of `view`. Targets in `local_domain`, which is
+    /// the failure domain of this instance, are preferred.
     ///
     /// # Errors
     ///
-    /// The absence of rules.
+    /// Returns an error if `view` has no rules.
     pub fn new(view: &ServiceView, local_domain: DomainName) -> Result<Self, NoRules> {
         let rules = view.rules.as_ref().ok_or(NoRules)?;
         let mut policies = Policies {
@@ -73,7 +74,7 @@
         Ok(Self { policies: Mutex::new(policies) })
     }
 
-    /// Follows changed rules and members.
+    /// Applies the rules and members of `view` if they have changed.
     pub fn sync_view(&self, view: &ServiceView) {
         let mut policies = self.policies.lock();
         if policies.generation == view.generation {
@@ -93,18 +94,18 @@
         policies.hedge = HedgePolicy::new(&rules.hedge);
     }
 
-    /// Notes a call's first try, which earns budgets their share.
+    /// Records the first attempt of a call, which adds its share to the retry and hedge budgets.
     pub fn record_first_attempt(&self, now: Instant) {
         let mut policies = self.policies.lock();
         policies.retry.first_try(now);
         policies.hedge.first_try(now);
     }
 
-    /// Chooses a gate that hasn't been tried and notes the try.
+    /// Chooses a gate that isn't in `attempted` and records the start of an attempt there.
     ///
     /// # Errors
     ///
-    /// Why there is none.
+    /// Returns why there is no such gate.
     pub fn start_attempt(
         &self,
         now: Instant,
@@ -119,7 +120,7 @@
         Ok(ChosenGate { key, instance, address, candidates })
     }
 
-    /// Notes how a try ended.
+    /// Records how an attempt ended and the load that its gate reported.
     pub fn record_attempt_end(
         &self,
         now: Instant,
@@ -136,17 +137,17 @@
         }
     }
 
-    /// Whether a failed try is worth another.
+    /// Decides on another attempt after a failed one.
     pub fn decide_retry(&self, now: Instant, ended_attempt: Try) -> RetryDecision {
         self.policies.lock().retry.decide(now, ended_attempt)
     }
 
-    /// Time after which a second gate is asked, if at all.
+    /// Returns the time after which a hedge is sent; `None` if no hedges are sent.
     pub fn hedge_delay(&self, now: Instant) -> Option<Duration> {
         self.policies.lock().hedge.delay(now)
     }
 
-    /// Pays for a hedge.
+    /// Takes a hedge from the budget; returns `false` if the budget is used up.
     pub fn spend_hedge(&self, now: Instant) -> bool {
         self.policies.lock().hedge.spend(now)
     }
@@ -160,9 +161,9 @@
     }
 }
 
-/// A service without rules, which no call can be for.
+/// Error for a service without rules, to which no call can be routed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("no rules of the service are in force")]
+#[error("the service has no rules in force")]
 pub struct NoRules;
 
 fn member(row: &MemberRow) -> Option<Member> {
--- a/crates/yuccarackd/src/coordination/gate/call.rs
+++ b/crates/yuccarackd/src/coordination/gate/call.rs
@@ -1,4 +1,4 @@
-//! One request as it stands at a gate.
+//! A request at its gate: metadata, head and body.
 
 use std::time::Instant;
 
@@ -19,48 +19,48 @@
     },
 };
 
-/// One request at a gate.
+/// A request at a gate.
 pub struct GateCall {
-    /// What its head says.
+    /// Metadata from the request's head.
     pub head: CallHead,
-    /// Its attempt.
+    /// ID of the attempt that the request belongs to.
     pub attempt: AttemptId,
-    /// When its entry gives up.
+    /// Time at which the entry gives up.
     pub deadline: Instant,
-    /// Its head as it came.
+    /// Head as received.
     pub parts: Parts,
-    /// Its body, not yet read.
+    /// Body, not yet read.
     pub body: CallBody,
 }
 
 impl GateCall {
-    /// Its method.
+    /// Returns the method.
     pub fn method(&self) -> &Method {
         &self.parts.method
     }
 
-    /// Its path without the query.
+    /// Returns the path without the query.
     pub fn path(&self) -> &str {
         self.parts.uri.path()
     }
 
-    /// Whether its entry knows that it must not repeat.
+    /// Returns whether the request must not repeat by the rules of its entry.
     pub fn is_once(&self) -> bool {
         self.parts.headers.contains_key(headers::ONCE)
     }
 
-    /// What it is recognised by when its caller sends it again.
+    /// Returns the fingerprint that identifies the request when its caller sends it again.
     ///
-    /// The length is the head's or, without, the body's own: a request without a body comes with
-    /// a length of 0 from another daemon and without any from this one's entry, and a resend by
-    /// the other way must not pass for another request.
+    /// The length is that of the head or, if the head has none, that of the body. A request without
+    /// a body has a length of 0 if it comes from another daemon and none if it comes from the entry
+    /// of this one, and both must have the same fingerprint.
     ///
-    /// A body counts only when its length is known and small: waiting for more of a long one
-    /// would hold up its streaming.
+    /// The body is included only if its length is known and small, as waiting for more of a long
+    /// one would delay its streaming.
     ///
     /// # Errors
     ///
-    /// A refusal when the body was cut on its way here; nothing ran.
+    /// Returns a refusal if the body is truncated; nothing ran.
     pub async fn fingerprint(&mut self) -> Result<Fingerprint, Refusal> {
         let length = content_length(&self.parts).or(self.body.size_hint().exact());
         let is_small = length.is_some_and(|bytes| bytes <= FINGERPRINT_BODY_MAX_BYTES as u64);
@@ -68,9 +68,9 @@
         if is_small {
             let body = std::mem::replace(&mut self.body, crate::protocol::body::empty());
             let read = BodyStart::read(body, FINGERPRINT_BODY_MAX_BYTES);
-            let whole = read.await.map_err(|_| Refusal::not_run(Reason::CallerBodyCut))?;
-            start = whole.start.clone();
-            self.body = whole.into_body();
+            let buffered = read.await.map_err(|_| Refusal::not_run(Reason::CallerBodyCut))?;
+            start = buffered.start.clone();
+            self.body = buffered.into_body();
         }
         let path = self.parts.uri.path_and_query().map_or("/", |path| path.as_str());
         let parts = FingerprintParts {
@@ -84,16 +84,16 @@
         Ok(parts.fingerprint())
     }
 
-    /// The request as the target gets it.
+    /// Builds the request that is sent to the target.
     pub fn into_target_request(mut self) -> Request<CallBody> {
         let map = &mut self.parts.headers;
         forwarding::strip_hop_by_hop(map);
         map.remove(headers::ONCE);
         forwarding::set_header(map, headers::REQUEST_ID, &format_id(self.head.request_id));
         forwarding::set_header(map, headers::ATTEMPT_ID, &format_id(self.attempt));
-        let left = remaining_ms(self.deadline, Instant::now());
-        forwarding::set_header(map, headers::DEADLINE_MS, &left.to_string());
-        // The target passes this on with the calls it makes, so a chain's length is known.
+        let left_ms = remaining_ms(self.deadline, Instant::now());
+        forwarding::set_header(map, headers::DEADLINE_MS, &left_ms.to_string());
+        // The target forwards the depth with its own calls, so the length of a call chain is known.
         let depth = self.head.depth.saturating_add(1);
         forwarding::set_header(map, headers::DEPTH, &depth.to_string());
         forwarding::set_header(map, headers::SERVICE, &self.head.service);
--- a/crates/yuccarackd/src/coordination/gate/dispatch.rs
+++ b/crates/yuccarackd/src/coordination/gate/dispatch.rs
@@ -1,4 +1,4 @@
-//! One request on its way from the gate to the target and its answer back.
+//! Dispatches a request to the target, and handles its response or failure.
 
 use std::{
     sync::Arc,
@@ -41,59 +41,60 @@
     },
 };
 
-/// Largest answer of a claimed request that is read before it is passed on, so that its record is
-/// written with the body; a larger one is streamed and recorded without.
+/// Largest response body of a claimed request that is buffered before it is forwarded, so that it
+/// is stored with the outcome; a larger one is streamed and the outcome stored without a body.
 const RECORDED_BODY_MAX_BYTES: usize = 4 * 1024;
 
-/// Longest look at whether the target has died, before its caller is told.
+/// Time that a caller's response waits for the check whether the target has crashed.
 const CRASH_CHECK_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// How long the answer of a claimed request is waited for after its deadline, so that a straggler's
-/// outcome is still recorded; less than a stopping daemon waits for work in flight.
+/// Time after the deadline for which a claimed request still waits for its response, so that the
+/// outcome of a late one is recorded; shorter than a stopping daemon waits for requests in flight.
 const CLAIMED_RESPONSE_GRACE: Duration = Duration::from_secs(20);
 
-/// Longest request that goes out in one piece, so that its target owes an answer from then on.
+/// Largest request body that counts as sent at once, so that a response is due from then on.
 const SHORT_BODY_MAX_BYTES: u64 = 64 * 1024;
 
-/// Waits before each look at a target whose connection broke.
+/// Delays before each check of a target whose connection broke. A dying process may close its port
+/// last, so the first check may still find it open.
 const CRASH_CHECK_DELAYS: [Duration; 3] =
     [Duration::ZERO, Duration::from_millis(2), Duration::from_millis(6)];
 
-/// A request with all it needs to go to the target.
+/// A request with all that its dispatch to the target needs.
 pub struct Dispatch {
-    /// The gate.
+    /// Gate that dispatches the request.
     pub gate: Arc<Gate>,
-    /// The target.
+    /// Target that the request goes to.
     pub target: Arc<GateTarget>,
-    /// What the request is recognised by.
+    /// Record of the request for the requests in flight.
     pub in_flight_request: InFlightRequest,
-    /// Its slot.
+    /// Slot that the request holds.
     pub slot: SlotLease,
-    /// Its trial, where it is a crash suspect.
+    /// Trial of the request if it is a suspect.
     pub trial: Option<Trial>,
 }
 
 impl Dispatch {
-    /// Hands a repeatable request over; dropping this future cancels it at the target.
+    /// Dispatches a repeatable request. Dropping the future cancels the request at the target.
     ///
     /// # Errors
     ///
-    /// A refusal with what is proved.
+    /// Returns a refusal whose outcome says whether the request is confirmed not to have run.
     pub async fn run(self, call: GateCall) -> Result<Response<CallBody>, Refusal> {
         let response_deadline = call.deadline;
         self.exchange(call, Freshness::Kept, response_deadline).await
     }
 
-    /// Hands a claimed request over and records its outcome.
+    /// Dispatches a claimed request and records its outcome.
     ///
-    /// It goes on when its caller hangs up, and for a while after the deadline: cut off in the
-    /// middle it would be neither done nor undone and wait for an operator, while run to its end
-    /// its outcome is there for the caller's next question. The target knows the deadline and may
-    /// stop by itself.
+    /// It continues after its caller disconnects, and for some time after the deadline. A request
+    /// that is cancelled half-way has an unknown outcome, which an operator has to resolve; the
+    /// outcome of one that completes is there when the caller sends the request again. The target
+    /// knows the deadline and may stop by itself.
     ///
     /// # Errors
     ///
-    /// A refusal with what is proved.
+    /// Returns a refusal whose outcome says whether the request is confirmed not to have run.
     pub async fn run_claimed(
         self,
         call: GateCall,
@@ -109,7 +110,8 @@
         requests.spawn(async move {
             let response = self.exchange(call, Freshness::New, response_deadline).await;
             let response = record_outcome(response, claim).await;
-            // The caller may have gone; the outcome is recorded all the same.
+            // The receiver may be dropped because the caller has disconnected; the outcome is
+            // recorded nevertheless.
             let _ = sender.send(response);
         });
         match timeout_at(deadline.into(), response_receiver).await {
@@ -151,30 +153,32 @@
 }
 
 impl Gate {
-    /// Ends a request whose connection failed, and looks whether the target died with it.
+    /// Ends a request whose connection failed, and checks whether the target has crashed.
     async fn finish_failed(&self, error: SendError, running: RunningRequest) -> Refusal {
         if error.is_not_sent() {
             let target = Arc::clone(&running.crash_check.target);
             running.finish_not_sent();
             if is_connection_refused(&error) {
-                // Nobody listens any more: what broke or was given up just before is to blame.
+                // The process has exited: requests that broke or were abandoned just before are
+                // suspects.
                 self.blame_in_flight(&target).await;
             }
             return send_error_refusal(Reason::Unreachable, true);
         }
-        // Members of the service hear of a suspect before its caller can send it again. The look
-        // goes on by itself when it takes longer than anybody should wait.
+        // The other members of the service learn of a suspect before its caller can send it again.
+        // A check that takes longer continues in the background.
         let has_crashed = timeout(CRASH_CHECK_TIMEOUT, running.finish_broken()).await;
         let has_crashed = matches!(has_crashed, Ok(Ok(true)));
         let reason = if has_crashed { Reason::TargetDied } else { Reason::Broken };
         send_error_refusal(reason, false)
     }
 
-    /// A port that refuses connections belongs to no process any more.
+    /// Returns whether the target's process has exited, which shows in a port that refuses
+    /// connections.
     ///
-    /// Failure: a dying process closes its connections one after the other, the listening one last
-    /// perhaps, and a first look finds it open; the request would count as merely broken and an
-    /// entry would send it to the next target. So it looks again, twice.
+    /// A dying process closes its sockets one after the other, possibly the listening one last, so
+    /// a single check may find it open. The request would then count as merely broken and an entry
+    /// would send it to the next target, so the check is repeated twice.
     async fn check_crash(&self, target: &GateTarget) -> bool {
         let mut has_crashed = false;
         for delay in CRASH_CHECK_DELAYS {
@@ -193,14 +197,14 @@
     }
 }
 
-/// Looks whether a target has died.
+/// A check whether a target has crashed, ready to start.
 pub struct CrashCheck {
     gate: Arc<Gate>,
     target: Arc<GateTarget>,
 }
 
 impl CrashCheck {
-    /// Looks in the background; the task says whether it has.
+    /// Starts the check in the background. The task returns whether the target has crashed.
     pub fn start(self) -> JoinHandle<bool> {
         let Self { gate, target } = self;
         let tasks = gate.parts.background.clone();
@@ -208,8 +212,8 @@
     }
 }
 
-/// A long body, each piece of which tells that the target still takes something; a short one is
-/// handed over at once and tells nothing.
+/// Wraps a long body so that `on_progress` is called for each frame that the target accepts. A
+/// short body is sent at once and reports no progress.
 fn with_progress(body: CallBody, on_progress: impl Fn() + Send + 'static) -> CallBody {
     let is_short = body.size_hint().upper().is_some_and(|bytes| bytes <= SHORT_BODY_MAX_BYTES);
     if is_short {
@@ -241,11 +245,12 @@
     Ok(response.map(|body| GuardedBody::new(body, running, deadline).boxed_unsync()))
 }
 
-/// By its contract a target says so only before it has run any of the request.
+/// Returns whether the target shed the request. By its contract it does so only before it runs any
+/// of the request.
 fn is_shed(response: &Response<CallBody>) -> bool {
-    let says_not_run =
+    let is_reported_not_run =
         response.headers().get(headers::NOT_RUN).is_some_and(|value| value == "true");
-    says_not_run && response.status() == StatusCode::SERVICE_UNAVAILABLE
+    is_reported_not_run && response.status() == StatusCode::SERVICE_UNAVAILABLE
 }
 
 fn shed_refusal(map: &HeaderMap) -> Refusal {
@@ -257,7 +262,7 @@
     }
 }
 
-/// Settles a claim by what is known of its request.
+/// Settles a claim with the outcome of its request.
 async fn record_outcome(
     response: Result<Response<CallBody>, Refusal>,
     claim: RunningClaim,
@@ -268,7 +273,7 @@
             if refusal.outcome == Outcome::NotRun {
                 claim.release_not_run_seen().await;
             }
-            // Else the claim stays open: the request may have run, so nobody may run it again.
+            // Otherwise the claim stays open: the request may have run, so it must not run again.
             return Err(refusal);
         }
     };
--- a/crates/yuccarackd/src/coordination/gate/guarded_body.rs
+++ b/crates/yuccarackd/src/coordination/gate/guarded_body.rs
@@ -1,4 +1,4 @@
-//! A target's answer that holds its slot until the answer has been read whole.
+//! A response body that holds the slot of its request until the body is complete.
 
 use std::{
     pin::Pin,
@@ -19,20 +19,20 @@
     protocol::body::{BodyError, CallBody},
 };
 
-/// What a request holds while it is on the target.
+/// Resources that a request holds while it runs on the target.
 pub struct RunningRequest {
-    /// Its slot.
+    /// Slot that the request holds.
     pub slot: SlotLease,
-    /// Its presence in the record of requests in flight.
+    /// Guard that keeps the request among those in flight.
     pub in_flight: InFlightGuard,
-    /// Its trial, where it is a crash suspect.
+    /// Trial of the request if it is a suspect.
     pub trial: Option<RunningTrial>,
-    /// Looks whether the target has died.
+    /// Check whether the target has crashed, for a connection that breaks.
     pub crash_check: CrashCheck,
 }
 
 impl RunningRequest {
-    /// Ends a request whose answer came whole.
+    /// Ends a request whose response is complete.
     pub fn finish(self) {
         self.slot.finish();
         self.in_flight.finish();
@@ -41,19 +41,19 @@
         }
     }
 
-    /// Ends a request whose connection broke; the task says whether the target has died.
+    /// Ends a request whose connection broke. The task returns whether the target has crashed.
     ///
-    /// Failure: a target dies in the middle of an answer, the gate passes the broken answer on and
-    /// asks no further, and the request takes the next target when it is sent again.
+    /// Without the check a request that crashes its target in the middle of a response would not
+    /// become a suspect, and would crash the next target when it is sent again.
     pub fn finish_broken(self) -> JoinHandle<bool> {
         let Self { slot, in_flight, trial, crash_check } = self;
         slot.finish_failed();
-        // Both without a word: they stay open to blame for some seconds.
+        // Dropped unfinished, so that the request can become a suspect for some seconds.
         drop((in_flight, trial));
         crash_check.start()
     }
 
-    /// Ends a request that the target shed before running it.
+    /// Ends a request that the target shed before running any of it.
     pub fn finish_shed(self) {
         self.slot.finish_shed();
         self.in_flight.finish();
@@ -77,9 +77,10 @@
     }
 }
 
-/// An answer's body that holds what its request holds, at most until the deadline.
+/// A response body that holds the resources of its request, at most until the deadline.
 ///
-/// A target that trickles its answer would otherwise keep a slot for as long as it likes.
+/// Without the deadline a target that sends its response in small pieces would occupy a slot for an
+/// unlimited time.
 pub struct GuardedBody {
     body: CallBody,
     running: Option<RunningRequest>,
@@ -87,7 +88,7 @@
 }
 
 impl GuardedBody {
-    /// Guards `body` until `deadline`.
+    /// Creates a body that holds `running` until it is complete or `deadline` has passed.
     pub fn new(body: CallBody, running: RunningRequest, deadline: Instant) -> Self {
         let deadline = Box::pin(sleep_until(deadline.into()));
         let mut guarded = Self { body, running: Some(running), deadline };
--- a/crates/yuccarackd/src/coordination/gate/in_flight.rs
+++ b/crates/yuccarackd/src/coordination/gate/in_flight.rs
@@ -1,4 +1,4 @@
-//! Which requests are on the target, so that its death can be laid to them.
+//! Records the requests in flight at the target, which become suspects if it crashes.
 
 use std::{
     sync::Arc,
@@ -9,27 +9,28 @@
 use slotmap::{SlotMap, new_key_type};
 use yuccarack_config::ids::Fingerprint;
 
-/// How long a broken or abandoned request may be laid to a death found later; connections break at
-/// once when a process dies, and its successor announces itself within a few seconds.
+/// Time for which a broken or abandoned request may become the suspect of a crash that is noticed
+/// later. Connections break at once when a process dies, and its successor announces itself within
+/// a few seconds.
 const ABANDONED_RETENTION: Duration = Duration::from_secs(5);
 
-/// Most broken or abandoned requests that are remembered.
+/// Maximum number of broken or abandoned requests that are recorded.
 const ABANDONED_MAX: usize = 256;
 
 new_key_type! {
     struct InFlightKey;
 }
 
-/// One request that was on the target.
+/// A request in flight at the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InFlightRequest {
-    /// What the request is recognised by.
+    /// Fingerprint that identifies the request when it is sent again.
     pub fingerprint: Fingerprint,
-    /// Whether nothing else was on the target.
+    /// Whether no other request was in flight.
     pub is_alone: bool,
 }
 
-/// Requests on the target; clones share them.
+/// Requests in flight at one target; clones share them.
 #[derive(Clone, Debug, Default)]
 pub struct InFlightRequests {
     state: Arc<Mutex<State>>,
@@ -42,20 +43,20 @@
 }
 
 impl InFlightRequests {
-    /// Starts with nothing on the target.
+    /// Creates a record without requests.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Marks a request as being on the target until the guard is dropped.
+    /// Records a request as in flight until the guard is dropped.
     pub fn register(&self, request: InFlightRequest) -> InFlightGuard {
         let key = self.state.lock().running.insert(request);
         InFlightGuard { in_flight: self.clone(), key, may_still_run: true }
     }
 
-    /// Takes out all requests that were on the target when it died.
+    /// Removes and returns all requests that were in flight when the target crashed.
     ///
-    /// Each is taken once: one death must not count as two against a request.
+    /// Each is returned only once, as one crash must not count twice against a request.
     pub fn take_crash_suspects(&self, now: Instant) -> Vec<InFlightRequest> {
         let mut state = self.state.lock();
         let mut suspects: Vec<InFlightRequest> =
@@ -83,11 +84,11 @@
     }
 }
 
-/// One request's presence on the target.
+/// Guard of a request in flight.
 ///
-/// Failure: a caller hangs up on each try a moment before its request crashes the target, and the
-/// request is never found among those in flight. So a request that is dropped without an end, or
-/// whose connection broke, is remembered for some seconds: it may still be running.
+/// A request that is dropped unfinished, or whose connection broke, may still be running, so it
+/// stays recorded for some seconds. Otherwise a caller that disconnects shortly before its request
+/// crashes the target would never have the request found among those in flight.
 #[derive(Debug)]
 pub struct InFlightGuard {
     in_flight: InFlightRequests,
@@ -96,7 +97,7 @@
 }
 
 impl InFlightGuard {
-    /// Ends the presence: the target has nothing of the request any more.
+    /// Removes the request: nothing of it runs on the target any more.
     pub fn finish(mut self) {
         self.may_still_run = false;
     }
--- a/crates/yuccarackd/src/coordination/gate/mod.rs
+++ b/crates/yuccarackd/src/coordination/gate/mod.rs
@@ -1,7 +1,7 @@
-//! The gate: the only way to the target beside this daemon.
+//! The gate of one target, which all requests to the target pass through.
 //!
-//! It counts the target's slots exactly and refuses before anything is handed over, so its refusal
-//! is proof that a request did not run.
+//! It counts the target's slots exactly and refuses requests before their dispatch, so a request
+//! that it refuses is confirmed not to have run.
 
 pub mod call;
 pub mod dispatch;
@@ -48,48 +48,48 @@
     transport::upstream::Upstream,
 };
 
-/// What a refused caller of a draining or unready target is told to wait; by then its entry knows.
+/// `Retry-After` of a draining or unready target. By then the caller's entry knows of that state.
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Group of the gate's refusal counters.
+/// Prefix of the gate's refusal counters; the reason follows.
 const REFUSED: &str = "gate.refused";
 
-/// What the gate works with.
+/// Dependencies of a [`Gate`].
 pub struct GateParts {
-    /// Name of this instance.
+    /// Instance that this daemon runs on; responses carry it in a header.
     pub instance: String,
-    /// The target's announcements.
+    /// The target as reported by its own announcements.
     pub own_target: OwnTarget,
-    /// The rules in force.
+    /// Services with the rules in force and their members.
     pub directory: Directory,
-    /// Claims of requests that must not repeat.
+    /// Claims of the idempotency keys of requests that must not repeat.
     pub claims: ClaimKeeper,
-    /// Requests that may crash targets.
+    /// Suspects, which are requests that may crash targets.
     pub suspects: SuspectKeeper,
-    /// Connections to the target.
+    /// Connection pool for requests to the target.
     pub upstream: Upstream,
-    /// Counters.
+    /// Counters of refusals and crashes.
     pub counters: Counters,
-    /// Log of state changes.
+    /// Log for changes of the target's state.
     pub logger: Logger,
-    /// Parent of claimed requests, which may outlive their callers.
+    /// Tracker of the tasks that run claimed requests, which may outlive their callers.
     pub requests: TaskTracker,
-    /// Parent of what runs as long as the gate.
+    /// Tracker of tasks that run as long as the gate.
     pub background: TaskTracker,
 }
 
-/// The gate of one target.
+/// The gate of one target: admits and dispatches its requests.
 pub struct Gate {
     parts: GateParts,
     in_flight: InFlightRequests,
     target: RwLock<Option<Arc<GateTarget>>>,
     draining: CancellationToken,
-    /// Boot id of the last life whose death was laid to its requests.
+    /// Boot ID of the last target process whose crash was blamed on its requests.
     blamed_boot_id: Mutex<Option<u64>>,
 }
 
 impl Gate {
-    /// Makes a gate that knows no target yet.
+    /// Creates a gate without a target.
     pub fn new(parts: GateParts) -> Self {
         Self {
             parts,
@@ -100,7 +100,8 @@
         }
     }
 
-    /// Answers one request: the target's answer, or a refusal with what is proved.
+    /// Runs one request and returns the target's response, or a refusal that says whether the
+    /// request is confirmed not to have run.
     pub async fn handle(self: &Arc<Self>, call: GateCall) -> Response<CallBody> {
         let mut response = match self.run(call).await {
             Ok(response) => response,
@@ -113,7 +114,7 @@
         response
     }
 
-    /// Takes no new work from now on.
+    /// Refuses all queued and new requests from now on; running ones finish.
     pub fn drain(&self) {
         self.draining.cancel();
         if let Some(target) = self.target.read().as_ref() {
@@ -121,17 +122,17 @@
         }
     }
 
-    /// Requests running on the target.
+    /// Returns the number of requests that run on the target.
     pub fn in_flight(&self) -> usize {
         self.target.read().as_ref().map_or(0, |target| target.slots.in_flight())
     }
 
-    /// The target as it is now.
+    /// Returns the current target; `None` before its announcement or without rules of its service.
     pub fn target(&self) -> Option<Arc<GateTarget>> {
         self.target.read().clone()
     }
 
-    /// Follows announcements and rules until `stop`.
+    /// Applies changes of the target's announcements and of the rules until `stop`.
     pub async fn follow(self: Arc<Self>, stop: CancellationToken) {
         let mut announcements = self.parts.own_target.subscribe();
         let mut rules = self.parts.directory.subscribe();
@@ -170,7 +171,7 @@
         if let Some(previous) = self.target() {
             self.blame_in_flight(&previous).await;
         }
-        info!(self.parts.logger, "target taken in";
+        info!(self.parts.logger, "target admitted";
             "service" => service, "boot_id" => view.announcement.boot_id,
             "slots" => view.announcement.slots);
         let target = GateTarget::new(view, rules);
@@ -186,17 +187,17 @@
         others.any(|member| member.state == TargetState::Ready)
     }
 
-    /// Lays the death of a target's life to what was on it.
+    /// Reports the requests that were in flight as suspects after their target has crashed.
     ///
-    /// A new boot id after broken connections is a crash that nobody saw: the target was back
-    /// before its port could be found closed.
+    /// A new boot ID after broken connections is a crash too: the target restarted before its port
+    /// could be found closed.
     ///
-    /// Failure: each request that meets the dead port, and the new life's first announcement, find
-    /// others that are only connecting or run on the new life already, and a bystander's trial
-    /// among them is quarantined. So each life dies once.
+    /// Each process is blamed at most once. Every request that finds the port closed and the first
+    /// announcement of the new process come here, and by then requests may be in flight that only
+    /// connect or already run on the new process; a trial among them would be quarantined.
     async fn blame_in_flight(&self, target: &GateTarget) {
         if target.view.state() != TargetState::Ready {
-            // It said that it would leave, so its closed port is no death.
+            // It announced that it would leave, so its closed port is no crash.
             return;
         }
         let boot_id = target.view.announcement.boot_id;
@@ -212,9 +213,9 @@
     async fn run(self: &Arc<Self>, mut call: GateCall) -> Result<Response<CallBody>, Refusal> {
         let target = self.ready_target(&call)?;
         let (route_index, route) = target.find_route(call.method(), call.path())?;
-        // Failure: a file by which orders must not repeat any more is in force, one gate hasn't heard
-        // of it, and a resend that lands there runs without a claim. So the stricter word counts, the
-        // entry's or the gate's.
+        // The stricter of the entry's and the gate's rules applies. Otherwise a gate that hasn't
+        // received the latest rules, by which requests must not repeat any more, would run a resend
+        // without a claim.
         let is_repeatable = route.is_repeatable(call.method().as_str()) && !call.is_once();
         let fingerprint = call.fingerprint().await?;
         let is_suspect = self.is_suspect(&call.head.service, fingerprint).await?;
@@ -225,8 +226,8 @@
                 ClaimResult::Granted(claim) => Some(claim),
             },
         };
-        // After the claim: a key that is taken needs no trial, and a claim that gets none is
-        // released when it is dropped.
+        // The trial comes after the claim: a request whose key is already claimed needs no trial,
+        // and a claim whose request gets no trial is released when it is dropped.
         let trial = match is_suspect {
             true => Some(self.trial(&call.head.service, fingerprint).await?),
             false => None,
@@ -286,19 +287,20 @@
         }
     }
 
-    /// Tells all members of the service which requests were on the target when it died.
+    /// Reports to all members of the service which requests were in flight when the target crashed.
     async fn report_crash(&self, suspects: Vec<in_flight::InFlightRequest>) {
         let Some(service) = self.parts.directory.own_service() else {
             return;
         };
         self.parts.counters.add("gate.target_died");
-        info!(self.parts.logger, "target died"; "service" => &service, "in_flight" => suspects.len());
+        info!(self.parts.logger, "target crashed";
+            "service" => &service, "in_flight" => suspects.len());
         let fingerprints =
             suspects.into_iter().map(|suspect| (suspect.fingerprint, suspect.is_alone)).collect();
         self.parts.suspects.target_died(&service, fingerprints).await;
     }
 
-    /// Load and rules revision travel with every answer, so that they cost no message of their own.
+    /// Adds load and rules revision to a response, so that they need no message of their own.
     fn add_status_headers(&self, response: &mut Response<CallBody>) {
         let map = response.headers_mut();
         forwarding::set_header(map, headers::INSTANCE, &self.parts.instance);
@@ -310,7 +312,8 @@
     }
 }
 
-/// Says of a failure on the way to the target what is proved.
+/// Returns the refusal for a request that failed on the way to the target; it is confirmed as not
+/// run if nothing of it was sent.
 fn send_error_refusal(reason: Reason, is_not_sent: bool) -> Refusal {
     let outcome = if is_not_sent { Outcome::NotRun } else { Outcome::Unknown };
     Refusal { reason, outcome, retry_after: None }
--- a/crates/yuccarackd/src/coordination/gate/prerequisites.rs
+++ b/crates/yuccarackd/src/coordination/gate/prerequisites.rs
@@ -1,4 +1,4 @@
-//! What a request needs before it may run: no quarantine, a trial, a claim.
+//! Checks what a request needs before it may run: no quarantine, a trial as a suspect, and a claim.
 
 use std::time::Instant;
 
@@ -20,18 +20,18 @@
     },
 };
 
-/// The claim of a request, or the answer that makes one needless.
+/// The claim of a request, or the recorded response of an earlier run.
 pub(super) enum ClaimResult {
     Granted(Claim),
     Recorded(Response<CallBody>),
 }
 
 impl Gate {
-    /// Whether a request may only run on trial.
+    /// Returns whether a request may only run on trial.
     ///
     /// # Errors
     ///
-    /// A refusal for one that may not run at all.
+    /// Returns a refusal for a request that must not run now.
     pub(super) async fn is_suspect(
         &self,
         service: &str,
@@ -41,8 +41,8 @@
             Verdict::Clear => Ok(false),
             Verdict::Alone => Ok(true),
             Verdict::Quarantined { until } => {
-                let left = until.saturating_duration_since(Instant::now());
-                Err(Refusal::not_run(Reason::Quarantined).with_retry_after(left))
+                let remaining = until.saturating_duration_since(Instant::now());
+                Err(Refusal::not_run(Reason::Quarantined).with_retry_after(remaining))
             }
             Verdict::OnTrialElsewhere { retry_after } => {
                 Err(Refusal::not_run(Reason::OnTrial).with_retry_after(retry_after))
@@ -50,7 +50,8 @@
         }
     }
 
-    /// A request that was in flight when a target died runs alone or not at all.
+    /// Begins the trial of a request that was in flight when a target crashed, as it may only run
+    /// alone.
     pub(super) async fn trial(
         &self,
         service: &str,
@@ -62,8 +63,8 @@
                 Err(Refusal::not_run(Reason::OnTrial).with_retry_after(retry_after))
             }
             TrialVerdict::Quarantined { until } => {
-                let left = until.saturating_duration_since(Instant::now());
-                Err(Refusal::not_run(Reason::Quarantined).with_retry_after(left))
+                let remaining = until.saturating_duration_since(Instant::now());
+                Err(Refusal::not_run(Reason::Quarantined).with_retry_after(remaining))
             }
             TrialVerdict::StoreAway { retry_after } => {
                 Err(Refusal::not_run(Reason::StoreUnavailable).with_retry_after(retry_after))
@@ -71,10 +72,10 @@
         }
     }
 
-    /// Claims a request that must not repeat.
+    /// Claims the idempotency key of a request that must not repeat.
     ///
-    /// Before it gets a slot, so that a slow store never holds the slots of requests that need no
-    /// claim.
+    /// The claim precedes the slot, so that a slow store doesn't block slots that requests without
+    /// a claim could use.
     pub(super) async fn claim(&self, request: ClaimRequest) -> Result<ClaimResult, Refusal> {
         match self.parts.claims.claim(request).await {
             ClaimVerdict::Mine(claim) => Ok(ClaimResult::Granted(claim)),
@@ -90,14 +91,14 @@
     }
 }
 
-/// Gives a claim back before its request is told that it did not run.
+/// Releases a claim before the caller gets `not_run` for its request.
 pub(super) async fn release_claim(claim: Option<Claim>) {
     if let Some(claim) = claim {
         claim.release_seen().await;
     }
 }
 
-/// The claim that a request needs before it may run; none for one that may repeat.
+/// Returns the claim that a request needs before it may run; `None` if the request may repeat.
 pub(super) fn claim_request(
     call: &GateCall,
     is_repeatable: bool,
@@ -118,10 +119,10 @@
     }))
 }
 
-/// The recorded answer of an earlier run.
+/// Builds the recorded response of an earlier run.
 ///
-/// Failure: an answer too large to keep is replayed without its body, and its caller takes an
-/// empty success for the whole answer. So such a run is only told of.
+/// A response whose body was too large to record is refused with the outcome only. Replayed without
+/// its body, its caller would take an empty success for the complete response.
 fn replay_response(outcome: RecordedOutcome) -> Result<Response<CallBody>, Refusal> {
     let Some(bytes) = outcome.body else {
         let outcome = Outcome::Run;
--- a/crates/yuccarackd/src/coordination/gate/server.rs
+++ b/crates/yuccarackd/src/coordination/gate/server.rs
@@ -1,4 +1,4 @@
-//! The gate's door for requests of other daemons.
+//! Serves requests from the entries of other daemons.
 
 use std::sync::Arc;
 
@@ -15,13 +15,13 @@
     transport::call_server::{Arrival, CallHandler},
 };
 
-/// Reads what other daemons send and passes it to the gate.
+/// Server side of a gate for other daemons.
 pub struct GateServer {
     gate: Arc<Gate>,
 }
 
 impl GateServer {
-    /// Makes the door of `gate`.
+    /// Creates a server that passes requests to `gate`.
     pub fn new(gate: Arc<Gate>) -> Self {
         Self { gate }
     }
@@ -39,7 +39,7 @@
         let Ok(head) = head else {
             return Refusal::not_run(Reason::BadRequest).into_response();
         };
-        // An entry always says until when it waits; whoever doesn't is no entry.
+        // Entries always send a deadline, so a request without one doesn't come from an entry.
         let Some(deadline) = head.deadline else {
             return Refusal::not_run(Reason::BadRequest).into_response();
         };
--- a/crates/yuccarackd/src/coordination/gate/slots.rs
+++ b/crates/yuccarackd/src/coordination/gate/slots.rs
@@ -1,4 +1,4 @@
-//! The target's slots: asks the admission policy, lets callers wait, gives slots back.
+//! Asynchronous access to a target's slots: requests wait for admission and release their slots.
 
 use std::{
     collections::HashMap,
@@ -14,13 +14,13 @@
     Admission, AdmissionConfig, Offer, Offered, Refusal, RunEnd, RunKey, Settled, WaitKey,
 };
 
-/// Wait when nothing is due; the next offer wakes the clock anyway.
+/// Sleep of the clock when nothing is due. The next request that is queued wakes it earlier.
 const IDLE_WAIT: Duration = Duration::from_secs(60);
 
-/// What a waiting request is told.
+/// Decision on a waiting request: a slot or a refusal.
 type Settlement = Result<RunKey, Refusal>;
 
-/// The slots of one target; clones share them.
+/// Slots and queue of one target; clones share them.
 #[derive(Clone)]
 pub struct Slots {
     shared: Arc<Shared>,
@@ -38,33 +38,34 @@
 }
 
 impl Slots {
-    /// Makes the slots of a target.
+    /// Creates the slots of a target, all of them free.
     pub fn new(config: AdmissionConfig) -> Self {
         let admission = Admission::new(Instant::now(), config);
         let state = Mutex::new(State { admission, waiting: HashMap::new() });
         Self { shared: Arc::new(Shared { state, changed: Notify::new() }) }
     }
 
-    /// Follows new rules or another number of slots.
+    /// Applies new rules or another number of slots.
     pub fn configure(&self, config: AdmissionConfig) {
         self.with_state(|state, now| state.admission.configure(now, config));
     }
 
-    /// Says whether other targets of the service take work.
+    /// Sets whether other targets of the service accept requests.
     pub fn set_alternatives(&self, has_alternatives: bool) {
         self.with_state(|state, _| state.admission.set_alternatives(has_alternatives));
     }
 
-    /// Refuses all that waits and all that comes from now on.
+    /// Refuses all waiting requests and all that are offered from now on.
     pub fn drain(&self) {
         self.with_state(|state, _| state.admission.drain());
     }
 
-    /// Gets a slot, at once or after a wait that the policy allows.
+    /// Acquires a slot, at once or after a wait that the policy allows. Dropping the future leaves
+    /// the queue.
     ///
     /// # Errors
     ///
-    /// The policy's refusal; nothing of the request has run.
+    /// Returns the policy's refusal; nothing of the request has run.
     pub async fn admit(&self, offer: Offer) -> Result<SlotLease, Refusal> {
         let (key, settled) = match self.offer(offer) {
             Ok(lease) => return Ok(lease),
@@ -75,22 +76,22 @@
         waiter.settle().await
     }
 
-    /// Notes that a piece of a long request or answer has passed.
+    /// Records that a piece of a long request or response has been transferred.
     pub fn record_progress(&self, key: RunKey) {
         self.shared.state.lock().admission.moved(Instant::now(), key);
     }
 
-    /// The load as the policy counts it.
+    /// Returns the load as the admission policy counts it.
     pub fn load(&self) -> LoadReport {
         self.shared.state.lock().admission.load()
     }
 
-    /// Requests running on the target.
+    /// Returns the number of requests that run on the target.
     pub fn in_flight(&self) -> usize {
         self.shared.state.lock().admission.in_flight()
     }
 
-    /// Settles waiting requests as their time comes, until `stop`.
+    /// Settles waiting requests as their wait times expire, until `stop`.
     pub async fn run_clock(&self, stop: CancellationToken) {
         loop {
             let next = self.shared.state.lock().admission.next_wake();
@@ -118,7 +119,7 @@
         }
     }
 
-    /// Changes the state, then tells whoever the change has settled.
+    /// Changes the state, then notifies the waiting requests that the change has settled.
     fn with_state<T>(&self, change: impl FnOnce(&mut State, Instant) -> T) -> T {
         let mut state = self.shared.state.lock();
         let now = Instant::now();
@@ -133,7 +134,8 @@
 }
 
 impl State {
-    /// A slot that its waiter didn't take is free again, so it settles until nothing changes.
+    /// Settles waiting requests until nothing changes, as a slot whose waiter is dropped becomes
+    /// free again.
     fn settle(&mut self, now: Instant) {
         loop {
             let settled = self.admission.poll(now);
@@ -157,7 +159,8 @@
         }
     }
 
-    /// A waiter that has just gone away can't take its slot; nobody else would ever release it.
+    /// Assigns a slot to its waiter. If the waiter has just been dropped the slot is released here,
+    /// as nothing else would release it.
     fn assign_slot(&mut self, now: Instant, wait: WaitKey, run: RunKey) {
         let is_delivered = match self.waiting.remove(&wait) {
             Some(waiter) => waiter.send(Ok(run)).is_ok(),
@@ -174,7 +177,7 @@
     Queued(WaitKey, oneshot::Receiver<Settlement>),
 }
 
-/// A place in the queue; dropping it, as a caller's hang-up does, gives it up.
+/// A waiting request, which leaves the queue when it is dropped, as after its caller disconnects.
 struct Waiter {
     slots: Slots,
     key: Option<WaitKey>,
@@ -188,8 +191,8 @@
         match settled {
             Ok(Ok(run)) => Ok(SlotLease::new(self.slots.clone(), run)),
             Ok(Err(refusal)) => Err(refusal),
-            // The sender lives in the state until it is used, and the state outlives `self`.
-            Err(_) => unreachable!("a waiting request is always settled"),
+            // The state keeps the sender until it is used, and `self` keeps the state.
+            Err(_) => unreachable!("the sender of a waiting request was dropped unsettled"),
         }
     }
 }
@@ -201,7 +204,7 @@
         };
         self.slots.with_state(|state, now| {
             state.waiting.remove(&key);
-            // The slot may have been handed over between the settlement and this drop.
+            // The slot may have been assigned just before this drop.
             match self.settled.try_recv() {
                 Ok(Ok(run)) => state.admission.release(now, run, RunEnd::Cancelled),
                 Ok(Err(_)) => {}
@@ -211,7 +214,7 @@
     }
 }
 
-/// A slot in use; dropping it gives it back as cancelled.
+/// A slot that a request holds; dropped unfinished, it is released as cancelled.
 pub struct SlotLease {
     slots: Slots,
     key: Option<RunKey>,
@@ -223,14 +226,14 @@
         Self { slots, key: Some(key), started_at: Instant::now() }
     }
 
-    /// Notes that a piece of a long request or answer has passed.
+    /// Records that a piece of a long request or response has been transferred.
     pub fn record_progress(&self) {
         if let Some(key) = self.key {
             self.slots.record_progress(key);
         }
     }
 
-    /// Tells of pieces that pass while the slot itself is held elsewhere.
+    /// Returns a callback that records progress while the lease itself is held elsewhere.
     pub fn progress_callback(&self) -> impl Fn() + Send + use<> {
         let (slots, key) = (self.slots.clone(), self.key);
         move || {
@@ -240,19 +243,19 @@
         }
     }
 
-    /// Gives the slot back after the target's answer.
+    /// Releases the slot after a complete response, whose duration counts as a service time.
     pub fn finish(mut self) {
         let took = self.started_at.elapsed();
         self.release(RunEnd::Done { took });
     }
 
-    /// Gives the slot back after the target failed.
+    /// Releases the slot after the target failed.
     pub fn finish_failed(mut self) {
         let took = self.started_at.elapsed();
         self.release(RunEnd::Failed { took });
     }
 
-    /// Gives the slot back after the target shed the request.
+    /// Releases the slot after the target shed the request.
     pub fn finish_shed(mut self) {
         self.release(RunEnd::Shed);
     }
--- a/crates/yuccarackd/src/coordination/gate/target.rs
+++ b/crates/yuccarackd/src/coordination/gate/target.rs
@@ -1,4 +1,4 @@
-//! The target as its gate sees it: where it is, which rules hold, which slots are free.
+//! The target of a gate: its announcement, the rules in force and its slots.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -13,51 +13,51 @@
     state::own_target::TargetView,
 };
 
-/// A target that has announced itself and has rules.
+/// A target that has announced itself and whose service has rules.
 #[derive(Clone)]
 pub struct GateTarget {
-    /// Its announcement.
+    /// The target's announcement and state.
     pub view: Arc<TargetView>,
-    /// The rules in force.
+    /// Rules in force for its service.
     pub rules: Arc<ServiceRules>,
-    /// Its slots.
+    /// Slots and queue of the target.
     pub slots: Slots,
 }
 
 impl GateTarget {
-    /// Takes a target in under the rules of its service.
+    /// Creates a target with free slots, configured by the rules of its service.
     pub fn new(view: Arc<TargetView>, rules: Arc<ServiceRules>) -> Self {
         let slots = Slots::new(admission_config(view.announcement.slots, &rules));
         Self { view, rules, slots }
     }
 
-    /// The same target under a new announcement or new rules, with the same slots in use.
+    /// Returns the same target under a new announcement or new rules; the slots in use stay in use.
     pub fn with_changes(&self, view: Arc<TargetView>, rules: Arc<ServiceRules>) -> Self {
         self.slots.configure(admission_config(view.announcement.slots, &rules));
         Self { view, rules, slots: self.slots.clone() }
     }
 
-    /// Uses only `usable` of the announced slots, until the next announcement or rules.
+    /// Limits the slots to `usable` of the announced ones, until the next announcement or rules.
     pub fn limit_slots(&self, usable: u16) {
         self.slots.configure(admission_config(usable, &self.rules));
     }
 
-    /// Whether `view` speaks of the same life of the same target.
+    /// Returns whether `view` is of the same process of the same service's target.
     pub fn is_same_process(&self, view: &TargetView) -> bool {
         let (old, new) = (&self.view.announcement, &view.announcement);
         old.service == new.service && old.boot_id == new.boot_id
     }
 
-    /// Where the target takes calls.
+    /// Returns the address on which the target accepts requests.
     pub fn address(&self) -> SocketAddr {
         self.view.announcement.call_address
     }
 
-    /// Says why the target takes no work, if it takes none.
+    /// Checks that the target belongs to `service` and accepts requests.
     ///
     /// # Errors
     ///
-    /// A refusal with the proof that nothing ran.
+    /// Returns a refusal as not run if it doesn't.
     pub fn check_ready(&self, service: &str) -> Result<(), Refusal> {
         if self.view.announcement.service != service {
             return Err(Refusal::not_run(Reason::NotReady));
@@ -69,11 +69,11 @@
         }
     }
 
-    /// The route that takes a request, with its number.
+    /// Returns the first route that matches a request, with its index in the rules.
     ///
     /// # Errors
     ///
-    /// A refusal when no route takes it.
+    /// Returns a refusal if no route matches.
     pub fn find_route(&self, method: &Method, path: &str) -> Result<(usize, &RouteRules), Refusal> {
         let mut routes = self.rules.routes.iter().enumerate();
         routes
