--- a/crates/yuccarackd/src/state/explain.rs
+++ b/crates/yuccarackd/src/state/explain.rs
@@ -16,7 +16,7 @@
         Self { call_log }
     }
 
-    /// Returns the steps of the call with the hexadecimal `id`, if it is still in the log.
+    /// Returns the steps of the call with the given `id`, 32 hex digits, if it is still in the log.
     pub fn explain(&self, id: &str) -> Option<Value> {
         let id = u128::from_str_radix(id, 16).ok()?;
         let events = self.call_log.find(id)?;
