--- a/crates/yuccarackd/src/coordination/routed/relay_follower.rs
+++ b/crates/yuccarackd/src/coordination/routed/relay_follower.rs
@@ -77,7 +77,7 @@
     /// A line can't be parsed.
     #[error("a line of the relay can't be parsed: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// A line exceeds [`LINE_MAX_BYTES`].
+    /// A line exceeds `LINE_MAX_BYTES`.
     #[error("a line of the relay exceeds {LINE_MAX_BYTES} bytes")]
     LineTooLong,
     /// The relay ended its response.
