--- a/crates/yuccarackd/src/coordination/routed/relay_follower.rs
+++ b/crates/yuccarackd/src/coordination/routed/relay_follower.rs
@@ -315,7 +315,8 @@
                 true => self.peers.note_omitted_table(address, version),
                 false => self.peers.note_version(address, version),
             }
-            // The update of a daemon that is no relay is valid all the same, but no more will follow.
+            // The update of a daemon that is no relay is valid all the same, but no more will
+            // follow.
             let known = known.ok_or(RelayError::NotRelay)?;
             parts.sync_state.note_relay_synced(known, parts.routing.version() >= version);
             parts.sync_state.set_queries_store(false);
