--- a/crates/yuccarackd/src/coordination/entry/attempts.rs
+++ b/crates/yuccarackd/src/coordination/entry/attempts.rs
@@ -54,7 +54,7 @@
         for number in 1..=u8::MAX {
             let prepared = match self.prepare_attempt() {
                 Ok(prepared) => prepared,
-                // If no gate is left, the last gate's response tells the caller more than the refusal.
+                // Without a gate left, the last gate's response says more than the refusal.
                 Err(refusal) => return last_failure.map_or(Err(refusal), |failed| failed.response),
             };
             let failed = match self.send_hedged(prepared).await {
--- a/crates/yuccarackd/tests/point_2_whole_answers.rs
+++ b/crates/yuccarackd/tests/point_2_whole_answers.rs
@@ -1,4 +1,4 @@
-//! A caller gets the whole answer to its own request, or sees that it got none.
+//! A caller gets the complete response to its own request, or can see that it got none.
 
 use std::time::Duration;
 
@@ -15,27 +15,27 @@
 
 const SERVICE: &str = "conditions";
 
-/// Calls of the large storm.
-const CALLS: usize = 10_000;
+/// Total number of calls under faults.
+const TOTAL_CALLS: usize = 10_000;
 
-/// Length of a body that is too large to keep, in bytes.
+/// Length of a body that is too large to be buffered, in bytes.
 const LARGE_BYTES: usize = 16 * 1024 * 1024;
 
-/// Large calls at once, one at each daemon.
+/// Number of concurrent calls with large bodies, spread over the daemons.
 const LARGE_CALLS: usize = 12;
 
-/// Memory that a daemon may take while large bodies pass, in KiB.
+/// Largest memory use of a daemon that forwards large bodies, in KiB.
 const MEMORY_MAX_KIB: u64 = 32 * 1024;
 
 fn plan(seed: u64) -> FleetPlan {
     FleetPlan::new(env!("CARGO_BIN_EXE_yuccarackd"), seed).with_service(SERVICE, 3)
 }
 
-/// Ten thousand hikers read condition notes while links delay, cut and lose what they carry, targets
-/// cut their answers and answer late, and some hikers hang up. An answer may fail to come; one that
-/// comes is whole and the hiker's own.
+/// Guards against truncated or swapped responses: ten thousand calls run while links delay, cut and
+/// lose data, targets truncate their responses or respond late, and some callers disconnect. A call
+/// may get no response; a response that arrives is complete and belongs to its call.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn ten_thousand_calls_under_cuts_get_no_wrong_answer() {
+async fn ten_thousand_calls_under_faults_get_no_wrong_response() {
     let fleet = Fleet::serving(plan(21)).await;
     let mut plan = fleet.storm_plan(SERVICE, 21);
     plan.callers = 48;
@@ -64,7 +64,7 @@
         node.links.target.set_faults(link_faults[(round + 2) % link_faults.len()].clone());
         let other = &fleet.nodes[(round + 1) % 3];
         other.target.set_faults(target_faults[round % target_faults.len()].clone());
-        fleet.more_calls(&storm, CALLS / 20).await;
+        fleet.more_calls(&storm, TOTAL_CALLS / 20).await;
         node.links.gate.set_faults(ProxyFaults::default());
         node.links.target.set_faults(ProxyFaults::default());
         other.target.set_faults(TargetFaults::default());
@@ -74,14 +74,14 @@
     let report = judge_storm(&calls, &fleet.ledger);
     println!("{report:?}");
     assert_eq!(report.breaches, Vec::<String>::new());
-    assert!(report.calls >= CALLS && report.right > CALLS / 4, "{report:?}");
+    assert!(report.calls >= TOTAL_CALLS && report.right > TOTAL_CALLS / 4, "{report:?}");
     fleet.stop().await;
 }
 
-/// A target dies in the middle of an answer that has no length of its own. The caller must see that
-/// the answer is broken, not take the part for the whole.
+/// Guards against truncated responses that look complete: a target fails in the middle of a
+/// response without a content length.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_cut_answer_without_a_length_shows_as_cut() {
+async fn a_truncated_response_without_a_length_is_detected() {
     let fleet = Fleet::serving(plan(22)).await;
     for node in &fleet.nodes {
         let fault = TargetFaults { cut_answers_after: Some(5_000), ..Default::default() };
@@ -89,18 +89,18 @@
     }
     for node in fleet.nodes.iter().cycle().take(12) {
         let path = "/read?answer_bytes=9000&chunked=1";
-        let question = Question::new(Method::GET, path);
-        let told = fleet.call(node.call_address(), SERVICE, question).await;
-        let verdict = judge(path, b"", &told);
+        let request = Question::new(Method::GET, path);
+        let response = fleet.call(node.call_address(), SERVICE, request).await;
+        let verdict = judge(path, b"", &response);
         assert!(!matches!(verdict, Verdict::Right | Verdict::Wrong), "{verdict:?}");
     }
     fleet.stop().await;
 }
 
-/// Pictures of a hut, 16 MiB each, go in and come back through two daemons, several at once. They
-/// arrive whole, and no daemon holds them in memory.
+/// Guards against daemons that buffer large bodies: bodies of 16 MiB pass through two daemons in
+/// both directions, several at once. They arrive complete and the memory use stays small.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn large_bodies_pass_whole_and_are_not_held() {
+async fn large_bodies_arrive_complete_and_are_not_buffered() {
     let mut fleet = Fleet::serving(plan(23)).await;
     let mut calls = JoinSet::new();
     for number in 0..LARGE_CALLS {
@@ -109,11 +109,11 @@
         calls.spawn(async move {
             let path = format!("/read?n={number}");
             let body = vec![b'a' + u8::try_from(number).unwrap(); LARGE_BYTES];
-            let question = Question::new(Method::POST, &path)
+            let request = Question::new(Method::POST, &path)
                 .with_header(headers::SERVICE, SERVICE)
                 .with_header(headers::DEADLINE_MS, 25_000)
                 .with_body(body.clone());
-            judge(&path, &body, &asker.ask(address, question).await)
+            judge(&path, &body, &asker.ask(address, request).await)
         });
     }
     let verdicts = calls.join_all().await;
@@ -121,25 +121,26 @@
     for node in &mut fleet.nodes {
         let kib = node.daemon().memory_most_kib().unwrap();
         println!("{}: {kib} KiB", node.name());
-        assert!(kib < MEMORY_MAX_KIB, "{} took {kib} KiB", node.name());
+        assert!(kib < MEMORY_MAX_KIB, "{} used {kib} KiB of memory", node.name());
     }
     fleet.stop().await;
 }
 
-/// A hiker closes the page while the target still works on it. The target hears of it and stops,
-/// instead of holding a slot for nobody.
+/// Guards against slots that stay occupied after the caller has disconnected: the target is
+/// notified while it works on the request, and stops.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_caller_that_hangs_up_frees_the_target() {
+async fn a_disconnected_caller_frees_the_target() {
     let fleet = Fleet::serving(plan(24)).await;
     for (number, node) in fleet.nodes.iter().enumerate() {
         let path = format!("/read?hangup={number}&work_ms=20000");
-        let question = Question::new(Method::GET, &path).with_header(headers::DEADLINE_MS, 25_000);
-        let mut call = Box::pin(fleet.call(node.call_address(), SERVICE, question));
+        let request = Question::new(Method::GET, &path).with_header(headers::DEADLINE_MS, 25_000);
+        let mut call = Box::pin(fleet.call(node.call_address(), SERVICE, request));
         let running = async {
-            until("it runs", || async { !fleet.ledger.runs_of_path(&path).is_empty() }).await;
+            until("the request runs", || async { !fleet.ledger.runs_of_path(&path).is_empty() })
+                .await;
         };
         tokio::select! {
-            told = &mut call => panic!("answered too early: {told:?}"),
+            response = &mut call => panic!("response before the disconnect: {response:?}"),
             () = running => {}
         }
         assert!(timeout(Duration::from_millis(50), &mut call).await.is_err());
--- a/crates/yuccarackd/tests/point_3_not_run_is_true.rs
+++ b/crates/yuccarackd/tests/point_3_not_run_is_true.rs
@@ -1,4 +1,4 @@
-//! When a caller is told that its request was not run, it truly was not.
+//! A request that is reported as not run to its caller never ran.
 
 use yuccarack_config::rules::RetryRules;
 use yuccarack_standins::{
@@ -10,26 +10,26 @@
 
 const SERVICE: &str = "repairs";
 
-/// Calls made between two faults.
-const CALLS_BETWEEN: usize = 150;
+/// Number of calls between two faults.
+const CALLS_BETWEEN_FAULTS: usize = 150;
 
 fn plan(seed: u64) -> FleetPlan {
     FleetPlan::new(env!("CARGO_BIN_EXE_yuccarackd"), seed).with_service(SERVICE, 3)
 }
 
-/// Stops the callers and checks every word that they were told.
-async fn conclude(fleet: Fleet, storm: Storm) {
+/// Stops the callers and checks every outcome that was reported to them.
+async fn stop_and_check(fleet: Fleet, storm: Storm) {
     let calls = storm.stop().await;
     fleet.until_quiet().await;
     let report = judge_storm(&calls, &fleet.ledger);
     assert_eq!(report.breaches, Vec::<String>::new());
-    assert!(report.right > 0 && report.not_run > 0, "the storm shows nothing: {report:?}");
+    assert!(report.right > 0 && report.not_run > 0, "too few outcomes to check: {report:?}");
     fleet.stop().await;
 }
 
-/// The links between entry, gate and target break again and again, before, in and after a request,
-/// and answers are swallowed. An entry that tries elsewhere must not pass on the second gate's
-/// "not run" for a request that the first one may have run.
+/// Guards against a false "not run" after link failures: links between entry, gate and target break
+/// before, during and after requests, and responses are lost. An entry that retries at a second
+/// gate must not forward its "not run" if the first gate may have run the request.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn broken_links_never_turn_a_run_into_not_run() {
     let fleet = Fleet::serving(plan(31)).await;
@@ -52,25 +52,27 @@
         let links = &fleet.nodes[round % 3].links;
         let link = if round % 2 == 0 { &links.gate } else { &links.target };
         link.set_faults(fault.clone());
-        fleet.more_calls(&storm, CALLS_BETWEEN).await;
+        fleet.more_calls(&storm, CALLS_BETWEEN_FAULTS).await;
         link.set_faults(ProxyFaults::default());
         link.cut_now();
     }
-    // Cuts alone may leave no refusal to judge: on a busy machine most calls end as unknown.
+    // Link failures alone may cause no refusal to check: on a busy machine most calls end as
+    // unknown.
     shed_everywhere(&fleet, &storm).await;
-    conclude(fleet, storm).await;
+    stop_and_check(fleet, storm).await;
 }
 
-/// All targets turn everything away for a while, so that there are refusals to judge.
+/// Lets all targets shed every request for some time, so that there are refusals to check.
 async fn shed_everywhere(fleet: &Fleet, storm: &Storm) {
     let shed = TargetFaults { refuse_all: true, ..Default::default() };
     fleet.nodes.iter().for_each(|node| node.target.set_faults(shed.clone()));
-    fleet.more_calls(storm, CALLS_BETWEEN).await;
+    fleet.more_calls(storm, CALLS_BETWEEN_FAULTS).await;
     fleet.nodes.iter().for_each(|node| node.target.set_faults(TargetFaults::default()));
 }
 
-/// The first gate's link breaks after its target has run the request; the next gates shed it and
-/// say "not run", which is true of them and not of the request. The caller must not hear it.
+/// Guards against a later refusal that hides an earlier run: the response of the first gate is lost
+/// after its target ran the request, and the next gates shed the request. Their "not run" holds for
+/// their own attempts only and must not reach the caller.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_later_refusal_does_not_hide_an_earlier_run() {
     let mut rules = service_rules(SERVICE);
@@ -86,7 +88,7 @@
     plan.addresses.remove(0);
     plan.hang_up_percent = 0;
     let storm = Storm::start(&plan);
-    fleet.more_calls(&storm, 4 * CALLS_BETWEEN).await;
+    fleet.more_calls(&storm, 4 * CALLS_BETWEEN_FAULTS).await;
     let calls = storm.stop().await;
     fleet.until_quiet().await;
     let report = judge_storm(&calls, &fleet.ledger);
@@ -95,34 +97,35 @@
     fleet.stop().await;
 }
 
-/// Entries, gates and targets die at any moment of a call and come back. Whoever is left speaks
-/// only of what it can prove.
+/// Guards against a false "not run" after crashes: daemons and targets are killed at any moment of
+/// a call and restarted. The survivors report only confirmed outcomes.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn deaths_never_turn_a_run_into_not_run() {
+async fn crashes_never_turn_a_run_into_not_run() {
     let mut fleet = Fleet::serving(plan(32)).await;
     let storm = Storm::start(&fleet.storm_plan(SERVICE, 32));
     for round in 0..6 {
         let victim = round % 3;
-        fleet.more_calls(&storm, CALLS_BETWEEN).await;
+        fleet.more_calls(&storm, CALLS_BETWEEN_FAULTS).await;
         if round < 3 {
             fleet.nodes[victim].kill_daemon();
-            fleet.more_calls(&storm, CALLS_BETWEEN).await;
+            fleet.more_calls(&storm, CALLS_BETWEEN_FAULTS).await;
             fleet.nodes[victim].start_daemon().await.unwrap();
         } else {
             fleet.nodes[victim].target.kill().await;
-            fleet.more_calls(&storm, CALLS_BETWEEN).await;
+            fleet.more_calls(&storm, CALLS_BETWEEN_FAULTS).await;
             fleet.nodes[victim].target.revive().await.unwrap();
         }
         let address = fleet.nodes[victim].call_address();
         until("the victim serves again", || fleet.read(address, SERVICE)).await;
     }
-    // Deaths alone leave few: what one gate refuses goes on to another, large bodies too.
+    // Crashes alone cause few refusals: a request that one gate refuses is retried at another,
+    // large bodies included.
     shed_everywhere(&fleet, &storm).await;
-    conclude(fleet, storm).await;
+    stop_and_check(fleet, storm).await;
 }
 
-/// Targets shed, fail at once, stall; the store goes away. Refusals come in numbers, and each that
-/// says "not run" is true.
+/// Guards against a false "not run" under overload: targets shed, fail at once, stall or slow down,
+/// and the store is unavailable at times.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn refusals_under_overload_are_true() {
     let fleet = Fleet::serving(plan(33)).await;
@@ -136,10 +139,10 @@
     for (round, fault) in faults.iter().cycle().take(8).enumerate() {
         let target = &fleet.nodes[round % 3].target;
         target.set_faults(fault.clone());
-        fleet.more_calls(&storm, CALLS_BETWEEN).await;
+        fleet.more_calls(&storm, CALLS_BETWEEN_FAULTS).await;
         target.set_faults(TargetFaults::default());
         let mode = if round % 4 < 2 { PlatformMode::Down } else { PlatformMode::Up };
         fleet.platform.set_faults(PlatformFaults { mode, ..Default::default() });
     }
-    conclude(fleet, storm).await;
+    stop_and_check(fleet, storm).await;
 }
--- a/crates/yuccarackd/tests/point_4_straggler.rs
+++ b/crates/yuccarackd/tests/point_4_straggler.rs
@@ -1,4 +1,4 @@
-//! An order whose target answers after the deadline: its outcome is recorded, and it runs once.
+//! An order whose target responds after the deadline runs once, and its outcome is recorded.
 
 use std::time::Duration;
 
@@ -12,14 +12,14 @@
 
 const SERVICE: &str = "refills";
 const DEADLINE_MS: u32 = 600;
-/// Delay of each piece between gate and target: the answer comes long after the deadline.
+/// Delay of each piece between gate and target, by which the response arrives after the deadline.
 const LINK_DELAY_MS: u64 = 900;
 
-/// A noisy neighbour slows a target down, and a refill's answer comes after its deadline. The
-/// technician hears that its fate is unknown and sends it again. It must not run twice, and it
-/// must not stay unknown until an operator looks at it: the first run's outcome is told.
+/// Guards against an order that stays unknown because its response comes after the deadline. The
+/// caller gets `unknown` and sends the order again; it must not run twice, and the resend gets the
+/// outcome of the first run without an operator's help.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn the_outcome_of_a_straggler_is_told_to_a_resend() {
+async fn a_resend_gets_the_outcome_of_a_late_run() {
     let plan = FleetPlan::new(env!("CARGO_BIN_EXE_yuccarackd"), 51).with_service(SERVICE, 3);
     let fleet = Fleet::serving(plan).await;
     for node in &fleet.nodes {
@@ -27,23 +27,23 @@
         node.links.target.set_faults(slow);
     }
     let (key, path) = ("straggler", "/once");
-    let question = Question::new(http::Method::POST, path)
+    let request = Question::new(http::Method::POST, path)
         .with_header(headers::IDEMPOTENCY_KEY, key)
         .with_header(headers::DEADLINE_MS, DEADLINE_MS)
         .with_body(format!("order {key}"));
-    let told = fleet.call(fleet.nodes[0].call_address(), SERVICE, question).await.unwrap();
-    assert_eq!(told.header(headers::OUTCOME), "unknown", "{told:?}");
-    assert_eq!(told.header(headers::REASON), "deadline_passed", "{told:?}");
+    let response = fleet.call(fleet.nodes[0].call_address(), SERVICE, request).await.unwrap();
+    assert_eq!(response.header(headers::OUTCOME), "unknown", "{response:?}");
+    assert_eq!(response.header(headers::REASON), "deadline_passed", "{response:?}");
     for node in &fleet.nodes {
         node.links.target.set_faults(ProxyFaults::default());
     }
     let mut turn = 0;
-    until("the resend has its outcome", || {
+    until("the resend gets the outcome", || {
         turn += 1;
         let address = fleet.nodes[turn % fleet.nodes.len()].call_address();
-        let asked = fleet.once_to(address, SERVICE, key, path);
+        let call = fleet.once_to(address, SERVICE, key, path);
         async {
-            let verdict = asked.await;
+            let verdict = call.await;
             tokio::time::sleep(Duration::from_millis(50)).await;
             verdict == Verdict::Right
         }
