--- a/crates/yuccarack_player/src/routed/chain/calls.rs
+++ b/crates/yuccarack_player/src/routed/chain/calls.rs
@@ -4,7 +4,7 @@
 
 use rand::Rng;
 use yuccarack_policy::placement::{Asked, GateKey, Said, TryEnd};
-use yuccarack_policy::work_queue::RunEnd;
+use yuccarack_policy::work_queue::WorkOutcome;
 
 use super::{Chain, EARLY_RETURNS, Event, RETURN_AFTER, RETURNS, Request};
 use crate::routed::{Policy, credit::End, load::KINDS, queue::Ticket};
@@ -142,7 +142,7 @@
         let now = self.clock.now();
         if self.requests[ticket].is_running {
             self.credit.wasted_runs += 1;
-            self.free(ticket, RunEnd::Other);
+            self.free(ticket, WorkOutcome::Aborted);
         } else if let Some((gate, _)) = self.requests[ticket].gate {
             let verdicts = self.gates[gate].queue.cancel(now, ticket);
             self.follow(gate, verdicts);
--- a/crates/yuccarack_player/src/routed/chain/runs.rs
+++ b/crates/yuccarack_player/src/routed/chain/runs.rs
@@ -5,7 +5,7 @@
 use rand::Rng;
 use yuccarack_policy::{
     placement::{Asked, TryEnd},
-    work_queue::{RunEnd, Work},
+    work_queue::{WorkOutcome, WorkRequest},
 };
 
 use super::{COLD_FACTOR, Chain, Event, FULL_FACTOR, FULL_SHARE, Request, WORK_SPREAD};
@@ -26,11 +26,11 @@
             return self.clock.plan_after(way, Event::Refused(ticket));
         }
         let kind = &KINDS[request.kind];
-        let work = Work {
+        let work = WorkRequest {
             kind: request.kind as u64,
             rank: kind.rank,
-            on_time_by: request.came_at + kind.aim,
-            give_up_by: request.deadline,
+            soft_deadline: request.came_at + kind.aim,
+            deadline: request.deadline,
             may_wait: request.may_wait,
         };
         let verdicts = self.gates[gate].queue.offer(self.clock.now(), ticket, work);
@@ -103,7 +103,7 @@
         if self.requests[ticket].has_ended || !self.requests[ticket].is_running {
             return;
         }
-        self.free(ticket, if is_good { RunEnd::Answered } else { RunEnd::Other });
+        self.free(ticket, if is_good { WorkOutcome::Completed } else { WorkOutcome::Aborted });
         let request = &self.requests[ticket];
         let Some((gate, _)) = request.gate else { return };
         let way = self.way(request.entry, gate);
@@ -111,7 +111,7 @@
     }
 
     /// Gives the slot of a run back.
-    pub(super) fn free(&mut self, ticket: Ticket, end: RunEnd) {
+    pub(super) fn free(&mut self, ticket: Ticket, end: WorkOutcome) {
         let now = self.clock.now();
         self.requests[ticket].is_running = false;
         let Some((at, _)) = self.requests[ticket].gate else { return };
--- a/crates/yuccarack_player/src/routed/queue.rs
+++ b/crates/yuccarack_player/src/routed/queue.rs
@@ -5,7 +5,9 @@
 use yuccarack_policy::{
     cold_rate::ColdBound,
     placement::GateLoad,
-    work_queue::{Offered, RunEnd, RunningKey, Settled, WaitingKey, Work, WorkQueue},
+    work_queue::{
+        QueueDecision, RunningKey, WaitResult, WaitingKey, WorkOutcome, WorkQueue, WorkRequest,
+    },
 };
 
 use super::Policy;
@@ -48,21 +50,21 @@
         }
     }
 
-    pub fn offer(&mut self, now: Instant, ticket: Ticket, work: Work) -> Vec<Verdict> {
+    pub fn offer(&mut self, now: Instant, ticket: Ticket, work: WorkRequest) -> Vec<Verdict> {
         match self {
             Self::Decided { queue, waiting, running } => {
                 match queue.offer(now, work) {
-                    Offered::Run(key) => {
+                    QueueDecision::Run(key) => {
                         running.push((key, ticket));
                         return vec![Verdict::Run(ticket)];
                     }
-                    Offered::Wait(key) => waiting.push((key, ticket)),
-                    Offered::Refused(_) => return vec![Verdict::Refused(ticket)],
+                    QueueDecision::Wait(key) => waiting.push((key, ticket)),
+                    QueueDecision::Refused(_) => return vec![Verdict::Refused(ticket)],
                 }
                 self.settle(now)
             }
             Self::Fifo { waiting, .. } => {
-                waiting.push_back((ticket, work.give_up_by));
+                waiting.push_back((ticket, work.deadline));
                 self.settle(now)
             }
         }
@@ -84,7 +86,7 @@
     }
 
     /// Ends a run; says who runs now.
-    pub fn release(&mut self, now: Instant, ticket: Ticket, end: RunEnd) -> Vec<Verdict> {
+    pub fn release(&mut self, now: Instant, ticket: Ticket, end: WorkOutcome) -> Vec<Verdict> {
         match self {
             Self::Decided { queue, running, .. } => {
                 if let Some(at) = running.iter().position(|(_, other)| *other == ticket) {
@@ -125,17 +127,17 @@
             Self::Decided { queue, waiting, running } => {
                 let mut verdicts = Vec::new();
                 for settled in queue.poll(now) {
-                    let (Settled::Run(key, _) | Settled::Refused(key, _)) = settled;
+                    let (WaitResult::Run(key, _) | WaitResult::Refused(key, _)) = settled;
                     let Some(at) = waiting.iter().position(|(other, _)| *other == key) else {
                         continue;
                     };
                     let (_, ticket) = waiting.swap_remove(at);
                     match settled {
-                        Settled::Run(_, run) => {
+                        WaitResult::Run(_, run) => {
                             running.push((run, ticket));
                             verdicts.push(Verdict::Run(ticket));
                         }
-                        Settled::Refused(..) => verdicts.push(Verdict::Refused(ticket)),
+                        WaitResult::Refused(..) => verdicts.push(Verdict::Refused(ticket)),
                     }
                 }
                 verdicts
@@ -163,7 +165,7 @@
 
     pub fn pace_reported(&mut self, now: Instant, slowness: f64) {
         if let Self::Decided { queue, .. } = self {
-            queue.pace_reported(now, slowness);
+            queue.record_slowdown(now, slowness);
         }
     }
 
@@ -181,9 +183,9 @@
         Some(GateLoad {
             running: u16::try_from(queue.running()).unwrap_or(u16::MAX),
             waiting: u16::try_from(queue.waiting()).unwrap_or(u16::MAX),
-            limit: u16::try_from(queue.limit_at(now)).unwrap_or(u16::MAX),
-            mean_work: queue.mean_work(),
-            slowness: queue.pace().at(now),
+            limit: u16::try_from(queue.effective_limit(now)).unwrap_or(u16::MAX),
+            mean_work: queue.mean_service_time(),
+            slowness: queue.slowdown().at(now),
         })
     }
 }
--- a/crates/yuccarack_policy/src/cold_rate.rs
+++ b/crates/yuccarack_policy/src/cold_rate.rs
@@ -16,24 +16,24 @@
 ///
 /// Failure: a daemon that gets a tenth of a core stands still for most of 100 ms, and what it let through
 /// before arrives together with what it lets through after.
-pub const ON_THE_WAY_MAX: Duration = Duration::from_millis(150);
+pub const DISPATCH_DELAY_MAX: Duration = Duration::from_millis(150);
 
 /// The same while the processor isn't starved. A request that was let through as long before a look had
 /// arrived by then; one that stands still with its daemon goes before the look that the daemon sends later.
-const ON_THE_WAY_USUAL: Duration = Duration::from_millis(20);
+const DISPATCH_DELAY_USUAL: Duration = Duration::from_millis(20);
 
 /// Span in which the bound holds: the second of the rule, and the time on the way.
-pub const WINDOW: Duration = Duration::from_millis(1_000).saturating_add(ON_THE_WAY_MAX);
+pub const WINDOW: Duration = Duration::from_millis(1_000).saturating_add(DISPATCH_DELAY_MAX);
 
 /// Requests that a cold target may get at once before they are spread over the window.
 const BURST: usize = 4;
 
 /// Share of the bound from which the target is asked whether it is warm, so that the answer is there before
 /// the bound holds anything up.
-const LOOK_SHARE: f64 = 0.7;
+const HEALTH_CHECK_SHARE: f64 = 0.7;
 
 /// Least time between two such questions.
-const LOOK_PAUSE: Duration = Duration::from_millis(100);
+const HEALTH_CHECK_INTERVAL_MIN: Duration = Duration::from_millis(100);
 
 /// Most requests that a target which may be cold gets in any second.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -66,8 +66,8 @@
 
 /// A request that a target may have got while it was cold.
 #[derive(Clone, Copy, Debug)]
-struct HandedOver {
-    at: Instant,
+struct Dispatch {
+    dispatched_at: Instant,
     /// Whether the target had said that it was cold, and no look had proved it warm since.
     is_cold: bool,
 }
@@ -77,7 +77,7 @@
 pub struct ColdRate {
     bound: Option<ColdBound>,
     /// Requests of the last window that the target may have got while it was cold, the latest last.
-    handed_over: VecDeque<HandedOver>,
+    dispatches: VecDeque<Dispatch>,
     /// Start of this process; an earlier one may have handed requests over until then.
     started_at: Option<Instant>,
     /// Start of the target's cold time, at the earliest; unset where that isn't known.
@@ -85,7 +85,7 @@
     /// Latest moment at which the target is known to have been warm.
     warm_as_of: Option<Instant>,
     cold_until: Option<Instant>,
-    looked_at: Option<Instant>,
+    health_checked_at: Option<Instant>,
     is_spread: bool,
 }
 
@@ -115,7 +115,7 @@
     pub fn set_cold_until(&mut self, cold_until: Instant) {
         self.cold_until = Some(cold_until);
         // It may have been cold since it was last known to be warm.
-        self.handed_over.iter_mut().for_each(|request| request.is_cold = true);
+        self.dispatches.iter_mut().for_each(|request| request.is_cold = true);
     }
 
     /// Notes that a heartbeat says so. It may have been long on its way, so it never ends a cold time.
@@ -127,8 +127,9 @@
     pub fn set_warm(&mut self, as_of: Instant) {
         self.warm_as_of = self.warm_as_of.max(Some(as_of));
         self.cold_until = None;
-        self.handed_over
-            .retain(|request| request.is_cold || request.at + ON_THE_WAY_USUAL >= as_of);
+        self.dispatches.retain(|request| {
+            request.is_cold || request.dispatched_at + DISPATCH_DELAY_USUAL >= as_of
+        });
     }
 
     /// Whether the target says that it is cold.
@@ -137,7 +138,7 @@
     }
 
     /// Time for which it will be cold by its own word.
-    pub fn cold_for(&self, now: Instant) -> Duration {
+    pub fn cold_time_left(&self, now: Instant) -> Duration {
         self.cold_until.map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
     }
 
@@ -147,68 +148,69 @@
     }
 
     /// When the next request may be handed over; none if at once.
-    pub fn free_at(&self, now: Instant) -> Option<Instant> {
+    pub fn next_dispatch_at(&self, now: Instant) -> Option<Instant> {
         let bound = self.bound?;
-        let free_at = self.window_free_at(bound).max(self.start_free_at(bound, now));
+        let free_at = self.window_allows_at(bound).max(self.restart_allows_at(bound, now));
         let is_spread = self.is_spread && self.is_cold(now);
-        let spread_at = if is_spread { self.spread_free_at(bound) } else { None };
+        let spread_at = if is_spread { self.spread_allows_at(bound) } else { None };
         free_at.max(spread_at).filter(|free_at| *free_at > now)
     }
 
     /// Notes that a request is handed over.
-    pub fn handed_over(&mut self, now: Instant) {
+    pub fn record_dispatch(&mut self, now: Instant) {
         if self.bound.is_none() {
             return;
         }
-        while self.handed_over.front().is_some_and(|oldest| oldest.at + WINDOW <= now) {
-            self.handed_over.pop_front();
+        while self.dispatches.front().is_some_and(|oldest| oldest.dispatched_at + WINDOW <= now) {
+            self.dispatches.pop_front();
         }
         // Between the reported end of a cold time and the proof that it is warm it may still be cold.
         let is_cold = self.cold_until.is_some();
-        self.handed_over.push_back(HandedOver { at: now, is_cold });
+        self.dispatches.push_back(Dispatch { dispatched_at: now, is_cold });
     }
 
     /// When the target is to be asked whether it is warm; none while the bound is far or it is cold.
-    pub fn look_due_at(&self, now: Instant) -> Option<Instant> {
+    pub fn health_check_due_at(&self, now: Instant) -> Option<Instant> {
         let bound = self.bound?;
-        let pause_ends_at = self.looked_at.map(|looked_at| looked_at + LOOK_PAUSE);
+        let pause_ends_at =
+            self.health_checked_at.map(|looked_at| looked_at + HEALTH_CHECK_INTERVAL_MIN);
         let due_at = match self.cold_until.filter(|until| *until > now) {
             Some(until) => until,
-            None if self.in_window(now) >= self.look_from(bound) => now,
-            None if self.free_at(now).is_some() => now,
+            None if self.dispatches_in_window(now) >= self.health_check_threshold(bound) => now,
+            None if self.next_dispatch_at(now).is_some() => now,
             None => return None,
         };
         Some(pause_ends_at.map_or(due_at, |ends_at| ends_at.max(due_at)))
     }
 
     /// Notes that the target was asked.
-    pub fn looked(&mut self, now: Instant) {
-        self.looked_at = Some(now);
+    pub fn record_health_check(&mut self, now: Instant) {
+        self.health_checked_at = Some(now);
     }
 
-    fn look_from(&self, bound: ColdBound) -> usize {
-        (bound.requests() as f64 * LOOK_SHARE) as usize
+    fn health_check_threshold(&self, bound: ColdBound) -> usize {
+        (bound.requests() as f64 * HEALTH_CHECK_SHARE) as usize
     }
 
     /// Requests of the last window that count.
-    fn in_window(&self, now: Instant) -> usize {
-        self.handed_over.iter().filter(|request| request.at + WINDOW > now).count()
+    fn dispatches_in_window(&self, now: Instant) -> usize {
+        self.dispatches.iter().filter(|request| request.dispatched_at + WINDOW > now).count()
     }
 
-    fn window_free_at(&self, bound: ColdBound) -> Option<Instant> {
-        let first = self.handed_over.len().checked_sub(bound.requests())?;
-        self.handed_over.get(first).map(|request| request.at + WINDOW)
+    fn window_allows_at(&self, bound: ColdBound) -> Option<Instant> {
+        let first = self.dispatches.len().checked_sub(bound.requests())?;
+        self.dispatches.get(first).map(|request| request.dispatched_at + WINDOW)
     }
 
     /// Failure: a daemon is killed and starts again at once, and its target gets the requests of two
     /// processes within one second.
-    fn start_free_at(&self, bound: ColdBound, now: Instant) -> Option<Instant> {
+    fn restart_allows_at(&self, bound: ColdBound, now: Instant) -> Option<Instant> {
         let started_at = self.started_at?;
         if self.warm_as_of.is_some_and(|warm_as_of| warm_as_of > started_at) {
             return None;
         }
-        let earlier = self.of_earlier_process(bound, started_at);
-        let is_free = self.in_window(now) + earlier < bound.requests();
+        let earlier = self.earlier_process_dispatches(bound, started_at);
+        let is_free = self.dispatches_in_window(now) + earlier < bound.requests();
         (!is_free).then(|| started_at + WINDOW)
     }
 
@@ -216,7 +218,7 @@
     ///
     /// After a loss of power target and daemon start together, and there was no earlier process: held back for
     /// a whole window, every target of the fleet would idle while callers wait.
-    fn of_earlier_process(&self, bound: ColdBound, started_at: Instant) -> usize {
+    fn earlier_process_dispatches(&self, bound: ColdBound, started_at: Instant) -> usize {
         let Some(cold_from) = self.cold_from.filter(|_| self.is_spread) else {
             return bound.requests();
         };
@@ -228,9 +230,11 @@
 
     /// Failure: all that a cold target may get in a second goes in the first tenths of it, and what is urgent
     /// and comes after that waits for the rest of the second.
-    fn spread_free_at(&self, bound: ColdBound) -> Option<Instant> {
+    fn spread_allows_at(&self, bound: ColdBound) -> Option<Instant> {
         let burst = BURST.min(bound.requests());
-        let first = self.handed_over.len().checked_sub(burst)?;
-        self.handed_over.get(first).map(|request| request.at + bound.interval() * burst as u32)
+        let first = self.dispatches.len().checked_sub(burst)?;
+        self.dispatches
+            .get(first)
+            .map(|request| request.dispatched_at + bound.interval() * burst as u32)
     }
 }
--- a/crates/yuccarack_policy/src/pace_looks.rs
+++ b/crates/yuccarack_policy/src/health_checks.rs
@@ -8,18 +8,18 @@
 
 use std::time::{Duration, Instant};
 
-use crate::pace::Pace;
+use crate::slowdown::SlowdownEstimate;
 
 /// Least age of the newest word of the pace from which the target is asked; a sixth of the time for
 /// which a pace lasts.
-pub const LOOK_AGE_MIN: Duration = Duration::from_millis(50);
+pub const REPORT_AGE_MIN: Duration = Duration::from_millis(50);
 
 /// Share of the mean work that this age has at least: long work sees several paces in any case, and
 /// the one at its start says less of its end.
-const LOOK_AGE_SHARE: f64 = 0.5;
+const REPORT_AGE_SHARE: f64 = 0.5;
 
 /// Longest wait for the answer, which tells nothing new after that.
-pub const LOOK_TIMEOUT: Duration = Duration::from_millis(40);
+pub const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(40);
 
 /// First pause after a look that was in vain; each further one doubles it.
 const PAUSE_FIRST: Duration = Duration::from_millis(100);
@@ -29,21 +29,21 @@
 
 /// How a look ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Looked {
+pub enum HealthCheckResult {
     /// The target told its pace.
-    Told,
+    SlowdownReported,
     /// It didn't.
-    InVain,
+    NoReport,
 }
 
 /// Looks at one target.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct PaceLooks {
-    in_vain: u32,
+pub struct HealthCheckSchedule {
+    failed_in_row: u32,
     paused_until: Option<Instant>,
 }
 
-impl PaceLooks {
+impl HealthCheckSchedule {
     /// Starts without a look.
     pub fn new() -> Self {
         Self::default()
@@ -51,20 +51,25 @@
 
     /// When the next look is due at a target with so many requests `running` of such mean work, by
     /// what is known of its pace; none while it has no work, or has never told a pace.
-    pub fn due_at(&self, running: usize, mean_work: Duration, pace: &Pace) -> Option<Instant> {
+    pub fn due_at(
+        &self,
+        running: usize,
+        mean_work: Duration,
+        pace: &SlowdownEstimate,
+    ) -> Option<Instant> {
         let reported_at = pace.reported_at().filter(|_| running > 0)?;
-        let due_at = reported_at + LOOK_AGE_MIN.max(mean_work.mul_f64(LOOK_AGE_SHARE));
+        let due_at = reported_at + REPORT_AGE_MIN.max(mean_work.mul_f64(REPORT_AGE_SHARE));
         Some(self.paused_until.map_or(due_at, |until| until.max(due_at)))
     }
 
     /// Notes the end of a look.
-    pub fn looked(&mut self, now: Instant, looked: Looked) {
+    pub fn record(&mut self, now: Instant, looked: HealthCheckResult) {
         match looked {
-            Looked::Told => *self = Self::new(),
-            Looked::InVain => {
-                let pause = PAUSE_FIRST * 2_u32.saturating_pow(self.in_vain.min(8));
+            HealthCheckResult::SlowdownReported => *self = Self::new(),
+            HealthCheckResult::NoReport => {
+                let pause = PAUSE_FIRST * 2_u32.saturating_pow(self.failed_in_row.min(8));
                 self.paused_until = Some(now + pause.min(PAUSE_MAX));
-                self.in_vain += 1;
+                self.failed_in_row += 1;
             }
         }
     }
--- a/crates/yuccarack_policy/src/placement/gate.rs
+++ b/crates/yuccarack_policy/src/placement/gate.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use crate::pace::Pace;
+use crate::slowdown::SlowdownEstimate;
 
 /// What a gate tells with each answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -62,7 +62,7 @@
     /// Requests of this entry that it has now.
     pub outstanding: u16,
     load: Option<(GateLoad, Instant)>,
-    pace: Pace,
+    pace: SlowdownEstimate,
     /// Requests sent since the last word of its load.
     sent_since: u16,
     failures: f64,
@@ -78,7 +78,7 @@
             is_near,
             outstanding: 0,
             load: None,
-            pace: Pace::new(),
+            pace: SlowdownEstimate::new(),
             sent_since: 0,
             failures: 0.0,
             away_until: None,
@@ -88,7 +88,7 @@
     }
 
     pub fn told(&mut self, now: Instant, load: GateLoad) {
-        self.pace.reported(now, load.slowness);
+        self.pace.record(now, load.slowness);
         self.load = Some((load, now));
         self.sent_since = 0;
     }
@@ -147,7 +147,7 @@
     /// Time until the answer of a request that is sent now.
     pub fn expected(&self, now: Instant, mean_work: Duration) -> Duration {
         let work = self.load.map_or(mean_work, |(load, _)| load.mean_work);
-        let run_time = self.pace.run_time(now, work);
+        let run_time = self.pace.service_time(now, work);
         let turns = (self.excess(now).max(0.0)) / self.limit();
         run_time + run_time.mul_f64(turns)
     }
--- a/crates/yuccarack_policy/src/work_queue/verdict.rs
+++ b/crates/yuccarack_policy/src/work_queue/decision.rs
@@ -6,36 +6,36 @@
 
 /// What becomes of a request that arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Offered {
+pub enum QueueDecision {
     /// It runs.
     Run(RunningKey),
     /// It waits until it is settled.
     Wait(WaitingKey),
     /// It doesn't run here.
-    Refused(Refused),
+    Refused(QueueRefusal),
 }
 
 /// What becomes of a request that has waited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Settled {
+pub enum WaitResult {
     /// It runs.
     Run(WaitingKey, RunningKey),
     /// It doesn't run here.
-    Refused(WaitingKey, Refused),
+    Refused(WaitingKey, QueueRefusal),
 }
 
 /// Why a request doesn't run here, and when it is worth coming back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Refused {
+pub struct QueueRefusal {
     /// Why.
-    pub reason: RefusedReason,
+    pub reason: QueueRefusalReason,
     /// Time after which there should be room.
     pub retry_after: Duration,
 }
 
 /// Why a request doesn't run here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum RefusedReason {
+pub enum QueueRefusalReason {
     /// All slots that are filled are taken, and it may not wait.
     Full,
     /// The target is cold and gets no more at this moment, and it may not wait.
@@ -50,7 +50,7 @@
     Leaving,
 }
 
-impl RefusedReason {
+impl QueueRefusalReason {
     /// The reason's name in logs and counters.
     pub const fn as_str(self) -> &'static str {
         match self {
--- a/crates/yuccarack_policy/src/work_queue/work.rs
+++ b/crates/yuccarack_policy/src/work_queue/request.rs
@@ -4,24 +4,24 @@
 
 /// One request that wants to run.
 #[derive(Clone, Copy, Debug)]
-pub struct Work {
+pub struct WorkRequest {
     /// Requests of one kind take alike long.
     pub kind: u64,
     /// How urgent it is; 0 is the most urgent.
     pub rank: u8,
     /// Until when its answer is of full use.
-    pub on_time_by: Instant,
+    pub soft_deadline: Instant,
     /// When its caller gives up.
-    pub give_up_by: Instant,
+    pub deadline: Instant,
     /// Whether it may wait here; else it goes to another target if it can't run well at once.
     pub may_wait: bool,
 }
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RunEnd {
+pub enum WorkOutcome {
     /// With an answer.
-    Answered,
+    Completed,
     /// Without one, or given up.
-    Other,
+    Aborted,
 }
--- a/crates/yuccarack_policy/src/work_queue/waiting.rs
+++ b/crates/yuccarack_policy/src/work_queue/waiting.rs
@@ -2,20 +2,25 @@
 
 use std::time::{Duration, Instant};
 
-use super::Work;
+use super::WorkRequest;
 
 /// A request that waits.
 #[derive(Clone, Copy, Debug)]
-pub struct Waiting {
-    pub work: Work,
+pub struct WaitingRequest {
+    pub request: WorkRequest,
 }
 
 /// Place in the order, the least goes first: what goes ahead of all else, what can be on time, the most
 /// urgent, and what has the least time left.
-pub type Order = (bool, bool, u8, Instant);
+pub type PriorityKey = (bool, bool, u8, Instant);
 
 /// The place of `work`, which takes `run_time` if it starts now.
-pub fn order(work: &Work, is_ahead: bool, now: Instant, run_time: Duration) -> Order {
-    let is_late = now + run_time > work.on_time_by;
-    (!is_ahead, is_late, work.rank, work.on_time_by)
+pub fn priority_key(
+    work: &WorkRequest,
+    is_ahead: bool,
+    now: Instant,
+    run_time: Duration,
+) -> PriorityKey {
+    let is_late = now + run_time > work.soft_deadline;
+    (!is_ahead, is_late, work.rank, work.soft_deadline)
 }
--- a/crates/yuccarack_policy/tests/cold_rate.rs
+++ b/crates/yuccarack_policy/tests/cold_rate.rs
@@ -5,7 +5,9 @@
 use quickcheck::{Arbitrary, Gen, quickcheck};
 use yuccarack_policy::{
     cold_rate::{ColdBound, ColdRate, WINDOW},
-    work_queue::{Offered, RefusedReason, RunEnd, Settled, Work, WorkQueue},
+    work_queue::{
+        QueueDecision, QueueRefusalReason, WaitResult, WorkOutcome, WorkQueue, WorkRequest,
+    },
 };
 
 /// The second of the operators' rule.
@@ -101,14 +103,14 @@
                     false => rate.set_warm(start + ms(asked_ms)),
                 }
             }
-            if look.is_none() && rate.look_due_at(now).is_some_and(|due_at| due_at <= now) {
-                rate.looked(now);
+            if look.is_none() && rate.health_check_due_at(now).is_some_and(|due_at| due_at <= now) {
+                rate.record_health_check(now);
                 look = Some((at_ms, at_ms + u64::from(self.look_ms)));
             }
             let offered = u64::from(self.offered[at_ms as usize / 100]);
             let is_offered = at_ms * offered / 100 != (at_ms + 1) * offered / 100;
-            if is_offered && rate.free_at(now).is_none() {
-                rate.handed_over(now);
+            if is_offered && rate.next_dispatch_at(now).is_none() {
+                rate.record_dispatch(now);
                 let arrives_ms = at_ms + u64::from(self.on_the_way_ms[sent % 64]);
                 let arrives_ms = self.stalled_until(arrives_ms).unwrap_or(arrives_ms);
                 sent += 1;
@@ -146,12 +148,12 @@
     rate.set_warm(start + ms(1));
     for number in 0..1_000 {
         let now = start + ms(2 + number * 5);
-        if rate.look_due_at(now).is_some_and(|due_at| due_at <= now) {
-            rate.looked(now);
+        if rate.health_check_due_at(now).is_some_and(|due_at| due_at <= now) {
+            rate.record_health_check(now);
             rate.set_warm(now);
         }
-        assert_eq!(rate.free_at(now), None, "request {number}");
-        rate.handed_over(now);
+        assert_eq!(rate.next_dispatch_at(now), None, "request {number}");
+        rate.record_dispatch(now);
     }
 }
 
@@ -161,13 +163,13 @@
 fn a_process_that_has_just_started_allows_nothing_until_it_knows_the_target() {
     let start = Instant::now();
     let mut rate = limited(start);
-    assert_eq!(rate.free_at(start + ms(1)), Some(start + WINDOW));
-    assert!(rate.look_due_at(start + ms(1)).is_some());
+    assert_eq!(rate.next_dispatch_at(start + ms(1)), Some(start + WINDOW));
+    assert!(rate.health_check_due_at(start + ms(1)).is_some());
     rate.set_cold_until(start + ms(3_000));
-    assert_eq!(rate.free_at(start + ms(1)), Some(start + WINDOW));
-    assert_eq!(rate.free_at(start + WINDOW), None);
+    assert_eq!(rate.next_dispatch_at(start + ms(1)), Some(start + WINDOW));
+    assert_eq!(rate.next_dispatch_at(start + WINDOW), None);
     rate.set_warm(start + ms(2));
-    assert_eq!(rate.free_at(start + ms(3)), None);
+    assert_eq!(rate.next_dispatch_at(start + ms(3)), None);
 }
 
 /// Guards against targets that idle after a loss of power because an earlier process of their daemons might
@@ -178,7 +180,7 @@
     let mut rate = limited(start);
     rate.set_cold_until(start + ms(3_000));
     rate.set_cold_from(start + ms(5));
-    assert_eq!(rate.free_at(start + ms(10)), None);
+    assert_eq!(rate.next_dispatch_at(start + ms(10)), None);
 }
 
 /// Guards against two processes of a daemon that together press a target that became cold before the second
@@ -197,8 +199,8 @@
         for at_ms in 0..3_000 {
             let now = cold_from + ms(at_ms);
             let rate = if now < start { &mut before } else { &mut after };
-            if rate.free_at(now).is_none() {
-                rate.handed_over(now);
+            if rate.next_dispatch_at(now).is_none() {
+                rate.record_dispatch(now);
                 arrivals.push(now);
             }
         }
@@ -218,12 +220,12 @@
 }
 
 /// Work that takes long and may wait for two seconds.
-fn work(now: Instant, rank: u8) -> Work {
-    Work {
+fn work(now: Instant, rank: u8) -> WorkRequest {
+    WorkRequest {
         kind: rank.into(),
         rank,
-        on_time_by: now + ms(500),
-        give_up_by: now + ms(2_000),
+        soft_deadline: now + ms(500),
+        deadline: now + ms(2_000),
         may_wait: true,
     }
 }
@@ -247,27 +249,27 @@
         let now = start + ms(at_ms);
         let settled = queue.poll(now);
         for one in settled {
-            if let Settled::Run(waiting, run) = one {
+            if let WaitResult::Run(waiting, run) = one {
                 urgent_waits.retain(|(key, since): &(_, Instant)| {
                     let is_it = *key == waiting;
                     assert!(!is_it || now.duration_since(*since) <= ms(200), "waited for too long");
                     !is_it
                 });
-                queue.release(now, run, RunEnd::Other);
+                queue.release(now, run, WorkOutcome::Aborted);
                 ran += 1;
             }
         }
         if at_ms % 16 == 0 {
             match queue.offer(now, work(now, 2)) {
-                Offered::Run(run) => queue.release(now, run, RunEnd::Other),
-                Offered::Wait(_) | Offered::Refused(_) => {}
+                QueueDecision::Run(run) => queue.release(now, run, WorkOutcome::Aborted),
+                QueueDecision::Wait(_) | QueueDecision::Refused(_) => {}
             }
         }
         if at_ms % 100 == 50 {
             match queue.offer(now, work(now, 0)) {
-                Offered::Run(run) => queue.release(now, run, RunEnd::Other),
-                Offered::Wait(key) => urgent_waits.push((key, now)),
-                Offered::Refused(_) => lost += 1,
+                QueueDecision::Run(run) => queue.release(now, run, WorkOutcome::Aborted),
+                QueueDecision::Wait(key) => urgent_waits.push((key, now)),
+                QueueDecision::Refused(_) => lost += 1,
             }
         }
     }
@@ -282,17 +284,19 @@
     let start = Instant::now();
     let mut queue = cold_queue(start);
     for _ in 0..4 {
-        assert!(matches!(queue.offer(start, work(start, 1)), Offered::Run(_)));
+        assert!(matches!(queue.offer(start, work(start, 1)), QueueDecision::Run(_)));
     }
-    let elsewhere = Work { may_wait: false, ..work(start, 1) };
-    let Offered::Refused(refused) = queue.offer(start, elsewhere) else { panic!("let in") };
-    assert_eq!(refused.reason, RefusedReason::Cold);
+    let elsewhere = WorkRequest { may_wait: false, ..work(start, 1) };
+    let QueueDecision::Refused(refused) = queue.offer(start, elsewhere) else { panic!("let in") };
+    assert_eq!(refused.reason, QueueRefusalReason::Cold);
     let waiting =
-        (0..100).filter(|_| matches!(queue.offer(start, work(start, 1)), Offered::Wait(_)));
+        (0..100).filter(|_| matches!(queue.offer(start, work(start, 1)), QueueDecision::Wait(_)));
     let waiting = waiting.count();
     // Those that start within half a second at 25 a second.
     assert!((1..=13).contains(&waiting), "{waiting} wait");
-    let Offered::Refused(refused) = queue.offer(start, work(start, 1)) else { panic!("let in") };
+    let QueueDecision::Refused(refused) = queue.offer(start, work(start, 1)) else {
+        panic!("let in")
+    };
     assert!(refused.retry_after >= ms(2_000), "{:?}", refused.retry_after);
 }
 
@@ -302,8 +306,8 @@
     let start = Instant::now();
     let queue = cold_queue(start);
     // 25 a second, each of 100 ms that takes twice as long while the target is cold.
-    assert_eq!(queue.limit_at(start), 5);
-    assert_eq!(queue.limit_at(start + ms(3_001)), queue.limit());
+    assert_eq!(queue.effective_limit(start), 5);
+    assert_eq!(queue.effective_limit(start + ms(3_001)), queue.limit());
 }
 
 /// Guards against urgent requests that a cold target refuses because short ones, called for less urgent work,
@@ -315,10 +319,10 @@
     let (urgent, short) = (0, 1);
     for number in 0..100 {
         let took = if number % 2 == 0 { ms(180) } else { ms(60) };
-        let Offered::Run(run) = queue.offer(start, work(start, (number % 2) as u8)) else {
+        let QueueDecision::Run(run) = queue.offer(start, work(start, (number % 2) as u8)) else {
             panic!("an idle queue")
         };
-        queue.release(start + took, run, RunEnd::Answered);
+        queue.release(start + took, run, WorkOutcome::Completed);
     }
     let mut rate = limited(start);
     rate.set_warm(start + ms(1));
@@ -326,12 +330,12 @@
     let mut queue = queue.with_cold_rate(rate);
     let now = start + ms(10);
     for _ in 0..4 {
-        assert!(matches!(queue.offer(now, work(now, short)), Offered::Run(_)));
+        assert!(matches!(queue.offer(now, work(now, short)), QueueDecision::Run(_)));
     }
-    let patient = |rank| Work { on_time_by: now + ms(1_000), ..work(now, rank) };
-    let Offered::Wait(_) = queue.offer(now, patient(short)) else { panic!("refused") };
-    let Offered::Wait(first) = queue.offer(now, patient(urgent)) else { panic!("refused") };
+    let patient = |rank| WorkRequest { soft_deadline: now + ms(1_000), ..work(now, rank) };
+    let QueueDecision::Wait(_) = queue.offer(now, patient(short)) else { panic!("refused") };
+    let QueueDecision::Wait(first) = queue.offer(now, patient(urgent)) else { panic!("refused") };
     let settled = queue.poll(now + WINDOW / 5);
-    let Some(Settled::Run(started, _)) = settled.first() else { panic!("{settled:?}") };
+    let Some(WaitResult::Run(started, _)) = settled.first() else { panic!("{settled:?}") };
     assert_eq!(*started, first);
 }
--- a/crates/yuccarack_policy/tests/pace_looks.rs
+++ b/crates/yuccarack_policy/tests/pace_looks.rs
@@ -3,8 +3,8 @@
 use std::time::{Duration, Instant};
 
 use yuccarack_policy::{
-    pace::Pace,
-    pace_looks::{LOOK_AGE_MIN, Looked, PaceLooks},
+    health_checks::{HealthCheckResult, HealthCheckSchedule, REPORT_AGE_MIN},
+    slowdown::SlowdownEstimate,
 };
 
 /// Mean work of a target with short work.
@@ -17,8 +17,8 @@
 /// starts at `from`.
 fn known_after(answer_ms: u64, with_looks: bool) -> Duration {
     let start = Instant::now();
-    let (mut pace, mut looks) = (Pace::new(), PaceLooks::new());
-    pace.reported(start, 1.0);
+    let (mut pace, mut looks) = (SlowdownEstimate::new(), HealthCheckSchedule::new());
+    pace.record(start, 1.0);
     let slow_from = start + Duration::from_millis(SPELL_MS);
     let mut now = start;
     loop {
@@ -29,10 +29,10 @@
         let is_answer = since_start % answer_ms == answer_ms - 1;
         let is_look = with_looks && looks.due_at(1, WORK, &pace).is_some_and(|at| at <= now);
         if is_look {
-            looks.looked(now, Looked::Told);
+            looks.record(now, HealthCheckResult::SlowdownReported);
         }
         if is_answer || is_look {
-            pace.reported(now, slowness);
+            pace.record(now, slowness);
             if is_slow {
                 return now.duration_since(slow_from);
             }
@@ -47,7 +47,7 @@
     assert!(known_after(170, false) > Duration::from_millis(30));
     for answer_ms in [90, 130, 170, 250] {
         let known = known_after(answer_ms, true);
-        assert!(known <= LOOK_AGE_MIN, "{answer_ms}: {known:?}");
+        assert!(known <= REPORT_AGE_MIN, "{answer_ms}: {known:?}");
     }
 }
 
@@ -56,13 +56,13 @@
 #[test]
 fn only_a_target_that_works_and_is_not_heard_of_is_asked() {
     let now = Instant::now();
-    let (mut pace, looks) = (Pace::new(), PaceLooks::new());
+    let (mut pace, looks) = (SlowdownEstimate::new(), HealthCheckSchedule::new());
     assert_eq!(looks.due_at(3, WORK, &pace), None);
-    pace.reported(now, 1.0);
+    pace.record(now, 1.0);
     assert_eq!(looks.due_at(0, WORK, &pace), None);
-    assert_eq!(looks.due_at(3, WORK, &pace), Some(now + LOOK_AGE_MIN));
+    assert_eq!(looks.due_at(3, WORK, &pace), Some(now + REPORT_AGE_MIN));
     for step in 1..100 {
-        pace.reported(now + Duration::from_millis(20) * step, 1.0);
+        pace.record(now + Duration::from_millis(20) * step, 1.0);
         let at = now + Duration::from_millis(20) * (step + 1);
         assert!(looks.due_at(3, WORK, &pace).is_some_and(|due_at| due_at > at));
     }
@@ -73,8 +73,8 @@
 #[test]
 fn a_target_of_long_work_is_asked_less_often() {
     let now = Instant::now();
-    let (mut pace, looks) = (Pace::new(), PaceLooks::new());
-    pace.reported(now, 1.0);
+    let (mut pace, looks) = (SlowdownEstimate::new(), HealthCheckSchedule::new());
+    pace.record(now, 1.0);
     let long = Duration::from_millis(240);
     assert_eq!(looks.due_at(2, long, &pace), Some(now + long / 2));
 }
@@ -84,20 +84,20 @@
 #[test]
 fn a_target_that_does_not_answer_is_asked_seldom() {
     let start = Instant::now();
-    let (mut pace, mut looks) = (Pace::new(), PaceLooks::new());
-    pace.reported(start, 1.0);
+    let (mut pace, mut looks) = (SlowdownEstimate::new(), HealthCheckSchedule::new());
+    pace.record(start, 1.0);
     let (mut now, mut asked) = (start, 0);
     while now < start + Duration::from_secs(30) {
         match looks.due_at(1, WORK, &pace) {
             Some(at) if at <= now => {
                 asked += 1;
-                looks.looked(now, Looked::InVain);
+                looks.record(now, HealthCheckResult::NoReport);
             }
             _ => now += Duration::from_millis(1),
         }
     }
     assert!(asked <= 16, "{asked} looks in half a minute");
-    looks.looked(now, Looked::Told);
-    pace.reported(now, 1.0);
-    assert_eq!(looks.due_at(1, WORK, &pace), Some(now + LOOK_AGE_MIN));
+    looks.record(now, HealthCheckResult::SlowdownReported);
+    pace.record(now, 1.0);
+    assert_eq!(looks.due_at(1, WORK, &pace), Some(now + REPORT_AGE_MIN));
 }
--- a/crates/yuccarackd/src/coordination/routed/gate/exchange.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/exchange.rs
@@ -97,7 +97,7 @@
         let slowdown_percent = load::decode(response.headers()).and_then(|load| load.pace_percent);
         if let Some(percent) = slowdown_percent {
             let slowdown = f64::from(percent) / 100.0;
-            self.active.slots.change(|queue, now| queue.pace_reported(now, slowdown));
+            self.active.slots.change(|queue, now| queue.record_slowdown(now, slowdown));
         }
     }
 
--- a/crates/yuccarackd/src/coordination/routed/gate/health_checks.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/health_checks.rs
@@ -12,7 +12,7 @@
 use tokio::time::{sleep_until, timeout_at};
 use yuccarack_platform_wire::{headers, load};
 use yuccarack_policy::{
-    pace_looks::{LOOK_TIMEOUT, Looked, PaceLooks},
+    health_checks::{HEALTH_CHECK_TIMEOUT, HealthCheckResult, HealthCheckSchedule},
     work_queue::WorkQueue,
 };
 
@@ -43,7 +43,7 @@
 }
 
 async fn run_checks(gate: &Gate, active: &ActiveTarget) {
-    let mut schedule = PaceLooks::new();
+    let mut schedule = HealthCheckSchedule::new();
     loop {
         let (started, check_due) = (active.slots.started(), active.slots.health_check_due());
         let now = Instant::now();
@@ -59,29 +59,35 @@
             },
             Some(_) => {
                 let result = check(gate, active).await;
-                schedule.looked(Instant::now(), result);
+                schedule.record(Instant::now(), result);
             }
         }
     }
 }
 
 /// Returns when the next health check is due, be it for the slowdown or for a cold target.
-fn due_at(gate: &Gate, schedule: &PaceLooks, queue: &WorkQueue, now: Instant) -> Option<Instant> {
-    let cold_check_at = queue.cold_rate().look_due_at(now);
+fn due_at(
+    gate: &Gate,
+    schedule: &HealthCheckSchedule,
+    queue: &WorkQueue,
+    now: Instant,
+) -> Option<Instant> {
+    let cold_check_at = queue.cold_rate().health_check_due_at(now);
     let is_enabled = gate.parts.decisions.pace_looks;
-    let slowdown_check_at = || schedule.due_at(queue.running(), queue.mean_work(), queue.pace());
+    let slowdown_check_at =
+        || schedule.due_at(queue.running(), queue.mean_service_time(), queue.slowdown());
     let slowdown_check_at = is_enabled.then(slowdown_check_at).flatten();
     cold_check_at.into_iter().chain(slowdown_check_at).min()
 }
 
 /// Runs one health check and updates the queue's slowdown and cold period.
-async fn check(gate: &Gate, active: &ActiveTarget) -> Looked {
+async fn check(gate: &Gate, active: &ActiveTarget) -> HealthCheckResult {
     let sent_at = Instant::now();
-    active.slots.change(|queue, now| queue.cold_rate_mut().looked(now));
-    let Some(path) = gate.load_path(active) else { return Looked::InVain };
+    active.slots.change(|queue, now| queue.cold_rate_mut().record_health_check(now));
+    let Some(path) = gate.load_path(active) else { return HealthCheckResult::NoReport };
     gate.parts.counters.add("gate.pace_looks");
     let report = match timeout_at(
-        (sent_at + LOOK_TIMEOUT).into(),
+        (sent_at + HEALTH_CHECK_TIMEOUT).into(),
         fetch_report(gate, active, &path),
     )
     .await
@@ -89,7 +95,7 @@
         Ok(Some(report)) => report,
         Ok(None) | Err(_) => {
             gate.parts.counters.add("gate.pace_looks_in_vain");
-            return Looked::InVain;
+            return HealthCheckResult::NoReport;
         }
     };
     active.slots.change(|queue, now| {
@@ -98,10 +104,14 @@
             false => queue.cold_rate_mut().set_cold_until(now + report.cold_for),
         }
         if let Some(percent) = report.slowdown_percent {
-            queue.pace_reported(now, f64::from(percent) / 100.0);
+            queue.record_slowdown(now, f64::from(percent) / 100.0);
         }
     });
-    if report.slowdown_percent.is_some() { Looked::Told } else { Looked::InVain }
+    if report.slowdown_percent.is_some() {
+        HealthCheckResult::SlowdownReported
+    } else {
+        HealthCheckResult::NoReport
+    }
 }
 
 async fn fetch_report(gate: &Gate, active: &ActiveTarget, path: &str) -> Option<HealthReport> {
--- a/crates/yuccarackd/src/coordination/routed/gate/mod.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/mod.rs
@@ -22,7 +22,7 @@
 use tokio::time::sleep;
 use tokio_util::{sync::CancellationToken, task::TaskTracker};
 use yuccarack_config::{decisions::Decisions, heartbeat::TargetPhase};
-use yuccarack_policy::{cold_rate::ColdRate, placement::GateLoad, work_queue::Refused};
+use yuccarack_policy::{cold_rate::ColdRate, placement::GateLoad, work_queue::QueueRefusal};
 
 pub use self::{
     crash_tracker::{CrashTracker, CrashTrackerParts},
@@ -283,13 +283,13 @@
             |view: &Arc<TargetView>| view.phase == TargetPhase::Ready && !self.is_evacuated();
         let Some(view) = view.filter(is_accepting) else {
             if let Some(old) = active.as_ref() {
-                old.slots.change(|queue, now| queue.leave(now));
+                old.slots.change(|queue, now| queue.start_draining(now));
             }
             return None;
         };
         if let Some(old) = active.as_ref().filter(|old| old.view.is_same_process(&view)) {
             old.slots.change(|queue, now| {
-                queue.stay();
+                queue.stop_draining();
                 queue.set_slots(now, view.slots);
                 if view.is_cold {
                     queue.cold_rate_mut().extend_cold_until(view.cold_until);
@@ -299,7 +299,7 @@
         }
         let mut cold_rate = ColdRate::new(self.started_at);
         if let Some(old) = active.take() {
-            old.slots.change(|queue, now| queue.leave(now));
+            old.slots.change(|queue, now| queue.start_draining(now));
             // The operators' bound on cold targets counts across restarts of the target.
             cold_rate = old.slots.read(|queue| queue.cold_rate().clone());
             old.stop.cancel();
@@ -376,7 +376,7 @@
     }
 }
 
-fn admission_refusal(refused: Refused) -> Refusal {
+fn admission_refusal(refused: QueueRefusal) -> Refusal {
     Refusal::not_run(Reason::Admission(refused.reason.as_str()))
         .with_retry_after(refused.retry_after)
 }
--- a/crates/yuccarackd/src/coordination/routed/gate/request.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/request.rs
@@ -5,7 +5,7 @@
 use http::{HeaderValue, Request, request::Parts};
 use yuccarack_config::ids::Fingerprint;
 use yuccarack_platform_wire::headers;
-use yuccarack_policy::work_queue::Work;
+use yuccarack_policy::work_queue::WorkRequest;
 
 use crate::{
     coordination::{routed::deadline::CallDeadline, suspects::fingerprint::FingerprintParts},
@@ -45,12 +45,12 @@
     }
 
     /// Returns the attributes by which the queue orders and refuses the request.
-    pub fn work(&self) -> Work {
-        Work {
+    pub fn work(&self) -> WorkRequest {
+        WorkRequest {
             kind: self.hop.kind,
             rank: self.hop.rank,
-            on_time_by: self.on_time_by,
-            give_up_by: self.deadline.at(),
+            soft_deadline: self.on_time_by,
+            deadline: self.deadline.at(),
             may_wait: self.hop.may_wait,
         }
     }
--- a/crates/yuccarackd/src/coordination/routed/gate/work_slots.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/work_slots.rs
@@ -10,7 +10,8 @@
     cold_rate::ColdRate,
     placement::GateLoad,
     work_queue::{
-        Offered, Refused, RefusedReason, RunEnd, RunningKey, Settled, WaitingKey, Work, WorkQueue,
+        QueueDecision, QueueRefusal, QueueRefusalReason, RunningKey, WaitResult, WaitingKey,
+        WorkOutcome, WorkQueue, WorkRequest,
     },
 };
 
@@ -18,7 +19,7 @@
 const IDLE_WAKE_INTERVAL: std::time::Duration = std::time::Duration::from_secs(60);
 
 /// Decision on a queued request: a slot or a refusal.
-type Settlement = Result<RunningKey, Refused>;
+type Settlement = Result<RunningKey, QueueRefusal>;
 
 /// Slots and queue of one target; clones share them.
 #[derive(Clone)]
@@ -71,17 +72,17 @@
     /// # Errors
     ///
     /// Returns why the request gets no slot; nothing of it has run.
-    pub async fn admit(&self, work: Work) -> Result<SlotLease, Refused> {
+    pub async fn admit(&self, work: WorkRequest) -> Result<SlotLease, QueueRefusal> {
         let (key, settled) = {
             let mut state = self.shared.state.lock();
             match state.queue.offer(Instant::now(), work) {
-                Offered::Run(key) => {
+                QueueDecision::Run(key) => {
                     self.shared.started.notify_waiters();
                     self.shared.notify_health_check_due(&state.queue);
                     return Ok(SlotLease::new(self.clone(), key));
                 }
-                Offered::Refused(refused) => return Err(refused),
-                Offered::Wait(key) => {
+                QueueDecision::Refused(refused) => return Err(refused),
+                QueueDecision::Wait(key) => {
                     let (sender, settled) = oneshot::channel();
                     state.waiting.insert(key, sender);
                     (key, settled)
@@ -99,9 +100,9 @@
         GateLoad {
             running: saturating_u16(queue.running()),
             waiting: saturating_u16(queue.waiting()),
-            limit: saturating_u16(queue.limit_at(now)),
-            mean_work: queue.mean_work(),
-            slowness: queue.pace().at(now),
+            limit: saturating_u16(queue.effective_limit(now)),
+            mean_work: queue.mean_service_time(),
+            slowness: queue.slowdown().at(now),
         }
     }
 
@@ -142,7 +143,7 @@
 impl Shared {
     fn notify_health_check_due(&self, queue: &WorkQueue) {
         let now = Instant::now();
-        if queue.cold_rate().look_due_at(now).is_some_and(|due_at| due_at <= now) {
+        if queue.cold_rate().health_check_due_at(now).is_some_and(|due_at| due_at <= now) {
             self.health_check_due.notify_one();
         }
     }
@@ -163,17 +164,17 @@
         }
     }
 
-    fn notify_waiter(&mut self, now: Instant, settled: Settled) {
+    fn notify_waiter(&mut self, now: Instant, settled: WaitResult) {
         let (waiting, settlement) = match settled {
-            Settled::Run(waiting, run) => (waiting, Ok(run)),
-            Settled::Refused(waiting, refused) => (waiting, Err(refused)),
+            WaitResult::Run(waiting, run) => (waiting, Ok(run)),
+            WaitResult::Refused(waiting, refused) => (waiting, Err(refused)),
         };
         let undelivered = match self.waiting.remove(&waiting) {
             Some(sender) => sender.send(settlement).err(),
             None => Some(settlement),
         };
         if let Some(Ok(run)) = undelivered {
-            self.queue.release(now, run, RunEnd::Other);
+            self.queue.release(now, run, WorkOutcome::Aborted);
         }
     }
 }
@@ -187,15 +188,15 @@
 }
 
 impl Waiter {
-    async fn settle(mut self) -> Result<SlotLease, Refused> {
+    async fn settle(mut self) -> Result<SlotLease, QueueRefusal> {
         let settlement = (&mut self.settled).await;
         self.is_settled = true;
         match settlement {
             Ok(Ok(run)) => Ok(SlotLease::new(self.slots.clone(), run)),
             Ok(Err(refused)) => Err(refused),
             // The sender is dropped together with the slots of a replaced target.
-            Err(_) => Err(Refused {
-                reason: RefusedReason::Leaving,
+            Err(_) => Err(QueueRefusal {
+                reason: QueueRefusalReason::Leaving,
                 retry_after: yuccarack_policy::work_queue::RETRY_AFTER_MIN,
             }),
         }
@@ -216,7 +217,7 @@
         state.waiting.remove(&self.key);
         state.queue.cancel(now, self.key);
         if let Ok(Ok(run)) = self.settled.try_recv() {
-            state.queue.release(now, run, RunEnd::Other);
+            state.queue.release(now, run, WorkOutcome::Aborted);
         }
         state.settle(now);
     }
@@ -226,17 +227,17 @@
 pub struct SlotLease {
     slots: WorkSlots,
     key: RunningKey,
-    end: RunEnd,
+    end: WorkOutcome,
 }
 
 impl SlotLease {
     fn new(slots: WorkSlots, key: RunningKey) -> Self {
-        Self { slots, key, end: RunEnd::Other }
+        Self { slots, key, end: WorkOutcome::Aborted }
     }
 
     /// Releases the slot after a complete response, whose time counts as a service time.
     pub fn finish(mut self) {
-        self.end = RunEnd::Answered;
+        self.end = WorkOutcome::Completed;
     }
 }
 
--- a/crates/yuccarackd/src/protocol/refusal.rs
+++ b/crates/yuccarackd/src/protocol/refusal.rs
@@ -4,7 +4,7 @@
 
 use http::{HeaderValue, Response, StatusCode, header};
 use yuccarack_config::headers;
-use yuccarack_policy::work_queue::RefusedReason;
+use yuccarack_policy::work_queue::QueueRefusalReason;
 
 use super::body::{self, CallBody};
 
@@ -116,12 +116,12 @@
         Self::DeadlinePassed,
         Self::CallerBodyCut,
         Self::Quarantined,
-        Self::Admission(RefusedReason::Full.as_str()),
-        Self::Admission(RefusedReason::Slow.as_str()),
-        Self::Admission(RefusedReason::Cold.as_str()),
-        Self::Admission(RefusedReason::CannotEndInTime.as_str()),
-        Self::Admission(RefusedReason::TooLate.as_str()),
-        Self::Admission(RefusedReason::Leaving.as_str()),
+        Self::Admission(QueueRefusalReason::Full.as_str()),
+        Self::Admission(QueueRefusalReason::Slow.as_str()),
+        Self::Admission(QueueRefusalReason::Cold.as_str()),
+        Self::Admission(QueueRefusalReason::CannotEndInTime.as_str()),
+        Self::Admission(QueueRefusalReason::TooLate.as_str()),
+        Self::Admission(QueueRefusalReason::Leaving.as_str()),
     ];
 
     /// Returns the value of the reason header, which is also the name in counters.
