--- a/crates/yuccarack_player/src/routed/chain.rs
+++ b/crates/yuccarack_player/src/routed/chain.rs
@@ -12,7 +12,7 @@
 use slotmap::SecondaryMap;
 use yuccarack_policy::{
     cold_rate::ColdBound,
-    placement::{Asked, GateKey, Placement},
+    placement::{AttemptHistory, GateKey, Placement},
 };
 
 use super::{
@@ -85,7 +85,7 @@
     /// When its caller came first.
     came_at: Instant,
     deadline: Instant,
-    asked: Asked,
+    asked: AttemptHistory,
     /// The gate that has it, under its key at the entry.
     gate: Option<(usize, Option<GateKey>)>,
     /// Whether it may wait there.
--- a/crates/yuccarack_player/src/routed/chain/calls.rs
+++ b/crates/yuccarack_player/src/routed/chain/calls.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use rand::Rng;
-use yuccarack_policy::placement::{Asked, GateKey, Said, TryEnd};
+use yuccarack_policy::placement::{AttemptHistory, GateAttemptOutcome, GateKey, GateReply};
 use yuccarack_policy::work_queue::WorkOutcome;
 
 use super::{Chain, EARLY_RETURNS, Event, RETURN_AFTER, RETURNS, Request};
@@ -35,7 +35,7 @@
             entry,
             came_at: now,
             deadline,
-            asked: Asked::default(),
+            asked: AttemptHistory::default(),
             gate: None,
             may_wait: true,
             is_running: false,
@@ -75,7 +75,7 @@
             let (now, work) = (self.clock.now(), KINDS[request.kind].work);
             let placement = &mut entry.placements[service];
             let placed = placement.choose(now, &mut self.rng, &request.asked, work)?;
-            placement.sent(placed.gate);
+            placement.record_attempt(placed.gate);
             let gate = *entry.gates[service].get(placed.gate)?;
             self.requests[ticket].may_wait = placed.may_wait;
             return Some((gate, Some(placed.gate)));
@@ -95,7 +95,10 @@
         if self.requests[ticket].has_ended {
             return;
         }
-        self.told(ticket, if is_good { TryEnd::Answered } else { TryEnd::Failed });
+        self.told(
+            ticket,
+            if is_good { GateAttemptOutcome::Answered } else { GateAttemptOutcome::Failed },
+        );
         let took = self.clock.now() - self.requests[ticket].came_at;
         self.end(ticket, if is_good { End::Answered(took) } else { End::Failed });
     }
@@ -104,16 +107,16 @@
         if self.requests[ticket].has_ended {
             return;
         }
-        self.told(ticket, TryEnd::Refused);
+        self.told(ticket, GateAttemptOutcome::Refused);
         let request = &mut self.requests[ticket];
         match request.gate.take() {
             Some((gate, Some(key))) => {
                 let said = match (self.gates[gate].is_lost, request.may_wait) {
-                    (true, _) => Said::NotHere,
-                    (false, true) => Said::NoPlace,
-                    (false, false) => Said::NoSlot,
+                    (true, _) => GateReply::Unavailable,
+                    (false, true) => GateReply::NoQueueSpace,
+                    (false, false) => GateReply::NoFreeSlot,
                 };
-                request.asked.note(key, said);
+                request.asked.record(key, said);
             }
             _ => return self.end(ticket, End::Refused),
         }
@@ -121,7 +124,7 @@
     }
 
     /// What the entry learns from an answer of the gate.
-    pub(super) fn told(&mut self, ticket: Ticket, end: TryEnd) {
+    pub(super) fn told(&mut self, ticket: Ticket, end: GateAttemptOutcome) {
         let now = self.clock.now();
         let request = &self.requests[ticket];
         let Some((gate, Some(key))) = request.gate else { return };
@@ -129,9 +132,13 @@
         let is_lost = self.gates[gate].is_lost;
         let load = self.gates[gate].queue.load(now);
         let placement = &mut self.entries[request.entry].placements[service];
-        placement.ended(now, key, if is_lost { TryEnd::Unreachable } else { end });
+        placement.record_outcome(
+            now,
+            key,
+            if is_lost { GateAttemptOutcome::Unreachable } else { end },
+        );
         if let Some(load) = load.filter(|_| !is_lost) {
-            placement.told(now, key, load);
+            placement.record_load(now, key, load);
         }
     }
 
@@ -147,7 +154,7 @@
             let verdicts = self.gates[gate].queue.cancel(now, ticket);
             self.follow(gate, verdicts);
         }
-        self.told(ticket, TryEnd::Cancelled);
+        self.told(ticket, GateAttemptOutcome::Cancelled);
         self.requests[ticket].returns_left = 0;
         self.end(ticket, End::Failed);
     }
@@ -176,7 +183,7 @@
                 false => RETURN_AFTER.min((request.deadline - now) / 3),
             };
             let again = Request {
-                asked: Asked::default(),
+                asked: AttemptHistory::default(),
                 gate: None,
                 is_running: false,
                 has_ended: false,
--- a/crates/yuccarack_player/src/routed/chain/runs.rs
+++ b/crates/yuccarack_player/src/routed/chain/runs.rs
@@ -4,7 +4,7 @@
 
 use rand::Rng;
 use yuccarack_policy::{
-    placement::{Asked, TryEnd},
+    placement::{AttemptHistory, GateAttemptOutcome},
     work_queue::{WorkOutcome, WorkRequest},
 };
 
@@ -19,7 +19,7 @@
         let request = &self.requests[ticket];
         let Some((gate, _)) = request.gate else { return };
         if request.has_ended {
-            return self.told(ticket, TryEnd::Cancelled);
+            return self.told(ticket, GateAttemptOutcome::Cancelled);
         }
         if self.gates[gate].is_lost {
             let way = self.way(self.requests[ticket].entry, gate);
@@ -72,7 +72,7 @@
             entry: gate,
             came_at: now,
             deadline: deadline.min(now + KINDS[kind].deadline),
-            asked: Asked::default(),
+            asked: AttemptHistory::default(),
             gate: None,
             may_wait: true,
             is_running: false,
--- a/crates/yuccarack_player/src/routed/queue.rs
+++ b/crates/yuccarack_player/src/routed/queue.rs
@@ -184,8 +184,8 @@
             running: u16::try_from(queue.running()).unwrap_or(u16::MAX),
             waiting: u16::try_from(queue.waiting()).unwrap_or(u16::MAX),
             limit: u16::try_from(queue.effective_limit(now)).unwrap_or(u16::MAX),
-            mean_work: queue.mean_service_time(),
-            slowness: queue.slowdown().at(now),
+            mean_service_time: queue.mean_service_time(),
+            slowdown: queue.slowdown().at(now),
         })
     }
 }
--- a/crates/yuccarack_policy/src/crash_counts.rs
+++ b/crates/yuccarack_policy/src/crash_counts.rs
@@ -14,23 +14,23 @@
 
 /// Deaths after which a request isn't handed over any more. Two happen by chance to requests that
 /// many callers send; operators expect the third to be the last.
-pub const DEATHS_MAX: u8 = 3;
+pub const CRASHES_MAX: u8 = 3;
 
 /// Time for which a death is remembered; callers of such requests come back within seconds.
-pub const REMEMBERED: Duration = Duration::from_secs(60);
+pub const RETENTION: Duration = Duration::from_secs(60);
 
 /// Most requests that are remembered: some hundred deaths with all slots in use.
-const COUNTED_MAX: usize = 1_024;
+const FINGERPRINTS_MAX: usize = 1_024;
 
 /// Deaths by request, as one gate knows them.
 #[derive(Clone, Debug, Default)]
 pub struct CrashCounts {
-    counts: HashMap<Fingerprint, Count>,
+    counts: HashMap<Fingerprint, CrashCount>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Count {
-    deaths: u8,
+struct CrashCount {
+    crashes: u8,
     forget_at: Instant,
 }
 
@@ -41,30 +41,30 @@
     }
 
     /// Notes that a target died with the request on it.
-    pub fn died(&mut self, now: Instant, request: Fingerprint) {
-        if self.counts.len() >= COUNTED_MAX {
+    pub fn record_crash(&mut self, now: Instant, request: Fingerprint) {
+        if self.counts.len() >= FINGERPRINTS_MAX {
             self.counts.retain(|_, count| count.forget_at > now);
         }
-        if self.counts.len() >= COUNTED_MAX && !self.counts.contains_key(&request) {
+        if self.counts.len() >= FINGERPRINTS_MAX && !self.counts.contains_key(&request) {
             return;
         }
-        let forget_at = now + REMEMBERED;
-        let count = self.counts.entry(request).or_insert(Count { deaths: 0, forget_at });
+        let forget_at = now + RETENTION;
+        let count = self.counts.entry(request).or_insert(CrashCount { crashes: 0, forget_at });
         if count.forget_at <= now {
-            count.deaths = 0;
+            count.crashes = 0;
         }
-        count.deaths = count.deaths.saturating_add(1);
+        count.crashes = count.crashes.saturating_add(1);
         count.forget_at = forget_at;
     }
 
     /// Notes that the request was answered.
-    pub fn answered(&mut self, request: Fingerprint) {
+    pub fn clear(&mut self, request: Fingerprint) {
         self.counts.remove(&request);
     }
 
     /// Whether the request isn't handed over any more.
-    pub fn is_barred(&self, now: Instant, request: Fingerprint) -> bool {
+    pub fn is_blocked(&self, now: Instant, request: Fingerprint) -> bool {
         let count = self.counts.get(&request);
-        count.is_some_and(|count| count.deaths >= DEATHS_MAX && count.forget_at > now)
+        count.is_some_and(|count| count.crashes >= CRASHES_MAX && count.forget_at > now)
     }
 }
--- a/crates/yuccarack_policy/src/exchange_pace.rs
+++ b/crates/yuccarack_policy/src/exchange_interval.rs
@@ -13,58 +13,59 @@
 /// New rules have to be in force at idle callers within 9 s. With jitter a question comes 4 s after
 /// the last at most, which leaves 5 s for a member to look at the table; looks come once a second
 /// on average, and a gap of 5 s has a chance of 0.7 % (e^-5).
-pub const PACE_MIN: Duration = Duration::from_secs(3);
+pub const EXCHANGE_INTERVAL_MIN: Duration = Duration::from_secs(3);
 /// Longest time between two questions of one caller, after which the news it has are of no use.
-pub const PACE_MAX: Duration = Duration::from_secs(300);
+pub const EXCHANGE_INTERVAL_MAX: Duration = Duration::from_secs(300);
 /// Questions of callers that a member bears in a second: at about 280 bytes each with their
 /// answers, two fifths of the 2 KB a second. As much is left for its own service and for the
 /// questions that it asks of others.
-pub const QUESTIONS_PER_S: f64 = 3.0;
+pub const EXCHANGES_PER_S_MAX: f64 = 3.0;
 
 /// Shortest time over which questions are counted.
 const WINDOW_MIN: Duration = Duration::from_secs(10);
 /// Times that a window may exceed what was expected of it before it's cut short.
-const SURGE: f64 = 2.0;
+const SURGE_FACTOR: f64 = 2.0;
 
 /// Pace of a member's callers, worked out from the questions they ask.
 #[derive(Clone, Debug)]
-pub struct ExchangePace {
-    window_began: Instant,
-    asked: u32,
-    pace: Duration,
+pub struct ExchangeInterval {
+    window_started_at: Instant,
+    request_count: u32,
+    interval: Duration,
 }
 
-impl ExchangePace {
+impl ExchangeInterval {
     /// Starts with the shortest pace.
     pub fn new(now: Instant) -> Self {
-        Self { window_began: now, asked: 0, pace: PACE_MIN }
+        Self { window_started_at: now, request_count: 0, interval: EXCHANGE_INTERVAL_MIN }
     }
 
     /// Counts a question, and gives back after what time its asker may come again.
     ///
     /// A window lasts as long as the pace at least, so that each caller shows in it: after a shorter
     /// one the callers that were sent away would look gone, and all be let back at once.
-    pub fn asked(&mut self, now: Instant) -> Duration {
-        self.asked = self.asked.saturating_add(1);
-        let passed = now.saturating_duration_since(self.window_began);
-        if passed >= self.pace.max(WINDOW_MIN) || self.is_surge(passed) {
+    pub fn record_request(&mut self, now: Instant) -> Duration {
+        self.request_count = self.request_count.saturating_add(1);
+        let passed = now.saturating_duration_since(self.window_started_at);
+        if passed >= self.interval.max(WINDOW_MIN) || self.is_surge(passed) {
             self.end_window(passed);
-            self.window_began = now;
+            self.window_started_at = now;
         }
-        self.pace
+        self.interval
     }
 
     fn is_surge(&self, passed: Duration) -> bool {
-        let expected = QUESTIONS_PER_S * self.pace.max(WINDOW_MIN).as_secs_f64();
-        passed >= WINDOW_MIN && f64::from(self.asked) > SURGE * expected
+        let expected = EXCHANGES_PER_S_MAX * self.interval.max(WINDOW_MIN).as_secs_f64();
+        passed >= WINDOW_MIN && f64::from(self.request_count) > SURGE_FACTOR * expected
     }
 
     fn end_window(&mut self, passed: Duration) {
-        let paces_passed = passed.as_secs_f64() / self.pace.as_secs_f64();
-        let callers = f64::from(self.asked) / paces_passed;
-        let pace_s = callers / QUESTIONS_PER_S;
-        let bounded_s = pace_s.clamp(PACE_MIN.as_secs_f64(), PACE_MAX.as_secs_f64());
-        self.pace = Duration::from_secs_f64(bounded_s);
-        self.asked = 0;
+        let paces_passed = passed.as_secs_f64() / self.interval.as_secs_f64();
+        let callers = f64::from(self.request_count) / paces_passed;
+        let pace_s = callers / EXCHANGES_PER_S_MAX;
+        let bounded_s =
+            pace_s.clamp(EXCHANGE_INTERVAL_MIN.as_secs_f64(), EXCHANGE_INTERVAL_MAX.as_secs_f64());
+        self.interval = Duration::from_secs_f64(bounded_s);
+        self.request_count = 0;
     }
 }
--- a/crates/yuccarack_policy/src/extra_tries.rs
+++ b/crates/yuccarack_policy/src/extra_attempts.rs
@@ -13,24 +13,24 @@
 ///
 /// The rest is left for what a daemon can't see: the calls that a request makes when it runs again
 /// are extra arrivals too, at the services that it calls.
-const SPENT_PERCENT: u32 = 60;
+const USABLE_PERCENT: u32 = 60;
 
 /// Share of tries that end badly after they may have run, above which none of those is made again.
 ///
 /// A few failures are mended by another target. Many have a cause that another target shares, such
 /// as a service that they all call: each request that runs again calls it again, and 150 of them
 /// put 214 extra arrivals on a service that was failing already (counted over 10 s).
-const BAD_SHARE_MAX: f64 = 0.1;
+const FAILURE_SHARE_MAX: f64 = 0.1;
 
 /// Weight of one try in that share; fifty tries make it up.
-const BAD_WEIGHT: f64 = 0.02;
+const FAILURE_WEIGHT: f64 = 0.02;
 
 /// Shortest time left in which a further try is of use: two network round trips between domains.
-const LEFT_MIN: Duration = Duration::from_millis(5);
+const TIME_LEFT_MIN: Duration = Duration::from_millis(5);
 
 /// How a try ended that brought no good answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum EndedBadly {
+pub enum GateAttemptFailure {
     /// A gate turned it away; no target saw it.
     Refused,
     /// The target turned it away; it did not run.
@@ -43,22 +43,22 @@
 
 /// A try that brought no good answer.
 #[derive(Clone, Copy, Debug)]
-pub struct BadTry {
+pub struct FailedGateAttempt {
     /// How it ended.
-    pub ended: EndedBadly,
+    pub failure: GateAttemptFailure,
     /// Whether the request may run more than once.
     pub is_repeatable: bool,
     /// Targets that may have run it so far.
-    pub ran_on: u8,
+    pub targets_run: u8,
     /// Most targets that may run it.
     pub targets_max: u8,
     /// Time that its caller still waits.
-    pub left: Duration,
+    pub time_left: Duration,
 }
 
 /// Why no further try is made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum NoMore {
+pub enum NoExtraAttemptReason {
     /// It may have run and must not run twice.
     NotRepeatable,
     /// It has been on as many targets as it may.
@@ -71,7 +71,7 @@
     AllowanceUsedUp,
 }
 
-impl NoMore {
+impl NoExtraAttemptReason {
     /// The reason's name in logs and counters.
     pub fn as_str(self) -> &'static str {
         match self {
@@ -86,28 +86,28 @@
 
 /// The allowance of one service at one entry.
 #[derive(Clone, Debug)]
-pub struct ExtraTries {
+pub struct ExtraAttempts {
     allowance: EarnedBudget,
     reserve: u32,
-    bad_share: f64,
+    failure_share: f64,
 }
 
-impl ExtraTries {
+impl ExtraAttempts {
     /// An allowance of `percent` of the requests and this entry's part of `reserve`, which
     /// `entries` share.
     pub fn new(percent: u8, reserve: u32, entries: usize) -> Self {
-        let spent = u32::from(percent) * SPENT_PERCENT / 100;
+        let spent = u32::from(percent) * USABLE_PERCENT / 100;
         let spent = u8::try_from(spent).unwrap_or(100);
-        let allowance = EarnedBudget::new(spent, part_of(reserve, entries));
-        Self { allowance, reserve, bad_share: 0.0 }
+        let allowance = EarnedBudget::new(spent, entry_reserve(reserve, entries));
+        Self { allowance, reserve, failure_share: 0.0 }
     }
 
     /// Takes this entry's part anew, now that `entries` share the reserve.
     ///
     /// Failure: an entry starts when it knows few others, keeps a large part for good, and all of
     /// them together send several times the further tries that operators allow.
-    pub fn share_among(&mut self, entries: usize) {
-        self.allowance.set_reserve(part_of(self.reserve, entries));
+    pub fn set_entry_count(&mut self, entries: usize) {
+        self.allowance.set_reserve(entry_reserve(self.reserve, entries));
     }
 
     /// Notes a request, which earns its share.
@@ -116,8 +116,8 @@
     }
 
     /// Notes a try that brought a good answer.
-    pub fn ended_well(&mut self) {
-        self.bad_share -= BAD_WEIGHT * self.bad_share;
+    pub fn record_success(&mut self) {
+        self.failure_share -= FAILURE_WEIGHT * self.failure_share;
     }
 
     /// Pays for one arrival at a target beyond the first.
@@ -130,34 +130,35 @@
     /// # Errors
     ///
     /// Why none is made.
-    pub fn decide(&mut self, bad: BadTry) -> Result<(), NoMore> {
-        let may_have_run = matches!(bad.ended, EndedBadly::Unknown | EndedBadly::Failed);
+    pub fn decide(&mut self, bad: FailedGateAttempt) -> Result<(), NoExtraAttemptReason> {
+        let may_have_run =
+            matches!(bad.failure, GateAttemptFailure::Unknown | GateAttemptFailure::Failed);
         if may_have_run {
-            self.bad_share += BAD_WEIGHT * (1.0 - self.bad_share);
+            self.failure_share += FAILURE_WEIGHT * (1.0 - self.failure_share);
         }
         if may_have_run && !bad.is_repeatable {
-            return Err(NoMore::NotRepeatable);
+            return Err(NoExtraAttemptReason::NotRepeatable);
         }
-        if may_have_run && bad.ran_on >= bad.targets_max {
-            return Err(NoMore::TargetsUsedUp);
+        if may_have_run && bad.targets_run >= bad.targets_max {
+            return Err(NoExtraAttemptReason::TargetsUsedUp);
         }
-        if may_have_run && self.bad_share > BAD_SHARE_MAX {
-            return Err(NoMore::TooManyFail);
+        if may_have_run && self.failure_share > FAILURE_SHARE_MAX {
+            return Err(NoExtraAttemptReason::TooManyFail);
         }
-        if bad.left < LEFT_MIN {
-            return Err(NoMore::DeadlineClose);
+        if bad.time_left < TIME_LEFT_MIN {
+            return Err(NoExtraAttemptReason::DeadlineClose);
         }
-        let is_free = bad.ended == EndedBadly::Refused;
+        let is_free = bad.failure == GateAttemptFailure::Refused;
         if !is_free && !self.spend() {
-            return Err(NoMore::AllowanceUsedUp);
+            return Err(NoExtraAttemptReason::AllowanceUsedUp);
         }
         Ok(())
     }
 }
 
 /// One entry's part of the reserve, in tries; each may make one now and then.
-fn part_of(reserve: u32, entries: usize) -> u16 {
+fn entry_reserve(reserve: u32, entries: usize) -> u16 {
     let entries = u32::try_from(entries).unwrap_or(u32::MAX).max(1);
-    let part = reserve * SPENT_PERCENT / 100 / entries;
+    let part = reserve * USABLE_PERCENT / 100 / entries;
     u16::try_from(part).unwrap_or(u16::MAX).max(1)
 }
--- a/crates/yuccarack_policy/src/placement/mod.rs
+++ b/crates/yuccarack_policy/src/placement/mod.rs
@@ -16,7 +16,7 @@
 use yuccarack_config::decisions::Decisions;
 
 use self::gate::Gate;
-pub use self::gate::{GateLoad, TryEnd};
+pub use self::gate::{GateAttemptOutcome, GateLoad};
 
 new_key_type! {
     /// A gate at one entry.
@@ -25,20 +25,20 @@
 
 /// Gates that are compared for one try; a few are enough to miss the slow ones, and with all of
 /// them every entry would pick the same one.
-pub const COMPARED: usize = 4;
+pub const CANDIDATES_COMPARED: usize = 4;
 
 /// Tries that ask for a slot at once only, before one may wait.
-pub const TRIES_WITHOUT_WAIT: usize = 2;
+pub const ATTEMPTS_WITHOUT_WAIT: usize = 2;
 
 /// Most gates that one request is offered to: each costs a round trip, and after as many the whole
 /// service is full or away.
-pub const TRIES_MAX: usize = 4;
+pub const ATTEMPTS_MAX: usize = 4;
 
 /// What a gate of another failure domain has to gain, in ms of time until its answer.
 ///
 /// A round trip between domains takes 1 to 3 ms, and bytes between them are paid for: 5 kB cost as
 /// much as 6 % of an answer in time. The table in docs/POLICY.md has the values that were tried.
-pub const FAR_COST: Duration = Duration::from_millis(150);
+pub const REMOTE_DOMAIN_COST: Duration = Duration::from_millis(150);
 
 /// How much longer a gate counts as taking that fails always; one in ten costs as much as a work
 /// time of a fifth.
@@ -46,59 +46,59 @@
 
 /// What a gate said to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Said {
+pub enum GateReply {
     /// It has no slot at once.
-    NoSlot,
+    NoFreeSlot,
     /// It has no place to wait either.
-    NoPlace,
+    NoQueueSpace,
     /// It takes no work, or its target failed.
-    NotHere,
+    Unavailable,
 }
 
 /// Gates that one request was offered to.
 #[derive(Clone, Debug, Default)]
-pub struct Asked {
-    all: Vec<GateKey>,
+pub struct AttemptHistory {
+    attempted: Vec<GateKey>,
     /// Those that need not be asked again.
-    done: Vec<GateKey>,
+    exhausted: Vec<GateKey>,
     /// Whether one of them takes work, though not this request now.
-    is_served: bool,
+    has_serving_gate: bool,
     /// Those that may not get the request, however free they are.
-    barred: Vec<GateKey>,
+    excluded: Vec<GateKey>,
 }
 
-impl Asked {
+impl AttemptHistory {
     /// Gates that were asked, each as often as it was.
     pub fn count(&self) -> usize {
-        self.all.len()
+        self.attempted.len()
     }
 
     /// Names those that may not get the request, in place of those named before.
-    pub fn bar(&mut self, barred: Vec<GateKey>) {
-        self.barred = barred;
+    pub fn set_excluded(&mut self, barred: Vec<GateKey>) {
+        self.excluded = barred;
     }
 
     /// Notes what a gate said.
-    pub fn note(&mut self, gate: GateKey, said: Said) {
-        self.all.push(gate);
+    pub fn record(&mut self, gate: GateKey, said: GateReply) {
+        self.attempted.push(gate);
         match said {
-            Said::NoSlot => self.is_served = true,
-            Said::NoPlace => {
-                self.is_served = true;
-                self.done.push(gate);
+            GateReply::NoFreeSlot => self.has_serving_gate = true,
+            GateReply::NoQueueSpace => {
+                self.has_serving_gate = true;
+                self.exhausted.push(gate);
             }
-            Said::NotHere => self.done.push(gate),
+            GateReply::Unavailable => self.exhausted.push(gate),
         }
     }
 }
 
 /// Part by which gates may differ and count as alike, so that a hundred entries that know the same
 /// of two gates don't all take the first.
-const BLUR: f64 = 0.1;
+const COST_JITTER: f64 = 0.1;
 
 /// Where a request goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Placed {
+pub struct PlacementChoice {
     /// The gate.
     pub gate: GateKey,
     /// Whether it may wait there.
@@ -135,9 +135,9 @@
     }
 
     /// Forgets that a gate was away.
-    pub fn renewed(&mut self, key: GateKey) {
+    pub fn mark_reachable(&mut self, key: GateKey) {
         if let Some(gate) = self.gates.get_mut(key) {
-            gate.back();
+            gate.mark_reachable();
         }
     }
 
@@ -147,88 +147,95 @@
         &self,
         now: Instant,
         rng: &mut impl Rng,
-        asked: &Asked,
+        asked: &AttemptHistory,
         mean_work: Duration,
-    ) -> Option<Placed> {
-        let allowed = || self.gates.iter().filter(|(key, _)| !asked.barred.contains(key));
-        let here = || allowed().filter(|(_, gate)| !gate.is_away(now));
-        let unasked = || here().filter(|(key, _)| !asked.all.contains(key));
-        if asked.all.len() < TRIES_WITHOUT_WAIT
-            && let Some(gate) = self.best(now, unasked(), rng, mean_work)
+    ) -> Option<PlacementChoice> {
+        let allowed = || self.gates.iter().filter(|(key, _)| !asked.excluded.contains(key));
+        let here = || allowed().filter(|(_, gate)| !gate.is_unavailable(now));
+        let unasked = || here().filter(|(key, _)| !asked.attempted.contains(key));
+        if asked.attempted.len() < ATTEMPTS_WITHOUT_WAIT
+            && let Some(gate) = self.best_candidate(now, unasked(), rng, mean_work)
         {
-            let may_wait = here().count() == 1 || self.is_full(now, gate);
-            return Some(Placed { gate, may_wait });
+            let may_wait = here().count() == 1 || self.is_known_full(now, gate);
+            return Some(PlacementChoice { gate, may_wait });
         }
-        if asked.all.len() >= TRIES_MAX {
+        if asked.attempted.len() >= ATTEMPTS_MAX {
             return None;
         }
-        let unwaited = here().filter(|(key, _)| !asked.done.contains(key));
-        if let Some(gate) = self.best(now, unwaited, rng, mean_work) {
-            return Some(Placed { gate, may_wait: true });
+        let unwaited = here().filter(|(key, _)| !asked.exhausted.contains(key));
+        if let Some(gate) = self.best_candidate(now, unwaited, rng, mean_work) {
+            return Some(PlacementChoice { gate, may_wait: true });
         }
-        if asked.is_served {
+        if asked.has_serving_gate {
             // Those that are away would cost time, and what is known is final.
             return None;
         }
         // All that is left may be away; asking one of them is how it is found out, those that can
         // be reached first.
-        let away = allowed().filter(|(key, gate)| gate.is_away(now) && !asked.all.contains(key));
+        let away = allowed()
+            .filter(|(key, gate)| gate.is_unavailable(now) && !asked.attempted.contains(key));
         let reached = away.clone().filter(|(_, gate)| !gate.is_unreachable);
-        let gate = self.best(now, reached, rng, mean_work);
-        let gate = gate.or_else(|| self.best(now, away, rng, mean_work))?;
-        Some(Placed { gate, may_wait: true })
+        let gate = self.best_candidate(now, reached, rng, mean_work);
+        let gate = gate.or_else(|| self.best_candidate(now, away, rng, mean_work))?;
+        Some(PlacementChoice { gate, may_wait: true })
     }
 
     /// The best of a few gates drawn from `candidates`.
-    fn best<'a>(
+    fn best_candidate<'a>(
         &self,
         now: Instant,
         candidates: impl Iterator<Item = (GateKey, &'a Gate)>,
         rng: &mut impl Rng,
         mean_work: Duration,
     ) -> Option<GateKey> {
-        let drawn = candidates.choose_multiple(rng, COMPARED);
+        let drawn = candidates.choose_multiple(rng, CANDIDATES_COMPARED);
         let mut blurred = |gate: &Gate| {
-            self.cost(gate, now, mean_work).mul_f64(rng.random_range(1.0..1.0 + BLUR))
+            self.cost(gate, now, mean_work).mul_f64(rng.random_range(1.0..1.0 + COST_JITTER))
         };
         let costs = drawn.into_iter().map(|(key, gate)| (blurred(gate), key));
         costs.min_by_key(|(cost, _)| *cost).map(|(_, key)| key)
     }
 
     /// Gates to which no connection could be made.
-    pub fn unreachable(&self) -> impl Iterator<Item = GateKey> {
+    pub fn unreachable_gates(&self) -> impl Iterator<Item = GateKey> {
         self.gates.iter().filter(|(_, gate)| gate.is_unreachable).map(|(key, _)| key)
     }
 
     /// Notes that a request goes out.
-    pub fn sent(&mut self, key: GateKey) {
+    pub fn record_attempt(&mut self, key: GateKey) {
         if let Some(gate) = self.gates.get_mut(key) {
-            gate.sent();
+            gate.record_attempt();
         }
     }
 
     /// Notes how a try ended, once for each [`Placement::sent`].
-    pub fn ended(&mut self, now: Instant, key: GateKey, end: TryEnd) {
+    pub fn record_outcome(&mut self, now: Instant, key: GateKey, end: GateAttemptOutcome) {
         if let Some(gate) = self.gates.get_mut(key) {
-            gate.ended(now, end);
+            gate.record_outcome(now, end);
         }
     }
 
     /// Notes what a gate tells of its load.
-    pub fn told(&mut self, now: Instant, key: GateKey, load: GateLoad) {
+    pub fn record_load(&mut self, now: Instant, key: GateKey, load: GateLoad) {
         if let Some(gate) = self.gates.get_mut(key) {
-            gate.told(now, load);
+            gate.record_load(now, load);
         }
     }
 
     /// Whether the best gate is known to have no slot: then none has, and asking without leave to
     /// wait would cost a round trip for nothing.
-    fn is_full(&self, now: Instant, key: GateKey) -> bool {
-        self.gates.get(key).is_some_and(|gate| gate.is_known(now) && gate.excess(now) > 0.0)
+    fn is_known_full(&self, now: Instant, key: GateKey) -> bool {
+        self.gates.get(key).is_some_and(|gate| gate.is_load_fresh(now) && gate.excess(now) > 0.0)
     }
 
     fn cost(&self, gate: &Gate, now: Instant, mean_work: Duration) -> Duration {
-        let expected = gate.expected(now, mean_work).mul_f64(1.0 + FAILURE_COST * gate.failures());
-        if gate.is_near || !self.decisions.home_first { expected } else { expected + FAR_COST }
+        let expected = gate
+            .expected_response_time(now, mean_work)
+            .mul_f64(1.0 + FAILURE_COST * gate.failure_share());
+        if gate.is_local || !self.decisions.home_first {
+            expected
+        } else {
+            expected + REMOTE_DOMAIN_COST
+        }
     }
 }
--- a/crates/yuccarack_policy/src/relays.rs
+++ b/crates/yuccarack_policy/src/relays.rs
@@ -10,22 +10,22 @@
 
 /// Most daemons that one relay tells on average. A kept line costs some 170 bytes a second, headers of
 /// TCP/IP included, so ten of them stay within the 2 KB a second that a daemon may spend on control.
-const TOLD_MAX: usize = 10;
+const FOLLOWERS_PER_RELAY_MAX: usize = 10;
 
 /// Questions a second of all notified daemons of a failure domain together, by which they find out that
 /// the store serves one of them though it serves none of their relays.
-const LOOKS_PER_S: f64 = 2.0;
+const STORE_POLLS_PER_S: f64 = 2.0;
 
 /// Shortest time between two such questions of one daemon.
-const LOOK_INTERVAL_MIN: Duration = Duration::from_secs(2);
+const STORE_POLL_INTERVAL_MIN: Duration = Duration::from_secs(2);
 
 /// How a daemon gets its news.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum RelayRole {
     /// It asks the store itself, and tells others.
-    Asks,
+    Relay,
     /// These tell it, the first one by preference.
-    IsTold(Vec<InstanceId>),
+    Follower(Vec<InstanceId>),
 }
 
 /// How `own` gets its news in a failure domain of `members`.
@@ -37,14 +37,14 @@
 ///
 /// Each daemon works this out from the members that it knows, without asking anybody. Views that
 /// differ for a moment cost a few questions more and no news: a relay that doesn't ask the store says so.
-pub fn standing<'a>(own: &str, members: impl IntoIterator<Item = &'a str>) -> Standing {
+pub fn relay_role<'a>(own: &str, members: impl IntoIterator<Item = &'a str>) -> RelayRole {
     let mut relays = relays_of(members);
     if relays.len() < RELAYS_MIN || relays.contains(&own) {
-        return Standing::Asks;
+        return RelayRole::Relay;
     }
     // Each daemon has an order of its own, so that relays tell about equally many.
     relays.sort_by_cached_key(|relay| xxh3_64(format!("{own} {relay}").as_bytes()));
-    Standing::IsTold(relays.into_iter().map(str::to_owned).collect())
+    RelayRole::Follower(relays.into_iter().map(str::to_owned).collect())
 }
 
 /// Those of a failure domain of `members` that ask the store.
@@ -53,7 +53,7 @@
         members.into_iter().map(|member| (xxh3_64(member.as_bytes()), member)).collect();
     ranked.sort_unstable();
     ranked.dedup();
-    ranked.truncate(RELAYS_MIN.max(ranked.len().div_ceil(TOLD_MAX + 1)));
+    ranked.truncate(RELAYS_MIN.max(ranked.len().div_ceil(FOLLOWERS_PER_RELAY_MAX + 1)));
     ranked.into_iter().map(|(_, member)| member).collect()
 }
 
@@ -63,6 +63,6 @@
 /// Load: the store is away for eight seconds, and each of 245 daemons asks it for two tables again and
 /// again. Relays ask anyway, and hear of each other; the others need only find out now and then whether
 /// the store refuses the relays alone, so their questions together don't grow with their number.
-pub fn store_look_interval(size: usize) -> Duration {
-    LOOK_INTERVAL_MIN.max(Duration::from_secs(1).mul_f64(size as f64 / LOOKS_PER_S))
+pub fn store_poll_interval(size: usize) -> Duration {
+    STORE_POLL_INTERVAL_MIN.max(Duration::from_secs(1).mul_f64(size as f64 / STORE_POLLS_PER_S))
 }
--- a/crates/yuccarack_policy/src/split.rs
+++ b/crates/yuccarack_policy/src/split.rs
@@ -9,35 +9,35 @@
 
 /// Deals the requests of one route at one entry out.
 #[derive(Clone, Debug)]
-pub struct Split {
+pub struct WeightedRoundRobin {
     weights: Vec<u32>,
     /// What each part is owed, in weights.
-    owed: Vec<i64>,
+    credits: Vec<i64>,
 }
 
-impl Split {
+impl WeightedRoundRobin {
     /// Deals by `weights`, starting at a random place.
     pub fn new(weights: Vec<u32>, rng: &mut impl Rng) -> Self {
         let total: i64 = weights.iter().map(|&weight| i64::from(weight)).sum();
         let mut start = || if total == 0 { 0 } else { rng.random_range(0..total) };
         let owed = weights.iter().map(|_| start()).collect();
-        Self { weights, owed }
+        Self { weights, credits: owed }
     }
 
     /// Whether it deals by `weights`.
-    pub fn deals_by(&self, weights: &[u32]) -> bool {
+    pub fn has_weights(&self, weights: &[u32]) -> bool {
         self.weights == weights
     }
 
     /// The part that takes the next request; none when no part has a weight.
-    pub fn deal(&mut self) -> Option<usize> {
+    pub fn next_part(&mut self) -> Option<usize> {
         let total: i64 = self.weights.iter().map(|&weight| i64::from(weight)).sum();
-        for (owed, weight) in self.owed.iter_mut().zip(&self.weights) {
+        for (owed, weight) in self.credits.iter_mut().zip(&self.weights) {
             *owed += i64::from(*weight);
         }
         let weighted = (0..self.weights.len()).filter(|&part| self.weights[part] > 0);
-        let part = weighted.max_by_key(|&part| self.owed[part])?;
-        self.owed[part] -= total;
+        let part = weighted.max_by_key(|&part| self.credits[part])?;
+        self.credits[part] -= total;
         Some(part)
     }
 }
--- a/crates/yuccarack_policy/src/absences.rs
+++ b/crates/yuccarack_policy/src/unreachable_members.rs
@@ -14,30 +14,30 @@
 /// that share the further tries. A link that is cut for minutes looks the same at first, so it takes
 /// long until one counts as gone; and who reaches nobody at all is cut off itself and says nothing.
 #[derive(Clone, Debug)]
-pub struct Absences {
-    gone_after: Duration,
-    since: HashMap<InstanceId, Instant>,
+pub struct UnreachableMembers {
+    removal_delay: Duration,
+    unreachable_since: HashMap<InstanceId, Instant>,
 }
 
-impl Absences {
+impl UnreachableMembers {
     /// Starts with none; a member counts as gone after `gone_after` without being reached.
     pub fn new(gone_after: Duration) -> Self {
-        Self { gone_after, since: HashMap::new() }
+        Self { removal_delay: gone_after, unreachable_since: HashMap::new() }
     }
 
     /// Takes in a look at members, each with whether it was reached; those that are gone by now.
-    pub fn looked(&mut self, now: Instant, look: &[(InstanceId, bool)]) -> Vec<InstanceId> {
+    pub fn record_probes(&mut self, now: Instant, look: &[(InstanceId, bool)]) -> Vec<InstanceId> {
         if !look.iter().any(|(_, is_reached)| *is_reached) {
-            self.since.clear();
+            self.unreachable_since.clear();
             return Vec::new();
         }
         let is_away =
             |member: &InstanceId| look.iter().any(|(one, reached)| one == member && !reached);
-        self.since.retain(|member, _| is_away(member));
+        self.unreachable_since.retain(|member, _| is_away(member));
         let away = look.iter().filter(|(_, is_reached)| !is_reached);
         let is_gone = |member: &&InstanceId| {
-            let since = *self.since.entry((*member).clone()).or_insert(now);
-            now.saturating_duration_since(since) >= self.gone_after
+            let since = *self.unreachable_since.entry((*member).clone()).or_insert(now);
+            now.saturating_duration_since(since) >= self.removal_delay
         };
         away.map(|(member, _)| member).filter(is_gone).cloned().collect()
     }
--- a/crates/yuccarack_policy/tests/exchange_pace.rs
+++ b/crates/yuccarack_policy/tests/exchange_pace.rs
@@ -2,14 +2,16 @@
 
 use std::time::{Duration, Instant};
 
-use yuccarack_policy::exchange_pace::{ExchangePace, PACE_MIN, QUESTIONS_PER_S};
+use yuccarack_policy::exchange_interval::{
+    EXCHANGE_INTERVAL_MIN, EXCHANGES_PER_S_MAX, ExchangeInterval,
+};
 
 /// Plays callers that come again when they're told to; gives back the questions of the last third
 /// in a second.
 fn questions_per_s(callers: u32, play: Duration) -> f64 {
     let start = Instant::now();
-    let mut pace = ExchangePace::new(start);
-    let spread = PACE_MIN / callers;
+    let mut pace = ExchangeInterval::new(start);
+    let spread = EXCHANGE_INTERVAL_MIN / callers;
     let mut next: Vec<Duration> = (0..callers).map(|number| spread * number).collect();
     let late = play * 2 / 3;
     let mut late_questions = 0_u32;
@@ -20,7 +22,7 @@
         late_questions += u32::from(at >= late);
         // Callers differ a little, as they do by their jitter.
         let differs = Duration::from_millis(u64::try_from(caller % 7).unwrap_or(0) * 100);
-        next[caller] = at + pace.asked(start + at) + differs;
+        next[caller] = at + pace.record_request(start + at) + differs;
     }
     f64::from(late_questions) / (play - late).as_secs_f64()
 }
@@ -36,24 +38,24 @@
 #[test]
 fn many_callers_are_slowed_to_what_a_member_bears() {
     let seen = questions_per_s(220, Duration::from_secs(3_000));
-    assert!(seen <= 1.5 * QUESTIONS_PER_S, "{seen}");
-    assert!(seen >= 0.5 * QUESTIONS_PER_S, "{seen}");
+    assert!(seen <= 1.5 * EXCHANGES_PER_S_MAX, "{seen}");
+    assert!(seen >= 0.5 * EXCHANGES_PER_S_MAX, "{seen}");
 }
 
 /// The callers go. Those that are left may come as often as before.
 #[test]
 fn the_pace_recovers_when_callers_go() {
     let start = Instant::now();
-    let mut pace = ExchangePace::new(start);
+    let mut pace = ExchangeInterval::new(start);
     let mut now = start;
     for _ in 0..2_000 {
         now += Duration::from_millis(20);
-        pace.asked(now);
+        pace.record_request(now);
     }
-    assert!(pace.asked(now) > PACE_MIN * 10);
+    assert!(pace.record_request(now) > EXCHANGE_INTERVAL_MIN * 10);
     for _ in 0..200 {
         now += Duration::from_secs(10);
-        pace.asked(now);
+        pace.record_request(now);
     }
-    assert_eq!(pace.asked(now), PACE_MIN);
+    assert_eq!(pace.record_request(now), EXCHANGE_INTERVAL_MIN);
 }
--- a/crates/yuccarack_policy/tests/extra_tries.rs
+++ b/crates/yuccarack_policy/tests/extra_tries.rs
@@ -2,34 +2,45 @@
 
 use std::time::Duration;
 
-use yuccarack_policy::extra_tries::{BadTry, EndedBadly, ExtraTries, NoMore};
+use yuccarack_policy::extra_attempts::{
+    ExtraAttempts, FailedGateAttempt, GateAttemptFailure, NoExtraAttemptReason,
+};
 
 const LEFT: Duration = Duration::from_millis(400);
 
-fn bad(ended: EndedBadly) -> BadTry {
-    BadTry { ended, is_repeatable: true, ran_on: 1, targets_max: 2, left: LEFT }
+fn bad(ended: GateAttemptFailure) -> FailedGateAttempt {
+    FailedGateAttempt {
+        failure: ended,
+        is_repeatable: true,
+        targets_run: 1,
+        targets_max: 2,
+        time_left: LEFT,
+    }
 }
 
 #[test]
 fn what_may_have_run_is_not_repeated_where_it_must_not() {
-    let mut tries = ExtraTries::new(20, 60, 1);
-    for ended in [EndedBadly::Unknown, EndedBadly::Failed] {
-        let order = BadTry { is_repeatable: false, ..bad(ended) };
-        assert_eq!(tries.decide(order), Err(NoMore::NotRepeatable));
+    let mut tries = ExtraAttempts::new(20, 60, 1);
+    for ended in [GateAttemptFailure::Unknown, GateAttemptFailure::Failed] {
+        let order = FailedGateAttempt { is_repeatable: false, ..bad(ended) };
+        assert_eq!(tries.decide(order), Err(NoExtraAttemptReason::NotRepeatable));
     }
-    for ended in [EndedBadly::Refused, EndedBadly::Shed] {
-        let order = BadTry { is_repeatable: false, ran_on: 0, ..bad(ended) };
+    for ended in [GateAttemptFailure::Refused, GateAttemptFailure::Shed] {
+        let order = FailedGateAttempt { is_repeatable: false, targets_run: 0, ..bad(ended) };
         assert_eq!(tries.decide(order), Ok(()));
     }
 }
 
 #[test]
 fn a_request_runs_on_no_more_targets_than_it_may() {
-    let mut tries = ExtraTries::new(20, 60, 1);
-    let used_up = BadTry { ran_on: 2, ..bad(EndedBadly::Unknown) };
-    assert_eq!(tries.decide(used_up), Err(NoMore::TargetsUsedUp));
+    let mut tries = ExtraAttempts::new(20, 60, 1);
+    let used_up = FailedGateAttempt { targets_run: 2, ..bad(GateAttemptFailure::Unknown) };
+    assert_eq!(tries.decide(used_up), Err(NoExtraAttemptReason::TargetsUsedUp));
     // A refusal ran nowhere, so it uses up no target.
-    assert_eq!(tries.decide(BadTry { ran_on: 2, ..bad(EndedBadly::Refused) }), Ok(()));
+    assert_eq!(
+        tries.decide(FailedGateAttempt { targets_run: 2, ..bad(GateAttemptFailure::Refused) }),
+        Ok(())
+    );
 }
 
 /// Story: all targets of a service turn away half of what arrives, at twelve daemons with 100
@@ -39,11 +50,11 @@
 fn twelve_daemons_stay_within_the_shared_allowance() {
     let mut extra = 0;
     for _ in 0..12 {
-        let mut tries = ExtraTries::new(20, 60, 12);
+        let mut tries = ExtraAttempts::new(20, 60, 12);
         for request in 0..100 {
             tries.earn();
             let is_shed = request % 2 == 0;
-            extra += u32::from(is_shed && tries.decide(bad(EndedBadly::Shed)).is_ok());
+            extra += u32::from(is_shed && tries.decide(bad(GateAttemptFailure::Shed)).is_ok());
         }
     }
     assert!(extra > 100, "only {extra} further tries");
@@ -57,9 +68,9 @@
 fn the_reserve_is_shared_anew_when_more_daemons_are_known() {
     let mut extra = 0;
     for _ in 0..70 {
-        let mut tries = ExtraTries::new(20, 60, 3);
-        tries.share_among(70);
-        extra += (0..30).filter(|_| tries.decide(bad(EndedBadly::Shed)).is_ok()).count();
+        let mut tries = ExtraAttempts::new(20, 60, 3);
+        tries.set_entry_count(70);
+        extra += (0..30).filter(|_| tries.decide(bad(GateAttemptFailure::Shed)).is_ok()).count();
     }
     assert!(extra <= 70, "{extra} further tries");
 }
@@ -69,24 +80,28 @@
 /// of calls there. After some fifty tries nothing that ran is tried again, until answers are good.
 #[test]
 fn nothing_runs_again_while_many_fail() {
-    let mut tries = ExtraTries::new(100, 10_000, 1);
-    let failed = |tries: &mut ExtraTries| tries.decide(bad(EndedBadly::Failed));
+    let mut tries = ExtraAttempts::new(100, 10_000, 1);
+    let failed = |tries: &mut ExtraAttempts| tries.decide(bad(GateAttemptFailure::Failed));
     assert_eq!(failed(&mut tries), Ok(()));
-    let refused = (0..100).filter(|_| failed(&mut tries) == Err(NoMore::TooManyFail)).count();
+    let refused =
+        (0..100).filter(|_| failed(&mut tries) == Err(NoExtraAttemptReason::TooManyFail)).count();
     assert!(refused > 90, "{refused} of 100 were not tried again");
     // A refusal tells nothing of runs.
-    assert_eq!(tries.decide(bad(EndedBadly::Refused)), Ok(()));
+    assert_eq!(tries.decide(bad(GateAttemptFailure::Refused)), Ok(()));
     for _ in 0..200 {
-        tries.ended_well();
+        tries.record_success();
     }
     assert_eq!(failed(&mut tries), Ok(()));
 }
 
 #[test]
 fn no_try_is_made_that_could_not_be_answered() {
-    let mut tries = ExtraTries::new(20, 60, 1);
-    let late = BadTry { left: Duration::from_millis(2), ..bad(EndedBadly::Refused) };
-    assert_eq!(tries.decide(late), Err(NoMore::DeadlineClose));
+    let mut tries = ExtraAttempts::new(20, 60, 1);
+    let late = FailedGateAttempt {
+        time_left: Duration::from_millis(2),
+        ..bad(GateAttemptFailure::Refused)
+    };
+    assert_eq!(tries.decide(late), Err(NoExtraAttemptReason::DeadlineClose));
 }
 
 /// Requests and further tries of all daemons in a tenth of a second.
@@ -115,14 +130,14 @@
 fn uneven_and_moving_traffic_stays_within_the_shared_allowance() {
     const DAEMONS: usize = 77;
     const WINDOW: usize = 100;
-    let mut daemons: Vec<_> = (0..DAEMONS).map(|_| ExtraTries::new(20, 194, DAEMONS)).collect();
+    let mut daemons: Vec<_> = (0..DAEMONS).map(|_| ExtraAttempts::new(20, 194, DAEMONS)).collect();
     let mut tenths = vec![Tenth::default(); 3 * WINDOW];
     for (at, tenth) in tenths.iter_mut().enumerate() {
         for (number, tries) in daemons.iter_mut().enumerate() {
             for _ in 0..requests_at(number, at) {
                 tries.earn();
                 tenth.requests += 1;
-                while tries.decide(bad(EndedBadly::Shed)).is_ok() {
+                while tries.decide(bad(GateAttemptFailure::Shed)).is_ok() {
                     tenth.extra += 1;
                 }
             }
--- a/crates/yuccarack_policy/tests/futile_runs.rs
+++ b/crates/yuccarack_policy/tests/futile_runs.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use rand::{Rng, SeedableRng, rngs::SmallRng};
-use yuccarack_policy::futile_runs::{FutileRuns, RunResult, Shortages};
+use yuccarack_policy::adaptive_throttle::{AdaptiveThrottle, RunResult, Shortages};
 
 /// Requests of the calling service in a tick of 10 ms.
 const PARENTS: usize = 4;
@@ -26,7 +26,7 @@
 /// Plays `ticks` of 10 ms in which the small service runs `room` requests each.
 fn play(ticks: usize, room: impl Fn(usize) -> usize, is_on: bool) -> Played {
     let mut rng = SmallRng::seed_from_u64(7);
-    let (mut futile, mut shortages) = (FutileRuns::new(), Shortages::new());
+    let (mut futile, mut shortages) = (AdaptiveThrottle::new(), Shortages::new());
     let (mut played, start) = (Played::default(), Instant::now());
     for tick in 0..ticks {
         let now = start + Duration::from_millis(10) * tick as u32;
@@ -38,14 +38,14 @@
         }
         for is_parent in arrivals {
             let wanted = if is_parent { 2 } else { 1 };
-            if is_parent && is_on && !futile.lets_in(&mut rng) {
+            if is_parent && is_on && !futile.admits(&mut rng) {
                 continue;
             }
             let got = wanted.min(room);
             room -= got;
             let is_whole = got == wanted;
             if !is_whole {
-                shortages.refused(now, "small");
+                shortages.record_refusal(now, "small");
             }
             match (is_parent, is_whole) {
                 (true, true) => played.good += 1,
@@ -55,8 +55,8 @@
             }
             if is_parent {
                 played.runs += 1;
-                let result = if is_whole { RunResult::Good } else { RunResult::Failed };
-                futile.ended(result, shortages.is_another_short(now, "large"));
+                let result = if is_whole { RunResult::Succeeded } else { RunResult::Failed };
+                futile.record_run(result, shortages.is_other_service_short(now, "large"));
             }
         }
     }
@@ -93,11 +93,11 @@
 /// Turning requests away would serve nobody.
 #[test]
 fn runs_that_fail_by_themselves_are_let_in() {
-    let mut futile = FutileRuns::new();
+    let mut futile = AdaptiveThrottle::new();
     for _ in 0..1_000 {
-        futile.ended(RunResult::Failed, false);
+        futile.record_run(RunResult::Failed, false);
     }
-    assert!((futile.share() - 1.0).abs() < f64::EPSILON);
+    assert!((futile.admitted_share() - 1.0).abs() < f64::EPSILON);
 }
 
 /// Story: one of six targets fails most of its requests by itself, and another service is short at the
@@ -105,11 +105,11 @@
 #[test]
 fn runs_that_fail_as_often_without_a_shortage_are_let_in() {
     let mut rng = SmallRng::seed_from_u64(3);
-    let mut futile = FutileRuns::new();
+    let mut futile = AdaptiveThrottle::new();
     let mut run = |is_short| {
-        let result = if rng.random_bool(0.08) { RunResult::Failed } else { RunResult::Good };
-        futile.ended(result, is_short);
-        futile.share()
+        let result = if rng.random_bool(0.08) { RunResult::Failed } else { RunResult::Succeeded };
+        futile.record_run(result, is_short);
+        futile.admitted_share()
     };
     let calm: Vec<f64> = (0..300).map(|_| run(false)).collect();
     assert!(calm.iter().all(|share| *share >= 1.0));
@@ -123,12 +123,12 @@
 fn only_another_service_counts() {
     let now = Instant::now();
     let mut shortages = Shortages::new();
-    assert!(!shortages.is_another_short(now, "large"));
-    shortages.refused(now, "large");
-    assert!(!shortages.is_another_short(now, "large"));
-    assert!(shortages.is_another_short(now, "small"));
-    shortages.refused(now, "small");
-    shortages.refused(now + Duration::from_millis(10), "large");
-    assert!(shortages.is_another_short(now, "large"));
-    assert!(!shortages.is_another_short(now + Duration::from_secs(1), "large"));
+    assert!(!shortages.is_other_service_short(now, "large"));
+    shortages.record_refusal(now, "large");
+    assert!(!shortages.is_other_service_short(now, "large"));
+    assert!(shortages.is_other_service_short(now, "small"));
+    shortages.record_refusal(now, "small");
+    shortages.record_refusal(now + Duration::from_millis(10), "large");
+    assert!(shortages.is_other_service_short(now, "large"));
+    assert!(!shortages.is_other_service_short(now + Duration::from_secs(1), "large"));
 }
--- a/crates/yuccarack_policy/tests/relays.rs
+++ b/crates/yuccarack_policy/tests/relays.rs
@@ -2,18 +2,18 @@
 
 use std::{collections::HashMap, time::Duration};
 
-use yuccarack_policy::relays::{Standing, standing, store_look_interval};
+use yuccarack_policy::relays::{RelayRole, relay_role, store_poll_interval};
 
 fn domain(size: usize) -> Vec<String> {
     (0..size).map(|number| format!("sidecar-sapporo-{number}")).collect()
 }
 
-fn standing_in(own: &str, domain: &[String]) -> Standing {
-    standing(own, domain.iter().map(String::as_str))
+fn standing_in(own: &str, domain: &[String]) -> RelayRole {
+    relay_role(own, domain.iter().map(String::as_str))
 }
 
 fn asking(domain: &[String]) -> Vec<&String> {
-    domain.iter().filter(|own| standing_in(own, domain) == Standing::Asks).collect()
+    domain.iter().filter(|own| standing_in(own, domain) == RelayRole::Relay).collect()
 }
 
 /// Story: all daemons of a failure domain restart together and each follows each row. With 104 of
@@ -32,7 +32,7 @@
     let domain = domain(104);
     let mut told: HashMap<String, usize> = HashMap::new();
     for own in &domain {
-        if let Standing::IsTold(relays) = standing_in(own, &domain) {
+        if let RelayRole::Follower(relays) = standing_in(own, &domain) {
             *told.entry(relays[0].clone()).or_default() += 1;
         }
     }
@@ -49,7 +49,7 @@
     let lost = asking(&before)[0].clone();
     let after: Vec<String> = before.iter().filter(|member| **member != lost).cloned().collect();
     for own in &after {
-        let (Standing::IsTold(old), Standing::IsTold(new)) =
+        let (RelayRole::Follower(old), RelayRole::Follower(new)) =
             (standing_in(own, &before), standing_in(own, &after))
         else {
             continue;
@@ -68,18 +68,18 @@
         let domain = domain(size);
         assert_eq!(asking(&domain).len(), size);
     }
-    assert_eq!(standing("alone", []), Standing::Asks);
+    assert_eq!(relay_role("alone", []), RelayRole::Relay);
 }
 
 /// Guards against questions to a store that is away which grow with the fleet.
 #[test]
 fn looks_at_a_store_that_is_away_do_not_grow_with_the_domain() {
     let questions = |size: usize| {
-        Duration::from_secs(8).div_duration_f64(store_look_interval(size)) * size as f64
+        Duration::from_secs(8).div_duration_f64(store_poll_interval(size)) * size as f64
     };
     assert!(questions(4) <= 16.0, "{}", questions(4));
     for size in [12, 39, 104, 500] {
         assert!(questions(size) <= 16.5, "{} of {size} daemons", questions(size));
     }
-    assert_eq!(store_look_interval(2), Duration::from_secs(2));
+    assert_eq!(store_poll_interval(2), Duration::from_secs(2));
 }
--- a/crates/yuccarack_policy/tests/split.rs
+++ b/crates/yuccarack_policy/tests/split.rs
@@ -2,15 +2,16 @@
 
 use quickcheck::quickcheck;
 use rand::{SeedableRng, rngs::SmallRng};
-use yuccarack_policy::split::Split;
+use yuccarack_policy::split::WeightedRoundRobin;
 
 /// Requests that each part takes of `requests` over `entries` entries.
 fn dealt(weights: &[u32], entries: u64, requests: usize) -> Vec<usize> {
     let mut counts = vec![0; weights.len()];
     for entry in 0..entries {
-        let mut split = Split::new(weights.to_vec(), &mut SmallRng::seed_from_u64(entry));
+        let mut split =
+            WeightedRoundRobin::new(weights.to_vec(), &mut SmallRng::seed_from_u64(entry));
         for _ in 0..requests {
-            if let Some(part) = split.deal() {
+            if let Some(part) = split.next_part() {
                 counts[part] += 1;
             }
         }
@@ -30,7 +31,10 @@
 #[test]
 fn a_part_without_weight_gets_nothing() {
     assert_eq!(dealt(&[0, 3, 0], 3, 50), [0, 150, 0]);
-    assert_eq!(Split::new(vec![0, 0], &mut SmallRng::seed_from_u64(1)).deal(), None);
+    assert_eq!(
+        WeightedRoundRobin::new(vec![0, 0], &mut SmallRng::seed_from_u64(1)).next_part(),
+        None
+    );
 }
 
 quickcheck! {
--- a/crates/yuccarack_policy/tests/store_poll.rs
+++ b/crates/yuccarack_policy/tests/store_poll.rs
@@ -12,10 +12,10 @@
     let end = start + Duration::from_secs(600);
     let mut looks = Vec::new();
     for _ in 0..members {
-        let mut at = store_poll::next_look(start, members, &mut rng);
+        let mut at = store_poll::next_poll(start, members, &mut rng);
         while at < end {
             looks.push(at - start);
-            at = store_poll::next_look(at, members, &mut rng);
+            at = store_poll::next_poll(at, members, &mut rng);
         }
     }
     looks.sort();
--- a/crates/yuccarackd/src/coordination/foreign_turns.rs
+++ b/crates/yuccarackd/src/coordination/foreign_turns.rs
@@ -7,7 +7,7 @@
 
 use parking_lot::Mutex;
 use yuccarack_config::ids::ServiceName;
-use yuccarack_policy::exchange_pace::PACE_MIN;
+use yuccarack_policy::exchange_interval::EXCHANGE_INTERVAL_MIN;
 
 use crate::coordination::jitter::jittered;
 
@@ -47,13 +47,20 @@
         let mut turns = self.turns.lock();
         let before = turns.get(service).copied();
         let synced_at = before.and_then(|turn| turn.synced_at);
-        let pace = before.map_or(PACE_MIN, |turn| turn.pace);
-        turns.insert(service.to_owned(), Turn { due: next(PACE_MIN, now), synced_at, pace });
+        let pace = before.map_or(EXCHANGE_INTERVAL_MIN, |turn| turn.pace);
+        turns.insert(
+            service.to_owned(),
+            Turn { due: next(EXCHANGE_INTERVAL_MIN, now), synced_at, pace },
+        );
     }
 
     /// A member of `service` answered and asks for `pace` between two turns.
     pub(super) fn ended_well(&self, service: &str, pace: Duration, now: Instant) {
-        let turn = Turn { due: next(pace, now), synced_at: Some(now), pace: pace.max(PACE_MIN) };
+        let turn = Turn {
+            due: next(pace, now),
+            synced_at: Some(now),
+            pace: pace.max(EXCHANGE_INTERVAL_MIN),
+        };
         self.turns.lock().insert(service.to_owned(), turn);
     }
 
@@ -61,12 +68,12 @@
     pub(super) fn is_in_touch(&self, service: &str, now: Instant) -> bool {
         let turns = self.turns.lock();
         let Some(turn) = turns.get(service) else { return false };
-        let kept = (turn.pace + PACE_MIN) * TURNS_MISSED;
+        let kept = (turn.pace + EXCHANGE_INTERVAL_MIN) * TURNS_MISSED;
         turn.synced_at.is_some_and(|at| now.saturating_duration_since(at) < kept)
     }
 }
 
 fn next(pace: Duration, now: Instant) -> Instant {
     // Jitter takes a quarter away on average.
-    now + jittered(pace.max(PACE_MIN) * 4 / 3)
+    now + jittered(pace.max(EXCHANGE_INTERVAL_MIN) * 4 / 3)
 }
--- a/crates/yuccarackd/src/coordination/reconciler.rs
+++ b/crates/yuccarackd/src/coordination/reconciler.rs
@@ -11,7 +11,7 @@
 use tokio::sync::Notify;
 use yuccarack_config::ids::ServiceName;
 use yuccarack_platform::rows::MemberRow;
-use yuccarack_policy::exchange_pace::{ExchangePace, PACE_MIN};
+use yuccarack_policy::exchange_interval::{EXCHANGE_INTERVAL_MIN, ExchangeInterval};
 
 use crate::{
     protocol::control::{ServiceUpdate, SyncRequest},
@@ -32,7 +32,7 @@
     /// Services of which the latest changes weren't enough.
     wants_all: Arc<Mutex<HashSet<ServiceName>>>,
     /// How often callers of the own service may ask.
-    pace: Arc<Mutex<ExchangePace>>,
+    pace: Arc<Mutex<ExchangeInterval>>,
 }
 
 impl Reconciler {
@@ -43,7 +43,7 @@
         logger: Logger,
         changed: Arc<Notify>,
     ) -> Self {
-        let pace = Arc::new(Mutex::new(ExchangePace::new(Instant::now())));
+        let pace = Arc::new(Mutex::new(ExchangeInterval::new(Instant::now())));
         Self { directory, counters, logger, changed, wants_all: Arc::default(), pace }
     }
 
@@ -149,8 +149,8 @@
     fn pace_ms(&self, question: &SyncRequest) -> u32 {
         let is_own = self.directory.own_service().as_ref() == Some(&question.service);
         let pace = match is_own && !question.is_member {
-            true => self.pace.lock().asked(Instant::now()),
-            false => PACE_MIN,
+            true => self.pace.lock().record_request(Instant::now()),
+            false => EXCHANGE_INTERVAL_MIN,
         };
         u32::try_from(pace.as_millis()).unwrap_or(u32::MAX)
     }
--- a/crates/yuccarackd/src/coordination/routed/entry/attempts.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/attempts.rs
@@ -5,8 +5,8 @@
 use http::{Response, header};
 use rand::Rng;
 use yuccarack_policy::{
-    extra_tries::{BadTry, EndedBadly},
-    placement::{Asked, GateKey, Said, TryEnd},
+    extra_attempts::{FailedGateAttempt, GateAttemptFailure},
+    placement::{AttemptHistory, GateAttemptOutcome, GateKey, GateReply},
 };
 
 use super::{
@@ -36,7 +36,7 @@
     service: Arc<RoutedService>,
     tracker: &'a OutcomeTracker,
     gates: &'a AttemptedGates,
-    asked: Asked,
+    asked: AttemptHistory,
     /// Number of targets that may have run the request.
     targets_run: u8,
     /// Shortest `Retry-After` of the gates that refused the request.
@@ -66,7 +66,7 @@
             service,
             tracker,
             gates,
-            asked: Asked::default(),
+            asked: AttemptHistory::default(),
             targets_run: 0,
             retry_after: None,
         }
@@ -99,7 +99,7 @@
                 return last.unwrap_or_else(|| Err(Refusal::not_run(Reason::NoTarget)));
             };
             let reply = self.send(&gate).await;
-            self.asked.note(gate.key, reply.to_said(gate.may_wait));
+            self.asked.record(gate.key, reply.to_said(gate.may_wait));
             let Some(failure) = self.classify_failure(&reply) else {
                 return match reply {
                     Reply::Answered(response) => Ok(response),
@@ -122,36 +122,41 @@
 
     /// Classifies a failed attempt and counts the targets that may have run the request. Returns
     /// `None` after a success.
-    fn classify_failure(&mut self, reply: &Reply) -> Option<EndedBadly> {
+    fn classify_failure(&mut self, reply: &Reply) -> Option<GateAttemptFailure> {
         match reply {
             Reply::Answered(response) if response.status().is_server_error() => {
                 self.targets_run += 1;
-                Some(EndedBadly::Failed)
+                Some(GateAttemptFailure::Failed)
             }
             Reply::Answered(_) => None,
             Reply::Refused(refusal) => Some(match (refusal.outcome, refusal.reason) {
-                (Outcome::NotRun, Reason::Shed) => EndedBadly::Shed,
-                (Outcome::NotRun, _) => EndedBadly::Refused,
+                (Outcome::NotRun, Reason::Shed) => GateAttemptFailure::Shed,
+                (Outcome::NotRun, _) => GateAttemptFailure::Refused,
                 _ => {
                     self.targets_run += 1;
-                    EndedBadly::Unknown
+                    GateAttemptFailure::Unknown
                 }
             }),
         }
     }
 
-    fn decide_retry(&mut self, gate: &ChosenGate, reply: &Reply, failure: EndedBadly) -> bool {
+    fn decide_retry(
+        &mut self,
+        gate: &ChosenGate,
+        reply: &Reply,
+        failure: GateAttemptFailure,
+    ) -> bool {
         let now = Instant::now();
-        let decision = self.service.decide_extra_attempt(BadTry {
-            ended: failure,
+        let decision = self.service.decide_extra_attempt(FailedGateAttempt {
+            failure,
             is_repeatable: self.call.is_repeatable,
-            ran_on: self.targets_run,
+            targets_run: self.targets_run,
             targets_max: self.call.targets_max,
-            left: self.call.deadline.remaining(now),
+            time_left: self.call.deadline.remaining(now),
         });
         let is_retried = decision.is_ok() && self.call.body.can_be_sent();
         let next = decision.err().map_or("another_gate", |reason| reason.as_str());
-        if failure != EndedBadly::Refused {
+        if failure != GateAttemptFailure::Refused {
             self.entry.parts.events.write(|| AttemptEnded {
                 request: self.call.request_id_text(),
                 gate: gate.member.instance.clone(),
@@ -162,7 +167,7 @@
             });
         }
         self.entry.parts.counters.add_reason("entry.after_bad_try", next);
-        if is_retried && failure != EndedBadly::Refused {
+        if is_retried && failure != GateAttemptFailure::Refused {
             self.entry.parts.counters.add("entry.extra_tries");
         }
         is_retried
@@ -243,18 +248,18 @@
 struct SentAttempt {
     service: Arc<RoutedService>,
     key: GateKey,
-    end: Option<TryEnd>,
+    end: Option<GateAttemptOutcome>,
 }
 
 impl SentAttempt {
-    fn finish(mut self, end: TryEnd) {
+    fn finish(mut self, end: GateAttemptOutcome) {
         self.end = Some(end);
     }
 }
 
 impl Drop for SentAttempt {
     fn drop(&mut self) {
-        let end = self.end.unwrap_or(TryEnd::Cancelled);
+        let end = self.end.unwrap_or(GateAttemptOutcome::Cancelled);
         self.service.record_attempt_end(Instant::now(), self.key, end);
     }
 }
@@ -262,29 +267,31 @@
 impl Reply {
     /// Classifies the reply for the choice of the next gate; `may_wait` is whether the gate may
     /// queue it.
-    fn to_said(&self, may_wait: bool) -> Said {
+    fn to_said(&self, may_wait: bool) -> GateReply {
         match self {
             Self::Refused(refusal) if matches!(refusal.reason, Reason::Admission(_)) => {
-                if may_wait { Said::NoPlace } else { Said::NoSlot }
+                if may_wait { GateReply::NoQueueSpace } else { GateReply::NoFreeSlot }
             }
-            _ => Said::NotHere,
+            _ => GateReply::Unavailable,
         }
     }
 
-    fn to_try_end(&self) -> TryEnd {
+    fn to_try_end(&self) -> GateAttemptOutcome {
         match self {
-            Self::Answered(response) if response.status().is_server_error() => TryEnd::Failed,
-            Self::Answered(_) => TryEnd::Answered,
+            Self::Answered(response) if response.status().is_server_error() => {
+                GateAttemptOutcome::Failed
+            }
+            Self::Answered(_) => GateAttemptOutcome::Answered,
             Self::Refused(refusal) => match (refusal.outcome, refusal.reason) {
                 (
                     Outcome::NotRun,
                     Reason::Admission(_) | Reason::DeadlinePassed | Reason::Quarantined,
-                ) => TryEnd::Refused,
-                (Outcome::NotRun, Reason::Shed) => TryEnd::Failed,
-                (Outcome::NotRun, Reason::NoConnection) => TryEnd::Unreachable,
-                (Outcome::NotRun, _) => TryEnd::Away,
-                (_, Reason::DeadlinePassed) => TryEnd::Failed,
-                _ => TryEnd::Failed,
+                ) => GateAttemptOutcome::Refused,
+                (Outcome::NotRun, Reason::Shed) => GateAttemptOutcome::Failed,
+                (Outcome::NotRun, Reason::NoConnection) => GateAttemptOutcome::Unreachable,
+                (Outcome::NotRun, _) => GateAttemptOutcome::Unavailable,
+                (_, Reason::DeadlinePassed) => GateAttemptOutcome::Failed,
+                _ => GateAttemptOutcome::Failed,
             },
         }
     }
--- a/crates/yuccarackd/src/coordination/routed/entry/mod.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/mod.rs
@@ -24,7 +24,7 @@
     ids::ServiceName,
     routing::{Route, Routing},
 };
-use yuccarack_policy::{futile_runs::RunResult, split::Split};
+use yuccarack_policy::{adaptive_throttle::RunResult, split::WeightedRoundRobin};
 
 use self::{
     attempted_gates::AttemptedGates,
@@ -101,7 +101,7 @@
 pub struct RoutedEntry {
     parts: RoutedEntryParts,
     services: Mutex<HashMap<ServiceName, Arc<RoutedService>>>,
-    splits: Mutex<HashMap<String, Split>>,
+    splits: Mutex<HashMap<String, WeightedRoundRobin>>,
     stats: RouteStats,
 }
 
@@ -261,7 +261,7 @@
             Ok(response) if response.status().is_server_error() => {
                 self.stats.record_run(now, kind, service, RunResult::Failed);
             }
-            Ok(_) => self.stats.record_run(now, kind, service, RunResult::Good),
+            Ok(_) => self.stats.record_run(now, kind, service, RunResult::Succeeded),
             Err(refusal) if refusal.is_not_run() => self.stats.record_refusal(now, kind),
             Err(_) => {}
         }
@@ -273,11 +273,11 @@
         }
         let weights: Vec<u32> = route.split.iter().map(|share| share.weight).collect();
         let mut splits = self.splits.lock();
-        let is_known = splits.get(&route.name).is_some_and(|split| split.deals_by(&weights));
+        let is_known = splits.get(&route.name).is_some_and(|split| split.has_weights(&weights));
         if !is_known {
-            splits.insert(route.name.clone(), Split::new(weights, &mut rand::rng()));
+            splits.insert(route.name.clone(), WeightedRoundRobin::new(weights, &mut rand::rng()));
         }
-        let share_index = splits.get_mut(&route.name).and_then(Split::deal);
+        let share_index = splits.get_mut(&route.name).and_then(WeightedRoundRobin::next_part);
         let share = share_index.and_then(|index| route.split.get(index));
         share.map(|share| share.service.clone()).ok_or(Refusal::not_run(Reason::NoTarget))
     }
--- a/crates/yuccarackd/src/coordination/routed/entry/route_stats.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/route_stats.rs
@@ -8,8 +8,8 @@
 use parking_lot::Mutex;
 use yuccarack_config::decisions::Decisions;
 use yuccarack_policy::{
-    futile_runs::{FutileRuns, RunResult, Shortages},
-    patience::Patience,
+    adaptive_throttle::{AdaptiveThrottle, RunResult, Shortages},
+    prior_wait::PriorWaitEstimator,
 };
 
 /// Limit of tracked routes, which is above the number of routes in an operator's table.
@@ -24,8 +24,8 @@
 
 #[derive(Default)]
 struct KindStats {
-    prior_waits: Patience,
-    futile_runs: FutileRuns,
+    prior_waits: PriorWaitEstimator,
+    futile_runs: AdaptiveThrottle,
 }
 
 impl RouteStats {
@@ -40,29 +40,29 @@
         if !self.decisions.patience {
             return Duration::ZERO;
         }
-        self.update(kind, |stats| stats.prior_waits.waited(now, left))
+        self.update(kind, |stats| stats.prior_waits.estimate(now, left))
     }
 
     /// Returns whether a request of `kind` is admitted.
     pub fn admits(&self, kind: u64) -> bool {
         !self.decisions.futile_runs
-            || self.update(kind, |stats| stats.futile_runs.lets_in(&mut rand::rng()))
+            || self.update(kind, |stats| stats.futile_runs.admits(&mut rand::rng()))
     }
 
     /// Records that a request of `kind` was refused.
     pub fn record_refusal(&self, now: Instant, kind: u64) {
-        self.update(kind, |stats| stats.prior_waits.refused(now));
+        self.update(kind, |stats| stats.prior_waits.record_refusal(now));
     }
 
     /// Records that `service` refused a request for lack of capacity.
     pub fn record_shortage(&self, now: Instant, service: &str) {
-        self.shortages.lock().refused(now, service);
+        self.shortages.lock().record_refusal(now, service);
     }
 
     /// Records how a run of `kind` at `service` ended.
     pub fn record_run(&self, now: Instant, kind: u64, service: &str, result: RunResult) {
-        let is_short = self.shortages.lock().is_another_short(now, service);
-        self.update(kind, |stats| stats.futile_runs.ended(result, is_short));
+        let is_short = self.shortages.lock().is_other_service_short(now, service);
+        self.update(kind, |stats| stats.futile_runs.record_run(result, is_short));
     }
 
     fn update<T>(&self, kind: u64, change: impl FnOnce(&mut KindStats) -> T) -> T {
--- a/crates/yuccarackd/src/coordination/routed/entry/service.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/service.rs
@@ -15,8 +15,8 @@
     routed_settings::RoutedSettings,
 };
 use yuccarack_policy::{
-    extra_tries::{BadTry, ExtraTries, NoMore},
-    placement::{Asked, GateKey, GateLoad, Placement, TryEnd},
+    extra_attempts::{ExtraAttempts, FailedGateAttempt, NoExtraAttemptReason},
+    placement::{AttemptHistory, GateAttemptOutcome, GateKey, GateLoad, Placement},
 };
 
 use crate::protocol::peer_update::RoutedMember;
@@ -34,7 +34,7 @@
     placement: Placement,
     key_by_instance: HashMap<InstanceId, GateKey>,
     member_by_key: SecondaryMap<GateKey, Arc<RoutedMember>>,
-    extra_tries: ExtraTries,
+    extra_tries: ExtraAttempts,
     mean_service_time: Option<Duration>,
     rng: SmallRng,
 }
@@ -79,7 +79,11 @@
             placement: Placement::new().with_decisions(settings.decisions),
             key_by_instance: HashMap::new(),
             member_by_key: SecondaryMap::new(),
-            extra_tries: ExtraTries::new(bounds.extra_tries_percent, bounds.extra_tries, entries),
+            extra_tries: ExtraAttempts::new(
+                bounds.extra_tries_percent,
+                bounds.extra_tries,
+                entries,
+            ),
             mean_service_time: None,
             rng: SmallRng::from_rng(&mut rand::rng()),
         };
@@ -99,7 +103,7 @@
             return;
         }
         state.generation = generation;
-        state.extra_tries.share_among(entries);
+        state.extra_tries.set_entry_count(entries);
         let mut removed = std::mem::take(&mut state.key_by_instance);
         for member in members {
             let key = match removed.remove(&member.instance) {
@@ -108,7 +112,7 @@
             };
             let old = state.member_by_key.insert(key, Arc::clone(&member));
             if old.is_some_and(|old| *old != *member) {
-                state.placement.renewed(key);
+                state.placement.mark_reachable(key);
             }
             state.key_by_instance.insert(member.instance.clone(), key);
         }
@@ -121,7 +125,7 @@
     /// Bars the request of `asked` from gates outside of its home regions; no regions bar nothing.
     pub fn restrict_to_home_regions(
         &self,
-        asked: &mut Asked,
+        asked: &mut AttemptHistory,
         home_regions: &[RegionName],
         settings: &RoutedSettings,
     ) {
@@ -135,7 +139,7 @@
         };
         let state = self.state.lock();
         let outside = state.member_by_key.iter().filter(|(_, member)| !is_in_home_region(member));
-        asked.bar(outside.map(|(key, _)| key).collect());
+        asked.set_excluded(outside.map(|(key, _)| key).collect());
     }
 
     /// Records a request, which adds its share to the budget of extra attempts.
@@ -145,12 +149,12 @@
 
     /// Chooses a gate for a request whose earlier attempts are in `asked`, and counts the request
     /// as sent there.
-    pub fn choose(&self, now: Instant, asked: &Asked) -> Option<ChosenGate> {
+    pub fn choose(&self, now: Instant, asked: &AttemptHistory) -> Option<ChosenGate> {
         let state = &mut *self.state.lock();
         let mean_work = state.mean_service_time.unwrap_or(DEFAULT_SERVICE_TIME);
         let placed = state.placement.choose(now, &mut state.rng, asked, mean_work)?;
         let member = Arc::clone(state.member_by_key.get(placed.gate)?);
-        state.placement.sent(placed.gate);
+        state.placement.record_attempt(placed.gate);
         Some(ChosenGate { key: placed.gate, member, may_wait: placed.may_wait })
     }
 
@@ -158,32 +162,32 @@
     pub fn unreachable_gates(&self) -> Vec<(GateKey, SocketAddr)> {
         let state = self.state.lock();
         let with_address = |key| Some((key, state.member_by_key.get(key)?.gate_address));
-        state.placement.unreachable().filter_map(with_address).collect()
+        state.placement.unreachable_gates().filter_map(with_address).collect()
     }
 
     /// Marks a gate as reachable after a connection to it succeeded.
     pub fn mark_reachable(&self, key: GateKey) {
-        self.state.lock().placement.renewed(key);
+        self.state.lock().placement.mark_reachable(key);
     }
 
     /// Records how an attempt at a gate ended.
-    pub fn record_attempt_end(&self, now: Instant, key: GateKey, end: TryEnd) {
+    pub fn record_attempt_end(&self, now: Instant, key: GateKey, end: GateAttemptOutcome) {
         let state = &mut *self.state.lock();
-        state.placement.ended(now, key, end);
-        if end == TryEnd::Answered {
-            state.extra_tries.ended_well();
+        state.placement.record_outcome(now, key, end);
+        if end == GateAttemptOutcome::Answered {
+            state.extra_tries.record_success();
         }
     }
 
     /// Records the load that a gate reports.
     pub fn record_load(&self, now: Instant, key: GateKey, load: GateLoad) {
         let state = &mut *self.state.lock();
-        state.placement.told(now, key, load);
-        if load.mean_work.is_zero() {
+        state.placement.record_load(now, key, load);
+        if load.mean_service_time.is_zero() {
             return;
         }
-        let mean = state.mean_service_time.unwrap_or(load.mean_work);
-        let reported = load.mean_work.mul_f64(SERVICE_TIME_WEIGHT);
+        let mean = state.mean_service_time.unwrap_or(load.mean_service_time);
+        let reported = load.mean_service_time.mul_f64(SERVICE_TIME_WEIGHT);
         state.mean_service_time = Some(mean.mul_f64(1.0 - SERVICE_TIME_WEIGHT) + reported);
     }
 
@@ -192,7 +196,10 @@
     /// # Errors
     ///
     /// Returns why no further attempt is made.
-    pub fn decide_extra_attempt(&self, failure: BadTry) -> Result<(), NoMore> {
+    pub fn decide_extra_attempt(
+        &self,
+        failure: FailedGateAttempt,
+    ) -> Result<(), NoExtraAttemptReason> {
         self.state.lock().extra_tries.decide(failure)
     }
 }
--- a/crates/yuccarackd/src/coordination/routed/gate/crash_tracker.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/crash_tracker.rs
@@ -80,12 +80,12 @@
 
     /// Returns whether the request is quarantined, that is, no longer dispatched to targets.
     pub fn is_quarantined(&self, fingerprint: Fingerprint) -> bool {
-        self.inner.counts.lock().is_barred(Instant::now().into(), fingerprint)
+        self.inner.counts.lock().is_blocked(Instant::now().into(), fingerprint)
     }
 
     /// Records that a target responded to the request, so it crashed nothing.
     pub fn record_response(&self, fingerprint: Fingerprint) {
-        self.inner.counts.lock().answered(fingerprint);
+        self.inner.counts.lock().clear(fingerprint);
     }
 
     /// Records the crashes that another gate reports: fingerprints in hexadecimal, separated by
@@ -97,7 +97,8 @@
         let fingerprints =
             fingerprints.filter_map(|text| Fingerprint::from_str_radix(text, 16).ok());
         let mut counts = self.inner.counts.lock();
-        fingerprints.for_each(|fingerprint| counts.died(Instant::now().into(), fingerprint));
+        fingerprints
+            .for_each(|fingerprint| counts.record_crash(Instant::now().into(), fingerprint));
     }
 
     /// Checks in the background whether `target` crashed while it ran the request, and reports it
@@ -119,7 +120,7 @@
             life: target.incarnation,
             fingerprint: format!("{fingerprint:016x}"),
         });
-        self.inner.counts.lock().died(Instant::now().into(), fingerprint);
+        self.inner.counts.lock().record_crash(Instant::now().into(), fingerprint);
         let is_first = {
             let mut unreported = self.inner.unreported.lock();
             unreported.push(fingerprint);
--- a/crates/yuccarackd/src/coordination/routed/gate/mod.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/mod.rs
@@ -174,8 +174,13 @@
     /// Returns the gate status that goes out with each response: load and routing version.
     pub fn status(&self) -> GateStatus {
         let load = self.active.read().as_ref().map(|active| active.slots.load());
-        let idle =
-            GateLoad { running: 0, waiting: 0, limit: 1, mean_work: Duration::ZERO, slowness: 1.0 };
+        let idle = GateLoad {
+            running: 0,
+            waiting: 0,
+            limit: 1,
+            mean_service_time: Duration::ZERO,
+            slowdown: 1.0,
+        };
         GateStatus { load: load.unwrap_or(idle), routing_version: self.parts.routing.version() }
     }
 
@@ -359,7 +364,7 @@
                 running: load.running,
                 waiting: load.waiting,
                 limit: load.limit,
-                slowness: load.slowness,
+                slowness: load.slowdown,
             }
         });
     }
--- a/crates/yuccarackd/src/coordination/routed/gate/work_slots.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/work_slots.rs
@@ -101,8 +101,8 @@
             running: saturating_u16(queue.running()),
             waiting: saturating_u16(queue.waiting()),
             limit: saturating_u16(queue.effective_limit(now)),
-            mean_work: queue.mean_service_time(),
-            slowness: queue.slowdown().at(now),
+            mean_service_time: queue.mean_service_time(),
+            slowdown: queue.slowdown().at(now),
         }
     }
 
--- a/crates/yuccarackd/src/coordination/routed/relay_follower.rs
+++ b/crates/yuccarackd/src/coordination/routed/relay_follower.rs
@@ -7,7 +7,7 @@
 use thiserror::Error;
 use tokio::time::{Instant, error::Elapsed, sleep, sleep_until, timeout, timeout_at};
 use yuccarack_config::ids::{DomainName, InstanceId};
-use yuccarack_policy::relays::{Standing, standing, store_look_interval};
+use yuccarack_policy::relays::{RelayRole, relay_role, store_poll_interval};
 
 use super::{
     log_lines::{RelayConnected, RelayLost},
@@ -154,7 +154,7 @@
         let mut changes = members.subscribe();
         loop {
             changes.borrow_and_update();
-            let Standing::IsTold(relays) = self.standing() else {
+            let RelayRole::Follower(relays) = self.standing() else {
                 self.peers.parts().sync_state.set_queries_store(true);
                 if changes.changed().await.is_err() {
                     return;
@@ -184,10 +184,10 @@
         self.peers.parts().routing.version() == 0 && Instant::now() < self.relays_only_until
     }
 
-    fn standing(&self) -> Standing {
+    fn standing(&self) -> RelayRole {
         let members = self.peers.parts().members.all();
         let local = members.iter().filter(|member| member.failure_domain == self.failure_domain);
-        standing(&self.instance, local.map(|member| member.instance.as_str()))
+        relay_role(&self.instance, local.map(|member| member.instance.as_str()))
     }
 
     /// Lets the store be queried in place of relays; while those are reachable, only at this
@@ -202,7 +202,7 @@
         }
         sync_state.set_queries_store(false);
         sync_state.set_source(UpdateSource::Unassigned);
-        let interval = store_look_interval(self.domain_size());
+        let interval = store_poll_interval(self.domain_size());
         let now = Instant::now();
         let new_period =
             || UnservedPeriod { since: now, poll_at: now + interval.mul_f64(rand::random()) };
@@ -323,7 +323,7 @@
             if parts.sync_state.set_source(UpdateSource::Relay) != UpdateSource::Relay {
                 parts.events.write(|| RelayConnected { relay: relay.to_owned() });
             }
-            if self.standing() == Standing::Asks {
+            if self.standing() == RelayRole::Relay {
                 return Ok(());
             }
         }
--- a/crates/yuccarackd/src/coordination/routed/sweeper.rs
+++ b/crates/yuccarackd/src/coordination/routed/sweeper.rs
@@ -6,7 +6,7 @@
 use tokio::time::{Instant, sleep};
 use yuccarack_config::ids::{DomainName, InstanceId};
 use yuccarack_platform::feed::FeedWrite;
-use yuccarack_policy::absences::Absences;
+use yuccarack_policy::unreachable_members::UnreachableMembers;
 
 use super::{
     events::EventLog,
@@ -51,15 +51,15 @@
 impl Sweeper {
     /// Runs until it is dropped.
     pub async fn run(self) {
-        let mut absences = Absences::new(self.remove_after);
+        let mut absences = UnreachableMembers::new(self.remove_after);
         loop {
             sleep(jittered(self.remove_after / PROBES_BEFORE_REMOVAL)).await;
             if !self.sync_state.queries_store() {
-                absences = Absences::new(self.remove_after);
+                absences = UnreachableMembers::new(self.remove_after);
                 continue;
             }
             let probes = self.probe_members().await;
-            for absent in absences.looked(Instant::now().into(), &probes) {
+            for absent in absences.record_probes(Instant::now().into(), &probes) {
                 self.delete_row(&absent).await;
             }
         }
--- a/crates/yuccarackd/src/protocol/gate_status.rs
+++ b/crates/yuccarackd/src/protocol/gate_status.rs
@@ -25,7 +25,8 @@
 
 impl std::fmt::Display for GateStatus {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let GateLoad { running, waiting, limit, mean_work, slowness } = self.load;
+        let GateLoad { running, waiting, limit, mean_service_time: mean_work, slowdown: slowness } =
+            self.load;
         let (work_us, slowness_percent) = (mean_work.as_micros(), (slowness * 100.0).round());
         write!(f, "{running},{waiting},{limit},{work_us},{slowness_percent},")?;
         write!(f, "{}", self.routing_version)
@@ -42,8 +43,8 @@
             running: value(next()?)?,
             waiting: value(next()?)?,
             limit: value(next()?)?,
-            mean_work: Duration::from_micros(value(next()?)?),
-            slowness: f64::from(value::<u32>(next()?)?) / 100.0,
+            mean_service_time: Duration::from_micros(value(next()?)?),
+            slowdown: f64::from(value::<u32>(next()?)?) / 100.0,
         };
         Ok(Self { load, routing_version: value(next()?)? })
     }
--- a/crates/yuccarackd/tests/routed/large_tables.rs
+++ b/crates/yuccarackd/tests/routed/large_tables.rs
@@ -10,7 +10,7 @@
     deployment::{Deployment, RouteSpec, wait},
     instance::Links,
 };
-use yuccarack_policy::relays::{Standing, standing};
+use yuccarack_policy::relays::{RelayRole, relay_role};
 use yuccarack_standins::{
     client::{Asker, Question},
     proxy::ProxyFaults,
@@ -49,7 +49,7 @@
     let names: Vec<String> = (0..SERVICES.len()).map(|number| format!("n{number}")).collect();
     let is_follower = |number: &usize| {
         let domain = names.iter().skip(number % DOMAINS).step_by(DOMAINS).map(String::as_str);
-        matches!(standing(&names[*number], domain), Standing::IsTold(_))
+        matches!(relay_role(&names[*number], domain), RelayRole::Follower(_))
     };
     let followers: BTreeSet<usize> = (0..SERVICES.len()).filter(is_follower).collect();
     assert_eq!(followers.len(), 4, "{followers:?}");
--- a/crates/yuccarackd/tests/routed/relays.rs
+++ b/crates/yuccarackd/tests/routed/relays.rs
@@ -9,7 +9,7 @@
     deployment::{Deployment, RouteSpec, wait},
     store::DoorMode,
 };
-use yuccarack_policy::relays::{Standing, standing};
+use yuccarack_policy::relays::{RelayRole, relay_role};
 use yuccarack_standins::client::{Asker, Question};
 
 use crate::{
@@ -46,7 +46,7 @@
     let mut followers = HashMap::new();
     for (number, own) in names.iter().enumerate() {
         let domain = names.iter().skip(number % 3).step_by(3).map(String::as_str);
-        if let Standing::IsTold(relays) = standing(own, domain) {
+        if let RelayRole::Follower(relays) = relay_role(own, domain) {
             followers.insert(number, relays.iter().filter_map(number_of).collect());
         }
     }
@@ -397,8 +397,8 @@
     deployment.store.delete("members", &format!("n{}", relays[0]));
     let others = [first, second, relays[1]].map(|number| format!("n{number}"));
     let standings = [first, second]
-        .map(|number| standing(&format!("n{number}"), others.iter().map(String::as_str)));
-    let new = if standings[0] == Standing::Asks { first } else { second };
+        .map(|number| relay_role(&format!("n{number}"), others.iter().map(String::as_str)));
+    let new = if standings[0] == RelayRole::Relay { first } else { second };
     let left = if new == first { second } else { first };
     wait("the new relay", || async { gauge(&deployment, new, RELAYED).await == Some(0) }).await;
     deployment.instances[relays[1]].daemon.as_ref().expect("a daemon").freeze();
