--- a/crates/yuccarack_player/src/entry.rs
+++ b/crates/yuccarack_player/src/entry.rs
@@ -8,9 +8,9 @@
     rules::{HedgeRules, RetryRules},
 };
 use yuccarack_policy::{
-    choice::{CallEnd, Chooser, ChooserConfig, Member, MemberState, TargetKey},
+    choice::{Chooser, ChooserConfig, Member, MemberState, TargetAttemptOutcome, TargetKey},
     hedge::HedgePolicy,
-    retry::{RetryDecision, RetryPolicy, Try, TryFailure},
+    retry::{AttemptFailure, RetryCandidate, RetryDecision, RetryPolicy},
 };
 
 use crate::{
@@ -84,7 +84,7 @@
             Kind::Ours(ours) => {
                 let excluded: Vec<_> = tried.iter().filter_map(|&t| ours.keys[t]).collect();
                 let key = ours.chooser.choose(now, rng, &excluded).ok()?;
-                ours.chooser.started(now, key);
+                ours.chooser.record_attempt(now, key);
                 ours.keys.iter().position(|&known| known == Some(key))
             }
         }
@@ -93,13 +93,13 @@
     /// Age of what is known of a target's load.
     pub fn news_age(&self, now: Instant, target: usize) -> Option<Duration> {
         let Kind::Ours(ours) = &self.kind else { return None };
-        ours.chooser.news_age(now, ours.keys[target]?)
+        ours.chooser.report_age(now, ours.keys[target]?)
     }
 
     pub fn first_try(&mut self, now: Instant) {
         let Kind::Ours(ours) = &mut self.kind else { return };
-        ours.retry.first_try(now);
-        ours.hedge.first_try(now);
+        ours.retry.record_first_attempt(now);
+        ours.hedge.record_first_attempt(now);
     }
 
     pub fn hedge_delay(&self, now: Instant) -> Option<Duration> {
@@ -118,22 +118,22 @@
         now: Instant,
         target: usize,
         back: Option<Back>,
-        took: Duration,
+        response_time: Duration,
         report: Option<LoadReport>,
     ) {
         let Kind::Ours(ours) = &mut self.kind else { return };
         let Some(key) = ours.keys[target] else { return };
         let end = match back {
-            Some(Back::Answered) => CallEnd::Answered { took },
-            Some(Back::Refused) => CallEnd::Refused,
-            Some(Back::Failed) => CallEnd::TargetFailed { took },
-            Some(Back::BrokenNotRun | Back::BrokenUnknown) => CallEnd::Broken,
-            None => CallEnd::Cancelled,
+            Some(Back::Answered) => TargetAttemptOutcome::Answered { response_time },
+            Some(Back::Refused) => TargetAttemptOutcome::Refused,
+            Some(Back::Failed) => TargetAttemptOutcome::TargetFailed { response_time },
+            Some(Back::BrokenNotRun | Back::BrokenUnknown) => TargetAttemptOutcome::Broken,
+            None => TargetAttemptOutcome::Cancelled,
         };
-        ours.chooser.finished(now, key, end, report);
+        ours.chooser.record_outcome(now, key, end, report);
         match back {
-            Some(Back::Answered) => ours.hedge.answered(now, took),
-            Some(Back::Refused) => ours.hedge.refused(now),
+            Some(Back::Answered) => ours.hedge.record_response(now, response_time),
+            Some(Back::Refused) => ours.hedge.record_refusal(now),
             _ => {}
         }
     }
@@ -149,17 +149,17 @@
     ) -> bool {
         let failure = match back {
             Back::Answered => return false,
-            Back::Refused => TryFailure::RefusedNotRun,
-            Back::Failed => TryFailure::TargetError,
-            Back::BrokenNotRun => TryFailure::BrokenNotRun,
-            Back::BrokenUnknown => TryFailure::BrokenUnknown,
+            Back::Refused => AttemptFailure::RefusedNotRun,
+            Back::Failed => AttemptFailure::TargetError,
+            Back::BrokenNotRun => AttemptFailure::BrokenNotRun,
+            Back::BrokenUnknown => AttemptFailure::BrokenUnknown,
         };
         match &mut self.kind {
             Kind::Baseline(_) => {
                 number < BASELINE_TRIES_MAX && (repeatable || !failure.may_have_run())
             }
             Kind::Ours(ours) => {
-                let ended = Try { number, deadline, failure, repeatable, depth: 1 };
+                let ended = RetryCandidate { number, deadline, failure, repeatable, depth: 1 };
                 matches!(ours.retry.decide(now, ended), RetryDecision::Again { .. })
             }
         }
--- a/crates/yuccarack_player/src/gate.rs
+++ b/crates/yuccarack_player/src/gate.rs
@@ -7,7 +7,8 @@
 
 use yuccarack_config::{load::LoadReport, rules::LimitRules};
 use yuccarack_policy::admission::{
-    Admission, AdmissionConfig, Offer, Offered, RouteShare, RunEnd, RunKey, Settled, WaitKey,
+    Admission, AdmissionConfig, AdmissionDecision, Offer, RouteShare, RunKey, RunOutcome, WaitKey,
+    WaitOutcome,
 };
 
 use crate::scenario::{CONNECTIONS, Policy, SLOTS, Scenario};
@@ -61,18 +62,18 @@
                 Some(Place::Waiting(None))
             }
             Self::Ours { admission, waiting } => match admission.offer(now, offer) {
-                Offered::Run(key) => Some(Place::Running(Some(key))),
-                Offered::Wait(key) => {
+                AdmissionDecision::Run(key) => Some(Place::Running(Some(key))),
+                AdmissionDecision::Wait(key) => {
                     waiting.insert(key, attempt);
                     Some(Place::Waiting(Some(key)))
                 }
-                Offered::Refused(_) => None,
+                AdmissionDecision::Refused(_) => None,
             },
         }
     }
 
     /// Takes an attempt out, from where it stands.
-    pub fn remove(&mut self, now: Instant, attempt: A, place: Place, end: RunEnd) {
+    pub fn remove(&mut self, now: Instant, attempt: A, place: Place, end: RunOutcome) {
         match (self, place) {
             (Self::Plain { running, .. }, Place::Running(_)) => *running -= 1,
             (Self::Plain { waiting, .. }, Place::Waiting(_)) => waiting.retain(|a| *a != attempt),
@@ -129,9 +130,9 @@
     }
 }
 
-fn step<A>(waiting: &mut HashMap<WaitKey, A>, settled: Settled) -> Option<Step<A>> {
+fn step<A>(waiting: &mut HashMap<WaitKey, A>, settled: WaitOutcome) -> Option<Step<A>> {
     match settled {
-        Settled::Run(key, run) => waiting.remove(&key).map(|a| Step::Runs(a, Some(run))),
-        Settled::Refused(key, _) => waiting.remove(&key).map(Step::Refused),
+        WaitOutcome::Run(key, run) => waiting.remove(&key).map(|a| Step::Runs(a, Some(run))),
+        WaitOutcome::Refused(key, _) => waiting.remove(&key).map(Step::Refused),
     }
 }
--- a/crates/yuccarack_player/src/player/gate_side.rs
+++ b/crates/yuccarack_player/src/player/gate_side.rs
@@ -1,7 +1,7 @@
 //! What happens to an attempt at its target.
 
 use yuccarack_config::load::LoadReport;
-use yuccarack_policy::admission::{Offer, RunEnd};
+use yuccarack_policy::admission::{Offer, RunOutcome};
 
 use super::{AttemptKey, Event, Player, link};
 use crate::{
@@ -61,10 +61,10 @@
         if !matches!(attempt.place, Place::Running(_)) {
             return;
         }
-        let (target, took) = (attempt.target, now - attempt.started_at);
+        let (target, service_time) = (attempt.target, now - attempt.started_at);
         let end = match back {
-            Back::Answered => RunEnd::Done { took },
-            _ => RunEnd::Failed { took },
+            Back::Answered => RunOutcome::Completed { service_time },
+            _ => RunOutcome::Failed { service_time },
         };
         self.gates[target].remove(now, key, attempt.place, end);
         self.targets[target].ended();
@@ -118,7 +118,7 @@
         }
         let (target, place) = (attempt.target, attempt.place);
         self.attempts.remove(key);
-        self.gates[target].remove(now, key, place, RunEnd::Cancelled);
+        self.gates[target].remove(now, key, place, RunOutcome::Cancelled);
         if matches!(place, Place::Running(_)) {
             self.targets[target].ended();
         }
--- a/crates/yuccarack_policy/benches/decisions.rs
+++ b/crates/yuccarack_policy/benches/decisions.rs
@@ -9,8 +9,8 @@
 use rand::{SeedableRng, rngs::SmallRng};
 use yuccarack_config::{load::LoadReport, rules::LimitRules};
 use yuccarack_policy::{
-    admission::{Admission, AdmissionConfig, Offer, Offered, RouteShare, RunEnd},
-    choice::{CallEnd, Chooser, ChooserConfig, Member, MemberState},
+    admission::{Admission, AdmissionConfig, AdmissionDecision, Offer, RouteShare, RunOutcome},
+    choice::{Chooser, ChooserConfig, Member, MemberState, TargetAttemptOutcome},
 };
 
 const SIZES: [usize; 3] = [6, 100, 2_500];
@@ -35,7 +35,7 @@
         let key = chooser.key_of(&member.instance).expect("a member has a key");
         let in_flight = (number % 10) as u16;
         let report = LoadReport { in_flight, queued: 0, limit: 10, service_us: 10_000 };
-        chooser.reported(now, key, report);
+        chooser.record_report(now, key, report);
     }
     chooser
 }
@@ -53,9 +53,9 @@
         group.bench_function(BenchmarkId::new("choose_start_finish", size), |bencher| {
             bencher.iter(|| {
                 let Ok(key) = chooser.choose(now, &mut rng, &[]) else { return };
-                chooser.started(now, key);
-                let end = CallEnd::Answered { took: TOOK };
-                chooser.finished(now, key, end, Some(report));
+                chooser.record_attempt(now, key);
+                let end = TargetAttemptOutcome::Answered { response_time: TOOK };
+                chooser.record_outcome(now, key, end, Some(report));
             });
         });
     }
@@ -77,14 +77,14 @@
         let mut gate = Admission::new(now, config.clone());
         group.bench_function(BenchmarkId::new("free", callers), |bencher| {
             bencher.iter(|| {
-                let Offered::Run(key) = gate.offer(now, offer()) else { return };
-                gate.release(now, key, RunEnd::Done { took: TOOK });
+                let AdmissionDecision::Run(key) = gate.offer(now, offer()) else { return };
+                gate.release(now, key, RunOutcome::Completed { service_time: TOOK });
             });
         });
         let mut gate = Admission::new(now, config);
         let mut is_full = false;
         while !is_full {
-            is_full = matches!(gate.offer(now, offer()), Offered::Refused(_));
+            is_full = matches!(gate.offer(now, offer()), AdmissionDecision::Refused(_));
         }
         group.bench_function(BenchmarkId::new("full", callers), |bencher| {
             bencher.iter(|| black_box(gate.offer(now, offer())));
--- a/crates/yuccarack_policy/src/admission/limit.rs
+++ b/crates/yuccarack_policy/src/admission/limit.rs
@@ -13,10 +13,10 @@
 ///
 /// At one step in 50 ms a neighbour that stays for 300 ms costs a sixth of the limit, a target
 /// that promised too much is found within two seconds.
-const SLOW_DECREASE: f64 = 0.97;
+const SLOWDOWN_DECREASE: f64 = 0.97;
 
 /// Shortest time between two decreases, so that one moment counts once.
-const DECREASE_SPACING: Duration = Duration::from_millis(50);
+const DECREASE_INTERVAL_MIN: Duration = Duration::from_millis(50);
 
 /// Weight of one outcome in the share of failures.
 const FAILURE_WEIGHT: f64 = 0.1;
@@ -72,7 +72,7 @@
     }
 
     /// Notes an answer and how much longer it took than on the quiet target.
-    pub fn done(&mut self, now: Instant, slowdown: Option<f64>, in_flight: usize) {
+    pub fn record_response(&mut self, now: Instant, slowdown: Option<f64>, in_flight: usize) {
         self.failure_share *= 1.0 - FAILURE_WEIGHT;
         if in_flight < self.get() {
             return;
@@ -82,23 +82,23 @@
         if self.busy_slowdown <= SLOWDOWN_MAX {
             self.limit = (self.limit + 1.0 / self.limit).min(self.slots);
         } else if self.limit > self.slots * SLOW_LIMIT_MIN {
-            self.decrease(now, self.limit, SLOW_DECREASE);
+            self.decrease(now, self.limit, SLOWDOWN_DECREASE);
         }
     }
 
-    pub fn failed(&mut self, now: Instant, _took: Duration) {
+    pub fn record_failure(&mut self, now: Instant, _took: Duration) {
         self.failure_share += (1.0 - self.failure_share) * FAILURE_WEIGHT;
         if self.failure_share > FAILURE_SHARE_MAX {
             self.decrease(now, self.limit, DECREASE);
         }
     }
 
-    pub fn shed(&mut self, now: Instant, in_flight: usize) {
+    pub fn record_shed(&mut self, now: Instant, in_flight: usize) {
         self.decrease(now, self.limit.min(in_flight as f64), DECREASE);
     }
 
     fn decrease(&mut self, now: Instant, from: f64, factor: f64) {
-        let is_spaced = self.decreased_at.is_none_or(|at| now >= at + DECREASE_SPACING);
+        let is_spaced = self.decreased_at.is_none_or(|at| now >= at + DECREASE_INTERVAL_MIN);
         if is_spaced {
             self.limit = (from * factor).max(1.0);
             self.decreased_at = Some(now);
--- a/crates/yuccarack_policy/src/admission/mod.rs
+++ b/crates/yuccarack_policy/src/admission/mod.rs
@@ -23,10 +23,13 @@
     limit::ConcurrencyLimit,
     queue::Queue,
     service_time::ServiceTimes,
-    stall::{MISSING_FOR_WAITING, MISSING_MAX, Progress},
+    stall::{MISSING_RESPONSES_MAX, MISSING_RESPONSES_TO_EVICT, Progress},
 };
 pub use self::{
-    offer::{AdmissionConfig, Offer, Offered, Refusal, RefusalReason, RouteShare, RunEnd, Settled},
+    offer::{
+        AdmissionConfig, AdmissionDecision, Offer, Refusal, RefusalReason, RouteShare, RunOutcome,
+        WaitOutcome,
+    },
     waiting::{RETRY_AFTER_MAX, STANDING_AFTER, STANDING_WAIT_SERVICES},
 };
 
@@ -38,14 +41,14 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Running {
+struct RunningRequest {
     caller: u64,
     route: usize,
     alone: bool,
     started_at: Instant,
     was_quiet: bool,
     /// Whether a long request or answer of it is on its way, so that no answer is due.
-    is_moving: bool,
+    is_streaming: bool,
 }
 
 /// Decides at one gate.
@@ -53,14 +56,14 @@
 pub struct Admission {
     config: AdmissionConfig,
     limit: ConcurrencyLimit,
-    running: SlotMap<RunKey, Running>,
+    running: SlotMap<RunKey, RunningRequest>,
     running_by_caller: HashMap<u64, u16>,
     running_by_route: Vec<u16>,
     alone_running: bool,
     queue: Queue,
-    times: ServiceTimes,
+    service_times: ServiceTimes,
     progress: Progress,
-    settled: Vec<Settled>,
+    finished_waits: Vec<WaitOutcome>,
     is_draining: bool,
     has_alternatives: bool,
 }
@@ -75,9 +78,9 @@
             running_by_route: Vec::new(),
             alone_running: false,
             queue: Queue::new(),
-            times: ServiceTimes::new(),
+            service_times: ServiceTimes::new(),
             progress: Progress::new(now),
-            settled: Vec::new(),
+            finished_waits: Vec::new(),
             is_draining: false,
             has_alternatives: true,
             config,
@@ -104,7 +107,7 @@
     }
 
     /// Decides on a request that arrives.
-    pub fn offer(&mut self, now: Instant, offer: Offer) -> Offered {
+    pub fn offer(&mut self, now: Instant, offer: Offer) -> AdmissionDecision {
         if self.is_draining {
             return self.refuse(RefusalReason::Draining, offer.route);
         }
@@ -112,38 +115,39 @@
             return self.refuse(RefusalReason::DeadlinePassed, offer.route);
         }
         self.refuse_overdue(now);
-        let missing = self.missing_answers(now);
-        if missing >= MISSING_FOR_WAITING {
+        let missing = self.missing_responses(now);
+        if missing >= MISSING_RESPONSES_TO_EVICT {
             self.refuse_waiting(RefusalReason::Stalled);
         }
-        if missing > MISSING_MAX {
+        if missing > MISSING_RESPONSES_MAX {
             return self.refuse(RefusalReason::Stalled, offer.route);
         }
         if self.can_start(&offer) && !self.queue.has_alone() {
-            return Offered::Run(self.start(now, offer));
+            return AdmissionDecision::Run(self.start(now, offer));
         }
         match self.give_up_at(now, &offer) {
-            Ok(give_up) => Offered::Wait(self.enqueue(now, offer, give_up)),
+            Ok(give_up) => AdmissionDecision::Wait(self.enqueue(now, offer, give_up)),
             Err(reason) => self.refuse(reason, offer.route),
         }
     }
 
     /// Ends a run, which may let waiting requests run; `poll` tells which.
-    pub fn release(&mut self, now: Instant, key: RunKey, end: RunEnd) {
+    pub fn release(&mut self, now: Instant, key: RunKey, end: RunOutcome) {
         let Some(run) = self.running.remove(key) else { return };
         let was_in_flight = self.running.len() + 1;
-        self.forget_run(run);
-        if end != RunEnd::Cancelled {
-            self.progress.note(now);
+        self.remove_run(run);
+        if end != RunOutcome::Cancelled {
+            self.progress.record(now);
         }
         match end {
-            RunEnd::Done { took } => {
-                let slowdown = self.times.done(now, run.route, took, run.was_quiet);
-                self.limit.done(now, slowdown, was_in_flight);
+            RunOutcome::Completed { service_time } => {
+                let slowdown =
+                    self.service_times.record(now, run.route, service_time, run.was_quiet);
+                self.limit.record_response(now, slowdown, was_in_flight);
             }
-            RunEnd::Failed { took } => self.limit.failed(now, took),
-            RunEnd::Shed => self.limit.shed(now, was_in_flight),
-            RunEnd::Cancelled => {}
+            RunOutcome::Failed { service_time } => self.limit.record_failure(now, service_time),
+            RunOutcome::Shed => self.limit.record_shed(now, was_in_flight),
+            RunOutcome::Cancelled => {}
         }
         self.start_waiting(now);
     }
@@ -153,11 +157,11 @@
     /// Failure: a dozen long uploads run, no answer is due for seconds, and the gate takes their
     /// target for stalled and refuses what comes. So a run that moves owes no answer, and what
     /// moves shows that the target lives.
-    pub fn moved(&mut self, now: Instant, key: RunKey) {
+    pub fn record_progress(&mut self, now: Instant, key: RunKey) {
         if let Some(run) = self.running.get_mut(key) {
-            run.is_moving = true;
+            run.is_streaming = true;
         }
-        self.progress.note(now);
+        self.progress.record(now);
     }
 
     /// Takes back a waiting request whose caller has left.
@@ -166,21 +170,21 @@
     /// `poll` that tells it: nobody would know of the run, and its slot would be lost for good.
     pub fn cancel_wait(&mut self, now: Instant, key: WaitKey) {
         self.queue.remove(key);
-        let settled = self.settled.iter().position(|settled| settled.wait_key() == key);
+        let settled = self.finished_waits.iter().position(|settled| settled.wait_key() == key);
         if let Some(index) = settled
-            && let Settled::Run(_, run) = self.settled.remove(index)
+            && let WaitOutcome::Run(_, run) = self.finished_waits.remove(index)
         {
-            self.release(now, run, RunEnd::Cancelled);
+            self.release(now, run, RunOutcome::Cancelled);
             return;
         }
         self.start_waiting(now);
     }
 
     /// Settles what has become due; each waiting request is told once.
-    pub fn poll(&mut self, now: Instant) -> Vec<Settled> {
+    pub fn poll(&mut self, now: Instant) -> Vec<WaitOutcome> {
         self.refuse_overdue(now);
         self.start_waiting(now);
-        std::mem::take(&mut self.settled)
+        std::mem::take(&mut self.finished_waits)
     }
 
     /// When `poll` must be called next, if nothing else happens before.
@@ -200,7 +204,7 @@
             in_flight: saturate(self.running.len()),
             queued: saturate(self.queue.len()),
             limit: saturate(self.limit.get()),
-            service_us: u32::try_from(self.times.mean().as_micros()).unwrap_or(u32::MAX),
+            service_us: u32::try_from(self.service_times.mean().as_micros()).unwrap_or(u32::MAX),
         }
     }
 
@@ -212,7 +216,7 @@
     fn refuse_waiting(&mut self, reason: RefusalReason) {
         for (key, waiting) in self.queue.take_all() {
             let refusal = self.refusal(reason, waiting.offer.route);
-            self.settled.push(Settled::Refused(key, refusal));
+            self.finished_waits.push(WaitOutcome::Refused(key, refusal));
         }
     }
 
@@ -230,19 +234,26 @@
     ///
     /// The failure is a target that freezes or slows tenfold: its slots still look free, and each
     /// request handed over now is stuck with it. Refused, it did not run and goes elsewhere.
-    fn missing_answers(&self, now: Instant) -> f64 {
+    fn missing_responses(&self, now: Instant) -> f64 {
         if !self.has_alternatives {
             return 0.0;
         }
-        let owing = self.running.values().filter(|run| !run.is_moving);
-        let running = owing.map(|run| (run.started_at, self.times.of(run.route)));
-        self.progress.missing(now, running)
+        let owing = self.running.values().filter(|run| !run.is_streaming);
+        let running = owing.map(|run| (run.started_at, self.service_times.usual(run.route)));
+        self.progress.missing_responses(now, running)
     }
 
     fn start(&mut self, now: Instant, offer: Offer) -> RunKey {
         let Offer { caller, route, alone, .. } = offer;
         let was_quiet = self.limit.is_quiet(self.running.len() + 1);
-        let run = Running { caller, route, alone, started_at: now, was_quiet, is_moving: false };
+        let run = RunningRequest {
+            caller,
+            route,
+            alone,
+            started_at: now,
+            was_quiet,
+            is_streaming: false,
+        };
         *self.running_by_caller.entry(run.caller).or_default() += 1;
         if let Some(route_running) = self.running_by_route.get_mut(run.route) {
             *route_running += 1;
@@ -251,7 +262,7 @@
         self.running.insert(run)
     }
 
-    fn forget_run(&mut self, run: Running) {
+    fn remove_run(&mut self, run: RunningRequest) {
         if let Some(caller_running) = self.running_by_caller.get_mut(&run.caller) {
             *caller_running -= 1;
             if *caller_running == 0 {
@@ -273,7 +284,7 @@
             let Some(key) = self.next_to_start() else { return };
             let Some(waiting) = self.queue.remove(key) else { return };
             let run = self.start(now, waiting.offer);
-            self.settled.push(Settled::Run(key, run));
+            self.finished_waits.push(WaitOutcome::Run(key, run));
         }
     }
 
@@ -290,8 +301,8 @@
         startable.min_by_key(rank).map(|(key, _)| key)
     }
 
-    fn refuse(&self, reason: RefusalReason, route: usize) -> Offered {
-        Offered::Refused(self.refusal(reason, route))
+    fn refuse(&self, reason: RefusalReason, route: usize) -> AdmissionDecision {
+        AdmissionDecision::Refused(self.refusal(reason, route))
     }
 }
 
--- a/crates/yuccarack_policy/src/admission/offer.rs
+++ b/crates/yuccarack_policy/src/admission/offer.rs
@@ -39,7 +39,7 @@
 
 /// Answer to an offer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Offered {
+pub enum AdmissionDecision {
     /// It runs now.
     Run(RunKey),
     /// It waits; `poll` tells how it goes on.
@@ -80,16 +80,16 @@
 
 /// How a run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RunEnd {
+pub enum RunOutcome {
     /// The target answered.
-    Done {
+    Completed {
         /// Time from hand-over to the answer's end.
-        took: Duration,
+        service_time: Duration,
     },
     /// The target failed.
     Failed {
         /// Time from hand-over to the failure.
-        took: Duration,
+        service_time: Duration,
     },
     /// The target shed it without running it.
     Shed,
@@ -99,14 +99,14 @@
 
 /// How a waiting request goes on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Settled {
+pub enum WaitOutcome {
     /// It runs now.
     Run(WaitKey, RunKey),
     /// It was turned away and did not run.
     Refused(WaitKey, Refusal),
 }
 
-impl Settled {
+impl WaitOutcome {
     /// The waiting request that is settled.
     pub fn wait_key(self) -> WaitKey {
         match self {
--- a/crates/yuccarack_policy/src/admission/queue.rs
+++ b/crates/yuccarack_policy/src/admission/queue.rs
@@ -18,7 +18,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Queued {
+struct QueueEntry {
     waiting: Waiting,
     /// When its turn comes.
     turn_at: Instant,
@@ -27,18 +27,18 @@
 /// Waiting requests in order of arrival, counted by caller and route.
 #[derive(Clone, Debug)]
 pub struct Queue {
-    waiting: SlotMap<WaitKey, Queued>,
+    waiting: SlotMap<WaitKey, QueueEntry>,
     order: VecDeque<WaitKey>,
-    by_caller: HashMap<u64, Caller>,
-    filled_at: Option<Instant>,
+    by_caller: HashMap<u64, CallerQueue>,
+    nonempty_since: Option<Instant>,
     /// No request is given up before this time; the next one may be later.
-    give_up_from: Option<Instant>,
+    earliest_give_up: Option<Instant>,
     alone: usize,
 }
 
 /// What a caller has waiting, and when the turn of its latest request comes.
 #[derive(Clone, Copy, Debug)]
-struct Caller {
+struct CallerQueue {
     count: usize,
     turn_at: Instant,
 }
@@ -49,8 +49,8 @@
             waiting: SlotMap::with_key(),
             order: VecDeque::new(),
             by_caller: HashMap::new(),
-            filled_at: None,
-            give_up_from: None,
+            nonempty_since: None,
+            earliest_give_up: None,
             alone: 0,
         }
     }
@@ -60,8 +60,8 @@
     }
 
     /// Whether something has waited at any time since `after` ago.
-    pub fn has_stood(&self, now: Instant, after: Duration) -> bool {
-        self.filled_at.is_some_and(|at| now.saturating_duration_since(at) >= after)
+    pub fn is_standing(&self, now: Instant, after: Duration) -> bool {
+        self.nonempty_since.is_some_and(|at| now.saturating_duration_since(at) >= after)
     }
 
     /// Lets a request wait; those of one caller come up no closer together than `turn`.
@@ -71,28 +71,29 @@
     /// before one that was served once.
     pub fn push(&mut self, now: Instant, waiting: Waiting, turn: Duration) -> WaitKey {
         if self.order.is_empty() {
-            self.filled_at = Some(now);
+            self.nonempty_since = Some(now);
         }
         let caller = self
             .by_caller
             .entry(waiting.offer.caller)
             .and_modify(|caller| caller.turn_at = now.max(caller.turn_at + turn))
-            .or_insert(Caller { count: 0, turn_at: now });
+            .or_insert(CallerQueue { count: 0, turn_at: now });
         caller.count += 1;
         self.alone += usize::from(waiting.offer.alone);
         let give_up_at = waiting.give_up_at;
-        self.give_up_from = Some(self.give_up_from.map_or(give_up_at, |at| at.min(give_up_at)));
-        let key = self.waiting.insert(Queued { waiting, turn_at: caller.turn_at });
+        self.earliest_give_up =
+            Some(self.earliest_give_up.map_or(give_up_at, |at| at.min(give_up_at)));
+        let key = self.waiting.insert(QueueEntry { waiting, turn_at: caller.turn_at });
         self.order.push_back(key);
         key
     }
 
     pub fn remove(&mut self, key: WaitKey) -> Option<Waiting> {
-        let Queued { waiting, .. } = self.waiting.remove(key)?;
+        let QueueEntry { waiting, .. } = self.waiting.remove(key)?;
         self.order.retain(|&queued| queued != key);
         if self.order.is_empty() {
-            self.filled_at = None;
-            self.give_up_from = None;
+            self.nonempty_since = None;
+            self.earliest_give_up = None;
         }
         self.alone -= usize::from(waiting.offer.alone);
         if let Some(caller) = self.by_caller.get_mut(&waiting.offer.caller) {
@@ -129,11 +130,11 @@
         self.iter().find(|(_, waiting)| waiting.offer.alone)
     }
 
-    pub fn of_caller(&self, caller: u64) -> usize {
+    pub fn caller_len(&self, caller: u64) -> usize {
         self.by_caller.get(&caller).map_or(0, |caller| caller.count)
     }
 
-    pub fn of_route(&self, route: usize) -> usize {
+    pub fn route_len(&self, route: usize) -> usize {
         self.iter().filter(|(_, waiting)| waiting.offer.route == route).count()
     }
 
@@ -144,8 +145,8 @@
     }
 
     /// Requests served before a newcomer of `caller` when callers take turns.
-    pub fn ahead_of(&self, caller: u64) -> usize {
-        let turns = self.of_caller(caller) + 1;
+    pub fn requests_ahead_of(&self, caller: u64) -> usize {
+        let turns = self.caller_len(caller) + 1;
         self.by_caller.values().map(|caller| caller.count.min(turns)).sum()
     }
 
@@ -157,11 +158,11 @@
     /// When the next request may have to be given up; at the latest then, `take_overdue` must be
     /// called.
     pub fn next_give_up(&self) -> Option<Instant> {
-        self.give_up_from
+        self.earliest_give_up
     }
 
     pub fn take_overdue(&mut self, now: Instant) -> Vec<(WaitKey, Waiting)> {
-        if self.give_up_from.is_none_or(|at| now < at) {
+        if self.earliest_give_up.is_none_or(|at| now < at) {
             return Vec::new();
         }
         let overdue: Vec<_> = self
@@ -171,7 +172,7 @@
             .collect();
         let taken: Vec<_> =
             overdue.into_iter().filter_map(|key| Some((key, self.remove(key)?))).collect();
-        self.give_up_from = self.iter().map(|(_, waiting)| waiting.give_up_at).min();
+        self.earliest_give_up = self.iter().map(|(_, waiting)| waiting.give_up_at).min();
         taken
     }
 
--- a/crates/yuccarack_policy/src/admission/service_time.rs
+++ b/crates/yuccarack_policy/src/admission/service_time.rs
@@ -3,10 +3,10 @@
 use std::time::{Duration, Instant};
 
 /// Time assumed before the first answer.
-const UNKNOWN: Duration = Duration::from_millis(10);
+const DEFAULT_SERVICE_TIME: Duration = Duration::from_millis(10);
 
 /// Least weight of one answer in the usual time.
-const WEIGHT_MIN: f64 = 0.1;
+const SAMPLE_WEIGHT_MIN: f64 = 0.1;
 
 /// Time without answers after which the next one counts half.
 ///
@@ -39,7 +39,7 @@
 
     /// Notes an answer to a request that started while the target was quiet or not; returns how
     /// many times longer it took than its route takes on the quiet target, if that is known.
-    pub fn done(
+    pub fn record(
         &mut self,
         now: Instant,
         route: usize,
@@ -56,7 +56,7 @@
         time.usual_s = Some(smooth(time.usual_s, took_s, time.weight(now)));
         time.answered_at = Some(now);
         if was_quiet {
-            time.quiet_s = Some(smooth(time.quiet_s, took_s, WEIGHT_MIN));
+            time.quiet_s = Some(smooth(time.quiet_s, took_s, SAMPLE_WEIGHT_MIN));
         }
         time.quiet_s.filter(|quiet_s| *quiet_s > 0.0).map(|quiet_s| took_s / quiet_s)
     }
@@ -70,11 +70,11 @@
         let (sum_s, shares) = known.fold((0.0, 0.0), |(sum_s, shares), (usual_s, share)| {
             (sum_s + usual_s * share, shares + share)
         });
-        if shares > 0.0 { Duration::from_secs_f64(sum_s / shares) } else { UNKNOWN }
+        if shares > 0.0 { Duration::from_secs_f64(sum_s / shares) } else { DEFAULT_SERVICE_TIME }
     }
 
     /// Usual time of one route.
-    pub fn of(&self, route: usize) -> Duration {
+    pub fn usual(&self, route: usize) -> Duration {
         let known = self.routes.get(route).and_then(|route| route.usual_s);
         known.map_or_else(|| self.mean(), Duration::from_secs_f64)
     }
@@ -85,7 +85,7 @@
     fn weight(&self, now: Instant) -> f64 {
         let gap = self.answered_at.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
         let faded = 1.0 - (-gap.as_secs_f64() / HALF_LIFE.as_secs_f64()).exp2();
-        faded.max(WEIGHT_MIN)
+        faded.max(SAMPLE_WEIGHT_MIN)
     }
 }
 
--- a/crates/yuccarack_policy/src/admission/stall.rs
+++ b/crates/yuccarack_policy/src/admission/stall.rs
@@ -10,22 +10,22 @@
 ///
 /// Answers of independent requests come like a Poisson stream, so that a healthy target misses
 /// six in a row with a chance of e^-6, about 0.25 %.
-pub const MISSING_MAX: f64 = 6.0;
+pub const MISSING_RESPONSES_MAX: f64 = 6.0;
 
 /// Answers that must be missing before what waits is sent elsewhere too.
 ///
 /// That gives up places in the queue, so it wants surer evidence: e^-12 is once in 160,000.
 /// As one request counts for at most three, four must be overdue together.
-pub const MISSING_FOR_WAITING: f64 = 12.0;
+pub const MISSING_RESPONSES_TO_EVICT: f64 = 12.0;
 
 /// Share of its usual time after which a request may be answered any moment.
-const EARLIEST: f64 = 0.5;
+const EARLIEST_RESPONSE_SHARE: f64 = 0.5;
 
 /// Answers that one request may count as missing.
 ///
 /// One request that takes long, an invoice run among look-ups, is no stall of the target. With
 /// half of [`MISSING_MAX`] each it takes three requests that are overdue together.
-const MISSING_EACH_MAX: f64 = MISSING_MAX / 2.0;
+const MISSING_PER_REQUEST_MAX: f64 = MISSING_RESPONSES_MAX / 2.0;
 
 /// Silence below which nothing counts as a stall.
 ///
@@ -34,36 +34,42 @@
 pub const SILENCE_MIN: Duration = Duration::from_millis(5);
 
 /// Running requests that are looked at, which bounds the cost of a decision.
-const LOOKED_AT_MAX: usize = 16;
+const REQUESTS_CHECKED_MAX: usize = 16;
 
 /// When the target was last seen to end a request.
 #[derive(Clone, Debug)]
 pub struct Progress {
-    noted_at: Instant,
+    last_progress_at: Instant,
 }
 
 impl Progress {
     pub fn new(now: Instant) -> Self {
-        Self { noted_at: now }
+        Self { last_progress_at: now }
     }
 
-    pub fn note(&mut self, now: Instant) {
-        self.noted_at = now;
+    pub fn record(&mut self, now: Instant) {
+        self.last_progress_at = now;
     }
 
     /// How many answers are missing, given when each request started and what it usually
     /// takes.
-    pub fn missing(&self, now: Instant, running: impl Iterator<Item = (Instant, Duration)>) -> f64 {
-        if now.saturating_duration_since(self.noted_at) < SILENCE_MIN {
+    pub fn missing_responses(
+        &self,
+        now: Instant,
+        running: impl Iterator<Item = (Instant, Duration)>,
+    ) -> f64 {
+        if now.saturating_duration_since(self.last_progress_at) < SILENCE_MIN {
             return 0.0;
         }
         running
-            .take(LOOKED_AT_MAX)
+            .take(REQUESTS_CHECKED_MAX)
             .map(|(started_at, usual)| {
-                let due_from = self.noted_at.max(started_at + usual.mul_f64(EARLIEST));
+                let due_from =
+                    self.last_progress_at.max(started_at + usual.mul_f64(EARLIEST_RESPONSE_SHARE));
                 let overdue = now.saturating_duration_since(due_from).as_secs_f64();
-                let missing = overdue / usual.mul_f64(1.0 - EARLIEST).as_secs_f64().max(1e-6);
-                missing.min(MISSING_EACH_MAX)
+                let missing =
+                    overdue / usual.mul_f64(1.0 - EARLIEST_RESPONSE_SHARE).as_secs_f64().max(1e-6);
+                missing.min(MISSING_PER_REQUEST_MAX)
             })
             .sum()
     }
--- a/crates/yuccarack_policy/src/admission/waiting.rs
+++ b/crates/yuccarack_policy/src/admission/waiting.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use super::{Admission, Offer, Refusal, RefusalReason, Settled, WaitKey, queue::Waiting};
+use super::{Admission, Offer, Refusal, RefusalReason, WaitKey, WaitOutcome, queue::Waiting};
 
 /// Longest pause told to a refused caller.
 pub const RETRY_AFTER_MAX: Duration = Duration::from_secs(30);
@@ -30,14 +30,14 @@
                 false => RefusalReason::WaitTooLong,
             };
             let refusal = self.refusal(reason, waiting.offer.route);
-            self.settled.push(Settled::Refused(key, refusal));
+            self.finished_waits.push(WaitOutcome::Refused(key, refusal));
         }
     }
 
     /// Lets a request wait.
     pub(super) fn enqueue(&mut self, now: Instant, offer: Offer, give_up: GiveUp) -> WaitKey {
         if self.queue.len() >= usize::from(self.config.limits.queue_length_max) {
-            self.push_out();
+            self.evict_latest();
         }
         let waiting = Waiting {
             offer,
@@ -45,14 +45,14 @@
             gives_up_for_deadline: give_up.is_for_deadline,
         };
         let callers = self.queue.callers() + 1;
-        let turn = self.times.mean().mul_f64(callers as f64 / self.limit.get() as f64);
+        let turn = self.service_times.mean().mul_f64(callers as f64 / self.limit.get() as f64);
         self.queue.push(now, waiting, turn)
     }
 
     /// Whether a request may wait, and until when.
     pub(super) fn give_up_at(&self, now: Instant, offer: &Offer) -> Result<GiveUp, RefusalReason> {
         self.check_queue_shares(offer)?;
-        let service = self.times.of(offer.route);
+        let service = self.service_times.usual(offer.route);
         let wait = self.expected_wait(offer);
         let left = offer.deadline.saturating_duration_since(now).saturating_sub(service);
         if wait > left {
@@ -71,8 +71,8 @@
     /// than the target can do, and a longer queue then only makes every answer later.
     fn wait_max(&self, now: Instant) -> Duration {
         let rules_max = Duration::from_millis(u64::from(self.config.limits.queue_wait_max_ms));
-        if self.queue.has_stood(now, STANDING_AFTER) {
-            rules_max.min(self.times.mean() * STANDING_WAIT_SERVICES)
+        if self.queue.is_standing(now, STANDING_AFTER) {
+            rules_max.min(self.service_times.mean() * STANDING_WAIT_SERVICES)
         } else {
             rules_max
         }
@@ -85,10 +85,10 @@
         }
         let route_percent = self.route_percent(offer.route);
         let route_max = share_of(length_max, route_percent);
-        if route_percent < 100 && self.queue.of_route(offer.route) >= route_max {
+        if route_percent < 100 && self.queue.route_len(offer.route) >= route_max {
             return Err(RefusalReason::RouteShare);
         }
-        let own = self.queue.of_caller(offer.caller);
+        let own = self.queue.caller_len(offer.caller);
         let others_wait = self.queue.len() > own;
         let caller_max = share_of(length_max, self.config.limits.caller_share_percent);
         if others_wait && own >= caller_max {
@@ -105,18 +105,18 @@
     ///
     /// The failure is a caller that fills the queue first; everyone else would be refused for as
     /// long as it goes on.
-    fn push_out(&mut self) {
+    fn evict_latest(&mut self) {
         let Some((caller, _)) = self.queue.longest_caller() else { return };
         let Some((key, waiting)) = self.queue.take_latest_of(caller) else { return };
         let refusal = self.refusal(RefusalReason::CallerShare, waiting.offer.route);
-        self.settled.push(Settled::Refused(key, refusal));
+        self.finished_waits.push(WaitOutcome::Refused(key, refusal));
     }
 
     /// Time until a newcomer would run: what is served before it, at the rate of the slots.
     fn expected_wait(&self, offer: &Offer) -> Duration {
-        let ahead = self.queue.ahead_of(offer.caller);
+        let ahead = self.queue.requests_ahead_of(offer.caller);
         let limit = self.limit.get().max(1);
-        self.times.mean().mul_f64((ahead + 1) as f64 / limit as f64)
+        self.service_times.mean().mul_f64((ahead + 1) as f64 / limit as f64)
     }
 
     pub(super) fn refusal(&self, reason: RefusalReason, route: usize) -> Refusal {
@@ -125,10 +125,11 @@
             _ => self.limit.get(),
         };
         let queued = match reason {
-            RefusalReason::RouteShare => self.queue.of_route(route),
+            RefusalReason::RouteShare => self.queue.route_len(route),
             _ => self.queue.len(),
         };
-        let drain = self.times.of(route).mul_f64((queued + 1) as f64 / slots.max(1) as f64);
+        let drain =
+            self.service_times.usual(route).mul_f64((queued + 1) as f64 / slots.max(1) as f64);
         Refusal { reason, retry_after: drain.min(RETRY_AFTER_MAX) }
     }
 
--- a/crates/yuccarack_policy/src/budget.rs
+++ b/crates/yuccarack_policy/src/budget.rs
@@ -12,7 +12,7 @@
 /// made in that window.
 #[derive(Clone, Debug)]
 pub struct EarnedBudget {
-    earned_per_try_percent: u32,
+    earned_per_attempt_percent: u32,
     level_hundredths: u32,
     level_max_hundredths: u32,
 }
@@ -26,7 +26,7 @@
             _ => u32::from(reserve) * COST_HUNDREDTHS,
         };
         Self {
-            earned_per_try_percent: u32::from(percent),
+            earned_per_attempt_percent: u32::from(percent),
             level_hundredths: level_max_hundredths,
             level_max_hundredths,
         }
@@ -42,7 +42,7 @@
 
     /// Earns the share of one first try.
     pub fn earn(&mut self) {
-        let level = self.level_hundredths + self.earned_per_try_percent;
+        let level = self.level_hundredths + self.earned_per_attempt_percent;
         self.level_hundredths = level.min(self.level_max_hundredths);
     }
 
--- a/crates/yuccarack_policy/src/choice/draw.rs
+++ b/crates/yuccarack_policy/src/choice/draw.rs
@@ -4,13 +4,13 @@
 
 use rand::Rng;
 
-use super::{Chooser, TargetKey, Weighed};
+use super::{Candidate, Chooser, TargetKey};
 
 /// Random candidates compared in the entry's own failure domain.
-pub const HOME_CANDIDATES: usize = 2;
+pub const LOCAL_CANDIDATES: usize = 2;
 
 /// Random candidates compared in the other failure domains when the own one is strained.
-pub const AWAY_CANDIDATES: usize = 2;
+pub const REMOTE_CANDIDATES: usize = 2;
 
 /// Share of the best expectation below which another one is better and not just different.
 ///
@@ -22,45 +22,45 @@
 const DRAWS_MAX: usize = 4;
 
 /// Share of choices that try a target whose ejection has run out: one in so many.
-pub const TRICKLE_ONE_IN: u32 = 16;
+pub const PROBE_ONE_IN: u32 = 16;
 
 impl Chooser {
     /// Now and then sends one request to a target whose ejection has run out.
     ///
     /// Without it an ejected target would never be seen to have recovered, since nothing else
     /// is sent there; one at a time keeps a target that still fails from hurting more callers.
-    pub(super) fn trickle(
+    pub(super) fn probe_ejected(
         &self,
         now: Instant,
         rng: &mut impl Rng,
         excluded: &[TargetKey],
     ) -> Option<TargetKey> {
-        if self.ejected.is_empty() || !rng.random_ratio(1, TRICKLE_ONE_IN) {
+        if self.ejected.is_empty() || !rng.random_ratio(1, PROBE_ONE_IN) {
             return None;
         }
         let key = self.ejected[rng.random_range(0..self.ejected.len())];
-        let due = self.targets.get(key).is_some_and(|target| target.is_due_for_trickle(now));
+        let due = self.targets.get(key).is_some_and(|target| target.is_due_for_probe(now));
         (due && !excluded.contains(&key)).then_some(key)
     }
 
     /// The better candidate, of the own failure domain unless that is strained.
-    pub(super) fn best(
+    pub(super) fn best_candidate(
         &self,
         now: Instant,
         rng: &mut impl Rng,
         excluded: &[TargetKey],
-        weighed: &mut Vec<Weighed>,
+        weighed: &mut Vec<Candidate>,
     ) -> Option<TargetKey> {
-        let home = self.best_of(now, rng, &self.ready_home, HOME_CANDIDATES, excluded, weighed);
+        let home = self.best_of(now, rng, &self.ready_local, LOCAL_CANDIDATES, excluded, weighed);
         if let Some((key, _)) = home
-            && !self.targets[key].is_strained(now, &self.mean)
+            && !self.targets[key].is_overloaded(now, &self.mean)
         {
             return Some(key);
         }
-        let away = self.best_of(now, rng, &self.ready_away, AWAY_CANDIDATES, excluded, weighed);
+        let away = self.best_of(now, rng, &self.ready_remote, REMOTE_CANDIDATES, excluded, weighed);
         match (home, away) {
             (Some((home, home_us)), Some((away, away_us))) => {
-                let penalty_us = self.config.away_penalty.as_micros() as f32;
+                let penalty_us = self.config.remote_penalty.as_micros() as f32;
                 Some(if home_us <= away_us + penalty_us { home } else { away })
             }
             (home, away) => home.or(away).map(|(key, _)| key),
@@ -74,14 +74,14 @@
         ready: &[TargetKey],
         candidates: usize,
         excluded: &[TargetKey],
-        weighed: &mut Vec<Weighed>,
+        weighed: &mut Vec<Candidate>,
     ) -> Option<(TargetKey, f32)> {
         let mut best: Option<(TargetKey, f32)> = None;
         for _ in 0..candidates {
             let seen = best.map(|(key, _)| key);
             let Some(key) = self.draw(rng, ready, excluded, seen) else { break };
             let expected_us = self.targets[key].expected_us(now, &self.mean);
-            weighed.push(Weighed { key, expected_us });
+            weighed.push(Candidate { key, expected_us });
             if best.is_none_or(|(_, best_us)| expected_us < best_us * CLEARLY_BETTER) {
                 best = Some((key, expected_us));
             }
--- a/crates/yuccarack_policy/src/choice/explain.rs
+++ b/crates/yuccarack_policy/src/choice/explain.rs
@@ -6,7 +6,7 @@
 
 use super::{
     MemberState, TargetKey,
-    target::{Mean, Target},
+    target::{ServiceMeans, Target},
 };
 
 /// What is known of one candidate and how old it is.
@@ -17,7 +17,7 @@
     /// The target's instance.
     pub instance: InstanceId,
     /// Whether it is in the entry's own failure domain.
-    pub is_home: bool,
+    pub is_local: bool,
     /// Where it is in its life.
     pub state: MemberState,
     /// Tries that this entry has out there.
@@ -41,15 +41,15 @@
         now: Instant,
         key: TargetKey,
         target: &Target,
-        mean: &Mean,
+        mean: &ServiceMeans,
         away_penalty: Duration,
     ) -> Self {
-        let link = if target.is_home { Duration::ZERO } else { away_penalty };
+        let link = if target.is_local { Duration::ZERO } else { away_penalty };
         let expected = Duration::from_micros(target.expected_us(now, mean) as u64) + link;
         Self {
             key,
             instance: target.instance.clone(),
-            is_home: target.is_home,
+            is_local: target.is_local,
             state: target.state,
             outstanding: target.outstanding,
             report: target.reported_at.map(|_| target.report),
@@ -64,7 +64,7 @@
 
 /// A candidate that a choice compared.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WeighedView {
+pub struct ComparedCandidateView {
     /// Its instance.
     pub instance: InstanceId,
     /// Time in which it was expected to answer, link left out.
@@ -73,7 +73,7 @@
     pub report_age: Option<Duration>,
 }
 
-impl WeighedView {
+impl ComparedCandidateView {
     pub(super) fn new(now: Instant, target: &Target, expected_us: f32) -> Self {
         Self {
             instance: target.instance.clone(),
--- a/crates/yuccarack_policy/src/choice/member.rs
+++ b/crates/yuccarack_policy/src/choice/member.rs
@@ -15,7 +15,7 @@
     /// Failures in a row that eject a target.
     pub failures_in_row: u8,
     /// What a call to another failure domain costs more than one in the own.
-    pub away_penalty: Duration,
+    pub remote_penalty: Duration,
 }
 
 /// Where a member is in its life.
@@ -46,16 +46,16 @@
 
 /// How a try at a target ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CallEnd {
+pub enum TargetAttemptOutcome {
     /// The target answered.
     Answered {
         /// Time from the start of the try to the answer's head.
-        took: Duration,
+        response_time: Duration,
     },
     /// The target answered that it failed.
     TargetFailed {
         /// Time from the start of the try to the answer's head.
-        took: Duration,
+        response_time: Duration,
     },
     /// The gate refused.
     Refused,
@@ -67,14 +67,14 @@
 
 impl ChooserConfig {
     /// Extra time of a call to another failure domain: a round trip between the farthest two.
-    pub const AWAY_PENALTY: Duration = Duration::from_millis(3);
+    pub const REMOTE_PENALTY: Duration = Duration::from_millis(3);
 
     /// Creates the config from the operators' rules.
     pub fn new(rules: &EjectionRules) -> Self {
         Self {
             ejected_max_percent: rules.share_max_percent.min(100),
             failures_in_row: rules.failures_in_row.max(1),
-            away_penalty: Self::AWAY_PENALTY,
+            remote_penalty: Self::REMOTE_PENALTY,
         }
     }
 }
--- a/crates/yuccarack_policy/src/choice/mod.rs
+++ b/crates/yuccarack_policy/src/choice/mod.rs
@@ -24,11 +24,11 @@
     load::LoadReport,
 };
 
-use self::target::{Mean, Target};
+use self::target::{ServiceMeans, Target};
 pub use self::{
-    draw::{AWAY_CANDIDATES, HOME_CANDIDATES, TRICKLE_ONE_IN},
-    explain::{CandidateView, WeighedView},
-    member::{CallEnd, ChooserConfig, Member, MemberState},
+    draw::{LOCAL_CANDIDATES, PROBE_ONE_IN, REMOTE_CANDIDATES},
+    explain::{CandidateView, ComparedCandidateView},
+    member::{ChooserConfig, Member, MemberState, TargetAttemptOutcome},
     refusal::ChoiceRefusal,
 };
 
@@ -41,37 +41,37 @@
 #[derive(Clone, Debug)]
 pub struct Chooser {
     config: ChooserConfig,
-    home: DomainName,
+    local_domain: DomainName,
     targets: SlotMap<TargetKey, Target>,
     keys: HashMap<InstanceId, TargetKey>,
-    ready_home: Vec<TargetKey>,
-    ready_away: Vec<TargetKey>,
+    ready_local: Vec<TargetKey>,
+    ready_remote: Vec<TargetKey>,
     ejected: Vec<TargetKey>,
-    mean: Mean,
+    mean: ServiceMeans,
     /// Candidates of the latest choice; kept between choices so that none allocates.
-    weighed: Vec<Weighed>,
+    compared: Vec<Candidate>,
 }
 
 /// A candidate of a choice.
 #[derive(Clone, Copy, Debug)]
-struct Weighed {
+struct Candidate {
     key: TargetKey,
     expected_us: f32,
 }
 
 impl Chooser {
-    /// Creates a chooser without members for an entry in `home`.
-    pub fn new(config: ChooserConfig, home: DomainName) -> Self {
+    /// Creates a chooser without members for an entry in `local_domain`.
+    pub fn new(config: ChooserConfig, local_domain: DomainName) -> Self {
         Self {
             config,
-            home,
+            local_domain,
             targets: SlotMap::with_key(),
             keys: HashMap::new(),
-            ready_home: Vec::new(),
-            ready_away: Vec::new(),
+            ready_local: Vec::new(),
+            ready_remote: Vec::new(),
             ejected: Vec::new(),
-            mean: Mean::default(),
-            weighed: Vec::with_capacity(HOME_CANDIDATES + AWAY_CANDIDATES),
+            mean: ServiceMeans::default(),
+            compared: Vec::with_capacity(LOCAL_CANDIDATES + REMOTE_CANDIDATES),
         }
     }
 
@@ -88,14 +88,14 @@
         let are_first = self.targets.is_empty();
         let mut keys = HashMap::with_capacity(members.len());
         for member in members {
-            let key = self.keep_or_insert(now, member, are_first);
+            let key = self.update_or_insert(now, member, are_first);
             keys.insert(member.instance.clone(), key);
         }
         self.targets.retain(|key, target| keys.get(&target.instance) == Some(&key));
         self.keys = keys;
         let targets = &self.targets;
         self.ejected.retain(|&key| targets.contains_key(key));
-        self.list_ready();
+        self.rebuild_ready_lists();
     }
 
     /// Chooses a target that isn't excluded.
@@ -109,59 +109,61 @@
         rng: &mut impl Rng,
         excluded: &[TargetKey],
     ) -> Result<TargetKey, ChoiceRefusal> {
-        let mut weighed = std::mem::take(&mut self.weighed);
+        let mut weighed = std::mem::take(&mut self.compared);
         weighed.clear();
         let best = self
-            .trickle(now, rng, excluded)
-            .or_else(|| self.best(now, rng, excluded, &mut weighed));
-        self.weighed = weighed;
+            .probe_ejected(now, rng, excluded)
+            .or_else(|| self.best_candidate(now, rng, excluded, &mut weighed));
+        self.compared = weighed;
         if let Some(key) = best {
             return Ok(key);
         }
         // Every target that isn't excluded is ejected: a doubtful one is better than none.
-        let mut ready = self.ready_home.iter().chain(&self.ready_away);
+        let mut ready = self.ready_local.iter().chain(&self.ready_remote);
         ready.find(|key| !excluded.contains(key)).copied().ok_or_else(|| self.refusal())
     }
 
     /// Notes that a try was sent to the target.
-    pub fn started(&mut self, now: Instant, key: TargetKey) {
+    pub fn record_attempt(&mut self, now: Instant, key: TargetKey) {
         if let Some(target) = self.targets.get_mut(key) {
-            target.started(now);
+            target.record_attempt(now);
         }
     }
 
     /// Notes how a try ended, with the load that came with the answer.
-    pub fn finished(
+    pub fn record_outcome(
         &mut self,
         now: Instant,
         key: TargetKey,
-        end: CallEnd,
+        end: TargetAttemptOutcome,
         report: Option<LoadReport>,
     ) {
         let Some(target) = self.targets.get_mut(key) else { return };
-        target.ended(now);
+        target.record_end(now);
         if let Some(report) = report {
-            target.reported(now, report, &mut self.mean);
+            target.record_report(now, report, &mut self.mean);
         }
         match end {
-            CallEnd::Answered { took } => {
-                target.answered(took, &mut self.mean);
-                if target.has_proved_itself() {
+            TargetAttemptOutcome::Answered { response_time } => {
+                target.record_response(response_time, &mut self.mean);
+                if target.has_recovered() {
                     target.readmit(now);
                     self.ejected.retain(|&ejected| ejected != key);
                 }
             }
-            CallEnd::TargetFailed { .. } | CallEnd::Broken => target.failed(now),
-            CallEnd::Refused => target.refused(now),
-            CallEnd::Cancelled => {}
+            TargetAttemptOutcome::TargetFailed { .. } | TargetAttemptOutcome::Broken => {
+                target.record_failure(now)
+            }
+            TargetAttemptOutcome::Refused => target.record_refusal(now),
+            TargetAttemptOutcome::Cancelled => {}
         }
         self.eject_if_failing(now, key);
     }
 
     /// Takes a load report that came by another way than an answer.
-    pub fn reported(&mut self, now: Instant, key: TargetKey, report: LoadReport) {
+    pub fn record_report(&mut self, now: Instant, key: TargetKey, report: LoadReport) {
         if let Some(target) = self.targets.get_mut(key) {
-            target.reported(now, report, &mut self.mean);
+            target.record_report(now, report, &mut self.mean);
         }
     }
 
@@ -176,16 +178,16 @@
     }
 
     /// Age of the latest load report of a target.
-    pub fn news_age(&self, now: Instant, key: TargetKey) -> Option<Duration> {
+    pub fn report_age(&self, now: Instant, key: TargetKey) -> Option<Duration> {
         let reported_at = self.targets.get(key)?.reported_at?;
         Some(now.saturating_duration_since(reported_at))
     }
 
     /// The candidates that the latest choice compared; none when a trickle went out.
-    pub fn weighed(&self, now: Instant) -> Vec<WeighedView> {
-        let known = self.weighed.iter().filter_map(|weighed| {
+    pub fn compared(&self, now: Instant) -> Vec<ComparedCandidateView> {
+        let known = self.compared.iter().filter_map(|weighed| {
             let target = self.targets.get(weighed.key)?;
-            Some(WeighedView::new(now, target, weighed.expected_us))
+            Some(ComparedCandidateView::new(now, target, weighed.expected_us))
         });
         known.collect()
     }
@@ -196,32 +198,32 @@
             .targets
             .iter()
             .map(|(key, target)| {
-                CandidateView::new(now, key, target, &self.mean, self.config.away_penalty)
+                CandidateView::new(now, key, target, &self.mean, self.config.remote_penalty)
             })
             .collect();
         views.sort_by(|left, right| left.instance.cmp(&right.instance));
         views
     }
 
-    fn keep_or_insert(&mut self, now: Instant, member: &Member, is_warm: bool) -> TargetKey {
-        let is_home = member.failure_domain == self.home;
+    fn update_or_insert(&mut self, now: Instant, member: &Member, is_warm: bool) -> TargetKey {
+        let is_local = member.failure_domain == self.local_domain;
         if let Some(&key) = self.keys.get(&member.instance)
             && let Some(target) = self.targets.get_mut(key)
             && target.incarnation == member.incarnation
         {
-            target.update(now, member, is_home);
+            target.update(now, member, is_local);
             return key;
         }
-        self.targets.insert(Target::new(now, member, is_home, is_warm))
+        self.targets.insert(Target::new(now, member, is_local, is_warm))
     }
 
-    fn list_ready(&mut self) {
-        self.ready_home.clear();
-        self.ready_away.clear();
+    fn rebuild_ready_lists(&mut self) {
+        self.ready_local.clear();
+        self.ready_remote.clear();
         for (key, target) in &self.targets {
-            match (target.state, target.is_home) {
-                (MemberState::Ready, true) => self.ready_home.push(key),
-                (MemberState::Ready, false) => self.ready_away.push(key),
+            match (target.state, target.is_local) {
+                (MemberState::Ready, true) => self.ready_local.push(key),
+                (MemberState::Ready, false) => self.ready_remote.push(key),
                 (MemberState::Starting | MemberState::Draining, _) => {}
             }
         }
@@ -232,7 +234,7 @@
         if target.is_ejected() {
             return;
         }
-        let ready = self.ready_home.len() + self.ready_away.len();
+        let ready = self.ready_local.len() + self.ready_remote.len();
         let ejected_max = ready * usize::from(self.config.ejected_max_percent) / 100;
         let has_room = self.ejected.len() < ejected_max;
         if has_room && target.failures_in_row >= self.config.failures_in_row {
@@ -245,7 +247,7 @@
         if self.targets.is_empty() {
             return ChoiceRefusal::NoMembers;
         }
-        if !self.ready_home.is_empty() || !self.ready_away.is_empty() {
+        if !self.ready_local.is_empty() || !self.ready_remote.is_empty() {
             return ChoiceRefusal::AllExcluded;
         }
         let any_starting = self.targets.values().any(|t| t.state == MemberState::Starting);
--- a/crates/yuccarack_policy/src/extra_attempts.rs
+++ b/crates/yuccarack_policy/src/extra_attempts.rs
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct FailedGateAttempt {
     /// How it ended.
-    pub failure: GateAttemptFailure,
+    pub kind: GateAttemptFailure,
     /// Whether the request may run more than once.
     pub is_repeatable: bool,
     /// Targets that may have run it so far.
@@ -132,7 +132,7 @@
     /// Why none is made.
     pub fn decide(&mut self, bad: FailedGateAttempt) -> Result<(), NoExtraAttemptReason> {
         let may_have_run =
-            matches!(bad.failure, GateAttemptFailure::Unknown | GateAttemptFailure::Failed);
+            matches!(bad.kind, GateAttemptFailure::Unknown | GateAttemptFailure::Failed);
         if may_have_run {
             self.failure_share += FAILURE_WEIGHT * (1.0 - self.failure_share);
         }
@@ -148,7 +148,7 @@
         if bad.time_left < TIME_LEFT_MIN {
             return Err(NoExtraAttemptReason::DeadlineClose);
         }
-        let is_free = bad.failure == GateAttemptFailure::Refused;
+        let is_free = bad.kind == GateAttemptFailure::Refused;
         if !is_free && !self.spend() {
             return Err(NoExtraAttemptReason::AllowanceUsedUp);
         }
--- a/crates/yuccarack_policy/src/hedge.rs
+++ b/crates/yuccarack_policy/src/hedge.rs
@@ -20,10 +20,10 @@
 /// Answers seen before the tail is believed.
 ///
 /// Below twenty the 95th percentile is just the slowest answer.
-pub const ANSWERS_MIN: u32 = 20;
+pub const RESPONSES_MIN: u32 = 20;
 
 /// Answers after which old ones count half, so that the tail follows a shift.
-pub const ANSWERS_KEPT: u32 = 1_000;
+pub const RESPONSES_KEPT: u32 = 1_000;
 
 /// Share of refused first tries above which hedges stop, in percent.
 pub const REFUSED_MAX_PERCENT: f64 = 5.0;
@@ -32,10 +32,10 @@
 pub const EVIDENCE_HALF_LIFE: Duration = Duration::from_millis(500);
 
 /// Steps of the histogram for each doubling of the answer time.
-const STEPS_PER_DOUBLING: u32 = 8;
+const BUCKETS_PER_DOUBLING: u32 = 8;
 
 /// Steps in all: 32 doublings of 1 µs are over an hour.
-const STEPS: usize = 256;
+const BUCKETS: usize = 256;
 
 /// Decides on hedges for one service at one entry.
 #[derive(Clone, Debug)]
@@ -43,9 +43,9 @@
     after_percentile: u8,
     delay_min: Duration,
     budget: EarnedBudget,
-    answers: Histogram,
-    tries: Decaying,
-    refusals: Decaying,
+    response_times: Histogram,
+    attempts: DecayingCount,
+    refusals: DecayingCount,
 }
 
 impl HedgePolicy {
@@ -55,34 +55,37 @@
             after_percentile: rules.after_percentile.min(100),
             delay_min: Duration::from_millis(u64::from(rules.delay_min_ms)),
             budget: EarnedBudget::new(rules.budget_percent, RESERVE),
-            answers: Histogram::new(),
-            tries: Decaying::default(),
-            refusals: Decaying::default(),
+            response_times: Histogram::new(),
+            attempts: DecayingCount::default(),
+            refusals: DecayingCount::default(),
         }
     }
 
     /// Notes a first try, which earns the budget's share.
-    pub fn first_try(&mut self, now: Instant) {
+    pub fn record_first_attempt(&mut self, now: Instant) {
         self.budget.earn();
-        self.tries.add(now);
+        self.attempts.add(now);
     }
 
     /// Notes the time a try took until its answer.
-    pub fn answered(&mut self, _now: Instant, took: Duration) {
-        self.answers.add(took);
+    pub fn record_response(&mut self, _now: Instant, took: Duration) {
+        self.response_times.add(took);
     }
 
     /// Notes a refusal by a gate, which is evidence of saturation.
-    pub fn refused(&mut self, now: Instant) {
+    pub fn record_refusal(&mut self, now: Instant) {
         self.refusals.add(now);
     }
 
     /// Time after hand-over at which a hedge is worth sending; `None` while hedging is off.
     pub fn delay(&self, now: Instant) -> Option<Duration> {
-        if self.budget.is_off() || self.answers.count < ANSWERS_MIN || self.is_saturated(now) {
+        if self.budget.is_off()
+            || self.response_times.count < RESPONSES_MIN
+            || self.is_saturated(now)
+        {
             return None;
         }
-        let tail = self.answers.percentile(self.after_percentile).max(self.delay_min);
+        let tail = self.response_times.percentile(self.after_percentile).max(self.delay_min);
         Some(tail.mul_f64(1.0 + SCARCITY_FACTOR * (1.0 - self.budget.level())))
     }
 
@@ -93,18 +96,18 @@
 
     fn is_saturated(&self, now: Instant) -> bool {
         let refused = self.refusals.at(now);
-        refused * 100.0 > (self.tries.at(now) + 1.0) * REFUSED_MAX_PERCENT
+        refused * 100.0 > (self.attempts.at(now) + 1.0) * REFUSED_MAX_PERCENT
     }
 }
 
 /// A count that loses half its weight every [`EVIDENCE_HALF_LIFE`].
 #[derive(Clone, Debug, Default)]
-struct Decaying {
+struct DecayingCount {
     level: f64,
     at: Option<Instant>,
 }
 
-impl Decaying {
+impl DecayingCount {
     fn add(&mut self, now: Instant) {
         self.level = self.at(now) + 1.0;
         self.at = Some(now);
@@ -120,21 +123,21 @@
 /// Answer times in steps of about 9 %.
 #[derive(Clone, Debug)]
 struct Histogram {
-    counts: Box<[u16; STEPS]>,
+    counts: Box<[u16; BUCKETS]>,
     count: u32,
 }
 
 impl Histogram {
     fn new() -> Self {
-        Self { counts: Box::new([0; STEPS]), count: 0 }
+        Self { counts: Box::new([0; BUCKETS]), count: 0 }
     }
 
     fn add(&mut self, took: Duration) {
         let took_us = took.as_micros().max(1) as f64;
-        let step = (took_us.log2() * f64::from(STEPS_PER_DOUBLING)) as usize;
-        self.counts[step.min(STEPS - 1)] += 1;
+        let step = (took_us.log2() * f64::from(BUCKETS_PER_DOUBLING)) as usize;
+        self.counts[step.min(BUCKETS - 1)] += 1;
         self.count += 1;
-        if self.count >= ANSWERS_KEPT {
+        if self.count >= RESPONSES_KEPT {
             self.halve();
         }
     }
@@ -153,11 +156,11 @@
                 return upper_edge(step);
             }
         }
-        upper_edge(STEPS - 1)
+        upper_edge(BUCKETS - 1)
     }
 }
 
 fn upper_edge(step: usize) -> Duration {
-    let doublings = (step + 1) as f64 / f64::from(STEPS_PER_DOUBLING);
+    let doublings = (step + 1) as f64 / f64::from(BUCKETS_PER_DOUBLING);
     Duration::from_micros(doublings.exp2() as u64)
 }
--- a/crates/yuccarack_policy/src/hidden_load.rs
+++ b/crates/yuccarack_policy/src/hidden_load.rs
@@ -14,12 +14,12 @@
 ///
 /// A report that lags shows requests that have just ended as hidden load; three looks a second
 /// apart don't meet three such moments but under a load that really stands.
-pub const LOOKS: usize = 3;
+pub const AGREEING_REPORTS: usize = 3;
 
 /// The load of a target that its gate didn't hand over.
 #[derive(Clone, Debug, Default)]
 pub struct HiddenLoad {
-    looks: VecDeque<u16>,
+    samples: VecDeque<u16>,
 }
 
 impl HiddenLoad {
@@ -29,24 +29,24 @@
     }
 
     /// Notes a look: what the target said, and the most that the gate had handed over meanwhile.
-    pub fn note(&mut self, reported: u16, handed_over: u16) {
-        if self.looks.len() == LOOKS {
-            self.looks.pop_front();
+    pub fn record(&mut self, reported: u16, handed_over: u16) {
+        if self.samples.len() == AGREEING_REPORTS {
+            self.samples.pop_front();
         }
-        self.looks.push_back(reported.saturating_sub(handed_over));
+        self.samples.push_back(reported.saturating_sub(handed_over));
     }
 
     /// Forgets all looks, as after one that failed: old news may not lower the slots for good.
-    pub fn forget(&mut self) {
-        self.looks.clear();
+    pub fn clear(&mut self) {
+        self.samples.clear();
     }
 
     /// The slots that are left of `slots`.
     pub fn usable_slots(&self, slots: u16) -> u16 {
-        if self.looks.len() < LOOKS {
+        if self.samples.len() < AGREEING_REPORTS {
             return slots;
         }
-        let agreed = self.looks.iter().copied().min().unwrap_or(0);
+        let agreed = self.samples.iter().copied().min().unwrap_or(0);
         slots - agreed.min(slots / 2)
     }
 }
--- a/crates/yuccarack_policy/src/measuring.rs
+++ b/crates/yuccarack_policy/src/measuring.rs
@@ -30,7 +30,7 @@
 
 /// Leave to ask the target once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Permit {
+pub struct MeasurementPermit {
     /// Most bytes to read; the connection is closed at the next one.
     pub bytes_max: u32,
     /// When to stop waiting for the answer.
@@ -39,7 +39,7 @@
 
 /// What measuring has cost since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct MeasuringSpent {
+pub struct MeasuringCost {
     /// Load reports asked for.
     pub requests: u64,
     /// Bytes read.
@@ -47,7 +47,7 @@
     /// Time that looks were in flight, in µs.
     pub time_us: u64,
     /// Looks that ended at their give-up time.
-    pub given_up: u64,
+    pub timeouts: u64,
 }
 
 /// Budget for looks at one target.
@@ -56,21 +56,21 @@
     bytes_max: u32,
     time_max: Duration,
     spacing: Option<Duration>,
-    open: Option<OpenLook>,
-    ended: VecDeque<EndedLook>,
-    earliest_next: Option<Instant>,
-    unanswered_in_row: u32,
-    spent: MeasuringSpent,
+    open: Option<OpenMeasurement>,
+    finished: VecDeque<FinishedMeasurement>,
+    next_start_at: Option<Instant>,
+    timeouts_in_row: u32,
+    total_cost: MeasuringCost,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct OpenLook {
+struct OpenMeasurement {
     started_at: Instant,
-    permit: Permit,
+    permit: MeasurementPermit,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct EndedLook {
+struct FinishedMeasurement {
     ended_at: Instant,
     bytes: u32,
     time: Duration,
@@ -85,41 +85,41 @@
             time_max: Duration::from_millis(u64::from(rules.time_ms_per_s_max)),
             spacing: (requests > 0).then(|| Duration::from_secs(1_000) / requests),
             open: None,
-            ended: VecDeque::new(),
-            earliest_next: None,
-            unanswered_in_row: 0,
-            spent: MeasuringSpent::default(),
+            finished: VecDeque::new(),
+            next_start_at: None,
+            timeouts_in_row: 0,
+            total_cost: MeasuringCost::default(),
         }
     }
 
     /// Starts a look if the budget allows one; at most one is open at a time.
-    pub fn try_start(&mut self, now: Instant) -> Option<Permit> {
+    pub fn try_start(&mut self, now: Instant) -> Option<MeasurementPermit> {
         let spacing = self.spacing?;
         self.close_overdue(now);
-        if self.open.is_some() || self.earliest_next.is_some_and(|next| now < next) {
+        if self.open.is_some() || self.next_start_at.is_some_and(|next| now < next) {
             return None;
         }
-        self.forget(now);
-        let (bytes_left, time_left) = self.left();
+        self.drop_expired(now);
+        let (bytes_left, time_left) = self.remaining();
         if bytes_left < BYTES_MIN || time_left < TIME_MIN {
             return None;
         }
-        let permit = Permit { bytes_max: bytes_left, give_up_at: now + time_left };
-        self.open = Some(OpenLook { started_at: now, permit });
-        self.earliest_next = Some(now + spacing);
-        self.spent.requests += 1;
+        let permit = MeasurementPermit { bytes_max: bytes_left, give_up_at: now + time_left };
+        self.open = Some(OpenMeasurement { started_at: now, permit });
+        self.next_start_at = Some(now + spacing);
+        self.total_cost.requests += 1;
         Some(permit)
     }
 
     /// Notes the end of the open look, answered or not, with the bytes that were read.
-    pub fn finished(&mut self, now: Instant, bytes: u32) {
+    pub fn record_end(&mut self, now: Instant, bytes: u32) {
         let Some(open) = self.open.take() else { return };
         self.charge(open, now, bytes);
     }
 
     /// What has been spent since the start.
-    pub fn spent(&self) -> MeasuringSpent {
-        self.spent
+    pub fn total_cost(&self) -> MeasuringCost {
+        self.total_cost
     }
 
     /// Earliest time at which a look could start, as far as is known now.
@@ -128,9 +128,9 @@
             return now + PAUSE_MAX;
         }
         let after_open = self.open.map_or(now, |open| open.permit.give_up_at);
-        let earliest = self.earliest_next.unwrap_or(now).max(after_open).max(now);
+        let earliest = self.next_start_at.unwrap_or(now).max(after_open).max(now);
         let (mut bytes, mut time) = (0, Duration::ZERO);
-        for look in self.ended.iter().rev() {
+        for look in self.finished.iter().rev() {
             bytes += look.bytes;
             time += look.time;
             let short_of_bytes = bytes + BYTES_MIN > self.bytes_max;
@@ -150,30 +150,30 @@
         self.charge(open, open.permit.give_up_at, open.permit.bytes_max);
     }
 
-    fn charge(&mut self, open: OpenLook, ended_at: Instant, bytes: u32) {
+    fn charge(&mut self, open: OpenMeasurement, ended_at: Instant, bytes: u32) {
         let time = ended_at.saturating_duration_since(open.started_at);
-        self.ended.push_back(EndedLook { ended_at, bytes, time });
-        self.spent.bytes += u64::from(bytes);
-        self.spent.time_us += time.as_micros() as u64;
+        self.finished.push_back(FinishedMeasurement { ended_at, bytes, time });
+        self.total_cost.bytes += u64::from(bytes);
+        self.total_cost.time_us += time.as_micros() as u64;
         if ended_at < open.permit.give_up_at {
-            self.unanswered_in_row = 0;
+            self.timeouts_in_row = 0;
             return;
         }
-        self.spent.given_up += 1;
-        self.unanswered_in_row += 1;
-        let pause = WINDOW.saturating_mul(1 << self.unanswered_in_row.min(5)).min(PAUSE_MAX);
-        self.earliest_next = self.earliest_next.max(Some(ended_at + pause));
+        self.total_cost.timeouts += 1;
+        self.timeouts_in_row += 1;
+        let pause = WINDOW.saturating_mul(1 << self.timeouts_in_row.min(5)).min(PAUSE_MAX);
+        self.next_start_at = self.next_start_at.max(Some(ended_at + pause));
     }
 
-    fn forget(&mut self, now: Instant) {
-        while self.ended.front().is_some_and(|look| look.ended_at + WINDOW <= now) {
-            self.ended.pop_front();
+    fn drop_expired(&mut self, now: Instant) {
+        while self.finished.front().is_some_and(|look| look.ended_at + WINDOW <= now) {
+            self.finished.pop_front();
         }
     }
 
-    fn left(&self) -> (u32, Duration) {
-        let bytes: u32 = self.ended.iter().map(|look| look.bytes).sum();
-        let time: Duration = self.ended.iter().map(|look| look.time).sum();
+    fn remaining(&self) -> (u32, Duration) {
+        let bytes: u32 = self.finished.iter().map(|look| look.bytes).sum();
+        let time: Duration = self.finished.iter().map(|look| look.time).sum();
         (self.bytes_max.saturating_sub(bytes), self.time_max.saturating_sub(time))
     }
 }
--- a/crates/yuccarack_policy/src/placement/gate.rs
+++ b/crates/yuccarack_policy/src/placement/gate.rs
@@ -73,9 +73,9 @@
 }
 
 impl Gate {
-    pub fn new(is_near: bool) -> Self {
+    pub fn new(is_local: bool) -> Self {
         Self {
-            is_local: is_near,
+            is_local,
             outstanding: 0,
             load: None,
             slowdown: SlowdownEstimate::new(),
--- a/crates/yuccarack_policy/src/placement/mod.rs
+++ b/crates/yuccarack_policy/src/placement/mod.rs
@@ -125,8 +125,8 @@
     }
 
     /// Takes a gate in.
-    pub fn add(&mut self, is_near: bool) -> GateKey {
-        self.gates.insert(Gate::new(is_near))
+    pub fn add(&mut self, is_local: bool) -> GateKey {
+        self.gates.insert(Gate::new(is_local))
     }
 
     /// Leaves a gate out for good.
--- a/crates/yuccarack_policy/src/retry.rs
+++ b/crates/yuccarack_policy/src/retry.rs
@@ -39,7 +39,7 @@
 
 /// What became of a try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TryFailure {
+pub enum AttemptFailure {
     /// A gate refused it; it did not run.
     RefusedNotRun,
     /// The link broke before a byte was handed to a target; it did not run.
@@ -52,13 +52,13 @@
 
 /// A try that ended without a usable answer.
 #[derive(Clone, Copy, Debug)]
-pub struct Try {
+pub struct RetryCandidate {
     /// Number of the try, the first is 1.
     pub number: u8,
     /// When the caller gives up.
     pub deadline: Instant,
     /// How the try ended.
-    pub failure: TryFailure,
+    pub failure: AttemptFailure,
     /// Whether the request may run more than once.
     pub repeatable: bool,
     /// How many services the call has come through, the first call is 1.
@@ -99,7 +99,7 @@
     /// It may have run and must not run twice.
     NotRepeatable,
     /// It had all the tries that the rules allow.
-    TriesUsedUp,
+    AttemptsUsedUp,
     /// The deadline is too close.
     DeadlineClose,
     /// The budget for retries after hand-over is spent.
@@ -113,9 +113,9 @@
 /// Decides on retries for one service at one entry.
 #[derive(Clone, Debug)]
 pub struct RetryPolicy {
-    tries_max: u8,
-    failures: EarnedBudget,
-    refusals: EarnedBudget,
+    attempts_max: u8,
+    failure_budget: EarnedBudget,
+    refusal_budget: EarnedBudget,
 }
 
 impl RetryPolicy {
@@ -123,54 +123,58 @@
     pub fn new(rules: &RetryRules) -> Self {
         let refusal_percent = rules.budget_percent.saturating_mul(REFUSAL_FACTOR).min(100);
         Self {
-            tries_max: rules.tries_max,
-            failures: EarnedBudget::new(rules.budget_percent, FAILURE_RESERVE),
-            refusals: EarnedBudget::new(refusal_percent, REFUSAL_RESERVE),
+            attempts_max: rules.tries_max,
+            failure_budget: EarnedBudget::new(rules.budget_percent, FAILURE_RESERVE),
+            refusal_budget: EarnedBudget::new(refusal_percent, REFUSAL_RESERVE),
         }
     }
 
     /// Notes a first try, which earns the budgets' shares.
-    pub fn first_try(&mut self, _now: Instant) {
-        self.failures.earn();
-        self.refusals.earn();
+    pub fn record_first_attempt(&mut self, _now: Instant) {
+        self.failure_budget.earn();
+        self.refusal_budget.earn();
     }
 
     /// Decides on a try that ended without a usable answer, and pays if it is made again.
-    pub fn decide(&mut self, now: Instant, ended: Try) -> RetryDecision {
-        match self.judge(now, &ended) {
+    pub fn decide(&mut self, now: Instant, ended: RetryCandidate) -> RetryDecision {
+        match self.evaluate(now, &ended) {
             Ok(reason) => RetryDecision::Again { reason },
             Err(reason) => RetryDecision::GiveUp { reason },
         }
     }
 
-    fn judge(&mut self, now: Instant, ended: &Try) -> Result<RetryReason, GiveUpReason> {
+    fn evaluate(
+        &mut self,
+        now: Instant,
+        ended: &RetryCandidate,
+    ) -> Result<RetryReason, GiveUpReason> {
         if ended.failure.may_have_run() && !ended.repeatable {
             return Err(GiveUpReason::NotRepeatable);
         }
         if ended.failure.may_have_run() && ended.depth > OUTERMOST_DEPTH {
             return Err(GiveUpReason::NotOutermost);
         }
-        if ended.number >= self.tries_max {
-            return Err(GiveUpReason::TriesUsedUp);
+        if ended.number >= self.attempts_max {
+            return Err(GiveUpReason::AttemptsUsedUp);
         }
         if ended.deadline.saturating_duration_since(now) < TIME_LEFT_MIN {
             return Err(GiveUpReason::DeadlineClose);
         }
-        self.pay(ended.failure)
+        self.charge(ended.failure)
     }
 
-    fn pay(&mut self, failure: TryFailure) -> Result<RetryReason, GiveUpReason> {
-        if failure.may_have_run() && !self.failures.spend() {
+    fn charge(&mut self, failure: AttemptFailure) -> Result<RetryReason, GiveUpReason> {
+        if failure.may_have_run() && !self.failure_budget.spend() {
             return Err(GiveUpReason::FailureBudgetSpent);
         }
-        if !failure.may_have_run() && !self.refusals.spend() {
+        if !failure.may_have_run() && !self.refusal_budget.spend() {
             return Err(GiveUpReason::RefusalBudgetSpent);
         }
         Ok(failure.retry_reason())
     }
 }
 
-impl TryFailure {
+impl AttemptFailure {
     /// Whether a target may have worked on the request.
     pub fn may_have_run(self) -> bool {
         match self {
@@ -206,7 +210,7 @@
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotRepeatable => "not_repeatable",
-            Self::TriesUsedUp => "tries_used_up",
+            Self::AttemptsUsedUp => "tries_used_up",
             Self::DeadlineClose => "deadline_close",
             Self::FailureBudgetSpent => "failure_budget_spent",
             Self::RefusalBudgetSpent => "refusal_budget_spent",
--- a/crates/yuccarack_policy/src/split.rs
+++ b/crates/yuccarack_policy/src/split.rs
@@ -20,8 +20,8 @@
     pub fn new(weights: Vec<u32>, rng: &mut impl Rng) -> Self {
         let total: i64 = weights.iter().map(|&weight| i64::from(weight)).sum();
         let mut start = || if total == 0 { 0 } else { rng.random_range(0..total) };
-        let owed = weights.iter().map(|_| start()).collect();
-        Self { weights, credits: owed }
+        let credits = weights.iter().map(|_| start()).collect();
+        Self { weights, credits }
     }
 
     /// Whether it deals by `weights`.
--- a/crates/yuccarack_policy/src/suspects.rs
+++ b/crates/yuccarack_policy/src/suspects.rs
@@ -107,7 +107,7 @@
     ///
     /// Only a request that ran alone while already suspected is quarantined: one in company may
     /// be a bystander, however often it was there.
-    pub fn crashed(
+    pub fn record_crash(
         &mut self,
         now: Instant,
         in_flight: &[Fingerprint],
@@ -117,7 +117,7 @@
         for &fingerprint in in_flight {
             self.expire(now, fingerprint);
             let phase = self.phase_after_crash(fingerprint, alone);
-            self.put(now, fingerprint, phase);
+            self.insert(now, fingerprint, phase);
             phases.push((fingerprint, phase));
         }
         phases
@@ -125,25 +125,25 @@
 
     /// Notes that a suspect started to run alone.
     pub fn trial_started(&mut self, now: Instant, fingerprint: Fingerprint) {
-        self.put_unless_worse(now, fingerprint, SuspectPhase::OnTrial);
+        self.raise_phase(now, fingerprint, SuspectPhase::OnTrial);
     }
 
     /// Notes that a suspect ran alone and its target lives; clears it.
-    pub fn trial_ended_well(&mut self, fingerprint: Fingerprint) {
+    pub fn trial_succeeded(&mut self, fingerprint: Fingerprint) {
         self.known.remove(&fingerprint);
     }
 
     /// Notes that a trial ended before the request was handed over, so nothing was learned.
     pub fn trial_abandoned(&mut self, now: Instant, fingerprint: Fingerprint) {
         if self.known.get(&fingerprint).is_some_and(|known| known.phase == SuspectPhase::OnTrial) {
-            self.put(now, fingerprint, SuspectPhase::Suspected);
+            self.insert(now, fingerprint, SuspectPhase::Suspected);
         }
     }
 
     /// Takes over what a peer or the table says; never lowers what is known already.
-    pub fn learn(&mut self, now: Instant, fingerprint: Fingerprint, phase: SuspectPhase) {
+    pub fn merge(&mut self, now: Instant, fingerprint: Fingerprint, phase: SuspectPhase) {
         self.expire(now, fingerprint);
-        self.put_unless_worse(now, fingerprint, phase);
+        self.raise_phase(now, fingerprint, phase);
     }
 
     /// Forgets a request by an operator's order or a peer's finished trial.
@@ -169,22 +169,22 @@
         }
     }
 
-    fn put_unless_worse(&mut self, now: Instant, fingerprint: Fingerprint, phase: SuspectPhase) {
+    fn raise_phase(&mut self, now: Instant, fingerprint: Fingerprint, phase: SuspectPhase) {
         let known = self.known.get(&fingerprint).map(|known| known.phase);
         if known.is_none_or(|known| known < phase) {
-            self.put(now, fingerprint, phase);
+            self.insert(now, fingerprint, phase);
         }
     }
 
-    fn put(&mut self, now: Instant, fingerprint: Fingerprint, phase: SuspectPhase) {
-        let until = now + self.lasts(phase);
+    fn insert(&mut self, now: Instant, fingerprint: Fingerprint, phase: SuspectPhase) {
+        let until = now + self.phase_duration(phase);
         self.known.insert(fingerprint, Suspect { phase, until });
         if self.known.len() > self.config.remembered_max {
-            self.make_room();
+            self.evict_least();
         }
     }
 
-    fn lasts(&self, phase: SuspectPhase) -> Duration {
+    fn phase_duration(&self, phase: SuspectPhase) -> Duration {
         match phase {
             SuspectPhase::Suspected => self.config.suspected_for,
             SuspectPhase::OnTrial => self.config.trial_max,
@@ -193,7 +193,7 @@
     }
 
     /// Lets go of the suspect with the lightest phase that would end first.
-    fn make_room(&mut self) {
+    fn evict_least(&mut self) {
         let least = self.known.iter().min_by_key(|(_, known)| (known.phase, known.until));
         if let Some((&fingerprint, _)) = least {
             self.known.remove(&fingerprint);
@@ -212,7 +212,7 @@
                 self.known.remove(&fingerprint);
             }
             SuspectPhase::OnTrial | SuspectPhase::Quarantined => {
-                self.put(now, fingerprint, SuspectPhase::Suspected);
+                self.insert(now, fingerprint, SuspectPhase::Suspected);
             }
         }
     }
--- a/crates/yuccarack_policy/src/unreachable_members.rs
+++ b/crates/yuccarack_policy/src/unreachable_members.rs
@@ -20,9 +20,9 @@
 }
 
 impl UnreachableMembers {
-    /// Starts with none; a member counts as gone after `gone_after` without being reached.
-    pub fn new(gone_after: Duration) -> Self {
-        Self { removal_delay: gone_after, unreachable_since: HashMap::new() }
+    /// Starts with none; a member counts as gone after `removal_delay` without being reached.
+    pub fn new(removal_delay: Duration) -> Self {
+        Self { removal_delay, unreachable_since: HashMap::new() }
     }
 
     /// Takes in a look at members, each with whether it was reached; those that are gone by now.
--- a/crates/yuccarack_policy/src/work_queue/mod.rs
+++ b/crates/yuccarack_policy/src/work_queue/mod.rs
@@ -173,31 +173,31 @@
     }
 
     /// Decides on a request that arrives.
-    pub fn offer(&mut self, now: Instant, work: WorkRequest) -> QueueDecision {
+    pub fn offer(&mut self, now: Instant, request: WorkRequest) -> QueueDecision {
         if self.is_draining {
             return self.refused(now, QueueRefusalReason::Leaving);
         }
-        if work.deadline <= now {
+        if request.deadline <= now {
             return self.refused(now, QueueRefusalReason::CannotEndInTime);
         }
-        if let Some(on_time_left) = work.soft_deadline.checked_duration_since(now) {
-            self.service_times.assume(work.kind, on_time_left.mul_f64(ASSUMED_SERVICE_SHARE));
+        if let Some(on_time_left) = request.soft_deadline.checked_duration_since(now) {
+            self.service_times.assume(request.kind, on_time_left.mul_f64(ASSUMED_SERVICE_SHARE));
         }
         let has_slot = self.running.len() < self.limit();
         let has_room = has_slot && self.cold_rate.next_dispatch_at(now).is_none();
-        let is_passed_over = self.decisions.slow_passed_over && !work.may_wait;
+        let is_passed_over = self.decisions.slow_passed_over && !request.may_wait;
         if has_room && is_passed_over && self.slowdown.at(now) >= SLOWDOWN_MAX {
             return self.refused(now, QueueRefusalReason::Slow);
         }
         if has_room {
-            return QueueDecision::Run(self.start(now, work.kind));
+            return QueueDecision::Run(self.start(now, request.kind));
         }
-        if !work.may_wait {
+        if !request.may_wait {
             let reason = if has_slot { QueueRefusalReason::Cold } else { QueueRefusalReason::Full };
             return self.refused(now, reason);
         }
-        match self.check_wait(now, &work) {
-            Ok(()) => QueueDecision::Wait(self.waiting.insert(WaitingRequest { request: work })),
+        match self.check_wait(now, &request) {
+            Ok(()) => QueueDecision::Wait(self.waiting.insert(WaitingRequest { request })),
             Err(reason) => self.refused(now, reason),
         }
     }
--- a/crates/yuccarack_policy/tests/admission.rs
+++ b/crates/yuccarack_policy/tests/admission.rs
@@ -4,8 +4,8 @@
 
 use yuccarack_config::rules::LimitRules;
 use yuccarack_policy::admission::{
-    Admission, AdmissionConfig, Offer, Offered, RefusalReason, RouteShare, RunEnd, RunKey, Settled,
-    WaitKey,
+    Admission, AdmissionConfig, AdmissionDecision, Offer, RefusalReason, RouteShare, RunKey,
+    RunOutcome, WaitKey, WaitOutcome,
 };
 
 const TOOK: Duration = Duration::from_millis(10);
@@ -27,43 +27,43 @@
         Self { now, admission: Admission::new(now, config) }
     }
 
-    fn offer(&mut self, caller: u64, route: usize) -> Offered {
+    fn offer(&mut self, caller: u64, route: usize) -> AdmissionDecision {
         self.offer_for(caller, route, Duration::from_secs(1))
     }
 
-    fn offer_for(&mut self, caller: u64, route: usize, time: Duration) -> Offered {
+    fn offer_for(&mut self, caller: u64, route: usize, time: Duration) -> AdmissionDecision {
         let offer = Offer { caller, route, deadline: self.now + time, alone: false };
         self.admission.offer(self.now, offer)
     }
 
-    fn offer_alone(&mut self) -> Offered {
+    fn offer_alone(&mut self) -> AdmissionDecision {
         let deadline = self.now + Duration::from_secs(1);
         self.admission.offer(self.now, Offer { caller: 99, route: 0, deadline, alone: true })
     }
 
     fn run(&mut self, caller: u64, route: usize) -> RunKey {
         match self.offer(caller, route) {
-            Offered::Run(key) => key,
+            AdmissionDecision::Run(key) => key,
             other => panic!("should run: {other:?}"),
         }
     }
 
     fn wait(&mut self, caller: u64, route: usize) -> WaitKey {
         match self.offer(caller, route) {
-            Offered::Wait(key) => key,
+            AdmissionDecision::Wait(key) => key,
             other => panic!("should wait: {other:?}"),
         }
     }
 
-    fn done(&mut self, key: RunKey) -> Vec<Settled> {
-        self.admission.release(self.now, key, RunEnd::Done { took: TOOK });
+    fn done(&mut self, key: RunKey) -> Vec<WaitOutcome> {
+        self.admission.release(self.now, key, RunOutcome::Completed { service_time: TOOK });
         self.admission.poll(self.now)
     }
 }
 
-fn reason(offered: Offered) -> RefusalReason {
+fn reason(offered: AdmissionDecision) -> RefusalReason {
     match offered {
-        Offered::Refused(refusal) => refusal.reason,
+        AdmissionDecision::Refused(refusal) => refusal.reason,
         other => panic!("should be refused: {other:?}"),
     }
 }
@@ -82,13 +82,13 @@
     let settled = gate.admission.poll(gate.now);
     assert!(matches!(
         settled[..],
-        [Settled::Refused(_, refusal)] if refusal.reason == RefusalReason::CallerShare
+        [WaitOutcome::Refused(_, refusal)] if refusal.reason == RefusalReason::CallerShare
     ));
     let mut started = Vec::new();
     let mut run = runs[0];
     for _ in 0..3 {
         let settled = gate.done(run);
-        let [Settled::Run(waiting, next)] = settled[..] else { panic!("{settled:?}") };
+        let [WaitOutcome::Run(waiting, next)] = settled[..] else { panic!("{settled:?}") };
         started.push(waiting);
         run = next;
     }
@@ -122,7 +122,7 @@
     gate.run(1, 0);
     gate.wait(2, 0);
     let offered = gate.offer_for(3, 0, Duration::from_millis(15));
-    let Offered::Refused(refusal) = offered else { panic!("{offered:?}") };
+    let AdmissionDecision::Refused(refusal) = offered else { panic!("{offered:?}") };
     assert_eq!(refusal.reason, RefusalReason::DeadlineClose);
     assert!(refusal.retry_after >= TOOK && refusal.retry_after <= 4 * TOOK, "{refusal:?}");
     assert_eq!(reason(gate.offer_for(3, 0, Duration::ZERO)), RefusalReason::DeadlinePassed);
@@ -136,7 +136,7 @@
     let run = gate.run(1, 0);
     gate.done(run);
     gate.run(1, 0);
-    let Offered::Wait(waiting) = gate.offer_for(2, 0, Duration::from_millis(100)) else {
+    let AdmissionDecision::Wait(waiting) = gate.offer_for(2, 0, Duration::from_millis(100)) else {
         panic!("should wait")
     };
     let wake = gate.admission.next_wake().unwrap();
@@ -145,7 +145,7 @@
     let settled = gate.admission.poll(gate.now);
     assert!(matches!(
         settled[..],
-        [Settled::Refused(key, refusal)]
+        [WaitOutcome::Refused(key, refusal)]
             if key == waiting && refusal.reason == RefusalReason::DeadlineClose
     ));
     assert_eq!(gate.admission.next_wake(), None);
@@ -163,7 +163,7 @@
     for caller in 11..41 {
         gate.now += TOOK;
         let settled = gate.done(run);
-        let [Settled::Run(_, next)] = settled[..] else { panic!("{settled:?}") };
+        let [WaitOutcome::Run(_, next)] = settled[..] else { panic!("{settled:?}") };
         run = next;
         gate.offer(caller, 0);
     }
@@ -181,7 +181,7 @@
     let settled = gate.admission.poll(gate.now);
     assert!(matches!(
         settled[..],
-        [Settled::Refused(key, refusal)]
+        [WaitOutcome::Refused(key, refusal)]
             if key == waiting && refusal.reason == RefusalReason::Draining
     ));
     assert_eq!(reason(gate.offer(3, 0)), RefusalReason::Draining);
@@ -196,10 +196,10 @@
 fn a_suspect_runs_alone() {
     let mut gate = Gate::new(4);
     let run = gate.run(1, 0);
-    let Offered::Wait(suspect) = gate.offer_alone() else { panic!("should wait") };
+    let AdmissionDecision::Wait(suspect) = gate.offer_alone() else { panic!("should wait") };
     let other = gate.wait(2, 0);
     let settled = gate.done(run);
-    let [Settled::Run(key, alone)] = settled[..] else { panic!("{settled:?}") };
+    let [WaitOutcome::Run(key, alone)] = settled[..] else { panic!("{settled:?}") };
     assert_eq!(key, suspect);
     let late = gate.wait(3, 0);
     let settled = gate.done(alone);
@@ -214,7 +214,7 @@
     let mut gate = Gate::new(1);
     let run = gate.run(1, 0);
     let waiting = gate.wait(2, 0);
-    gate.admission.release(gate.now, run, RunEnd::Done { took: TOOK });
+    gate.admission.release(gate.now, run, RunOutcome::Completed { service_time: TOOK });
     gate.admission.cancel_wait(gate.now, waiting);
     assert_eq!(gate.admission.poll(gate.now), []);
     assert_eq!(gate.admission.in_flight(), 0);
@@ -243,18 +243,18 @@
     for _ in 0..100 {
         gate.now += Duration::from_millis(60);
         let run = gate.run(1, 0);
-        gate.admission.release(gate.now, run, RunEnd::Shed);
+        gate.admission.release(gate.now, run, RunOutcome::Shed);
     }
     assert_eq!(gate.admission.load().limit, 1);
     for _ in 0..100 {
         gate.now += Duration::from_secs(1);
         let mut runs = Vec::new();
-        while let Offered::Run(run) = gate.offer(1, 0) {
+        while let AdmissionDecision::Run(run) = gate.offer(1, 0) {
             runs.push(run);
         }
         while let Some(run) = runs.pop() {
             for settled in gate.done(run) {
-                if let Settled::Run(_, next) = settled {
+                if let WaitOutcome::Run(_, next) = settled {
                     runs.push(next);
                 }
             }
@@ -279,7 +279,7 @@
     let settled = gate.admission.poll(gate.now);
     assert!(matches!(
         settled[..],
-        [Settled::Refused(_, refusal)] if refusal.reason == RefusalReason::Stalled
+        [WaitOutcome::Refused(_, refusal)] if refusal.reason == RefusalReason::Stalled
     ));
 }
 
@@ -292,7 +292,7 @@
     gate.done(run);
     let runs = [1, 2, 3, 4, 5].map(|caller| gate.run(caller, 0));
     gate.now += Duration::from_millis(20);
-    gate.admission.release(gate.now, runs[0], RunEnd::Cancelled);
+    gate.admission.release(gate.now, runs[0], RunOutcome::Cancelled);
     assert_eq!(reason(gate.offer(6, 0)), RefusalReason::Stalled);
 }
 
@@ -304,9 +304,9 @@
     let mut reported = Vec::new();
     for call in 0..400 {
         gate.now += Duration::from_millis(20);
-        let (route, took) = if call % 10 == 9 { (1, 30 * TOOK) } else { (0, TOOK) };
+        let (route, service_time) = if call % 10 == 9 { (1, 30 * TOOK) } else { (0, TOOK) };
         let run = gate.run(1, route);
-        gate.admission.release(gate.now, run, RunEnd::Done { took });
+        gate.admission.release(gate.now, run, RunOutcome::Completed { service_time });
         reported.push(gate.admission.load().service_us);
     }
     let settled = &reported[300..];
--- a/crates/yuccarack_policy/tests/admission_properties.rs
+++ b/crates/yuccarack_policy/tests/admission_properties.rs
@@ -8,7 +8,8 @@
 use quickcheck::QuickCheck;
 use yuccarack_config::rules::LimitRules;
 use yuccarack_policy::admission::{
-    Admission, AdmissionConfig, Offer, Offered, RouteShare, RunEnd, RunKey, Settled, WaitKey,
+    Admission, AdmissionConfig, AdmissionDecision, Offer, RouteShare, RunKey, RunOutcome, WaitKey,
+    WaitOutcome,
 };
 
 const SLOTS: u16 = 4;
@@ -55,9 +56,9 @@
         let route = usize::from(value / 3 % 2);
         let offer = Offer { caller, route, deadline, alone: value > 250 };
         match self.gate.offer(self.now, offer) {
-            Offered::Run(key) => self.run(key),
-            Offered::Wait(key) => assert!(self.waiting.insert(key, deadline).is_none()),
-            Offered::Refused(refusal) => assert!(!refusal.reason.as_str().is_empty()),
+            AdmissionDecision::Run(key) => self.run(key),
+            AdmissionDecision::Wait(key) => assert!(self.waiting.insert(key, deadline).is_none()),
+            AdmissionDecision::Refused(refusal) => assert!(!refusal.reason.as_str().is_empty()),
         }
     }
 
@@ -71,12 +72,12 @@
             return;
         }
         let key = self.running.remove(usize::from(value) % self.running.len());
-        let took = Duration::from_millis(u64::from(value % 50));
+        let service_time = Duration::from_millis(u64::from(value % 50));
         let end = match value % 4 {
-            0 => RunEnd::Failed { took },
-            1 => RunEnd::Shed,
-            2 => RunEnd::Cancelled,
-            _ => RunEnd::Done { took },
+            0 => RunOutcome::Failed { service_time },
+            1 => RunOutcome::Shed,
+            2 => RunOutcome::Cancelled,
+            _ => RunOutcome::Completed { service_time },
         };
         self.ended.insert(key);
         self.gate.release(self.now, key, end);
@@ -99,7 +100,7 @@
         for settled in self.gate.poll(self.now) {
             let deadline = self.waiting.remove(&settled.wait_key());
             let deadline = deadline.expect("only what waits is settled, and once");
-            if let Settled::Run(_, key) = settled {
+            if let WaitOutcome::Run(_, key) = settled {
                 assert!(self.now <= deadline, "nothing runs past its deadline");
                 self.run(key);
             }
@@ -163,32 +164,32 @@
         let mut gate = Admission::new(now, config);
         let deadline = now + Duration::from_secs(3_600);
         let offer = |caller| Offer { caller, route: 0, deadline, alone: false };
-        let took = Duration::from_millis(u64::from(slots));
+        let service_time = Duration::from_millis(u64::from(slots));
         let mut running: Vec<(RunKey, u64)> = Vec::new();
         let (mut modest, mut ends) = (None, 0);
         for _ in 0..200 {
             for _ in 0..=greed % 20 {
-                if let Offered::Run(key) = gate.offer(now, offer(1)) {
+                if let AdmissionDecision::Run(key) = gate.offer(now, offer(1)) {
                     running.push((key, 1));
                 }
             }
             let has_one = modest.is_some() || running.iter().any(|&(_, caller)| caller == 2);
             if !has_one {
                 match gate.offer(now, offer(2)) {
-                    Offered::Run(key) => running.push((key, 2)),
-                    Offered::Wait(key) => (modest, ends) = (Some(key), 0),
-                    Offered::Refused(_) => return false,
+                    AdmissionDecision::Run(key) => running.push((key, 2)),
+                    AdmissionDecision::Wait(key) => (modest, ends) = (Some(key), 0),
+                    AdmissionDecision::Refused(_) => return false,
                 }
             }
             now += Duration::from_millis(1);
             if running.len() == usize::from(slots) {
-                gate.release(now, running.remove(0).0, RunEnd::Done { took });
+                gate.release(now, running.remove(0).0, RunOutcome::Completed { service_time });
                 ends += 1;
             }
             for settled in gate.poll(now) {
                 let is_modest = modest == Some(settled.wait_key());
                 modest = modest.filter(|_| !is_modest);
-                if let Settled::Run(_, key) = settled {
+                if let WaitOutcome::Run(_, key) = settled {
                     running.push((key, if is_modest { 2 } else { 1 }));
                 }
             }
--- a/crates/yuccarack_policy/tests/choice.rs
+++ b/crates/yuccarack_policy/tests/choice.rs
@@ -9,7 +9,7 @@
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use yuccarack_config::load::LoadReport;
 use yuccarack_policy::choice::{
-    CallEnd, ChoiceRefusal, Chooser, ChooserConfig, Member, MemberState, TargetKey,
+    ChoiceRefusal, Chooser, ChooserConfig, Member, MemberState, TargetAttemptOutcome, TargetKey,
 };
 
 const TOOK: Duration = Duration::from_millis(10);
@@ -43,15 +43,15 @@
     chooser: &mut Chooser,
     now: Instant,
     calls: usize,
-    end: impl Fn(&str) -> CallEnd,
+    end: impl Fn(&str) -> TargetAttemptOutcome,
 ) -> HashMap<String, usize> {
     let mut rng = SmallRng::seed_from_u64(7);
     let mut counts = HashMap::new();
     for _ in 0..calls {
         let key = chooser.choose(now, &mut rng, &[]).expect("a target is ready");
         let instance = chooser.instance_of(key).expect("the target is a member").clone();
-        chooser.started(now, key);
-        chooser.finished(now, key, end(&instance), None);
+        chooser.record_attempt(now, key);
+        chooser.record_outcome(now, key, end(&instance), None);
         *counts.entry(instance).or_default() += 1;
     }
     counts
@@ -85,8 +85,8 @@
             members.iter().map(|m| chooser.key_of(&m.instance).unwrap()).collect();
         for _ in 0..failing {
             let key = keys[rng.random_range(0..targets)];
-            chooser.started(now, key);
-            chooser.finished(now, key, CallEnd::Broken, None);
+            chooser.record_attempt(now, key);
+            chooser.record_outcome(now, key, TargetAttemptOutcome::Broken, None);
         }
         let excluded: Vec<_> = keys.iter().copied().take(usize::from(excluded)).collect();
         let later = now + Duration::from_secs(u64::from(failing));
@@ -112,7 +112,7 @@
         for member in &members {
             let in_flight = if member.instance == "target-0" { 0 } else { 5 };
             let key = chooser.key_of(&member.instance).unwrap();
-            chooser.reported(now, key, report(in_flight, 10_000));
+            chooser.record_report(now, key, report(in_flight, 10_000));
         }
         let mut rng = SmallRng::seed_from_u64(entry);
         let key = chooser.choose(now, &mut rng, &[]).unwrap();
@@ -129,13 +129,13 @@
     let mut members = ready(0..2, "home");
     members.extend(ready(2..4, "away"));
     let mut chooser = chooser(now, &members);
-    let answered = |_: &str| CallEnd::Answered { took: TOOK };
+    let answered = |_: &str| TargetAttemptOutcome::Answered { response_time: TOOK };
     let counts = spread(&mut chooser, now, 200, answered);
     assert!(counts.keys().all(|instance| ["target-0", "target-1"].contains(&instance.as_str())));
     for instance in ["target-0", "target-1"] {
         let key = chooser.key_of(instance).unwrap();
         let full = LoadReport { in_flight: 10, queued: 8, limit: 10, service_us: 10_000 };
-        chooser.reported(now, key, full);
+        chooser.record_report(now, key, full);
     }
     let mut rng = SmallRng::seed_from_u64(3);
     let key = chooser.choose(now, &mut rng, &[]).unwrap();
@@ -149,17 +149,20 @@
     let now = Instant::now();
     let mut chooser = chooser(now, &ready(0..4, "home"));
     let fails = |instance: &str| match instance {
-        "target-0" => CallEnd::TargetFailed { took: Duration::from_micros(100) },
-        _ => CallEnd::Answered { took: TOOK },
+        "target-0" => {
+            TargetAttemptOutcome::TargetFailed { response_time: Duration::from_micros(100) }
+        }
+        _ => TargetAttemptOutcome::Answered { response_time: TOOK },
     };
     let failed = spread(&mut chooser, now, 1_000, fails)["target-0"];
     assert!(failed <= 5, "{failed} of 1000 calls went to a target that fails");
     let mut at = now;
     for _ in 0..40 {
         at += Duration::from_secs(1);
-        spread(&mut chooser, at, 100, |_| CallEnd::Answered { took: TOOK });
+        spread(&mut chooser, at, 100, |_| TargetAttemptOutcome::Answered { response_time: TOOK });
     }
-    let counts = spread(&mut chooser, at, 1_000, |_| CallEnd::Answered { took: TOOK });
+    let counts =
+        spread(&mut chooser, at, 1_000, |_| TargetAttemptOutcome::Answered { response_time: TOOK });
     assert!(counts["target-0"] > 150, "{counts:?}");
 }
 
@@ -169,7 +172,7 @@
 fn ejects_no_more_than_the_agreed_share() {
     let now = Instant::now();
     let mut chooser = chooser(now, &ready(0..6, "home"));
-    spread(&mut chooser, now, 1_000, |_| CallEnd::Broken);
+    spread(&mut chooser, now, 1_000, |_| TargetAttemptOutcome::Broken);
     let ejected = chooser.explain(now).iter().filter(|view| view.ejected_for.is_some()).count();
     assert_eq!(ejected, 3);
 }
@@ -182,10 +185,10 @@
     let mut chooser = chooser(now, &ready(0..3, "home"));
     let key = chooser.key_of("target-0").unwrap();
     for _ in 0..3 {
-        chooser.started(now, key);
-        chooser.finished(now, key, CallEnd::Broken, None);
+        chooser.record_attempt(now, key);
+        chooser.record_outcome(now, key, TargetAttemptOutcome::Broken, None);
     }
-    let answered = |_: &str| CallEnd::Answered { took: TOOK };
+    let answered = |_: &str| TargetAttemptOutcome::Answered { response_time: TOOK };
     let at_once = spread(&mut chooser, now, 300, answered);
     assert_eq!(at_once.get("target-0"), None);
     let later = spread(&mut chooser, now + Duration::from_secs(20), 300, answered);
@@ -200,11 +203,13 @@
     let mut chooser = chooser(now, &ready(0..2, "home"));
     for instance in ["target-0", "target-1"] {
         let key = chooser.key_of(instance).unwrap();
-        chooser.reported(now, key, report(1, 10_000));
+        chooser.record_report(now, key, report(1, 10_000));
     }
     let stalled = chooser.key_of("target-0").unwrap();
-    chooser.started(now, stalled);
-    let counts = spread(&mut chooser, now + Duration::from_millis(60), 50, |_| CallEnd::Cancelled);
+    chooser.record_attempt(now, stalled);
+    let counts = spread(&mut chooser, now + Duration::from_millis(60), 50, |_| {
+        TargetAttemptOutcome::Cancelled
+    });
     assert_eq!(counts.get("target-0"), None);
 }
 
@@ -221,9 +226,14 @@
         let key = chooser.choose(at, &mut rng, &[]).unwrap();
         let lies = chooser.instance_of(key).unwrap() == "target-0";
         let (ms, said_us) = if lies { (100, 1) } else { (10, 10_000) };
-        let took = Duration::from_millis(ms);
-        chooser.started(at, key);
-        chooser.finished(at, key, CallEnd::Answered { took }, Some(report(0, said_us)));
+        let response_time = Duration::from_millis(ms);
+        chooser.record_attempt(at, key);
+        chooser.record_outcome(
+            at,
+            key,
+            TargetAttemptOutcome::Answered { response_time },
+            Some(report(0, said_us)),
+        );
         to_liar += u32::from(lies);
     }
     assert!(to_liar <= 20, "{to_liar} of 200 calls went to the liar");
@@ -238,12 +248,12 @@
     chooser.set_members(now, &ready(0..4, "home"));
     for number in 0..4 {
         let key = chooser.key_of(&format!("target-{number}")).unwrap();
-        chooser.reported(now, key, report(4, 10_000));
+        chooser.record_report(now, key, report(4, 10_000));
     }
-    let cold = spread(&mut chooser, now, 100, |_| CallEnd::Cancelled);
+    let cold = spread(&mut chooser, now, 100, |_| TargetAttemptOutcome::Cancelled);
     assert_eq!(cold.get("target-3"), None);
     let warm = now + Duration::from_secs(11);
-    let counts = spread(&mut chooser, warm, 100, |_| CallEnd::Cancelled);
+    let counts = spread(&mut chooser, warm, 100, |_| TargetAttemptOutcome::Cancelled);
     assert!(counts["target-3"] > 10, "{counts:?}");
 }
 
@@ -255,14 +265,14 @@
     let mut members = ready(0..2, "home");
     let mut chooser = chooser(now, &members);
     let [kept, reborn] = ["target-0", "target-1"].map(|name| chooser.key_of(name).unwrap());
-    chooser.reported(now, kept, report(3, 10_000));
-    chooser.reported(now, reborn, report(3, 10_000));
+    chooser.record_report(now, kept, report(3, 10_000));
+    chooser.record_report(now, reborn, report(3, 10_000));
     members[1].incarnation = 2;
     chooser.set_members(now, &members);
     assert_eq!(chooser.key_of("target-0"), Some(kept));
     assert_ne!(chooser.key_of("target-1"), Some(reborn));
     assert_eq!(chooser.instance_of(reborn), None);
-    chooser.finished(now, reborn, CallEnd::Broken, None);
+    chooser.record_outcome(now, reborn, TargetAttemptOutcome::Broken, None);
     let views = chooser.explain(now);
     assert_eq!(views[0].report, Some(report(3, 10_000)));
     assert_eq!(views[1].report, None);
@@ -276,10 +286,10 @@
     let now = Instant::now();
     let mut chooser = chooser(now, &ready(0..2, "home"));
     let [refusing, other] = ["target-0", "target-1"].map(|name| chooser.key_of(name).unwrap());
-    chooser.reported(now, other, report(6, 10_000));
-    chooser.started(now, refusing);
-    chooser.finished(now, refusing, CallEnd::Refused, Some(report(1, 10_000)));
-    let counts = spread(&mut chooser, now, 50, |_| CallEnd::Cancelled);
+    chooser.record_report(now, other, report(6, 10_000));
+    chooser.record_attempt(now, refusing);
+    chooser.record_outcome(now, refusing, TargetAttemptOutcome::Refused, Some(report(1, 10_000)));
+    let counts = spread(&mut chooser, now, 50, |_| TargetAttemptOutcome::Cancelled);
     assert_eq!(counts.get("target-0"), None);
 }
 
@@ -295,6 +305,6 @@
     for _ in 0..4 {
         let key = chooser.choose(now, &mut rng, &[]).unwrap();
         assert_eq!(chooser.instance_of(key).unwrap(), "target-0");
-        chooser.started(now, key);
+        chooser.record_attempt(now, key);
     }
 }
--- a/crates/yuccarack_policy/tests/extra_tries.rs
+++ b/crates/yuccarack_policy/tests/extra_tries.rs
@@ -8,14 +8,8 @@
 
 const LEFT: Duration = Duration::from_millis(400);
 
-fn bad(ended: GateAttemptFailure) -> FailedGateAttempt {
-    FailedGateAttempt {
-        failure: ended,
-        is_repeatable: true,
-        targets_run: 1,
-        targets_max: 2,
-        time_left: LEFT,
-    }
+fn bad(kind: GateAttemptFailure) -> FailedGateAttempt {
+    FailedGateAttempt { kind, is_repeatable: true, targets_run: 1, targets_max: 2, time_left: LEFT }
 }
 
 #[test]
--- a/crates/yuccarack_policy/tests/hedge.rs
+++ b/crates/yuccarack_policy/tests/hedge.rs
@@ -8,8 +8,8 @@
 fn policy(now: Instant) -> HedgePolicy {
     let mut policy = HedgePolicy::new(&HedgeRules::default());
     for number in 0..100 {
-        policy.first_try(now);
-        policy.answered(now, Duration::from_millis(if number % 20 == 0 { 30 } else { 10 }));
+        policy.record_first_attempt(now);
+        policy.record_response(now, Duration::from_millis(if number % 20 == 0 { 30 } else { 10 }));
     }
     policy
 }
@@ -33,7 +33,7 @@
     let before = policy.delay(now).unwrap();
     let mut spent = 0;
     for _ in 0..1_000 {
-        policy.first_try(now);
+        policy.record_first_attempt(now);
         spent += u32::from(policy.spend(now));
     }
     assert!(spent <= 50 + u32::from(RESERVE), "{spent} hedges for 1000 requests");
@@ -46,11 +46,11 @@
 fn hedges_stop_at_saturation() {
     let now = Instant::now();
     let mut policy = policy(now);
-    (0..10).for_each(|_| policy.refused(now));
+    (0..10).for_each(|_| policy.record_refusal(now));
     assert_eq!(policy.delay(now), None);
     assert!(!policy.spend(now));
     let later = now + Duration::from_secs(10);
-    (0..100).for_each(|_| policy.first_try(later));
+    (0..100).for_each(|_| policy.record_first_attempt(later));
     assert!(policy.delay(later).is_some());
     assert!(policy.spend(later));
 }
@@ -60,7 +60,7 @@
 fn a_budget_of_none_turns_hedging_off() {
     let now = Instant::now();
     let mut policy = HedgePolicy::new(&HedgeRules { budget_percent: 0, ..Default::default() });
-    (0..100).for_each(|_| policy.answered(now, Duration::from_millis(10)));
+    (0..100).for_each(|_| policy.record_response(now, Duration::from_millis(10)));
     assert_eq!(policy.delay(now), None);
     assert!(!policy.spend(now));
 }
@@ -73,6 +73,6 @@
     let mut policy = policy(now);
     while policy.spend(now) {}
     assert!(policy.delay(now).is_some());
-    (0..20).for_each(|_| policy.first_try(now));
+    (0..20).for_each(|_| policy.record_first_attempt(now));
     assert!(policy.spend(now));
 }
--- a/crates/yuccarack_policy/tests/hidden_load.rs
+++ b/crates/yuccarack_policy/tests/hidden_load.rs
@@ -1,16 +1,16 @@
 //! Slots that something else than the gate fills.
 
 use quickcheck::quickcheck;
-use yuccarack_policy::hidden_load::{HiddenLoad, LOOKS};
+use yuccarack_policy::hidden_load::{AGREEING_REPORTS, HiddenLoad};
 
 // A batch job on the target's instance takes four of its ten slots. The gate went on handing over
 // ten requests, of which four waited inside the target where nobody could refuse them any more.
 #[test]
 fn work_that_the_gate_did_not_hand_over_lowers_the_slots() {
     let mut hidden = HiddenLoad::new();
-    for _ in 0..LOOKS {
+    for _ in 0..AGREEING_REPORTS {
         assert_eq!(hidden.usable_slots(10), 10);
-        hidden.note(9, 5);
+        hidden.record(9, 5);
     }
     assert_eq!(hidden.usable_slots(10), 6);
 }
@@ -20,9 +20,9 @@
 #[test]
 fn one_late_report_changes_nothing() {
     let mut hidden = HiddenLoad::new();
-    hidden.note(5, 5);
-    hidden.note(10, 0);
-    hidden.note(5, 5);
+    hidden.record(5, 5);
+    hidden.record(10, 0);
+    hidden.record(5, 5);
     assert_eq!(hidden.usable_slots(10), 10);
 }
 
@@ -31,7 +31,7 @@
     fn a_liar_takes_at_most_half(reports: Vec<(u16, u16)>, slots: u16) -> bool {
         let mut hidden = HiddenLoad::new();
         reports.iter().all(|(reported, handed_over)| {
-            hidden.note(*reported, *handed_over);
+            hidden.record(*reported, *handed_over);
             let usable = hidden.usable_slots(slots);
             usable <= slots && usable >= slots - slots / 2
         })
--- a/crates/yuccarack_policy/tests/measuring.rs
+++ b/crates/yuccarack_policy/tests/measuring.rs
@@ -37,7 +37,7 @@
             let bytes = u32::from(bytes).min(permit.bytes_max);
             looks.push(Look { ended_at, bytes, time: ended_at - now });
             now = ended_at;
-            budget.finished(now, bytes);
+            budget.record_end(now, bytes);
         }
         looks.iter().all(|first| {
             let in_window = |look: &&Look| {
@@ -63,13 +63,13 @@
         if let Some(permit) = budget.try_start(now) {
             assert!(permit.give_up_at <= now + ms(20));
             now = permit.give_up_at;
-            budget.finished(now, 0);
+            budget.record_end(now, 0);
         }
         now = budget.next_at(now).max(now + ms(1));
     }
-    let spent = budget.spent();
+    let spent = budget.total_cost();
     assert!((15..=30).contains(&spent.requests), "{spent:?}");
-    assert_eq!(spent.given_up, spent.requests);
+    assert_eq!(spent.timeouts, spent.requests);
 }
 
 /// A look is open. Nobody may start a second one, and if the daemon never says how the first
@@ -83,7 +83,7 @@
     assert!(budget.next_at(now) >= permit.give_up_at);
     let later = now + Duration::from_secs(60);
     assert!(budget.try_start(later).is_some());
-    assert_eq!(budget.spent().bytes, u64::from(permit.bytes_max));
+    assert_eq!(budget.total_cost().bytes, u64::from(permit.bytes_max));
 }
 
 /// An operator allows no looks at all.
--- a/crates/yuccarack_policy/tests/placement.rs
+++ b/crates/yuccarack_policy/tests/placement.rs
@@ -9,8 +9,8 @@
 
 const WORK: Duration = Duration::from_millis(100);
 
-fn load(running: u16, slowness: f64) -> GateLoad {
-    GateLoad { running, waiting: 0, limit: 7, mean_service_time: WORK, slowdown: slowness }
+fn load(running: u16, slowdown: f64) -> GateLoad {
+    GateLoad { running, waiting: 0, limit: 7, mean_service_time: WORK, slowdown }
 }
 
 /// How often `wanted` is chosen of a hundred times.
--- a/crates/yuccarack_policy/tests/retry.rs
+++ b/crates/yuccarack_policy/tests/retry.rs
@@ -5,13 +5,13 @@
 use quickcheck::QuickCheck;
 use yuccarack_config::rules::RetryRules;
 use yuccarack_policy::retry::{
-    FAILURE_RESERVE, GiveUpReason, REFUSAL_RESERVE, RetryDecision, RetryPolicy, RetryReason, Try,
-    TryFailure,
+    AttemptFailure, FAILURE_RESERVE, GiveUpReason, REFUSAL_RESERVE, RetryCandidate, RetryDecision,
+    RetryPolicy, RetryReason,
 };
 
-fn ended(now: Instant, failure: TryFailure) -> Try {
+fn ended(now: Instant, failure: AttemptFailure) -> RetryCandidate {
     let deadline = now + Duration::from_secs(1);
-    Try { number: 1, deadline, failure, repeatable: true, depth: 1 }
+    RetryCandidate { number: 1, deadline, failure, repeatable: true, depth: 1 }
 }
 
 fn is_again(decision: RetryDecision) -> bool {
@@ -24,11 +24,11 @@
         *runs += 1;
         return;
     };
-    level.first_try(now);
+    level.record_first_attempt(now);
     for number in 1.. {
         call(below, now, depth + 1, runs);
-        let failure = TryFailure::TargetError;
-        let ended = Try { number, depth, ..ended(now, failure) };
+        let failure = AttemptFailure::TargetError;
+        let ended = RetryCandidate { number, depth, ..ended(now, failure) };
         if !is_again(level.decide(now, ended)) {
             return;
         }
@@ -56,14 +56,15 @@
 fn an_order_is_repeated_only_if_it_did_not_run() {
     let now = Instant::now();
     let mut policy = RetryPolicy::new(&RetryRules::default());
-    let mut decide = |failure| policy.decide(now, Try { repeatable: false, ..ended(now, failure) });
+    let mut decide =
+        |failure| policy.decide(now, RetryCandidate { repeatable: false, ..ended(now, failure) });
     let give_up = RetryDecision::GiveUp { reason: GiveUpReason::NotRepeatable };
-    assert_eq!(decide(TryFailure::BrokenUnknown), give_up);
-    assert_eq!(decide(TryFailure::TargetError), give_up);
+    assert_eq!(decide(AttemptFailure::BrokenUnknown), give_up);
+    assert_eq!(decide(AttemptFailure::TargetError), give_up);
     let again = RetryDecision::Again { reason: RetryReason::RefusedNotRun };
-    assert_eq!(decide(TryFailure::RefusedNotRun), again);
+    assert_eq!(decide(AttemptFailure::RefusedNotRun), again);
     let again = RetryDecision::Again { reason: RetryReason::BrokenNotRun };
-    assert_eq!(decide(TryFailure::BrokenNotRun), again);
+    assert_eq!(decide(AttemptFailure::BrokenNotRun), again);
 }
 
 /// The third try has ended, or the caller leaves in a millisecond: another try helps nobody.
@@ -71,11 +72,11 @@
 fn gives_up_when_another_try_is_of_no_use() {
     let now = Instant::now();
     let mut policy = RetryPolicy::new(&RetryRules::default());
-    let third = Try { number: 3, ..ended(now, TryFailure::TargetError) };
-    let used_up = RetryDecision::GiveUp { reason: GiveUpReason::TriesUsedUp };
+    let third = RetryCandidate { number: 3, ..ended(now, AttemptFailure::TargetError) };
+    let used_up = RetryDecision::GiveUp { reason: GiveUpReason::AttemptsUsedUp };
     assert_eq!(policy.decide(now, third), used_up);
     let deadline = now + Duration::from_millis(1);
-    let late = Try { deadline, ..ended(now, TryFailure::TargetError) };
+    let late = RetryCandidate { deadline, ..ended(now, AttemptFailure::TargetError) };
     let close = RetryDecision::GiveUp { reason: GiveUpReason::DeadlineClose };
     assert_eq!(policy.decide(now, late), close);
 }
@@ -97,15 +98,15 @@
             }
             match event % 3 {
                 0 => {
-                    policy.first_try(now);
+                    policy.record_first_attempt(now);
                     firsts += 1;
                 }
                 1 => {
-                    let again = policy.decide(now, ended(now, TryFailure::TargetError));
+                    let again = policy.decide(now, ended(now, AttemptFailure::TargetError));
                     failures += u32::from(is_again(again));
                 }
                 _ => {
-                    let again = policy.decide(now, ended(now, TryFailure::RefusedNotRun));
+                    let again = policy.decide(now, ended(now, AttemptFailure::RefusedNotRun));
                     refusals += u32::from(is_again(again));
                 }
             }
--- a/crates/yuccarack_policy/tests/stall.rs
+++ b/crates/yuccarack_policy/tests/stall.rs
@@ -4,7 +4,8 @@
 
 use yuccarack_config::rules::LimitRules;
 use yuccarack_policy::admission::{
-    Admission, AdmissionConfig, Offer, Offered, RefusalReason, RouteShare, RunEnd, RunKey,
+    Admission, AdmissionConfig, AdmissionDecision, Offer, RefusalReason, RouteShare, RunKey,
+    RunOutcome,
 };
 
 const QUICK: Duration = Duration::from_micros(200);
@@ -20,7 +21,7 @@
 
 fn run(gate: &mut Admission, now: Instant) -> RunKey {
     match gate.offer(now, offer(now)) {
-        Offered::Run(key) => key,
+        AdmissionDecision::Run(key) => key,
         other => panic!("not run but {other:?}"),
     }
 }
@@ -30,7 +31,7 @@
     for _ in 0..500 {
         let key = run(gate, now);
         now += QUICK;
-        gate.release(now, key, RunEnd::Done { took: QUICK });
+        gate.release(now, key, RunOutcome::Completed { service_time: QUICK });
     }
     now
 }
@@ -73,7 +74,7 @@
     }
     let later = now + Duration::from_millis(20);
     match gate.offer(later, offer(later)) {
-        Offered::Refused(refusal) => assert_eq!(refusal.reason, RefusalReason::Stalled),
+        AdmissionDecision::Refused(refusal) => assert_eq!(refusal.reason, RefusalReason::Stalled),
         other => panic!("not refused but {other:?}"),
     }
 }
@@ -101,7 +102,7 @@
     let now = learn(&mut gate, start);
     let uploads: Vec<RunKey> = (0..10).map(|_| run(&mut gate, now)).collect();
     for upload in uploads {
-        gate.moved(now, upload);
+        gate.record_progress(now, upload);
     }
     run(&mut gate, now + Duration::from_millis(200));
 }
@@ -114,10 +115,10 @@
     let mut gate = gate(start);
     let now = learn(&mut gate, start);
     let upload = run(&mut gate, now);
-    gate.moved(now, upload);
+    gate.record_progress(now, upload);
     for _ in 0..9 {
         run(&mut gate, now);
     }
     let later = now + Duration::from_millis(20);
-    assert!(matches!(gate.offer(later, offer(later)), Offered::Refused(_)));
+    assert!(matches!(gate.offer(later, offer(later)), AdmissionDecision::Refused(_)));
 }
--- a/crates/yuccarack_policy/tests/suspects.rs
+++ b/crates/yuccarack_policy/tests/suspects.rs
@@ -16,11 +16,11 @@
     let now = Instant::now();
     let mut suspects = suspects();
     assert_eq!(suspects.verdict(now, 1), Verdict::Clear);
-    suspects.crashed(now, &[1, 2], false);
+    suspects.record_crash(now, &[1, 2], false);
     assert_eq!(suspects.verdict(now, 1), Verdict::Alone);
     suspects.trial_started(now, 1);
     assert!(matches!(suspects.verdict(now, 1), Verdict::OnTrialElsewhere { .. }));
-    let phases = suspects.crashed(now, &[1], true);
+    let phases = suspects.record_crash(now, &[1], true);
     assert_eq!(phases, [(1, SuspectPhase::Quarantined)]);
     let Verdict::Quarantined { until } = suspects.verdict(now, 1) else { panic!("quarantined") };
     assert_eq!(suspects.verdict(until, 1), Verdict::Alone);
@@ -33,12 +33,12 @@
     let now = Instant::now();
     let mut suspects = suspects();
     let in_flight: Vec<u64> = (0..10).collect();
-    suspects.crashed(now, &in_flight, false);
-    suspects.crashed(now, &in_flight, false);
+    suspects.record_crash(now, &in_flight, false);
+    suspects.record_crash(now, &in_flight, false);
     for bystander in 1..10 {
         assert_eq!(suspects.verdict(now, bystander), Verdict::Alone);
         suspects.trial_started(now, bystander);
-        suspects.trial_ended_well(bystander);
+        suspects.trial_succeeded(bystander);
         assert_eq!(suspects.verdict(now, bystander), Verdict::Clear);
     }
     assert_eq!(suspects.verdict(now, 0), Verdict::Alone);
@@ -50,8 +50,8 @@
 fn news_never_lowers_what_is_known() {
     let now = Instant::now();
     let mut suspects = suspects();
-    suspects.learn(now, 1, SuspectPhase::Quarantined);
-    suspects.learn(now, 1, SuspectPhase::Suspected);
+    suspects.merge(now, 1, SuspectPhase::Quarantined);
+    suspects.merge(now, 1, SuspectPhase::Suspected);
     suspects.trial_started(now, 1);
     assert!(matches!(suspects.verdict(now, 1), Verdict::Quarantined { .. }));
     suspects.clear(1);
@@ -64,7 +64,7 @@
 fn a_lost_trial_ends_by_itself() {
     let now = Instant::now();
     let mut suspects = suspects();
-    suspects.crashed(now, &[1], false);
+    suspects.record_crash(now, &[1], false);
     suspects.trial_started(now, 1);
     let later = now + SuspectsConfig::default().trial_max;
     assert_eq!(suspects.verdict(later, 1), Verdict::Alone);
@@ -78,9 +78,9 @@
     let now = Instant::now();
     let config = SuspectsConfig { remembered_max: 100, ..Default::default() };
     let mut suspects = Suspects::new(config);
-    suspects.learn(now, u64::MAX, SuspectPhase::Quarantined);
+    suspects.merge(now, u64::MAX, SuspectPhase::Quarantined);
     for fingerprint in 0..10_000 {
-        suspects.crashed(now + Duration::from_millis(fingerprint), &[fingerprint], false);
+        suspects.record_crash(now + Duration::from_millis(fingerprint), &[fingerprint], false);
     }
     assert_eq!(suspects.len(), 100);
     assert!(matches!(suspects.verdict(now, u64::MAX), Verdict::Quarantined { .. }));
--- a/crates/yuccarackd/src/coordination/entry/attempt_sender.rs
+++ b/crates/yuccarackd/src/coordination/entry/attempt_sender.rs
@@ -5,8 +5,8 @@
 use http::{Request, Response, StatusCode};
 use yuccarack_config::{headers, ids::AttemptId, load::LoadReport};
 use yuccarack_policy::{
-    choice::{CallEnd, TargetKey},
-    retry::TryFailure,
+    choice::{TargetAttemptOutcome, TargetKey},
+    retry::AttemptFailure,
 };
 
 use super::{
@@ -28,7 +28,7 @@
 /// An attempt that failed or was refused, after which the retry policy decides.
 pub struct FailedAttempt {
     /// How the attempt failed.
-    pub failure: TryFailure,
+    pub failure: AttemptFailure,
     /// Whether another attempt is safe even for a request that must not repeat, as a gate has to
     /// claim its key first.
     pub is_guarded: bool,
@@ -112,19 +112,25 @@
         let failure = match outcome {
             Some(Outcome::NotRun) => {
                 self.tracker.record_not_run();
-                record.finish(CallEnd::Refused, load);
-                TryFailure::RefusedNotRun
+                record.finish(TargetAttemptOutcome::Refused, load);
+                AttemptFailure::RefusedNotRun
             }
             Some(Outcome::Unknown) => {
-                record.finish(CallEnd::Broken, load);
-                TryFailure::BrokenUnknown
+                record.finish(TargetAttemptOutcome::Broken, load);
+                AttemptFailure::BrokenUnknown
             }
             None if response.status().is_server_error() => {
-                record.finish(CallEnd::TargetFailed { took: record.elapsed() }, load);
-                TryFailure::TargetError
+                record.finish(
+                    TargetAttemptOutcome::TargetFailed { response_time: record.elapsed() },
+                    load,
+                );
+                AttemptFailure::TargetError
             }
             None | Some(Outcome::Run) => {
-                record.finish(CallEnd::Answered { took: record.elapsed() }, load);
+                record.finish(
+                    TargetAttemptOutcome::Answered { response_time: record.elapsed() },
+                    load,
+                );
                 return Ok(response);
             }
         };
@@ -143,19 +149,19 @@
         error: &SendError,
         record: &mut AttemptRecord<'_>,
     ) -> FailedAttempt {
-        record.finish(CallEnd::Broken, None);
+        record.finish(TargetAttemptOutcome::Broken, None);
         let counters = &self.entry.parts.counters;
         if error.is_not_sent() {
             self.tracker.record_not_run();
             counters.add("entry.gate_unreachable");
             let refusal = Refusal::not_run(Reason::Unreachable);
-            let failure = TryFailure::BrokenNotRun;
+            let failure = AttemptFailure::BrokenNotRun;
             return FailedAttempt { failure, is_guarded: true, response: Err(refusal) };
         }
         counters.add("entry.gate_link_broken");
         let refusal = Refusal::unknown(Reason::Broken);
         FailedAttempt {
-            failure: TryFailure::BrokenUnknown,
+            failure: AttemptFailure::BrokenUnknown,
             is_guarded: true,
             response: Err(refusal),
         }
@@ -193,7 +199,7 @@
         self.started_at.elapsed()
     }
 
-    fn finish(&mut self, end: CallEnd, load: Option<LoadReport>) {
+    fn finish(&mut self, end: TargetAttemptOutcome, load: Option<LoadReport>) {
         if let Some(key) = self.key.take() {
             self.service.record_attempt_end(Instant::now(), key, end, load);
         }
@@ -202,7 +208,7 @@
 
 impl Drop for AttemptRecord<'_> {
     fn drop(&mut self) {
-        self.finish(CallEnd::Cancelled, None);
+        self.finish(TargetAttemptOutcome::Cancelled, None);
     }
 }
 
--- a/crates/yuccarackd/src/coordination/entry/attempts.rs
+++ b/crates/yuccarackd/src/coordination/entry/attempts.rs
@@ -6,7 +6,7 @@
 use tokio::time::sleep;
 use yuccarack_policy::{
     choice::TargetKey,
-    retry::{RetryDecision, Try},
+    retry::{RetryCandidate, RetryDecision},
 };
 
 use super::{
@@ -82,7 +82,7 @@
     }
 
     fn decide_retry(&self, number: u8, failed: &FailedAttempt) -> bool {
-        let ended_attempt = Try {
+        let ended_attempt = RetryCandidate {
             number,
             deadline: self.call.deadline,
             failure: failed.failure,
--- a/crates/yuccarackd/src/coordination/entry/service.rs
+++ b/crates/yuccarackd/src/coordination/entry/service.rs
@@ -16,10 +16,11 @@
 use yuccarack_platform::rows::{MemberRow, TargetState};
 use yuccarack_policy::{
     choice::{
-        CallEnd, ChoiceRefusal, Chooser, ChooserConfig, Member, MemberState, TargetKey, WeighedView,
+        ChoiceRefusal, Chooser, ChooserConfig, ComparedCandidateView, Member, MemberState,
+        TargetAttemptOutcome, TargetKey,
     },
     hedge::HedgePolicy,
-    retry::{RetryDecision, RetryPolicy, Try},
+    retry::{RetryCandidate, RetryDecision, RetryPolicy},
 };
 
 use crate::state::directory::ServiceView;
@@ -49,7 +50,7 @@
     /// Address on which the gate accepts requests.
     pub address: SocketAddr,
     /// Candidates that were compared, for the call log.
-    pub candidates: Vec<WeighedView>,
+    pub candidates: Vec<ComparedCandidateView>,
 }
 
 impl EntryService {
@@ -97,8 +98,8 @@
     /// Records the first attempt of a call, which adds its share to the retry and hedge budgets.
     pub fn record_first_attempt(&self, now: Instant) {
         let mut policies = self.policies.lock();
-        policies.retry.first_try(now);
-        policies.hedge.first_try(now);
+        policies.retry.record_first_attempt(now);
+        policies.hedge.record_first_attempt(now);
     }
 
     /// Chooses a gate that isn't in `attempted` and records the start of an attempt there.
@@ -115,8 +116,8 @@
         let key = policies.chooser.choose(now, &mut policies.rng, attempted)?;
         let instance = policies.chooser.instance_of(key).ok_or(ChoiceRefusal::NoMembers)?.clone();
         let address = *policies.gates.get(&instance).ok_or(ChoiceRefusal::NoMembers)?;
-        let candidates = policies.chooser.weighed(now);
-        policies.chooser.started(now, key);
+        let candidates = policies.chooser.compared(now);
+        policies.chooser.record_attempt(now, key);
         Ok(ChosenGate { key, instance, address, candidates })
     }
 
@@ -125,20 +126,24 @@
         &self,
         now: Instant,
         key: TargetKey,
-        end: CallEnd,
+        end: TargetAttemptOutcome,
         load: Option<LoadReport>,
     ) {
         let mut policies = self.policies.lock();
-        policies.chooser.finished(now, key, end, load);
+        policies.chooser.record_outcome(now, key, end, load);
         match end {
-            CallEnd::Answered { took } => policies.hedge.answered(now, took),
-            CallEnd::Refused => policies.hedge.refused(now),
-            CallEnd::TargetFailed { .. } | CallEnd::Broken | CallEnd::Cancelled => {}
+            TargetAttemptOutcome::Answered { response_time } => {
+                policies.hedge.record_response(now, response_time)
+            }
+            TargetAttemptOutcome::Refused => policies.hedge.record_refusal(now),
+            TargetAttemptOutcome::TargetFailed { .. }
+            | TargetAttemptOutcome::Broken
+            | TargetAttemptOutcome::Cancelled => {}
         }
     }
 
     /// Decides on another attempt after a failed one.
-    pub fn decide_retry(&self, now: Instant, ended_attempt: Try) -> RetryDecision {
+    pub fn decide_retry(&self, now: Instant, ended_attempt: RetryCandidate) -> RetryDecision {
         self.policies.lock().retry.decide(now, ended_attempt)
     }
 
--- a/crates/yuccarackd/src/coordination/gate/slots.rs
+++ b/crates/yuccarackd/src/coordination/gate/slots.rs
@@ -11,7 +11,8 @@
 use tokio_util::sync::CancellationToken;
 use yuccarack_config::load::LoadReport;
 use yuccarack_policy::admission::{
-    Admission, AdmissionConfig, Offer, Offered, Refusal, RunEnd, RunKey, Settled, WaitKey,
+    Admission, AdmissionConfig, AdmissionDecision, Offer, Refusal, RunKey, RunOutcome, WaitKey,
+    WaitOutcome,
 };
 
 /// Sleep of the clock when nothing is due. The next request that is queued wakes it earlier.
@@ -78,7 +79,7 @@
 
     /// Records that a piece of a long request or response has been transferred.
     pub fn record_progress(&self, key: RunKey) {
-        self.shared.state.lock().admission.moved(Instant::now(), key);
+        self.shared.state.lock().admission.record_progress(Instant::now(), key);
     }
 
     /// Returns the load as the admission policy counts it.
@@ -107,9 +108,9 @@
     fn offer(&self, offer: Offer) -> Result<SlotLease, NotStarted> {
         let mut state = self.shared.state.lock();
         match state.admission.offer(Instant::now(), offer) {
-            Offered::Run(key) => Ok(SlotLease::new(self.clone(), key)),
-            Offered::Refused(refusal) => Err(NotStarted::Refused(refusal)),
-            Offered::Wait(key) => {
+            AdmissionDecision::Run(key) => Ok(SlotLease::new(self.clone(), key)),
+            AdmissionDecision::Refused(refusal) => Err(NotStarted::Refused(refusal)),
+            AdmissionDecision::Wait(key) => {
                 let (sender, settled) = oneshot::channel();
                 state.waiting.insert(key, sender);
                 drop(state);
@@ -128,7 +129,7 @@
         result
     }
 
-    fn release(&self, key: RunKey, end: RunEnd) {
+    fn release(&self, key: RunKey, end: RunOutcome) {
         self.with_state(|state, now| state.admission.release(now, key, end));
     }
 }
@@ -148,10 +149,10 @@
         }
     }
 
-    fn notify_waiter(&mut self, now: Instant, settled: Settled) {
+    fn notify_waiter(&mut self, now: Instant, settled: WaitOutcome) {
         match settled {
-            Settled::Run(wait, run) => self.assign_slot(now, wait, run),
-            Settled::Refused(wait, refusal) => {
+            WaitOutcome::Run(wait, run) => self.assign_slot(now, wait, run),
+            WaitOutcome::Refused(wait, refusal) => {
                 if let Some(waiter) = self.waiting.remove(&wait) {
                     let _ = waiter.send(Err(refusal));
                 }
@@ -167,7 +168,7 @@
             None => false,
         };
         if !is_delivered {
-            self.admission.release(now, run, RunEnd::Cancelled);
+            self.admission.release(now, run, RunOutcome::Cancelled);
         }
     }
 }
@@ -206,7 +207,7 @@
             state.waiting.remove(&key);
             // The slot may have been assigned just before this drop.
             match self.settled.try_recv() {
-                Ok(Ok(run)) => state.admission.release(now, run, RunEnd::Cancelled),
+                Ok(Ok(run)) => state.admission.release(now, run, RunOutcome::Cancelled),
                 Ok(Err(_)) => {}
                 Err(_) => state.admission.cancel_wait(now, key),
             }
@@ -245,22 +246,22 @@
 
     /// Releases the slot after a complete response, whose duration counts as a service time.
     pub fn finish(mut self) {
-        let took = self.started_at.elapsed();
-        self.release(RunEnd::Done { took });
+        let service_time = self.started_at.elapsed();
+        self.release(RunOutcome::Completed { service_time });
     }
 
     /// Releases the slot after the target failed.
     pub fn finish_failed(mut self) {
-        let took = self.started_at.elapsed();
-        self.release(RunEnd::Failed { took });
+        let service_time = self.started_at.elapsed();
+        self.release(RunOutcome::Failed { service_time });
     }
 
     /// Releases the slot after the target shed the request.
     pub fn finish_shed(mut self) {
-        self.release(RunEnd::Shed);
+        self.release(RunOutcome::Shed);
     }
 
-    fn release(&mut self, end: RunEnd) {
+    fn release(&mut self, end: RunOutcome) {
         if let Some(key) = self.key.take() {
             self.slots.release(key, end);
         }
@@ -269,6 +270,6 @@
 
 impl Drop for SlotLease {
     fn drop(&mut self) {
-        self.release(RunEnd::Cancelled);
+        self.release(RunOutcome::Cancelled);
     }
 }
--- a/crates/yuccarackd/src/coordination/measuring.rs
+++ b/crates/yuccarackd/src/coordination/measuring.rs
@@ -12,7 +12,7 @@
 use yuccarack_config::rules::MeasuringRules;
 use yuccarack_policy::{
     hidden_load::HiddenLoad,
-    measuring::{MeasuringBudget, Permit, WINDOW},
+    measuring::{MeasurementPermit, MeasuringBudget, WINDOW},
 };
 
 use super::gate::{Gate, target::GateTarget};
@@ -81,14 +81,14 @@
         tokio::time::sleep(WINDOW).await;
     }
 
-    async fn look(&mut self, target: &GateTarget, path: &str, permit: Permit) {
-        let before = self.budget.spent();
+    async fn look(&mut self, target: &GateTarget, path: &str, permit: MeasurementPermit) {
+        let before = self.budget.total_cost();
         let handed_over_before = target.slots.in_flight();
         let seen = look(target.address(), path, permit.bytes_max, permit.give_up_at).await;
-        self.budget.finished(Instant::now(), seen.bytes);
+        self.budget.record_end(Instant::now(), seen.bytes);
         let handed_over = handed_over_before.max(target.slots.in_flight());
         self.note(target, &seen, handed_over);
-        let spent = self.budget.spent();
+        let spent = self.budget.total_cost();
         self.counters.add("measuring.requests");
         self.counters.add_many("measuring.bytes", u64::from(seen.bytes));
         self.counters.add_many("measuring.time_us", spent.time_us - before.time_us);
@@ -98,11 +98,11 @@
         match seen.load {
             Some(load) => {
                 let handed_over = u16::try_from(handed_over).unwrap_or(u16::MAX);
-                self.hidden.note(load.in_flight, handed_over);
+                self.hidden.record(load.in_flight, handed_over);
             }
             None => {
                 self.counters.add("measuring.no_answer");
-                self.hidden.forget();
+                self.hidden.clear();
             }
         }
         let slots = target.view.announcement.slots;
--- a/crates/yuccarackd/src/coordination/routed/entry/attempts.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/attempts.rs
@@ -148,7 +148,7 @@
     ) -> bool {
         let now = Instant::now();
         let decision = self.service.decide_extra_attempt(FailedGateAttempt {
-            failure,
+            kind: failure,
             is_repeatable: self.call.is_repeatable,
             targets_run: self.targets_run,
             targets_max: self.call.targets_max,
--- a/crates/yuccarackd/src/coordination/suspects/memory.rs
+++ b/crates/yuccarackd/src/coordination/suspects/memory.rs
@@ -60,7 +60,7 @@
             if !seen.insert(fingerprint) {
                 continue;
             }
-            let phases = self.suspects.crashed(now, &[fingerprint], alone);
+            let phases = self.suspects.record_crash(now, &[fingerprint], alone);
             let is_second = self.add_death(now, fingerprint, instance);
             let is_quarantined =
                 is_second || phases.iter().any(|(_, phase)| *phase == SuspectPhase::Quarantined);
@@ -78,14 +78,14 @@
         let fingerprint = news.fingerprint;
         match news.event {
             SuspectEvent::TargetDied => {
-                self.suspects.learn(now, fingerprint, SuspectPhase::Suspected);
+                self.suspects.merge(now, fingerprint, SuspectPhase::Suspected);
                 self.add_death(now, fingerprint, &news.instance);
             }
             SuspectEvent::Quarantined => {
-                self.suspects.learn(now, fingerprint, SuspectPhase::Quarantined);
+                self.suspects.merge(now, fingerprint, SuspectPhase::Quarantined);
             }
             SuspectEvent::TrialStarted => {
-                self.suspects.learn(now, fingerprint, SuspectPhase::OnTrial);
+                self.suspects.merge(now, fingerprint, SuspectPhase::OnTrial);
             }
             SuspectEvent::TrialAbandoned => self.suspects.trial_abandoned(now, fingerprint),
             SuspectEvent::Cleared => self.clear(fingerprint),
@@ -100,7 +100,7 @@
         phase: SuspectPhase,
         died: &[InstanceId],
     ) {
-        self.suspects.learn(now, fingerprint, phase);
+        self.suspects.merge(now, fingerprint, phase);
         for instance in died {
             self.add_death(now, fingerprint, instance);
         }
@@ -174,7 +174,7 @@
         died.insert(instance.to_owned());
         let is_second = died.len() >= DEATHS_MAX;
         if is_second {
-            self.suspects.learn(now, fingerprint, SuspectPhase::Quarantined);
+            self.suspects.merge(now, fingerprint, SuspectPhase::Quarantined);
         }
         is_second
     }
--- a/crates/yuccarackd/src/protocol/gate_status.rs
+++ b/crates/yuccarackd/src/protocol/gate_status.rs
@@ -25,9 +25,9 @@
 
 impl std::fmt::Display for GateStatus {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let GateLoad { running, waiting, limit, mean_service_time: mean_work, slowdown: slowness } =
-            self.load;
-        let (work_us, slowness_percent) = (mean_work.as_micros(), (slowness * 100.0).round());
+        let GateLoad { running, waiting, limit, mean_service_time, slowdown } = self.load;
+        let (work_us, slowness_percent) =
+            (mean_service_time.as_micros(), (slowdown * 100.0).round());
         write!(f, "{running},{waiting},{limit},{work_us},{slowness_percent},")?;
         write!(f, "{}", self.routing_version)
     }
--- a/crates/yuccarackd/src/state/call_log.rs
+++ b/crates/yuccarackd/src/state/call_log.rs
@@ -13,7 +13,7 @@
     headers,
     ids::{InstanceId, RequestId},
 };
-use yuccarack_policy::choice::WeighedView;
+use yuccarack_policy::choice::ComparedCandidateView;
 
 use crate::protocol::{body::CallBody, refusal::Refusal};
 
@@ -152,7 +152,7 @@
 }
 
 impl Candidate {
-    fn new(view: &WeighedView) -> Self {
+    fn new(view: &ComparedCandidateView) -> Self {
         Self {
             instance: view.instance.clone(),
             expected_us: micros(view.expected),
@@ -163,7 +163,7 @@
 
 impl CallEvent {
     /// Creates the event for the choice of a gate.
-    pub fn chosen(instance: &str, weighed: &[WeighedView]) -> Self {
+    pub fn chosen(instance: &str, weighed: &[ComparedCandidateView]) -> Self {
         let weighed = weighed.iter().map(Candidate::new).collect();
         Self::Chosen { instance: instance.to_owned(), weighed }
     }
