--- a/crates/yuccarackd/examples/measure_claims.rs
+++ b/crates/yuccarackd/examples/measure_claims.rs
@@ -13,7 +13,7 @@
 use yuccarack_platform::{PlatformClient, rows::RecordedOutcome};
 use yuccarack_standins::platform::{Platform, PlatformFaults};
 use yuccarackd::{
-    coordination::claims::{ClaimKeeper, ClaimRequest, ClaimVerdict},
+    coordination::claims::{ClaimRequest, ClaimTracker, ClaimVerdict},
     state::counters::Counters,
 };
 
@@ -63,12 +63,12 @@
     platform.set_faults(PlatformFaults { delay_ms, ..Default::default() });
     let (tasks, stop) = (TaskTracker::new(), CancellationToken::new());
     let client = PlatformClient::new(platform.address(), Duration::from_millis(500));
-    let keeper =
-        ClaimKeeper::start(client, "measured".to_owned(), Counters::new(), &tasks, stop.clone());
+    let tracker =
+        ClaimTracker::start(client, "measured".to_owned(), Counters::new(), &tasks, stop.clone());
     // The first claim also writes the fence row.
-    let _ = claim(keeper.clone(), u128::MAX).await;
+    let _ = claim(tracker.clone(), u128::MAX).await;
     let before = platform.stats();
-    let (took_us, claims, refused) = claim_at(rate, &keeper).await;
+    let (took_us, claims, refused) = claim_at(rate, &tracker).await;
     let after = platform.stats();
     stop.cancel();
     tasks.close();
@@ -85,14 +85,14 @@
 }
 
 /// Claims at an even rate, whether or not earlier claims have ended.
-async fn claim_at(rate: u32, keeper: &ClaimKeeper) -> (Histogram<u64>, u64, u64) {
+async fn claim_at(rate: u32, tracker: &ClaimTracker) -> (Histogram<u64>, u64, u64) {
     let mut took_us = Histogram::new(3).expect("three digits are possible");
     let (mut granted, mut refused) = (0, 0);
     let mut running = JoinSet::new();
     let start = Instant::now();
     for number in 0..rate * u32::try_from(RUN.as_secs()).unwrap_or(1) {
         sleep_until((start + number * Duration::from_secs(1) / rate).into()).await;
-        running.spawn(claim(keeper.clone(), u128::from(number)));
+        running.spawn(claim(tracker.clone(), u128::from(number)));
     }
     while let Some(took) = running.join_next().await {
         match took.expect("no claim panics") {
@@ -108,22 +108,22 @@
 }
 
 /// Claims a key, ends its request at once, and says how long the claim took.
-async fn claim(keeper: ClaimKeeper, attempt: u128) -> Option<Duration> {
+async fn claim(tracker: ClaimTracker, attempt: u128) -> Option<Duration> {
     let asked_at = Instant::now();
     let request = ClaimRequest {
         service: "refills".to_owned(),
         key: format!("0b7f5c1e-{attempt:024x}"),
         attempt,
         fingerprint: 7,
-        give_up_at: asked_at + Duration::from_secs(2),
+        dispatch_deadline: asked_at + Duration::from_secs(2),
     };
-    let ClaimVerdict::Mine(claim) = keeper.claim(request).await else { return None };
+    let ClaimVerdict::Granted(claim) = tracker.claim(request).await else { return None };
     let took = asked_at.elapsed();
     let outcome = RecordedOutcome {
         status: 201,
         content_type: Some("application/json".to_owned()),
         body: Some(vec![b'x'; 200]),
     };
-    claim.hand_over()?.done(outcome);
+    claim.begin_dispatch()?.record_outcome(outcome);
     Some(took)
 }
--- a/crates/yuccarackd/src/coordination/claims/batch.rs
+++ b/crates/yuccarackd/src/coordination/claims/batch.rs
@@ -15,13 +15,13 @@
 
 /// What the writer tells a call that wants a claim.
 #[derive(Debug)]
-pub enum Answer {
+pub enum ClaimReply {
     /// The row is written.
     Granted(Claim),
     /// There is a row already.
     Taken,
     /// The store is away; it is proved that no row stays.
-    StoreAway,
+    StoreUnavailable,
 }
 
 /// A claim that waits for its row.
@@ -32,9 +32,9 @@
     /// The row to be.
     pub row: Box<ClaimRow>,
     /// Instant from which on the request isn't handed over any more.
-    pub give_up_at: Instant,
+    pub dispatch_deadline: Instant,
     /// The call that waits; unset once it has its answer.
-    reply: Option<oneshot::Sender<Answer>>,
+    reply_sender: Option<oneshot::Sender<ClaimReply>>,
 }
 
 /// A change of a claim that this gate holds; it may be sent twice or land late.
@@ -43,7 +43,7 @@
 /// was claimed anew. Each asks for the revision that this gate's own claim gave the row, which no
 /// later row ever has, so a second or late one changes nothing.
 #[derive(Debug)]
-pub enum Upkeep {
+pub enum ClaimChange {
     /// Takes the row away.
     Release {
         /// The row's key.
@@ -70,7 +70,7 @@
     /// Claims.
     pub claims: Vec<PendingClaim>,
     /// Upkeep.
-    pub upkeep: Vec<Upkeep>,
+    pub changes: Vec<ClaimChange>,
 }
 
 impl PendingClaim {
@@ -78,27 +78,27 @@
     pub fn new(
         row_key: String,
         row: ClaimRow,
-        give_up_at: Instant,
-        reply: oneshot::Sender<Answer>,
+        dispatch_deadline: Instant,
+        reply_sender: oneshot::Sender<ClaimReply>,
     ) -> Self {
-        Self { row_key, row: Box::new(row), give_up_at, reply: Some(reply) }
+        Self { row_key, row: Box::new(row), dispatch_deadline, reply_sender: Some(reply_sender) }
     }
 
     /// Whether a call waits for it.
     pub fn is_awaited(&self) -> bool {
-        self.reply.as_ref().is_some_and(|reply| !reply.is_closed())
+        self.reply_sender.as_ref().is_some_and(|sender| !sender.is_closed())
     }
 
     /// Tells the call; an answer that nobody waits for is dropped.
-    pub fn answer(&mut self, answer: Answer) {
-        if let Some(reply) = self.reply.take() {
+    pub fn send_reply(&mut self, reply: ClaimReply) {
+        if let Some(sender) = self.reply_sender.take() {
             // The call may have gone meanwhile, which is the same.
-            let _ = reply.send(answer);
+            let _ = sender.send(reply);
         }
     }
 }
 
-impl Upkeep {
+impl ClaimChange {
     /// Key of the row.
     pub fn row_key(&self) -> &str {
         match self {
@@ -107,7 +107,7 @@
     }
 
     /// Counter of its success.
-    pub fn counter(&self) -> &'static str {
+    pub fn success_counter(&self) -> &'static str {
         match self {
             Self::Release { .. } => "claims.released",
             Self::Record { .. } => "claims.done",
@@ -120,7 +120,7 @@
     }
 
     /// Tells who waits that the row isn't this claim's any more.
-    pub fn settled(self) {
+    pub fn notify_waiter(self) {
         if let Self::Release { waiter: Some(waiter), .. } = self {
             // Who waited may have gone.
             let _ = waiter.send(());
@@ -143,7 +143,7 @@
 impl Batch {
     /// Whether there is nothing in it.
     pub fn is_empty(&self) -> bool {
-        self.claims.is_empty() && self.upkeep.is_empty()
+        self.claims.is_empty() && self.changes.is_empty()
     }
 
     /// Its transaction, which takes effect only while the fence is at `fence`.
@@ -158,8 +158,8 @@
             commit.conditions.push(Condition::new(&claim.row_key, Precondition::BeAbsent));
             commit.writes.push(Write::put(&claim.row_key, row_value(&claim.row)?));
         }
-        for upkeep in &self.upkeep {
-            upkeep.add_to(&mut commit)?;
+        for change in &self.changes {
+            change.add_to(&mut commit)?;
         }
         Ok(commit)
     }
@@ -170,7 +170,7 @@
         let fails = |key: &str| names.contains(key);
         Batch {
             claims: self.claims.extract_if(.., |claim| fails(&claim.row_key)).collect(),
-            upkeep: self.upkeep.extract_if(.., |upkeep| fails(upkeep.row_key())).collect(),
+            changes: self.changes.extract_if(.., |change| fails(change.row_key())).collect(),
         }
     }
 }
--- a/crates/yuccarackd/src/coordination/claims/breaker.rs
+++ b/crates/yuccarackd/src/coordination/claims/breaker.rs
@@ -15,13 +15,13 @@
 /// claim is let in between a failure and the next success, at most one timeout is waited for.
 #[derive(Debug, Default)]
 pub struct Breaker {
-    away: Option<Away>,
+    outage: Option<Outage>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Away {
+struct Outage {
     backoff: Duration,
-    next_look_at: Instant,
+    next_probe_at: Instant,
 }
 
 impl Breaker {
@@ -31,26 +31,26 @@
     }
 
     /// When the store will be looked at next; `None` while it is well.
-    pub fn next_look_at(&self) -> Option<Instant> {
-        self.away.map(|away| away.next_look_at)
+    pub fn next_probe_at(&self) -> Option<Instant> {
+        self.outage.map(|outage| outage.next_probe_at)
     }
 
     /// Notes an answer of the store; says whether that is news.
-    pub fn succeeded(&mut self) -> bool {
-        self.away.take().is_some()
+    pub fn record_success(&mut self) -> bool {
+        self.outage.take().is_some()
     }
 
     /// Notes a failure of the store; says whether that is news.
     ///
     /// `jitter` in 0.0..1.0 spreads the looks of gates that lost the store together.
-    pub fn failed(&mut self, now: Instant, jitter: f64) -> bool {
-        let backoff = match self.away {
-            Some(away) => (away.backoff * 2).min(BACKOFF_MAX),
+    pub fn record_failure(&mut self, now: Instant, jitter: f64) -> bool {
+        let backoff = match self.outage {
+            Some(outage) => (outage.backoff * 2).min(BACKOFF_MAX),
             None => BACKOFF_MIN,
         };
         let wait = backoff.mul_f64(0.5 + 0.5 * jitter);
-        let news = self.away.is_none();
-        self.away = Some(Away { backoff, next_look_at: now + wait });
-        news
+        let is_new = self.outage.is_none();
+        self.outage = Some(Outage { backoff, next_probe_at: now + wait });
+        is_new
     }
 }
--- a/crates/yuccarackd/src/coordination/claims/mod.rs
+++ b/crates/yuccarackd/src/coordination/claims/mod.rs
@@ -5,11 +5,11 @@
 mod batch;
 mod breaker;
 mod claim;
-mod keeper;
 mod table;
+mod tracker;
 mod verdict;
 mod writer;
 
 pub use claim::{Claim, RunningClaim};
-pub use keeper::ClaimKeeper;
+pub use tracker::ClaimTracker;
 pub use verdict::{ClaimRequest, ClaimVerdict};
--- a/crates/yuccarackd/src/coordination/claims/table.rs
+++ b/crates/yuccarackd/src/coordination/claims/table.rs
@@ -10,7 +10,7 @@
     rows::{ClaimFenceRow, ClaimRow, claim_fence_key},
 };
 
-use super::{batch::Batch, keeper::unix_ms};
+use super::{batch::Batch, tracker::unix_ms};
 use crate::state::counters::Counters;
 
 /// The table as one gate writes it, behind the gate's fence.
@@ -42,7 +42,7 @@
     pub async fn commit(&mut self, batch: &Batch) -> Result<Revision, PlatformError> {
         let fence = match self.fence {
             Some(fence) => fence,
-            None => self.raise_fence().await.map_err(before_write)?,
+            None => self.raise_fence().await.map_err(as_not_written)?,
         };
         let commit = batch.commit(&self.fence_key, fence)?;
         self.counters.add("claims.batches");
@@ -65,7 +65,7 @@
     /// # Errors
     ///
     /// Any [`PlatformError`]; then nothing is known yet.
-    pub async fn outcome(
+    pub async fn resolve_outcome(
         &mut self,
         batch: &Batch,
     ) -> Result<HashMap<String, Revision>, PlatformError> {
@@ -83,7 +83,7 @@
     /// # Errors
     ///
     /// Any [`PlatformError`].
-    pub async fn look(&self) -> Result<(), PlatformError> {
+    pub async fn probe(&self) -> Result<(), PlatformError> {
         self.platform.row(&self.fence_key).await.map(drop)
     }
 
@@ -118,7 +118,7 @@
 }
 
 /// Whatever became of the fence, nothing of the batch was sent yet.
-fn before_write(error: PlatformError) -> PlatformError {
+fn as_not_written(error: PlatformError) -> PlatformError {
     match error {
         error if error.is_not_written() => error,
         _ => PlatformError::Unreachable,
--- a/crates/yuccarackd/src/coordination/claims/keeper.rs
+++ b/crates/yuccarackd/src/coordination/claims/tracker.rs
@@ -18,7 +18,7 @@
 };
 
 use super::{
-    batch::{Answer, PendingClaim},
+    batch::{ClaimReply, PendingClaim},
     breaker::Breaker,
     verdict::{ClaimRequest, ClaimVerdict},
     writer::Writer,
@@ -26,13 +26,13 @@
 use crate::state::counters::Counters;
 
 /// Claims that wait for the writer; a gate has some ten slots, so more only come in a flood.
-const CLAIMS_WAITING_MAX: usize = 1024;
+const CLAIM_QUEUE_MAX: usize = 1024;
 /// Said to callers when the store's next look isn't known.
 const RETRY_AFTER_MIN: Duration = Duration::from_secs(1);
 
 /// Claims keys for one gate; clones share one writer.
 #[derive(Clone)]
-pub struct ClaimKeeper {
+pub struct ClaimTracker {
     platform: PlatformClient,
     instance: InstanceId,
     counters: Counters,
@@ -40,7 +40,7 @@
     claims: mpsc::Sender<PendingClaim>,
 }
 
-impl ClaimKeeper {
+impl ClaimTracker {
     /// Makes a keeper and starts its writer on `tasks`.
     ///
     /// `stop` is to be cancelled after the gate's last call has ended; the writer then writes
@@ -53,7 +53,7 @@
         stop: CancellationToken,
     ) -> Self {
         let breaker = Arc::new(Mutex::new(Breaker::new()));
-        let (claims, waiting) = mpsc::channel(CLAIMS_WAITING_MAX);
+        let (claims, waiting) = mpsc::channel(CLAIM_QUEUE_MAX);
         let writer =
             Writer::new(platform.clone(), &instance, counters.clone(), breaker.clone(), waiting);
         tasks.spawn(writer.run(stop));
@@ -64,11 +64,11 @@
     ///
     /// May be cancelled at any time; a claim that was granted meanwhile is released.
     pub async fn claim(&self, request: ClaimRequest) -> ClaimVerdict {
-        let give_up_at = tokio::time::Instant::from_std(request.give_up_at);
-        let verdict = match timeout_at(give_up_at, self.decide(&request)).await {
+        let dispatch_deadline = tokio::time::Instant::from_std(request.dispatch_deadline);
+        let verdict = match timeout_at(dispatch_deadline, self.decide(&request)).await {
             Ok(verdict) => verdict,
             // Whatever the writer still finds for this attempt it releases: nobody hears it.
-            Err(_) => self.store_away(),
+            Err(_) => self.store_unavailable(),
         };
         self.counters.add_reason("claims", counter(&verdict));
         verdict
@@ -77,32 +77,33 @@
     async fn decide(&self, request: &ClaimRequest) -> ClaimVerdict {
         let row_key = claim_key(&request.service, &request.key);
         loop {
-            if self.breaker.lock().next_look_at().is_some() {
-                return self.store_away();
+            if self.breaker.lock().next_probe_at().is_some() {
+                return self.store_unavailable();
             }
-            match self.ask_writer(request, &row_key).await {
-                Answer::Granted(claim) => return ClaimVerdict::Mine(claim),
-                Answer::StoreAway => return self.store_away(),
-                Answer::Taken => {}
+            match self.submit_claim(request, &row_key).await {
+                ClaimReply::Granted(claim) => return ClaimVerdict::Granted(claim),
+                ClaimReply::StoreUnavailable => return self.store_unavailable(),
+                ClaimReply::Taken => {}
             }
             match self.platform.row(&row_key).await {
-                Ok(Some(row)) => return self.judge(request, row.value),
+                Ok(Some(row)) => return self.evaluate_row(request, row.value),
                 // Released between our write and our read, so the key is free again.
                 Ok(None) => self.counters.add("claims.freed_meanwhile"),
-                Err(_) => return self.store_away(),
+                Err(_) => return self.store_unavailable(),
             }
         }
     }
 
-    async fn ask_writer(&self, request: &ClaimRequest, row_key: &str) -> Answer {
-        let (reply, answer) = oneshot::channel();
+    async fn submit_claim(&self, request: &ClaimRequest, row_key: &str) -> ClaimReply {
+        let (reply_sender, reply_receiver) = oneshot::channel();
         let row = self.open_row(request);
-        let pending = PendingClaim::new(row_key.to_owned(), row, request.give_up_at, reply);
+        let pending =
+            PendingClaim::new(row_key.to_owned(), row, request.dispatch_deadline, reply_sender);
         if self.claims.try_send(pending).is_err() {
             self.counters.add("claims.queue_full");
-            return Answer::StoreAway;
+            return ClaimReply::StoreUnavailable;
         }
-        answer.await.unwrap_or(Answer::StoreAway)
+        reply_receiver.await.unwrap_or(ClaimReply::StoreUnavailable)
     }
 
     fn open_row(&self, request: &ClaimRequest) -> ClaimRow {
@@ -119,7 +120,7 @@
     }
 
     /// A row that can't be read is taken for an open claim: whatever it is, it isn't ours.
-    fn judge(&self, request: &ClaimRequest, value: serde_json::Value) -> ClaimVerdict {
+    fn evaluate_row(&self, request: &ClaimRequest, value: serde_json::Value) -> ClaimVerdict {
         let row: Result<ClaimRow, _> =
             serde_json::from_value(value).map_err(PlatformError::Malformed);
         let Ok(row) = row else {
@@ -135,21 +136,22 @@
         }
     }
 
-    fn store_away(&self) -> ClaimVerdict {
-        let next_look_at = self.breaker.lock().next_look_at();
-        let until_look =
-            next_look_at.map(|at| at.saturating_duration_since(Instant::now())).unwrap_or_default();
-        ClaimVerdict::StoreAway { retry_after: until_look.max(RETRY_AFTER_MIN) }
+    fn store_unavailable(&self) -> ClaimVerdict {
+        let next_probe_at = self.breaker.lock().next_probe_at();
+        let until_probe = next_probe_at
+            .map(|at| at.saturating_duration_since(Instant::now()))
+            .unwrap_or_default();
+        ClaimVerdict::StoreUnavailable { retry_after: until_probe.max(RETRY_AFTER_MIN) }
     }
 }
 
 fn counter(verdict: &ClaimVerdict) -> &'static str {
     match verdict {
-        ClaimVerdict::Mine(_) => "mine",
+        ClaimVerdict::Granted(_) => "mine",
         ClaimVerdict::InProgress => "in_progress",
         ClaimVerdict::Recorded(_) => "recorded",
         ClaimVerdict::KeyReused => "key_reused",
-        ClaimVerdict::StoreAway { .. } => "store_away",
+        ClaimVerdict::StoreUnavailable { .. } => "store_away",
     }
 }
 
--- a/crates/yuccarackd/src/coordination/claims/verdict.rs
+++ b/crates/yuccarackd/src/coordination/claims/verdict.rs
@@ -19,14 +19,14 @@
     /// Tells a resend from another request under the same key.
     pub fingerprint: Fingerprint,
     /// Instant from which on the request isn't handed over any more.
-    pub give_up_at: Instant,
+    pub dispatch_deadline: Instant,
 }
 
 /// Whether the gate may run the request.
 #[derive(Debug)]
 pub enum ClaimVerdict {
     /// This attempt alone may run.
-    Mine(Claim),
+    Granted(Claim),
     /// An earlier attempt runs, or its outcome is unknown; the request isn't run again.
     InProgress,
     /// An earlier attempt has run; this was its outcome.
@@ -34,7 +34,7 @@
     /// The key was used for another request.
     KeyReused,
     /// The store can't tell; it is proved that this attempt doesn't run.
-    StoreAway {
+    StoreUnavailable {
         /// Time after which another try is worth it.
         retry_after: Duration,
     },
--- a/crates/yuccarackd/src/coordination/claims/writer.rs
+++ b/crates/yuccarackd/src/coordination/claims/writer.rs
@@ -17,9 +17,9 @@
 use yuccarack_platform::{PlatformClient, PlatformError, messages::FailedCondition};
 
 use super::{
-    batch::{Answer, Batch, PendingClaim, Upkeep},
+    batch::{Batch, ClaimChange, ClaimReply, PendingClaim},
     breaker::Breaker,
-    claim::{Claim, Hold},
+    claim::{Claim, HeldRow},
     table::ClaimTable,
 };
 use crate::state::counters::Counters;
@@ -30,7 +30,7 @@
 /// once; a busy gate writes at most 200 times a second, whatever its rate of claims.
 const COMMIT_SPACING: Duration = Duration::from_millis(5);
 /// Longest time that upkeep which nobody waits for waits for a claim to share a transaction with.
-const UPKEEP_LINGER: Duration = Duration::from_millis(10);
+const CHANGE_LINGER: Duration = Duration::from_millis(10);
 /// Longest time that a stopping writer goes on trying.
 const STOP_MAX: Duration = Duration::from_secs(5);
 
@@ -40,11 +40,11 @@
     counters: Counters,
     breaker: Arc<Mutex<Breaker>>,
     claims: mpsc::Receiver<PendingClaim>,
-    upkeep: UnboundedReceiver<Upkeep>,
-    upkeep_sender: UnboundedSender<Upkeep>,
-    claims_waiting: VecDeque<PendingClaim>,
-    upkeep_waiting: VecDeque<Upkeep>,
-    upkeep_due_at: Instant,
+    changes: UnboundedReceiver<ClaimChange>,
+    change_sender: UnboundedSender<ClaimChange>,
+    pending_claims: VecDeque<PendingClaim>,
+    pending_changes: VecDeque<ClaimChange>,
+    changes_due_at: Instant,
     unresolved: Option<Batch>,
     next_commit_at: Instant,
     jitter: SmallRng,
@@ -59,17 +59,17 @@
         breaker: Arc<Mutex<Breaker>>,
         claims: mpsc::Receiver<PendingClaim>,
     ) -> Self {
-        let (upkeep_sender, upkeep) = mpsc::unbounded_channel();
+        let (change_sender, changes) = mpsc::unbounded_channel();
         Self {
             table: ClaimTable::new(platform, instance, counters.clone()),
             counters,
             breaker,
             claims,
-            upkeep,
-            upkeep_sender,
-            claims_waiting: VecDeque::new(),
-            upkeep_waiting: VecDeque::new(),
-            upkeep_due_at: Instant::now(),
+            changes,
+            change_sender,
+            pending_claims: VecDeque::new(),
+            pending_changes: VecDeque::new(),
+            changes_due_at: Instant::now(),
             unresolved: None,
             next_commit_at: Instant::now(),
             jitter: SmallRng::from_os_rng(),
@@ -78,29 +78,29 @@
 
     /// Writes until `stop` is cancelled and what is left is written or given up.
     pub async fn run(mut self, stop: CancellationToken) {
-        let mut stop_by = None;
+        let mut stop_deadline = None;
         loop {
             if stop.is_cancelled() {
-                let stop_by = *stop_by.get_or_insert_with(|| Instant::now() + STOP_MAX);
-                self.take_all();
-                if self.is_idle() || Instant::now() >= stop_by {
+                let stop_deadline = *stop_deadline.get_or_insert_with(|| Instant::now() + STOP_MAX);
+                self.drain_queues();
+                if self.is_idle() || Instant::now() >= stop_deadline {
                     break;
                 }
             }
-            let next_look_at = self.breaker.lock().next_look_at();
-            match next_look_at {
+            let next_probe_at = self.breaker.lock().next_probe_at();
+            match next_probe_at {
                 Some(at) => self.recover(at).await,
                 None => self.write_next(&stop).await,
             }
         }
-        let left_open = self.upkeep_waiting.len() as u64;
+        let left_open = self.pending_changes.len() as u64;
         self.counters.add_many("claims.left_open", left_open);
     }
 
     fn is_idle(&self) -> bool {
         self.unresolved.is_none()
-            && self.upkeep_waiting.is_empty()
-            && self.claims_waiting.is_empty()
+            && self.pending_changes.is_empty()
+            && self.pending_claims.is_empty()
     }
 
     async fn write_next(&mut self, stop: &CancellationToken) {
@@ -108,7 +108,7 @@
             return;
         }
         sleep_until(self.next_commit_at.into()).await;
-        self.take_all();
+        self.drain_queues();
         self.next_commit_at = Instant::now() + COMMIT_SPACING;
         let batch = self.next_batch();
         if !batch.is_empty() {
@@ -118,35 +118,35 @@
 
     /// Whether there is work; without, a stop was asked for.
     async fn wait_for_work(&mut self, stop: &CancellationToken) -> bool {
-        if !self.claims_waiting.is_empty() {
+        if !self.pending_claims.is_empty() {
             return true;
         }
-        let is_lingering = !self.upkeep_waiting.is_empty();
+        let is_lingering = !self.pending_changes.is_empty();
         tokio::select! {
             biased;
             Some(claim) = self.claims.recv() => {
-                self.claims_waiting.push_back(claim);
+                self.pending_claims.push_back(claim);
                 true
             }
-            Some(upkeep) = self.upkeep.recv() => {
+            Some(change) = self.changes.recv() => {
                 if !is_lingering {
-                    self.upkeep_due_at = Instant::now() + UPKEEP_LINGER;
+                    self.changes_due_at = Instant::now() + CHANGE_LINGER;
                 }
-                let is_awaited = upkeep.is_awaited();
-                self.upkeep_waiting.push_back(upkeep);
+                let is_awaited = change.is_awaited();
+                self.pending_changes.push_back(change);
                 is_awaited
             }
-            () = sleep_until(self.upkeep_due_at.into()), if is_lingering => true,
+            () = sleep_until(self.changes_due_at.into()), if is_lingering => true,
             () = stop.cancelled(), if !stop.is_cancelled() => false,
         }
     }
 
-    fn take_all(&mut self) {
+    fn drain_queues(&mut self) {
         while let Ok(claim) = self.claims.try_recv() {
-            self.claims_waiting.push_back(claim);
+            self.pending_claims.push_back(claim);
         }
-        while let Ok(upkeep) = self.upkeep.try_recv() {
-            self.upkeep_waiting.push_back(upkeep);
+        while let Ok(change) = self.changes.try_recv() {
+            self.pending_changes.push_back(change);
         }
     }
 
@@ -155,27 +155,27 @@
         let mut batch = Batch::default();
         let mut keys = HashSet::new();
         let mut later = VecDeque::new();
-        while let Some(upkeep) = self.upkeep_waiting.pop_front() {
-            if batch.upkeep.len() < BATCH_ROWS_MAX && keys.insert(upkeep.row_key().to_owned()) {
-                batch.upkeep.push(upkeep);
+        while let Some(change) = self.pending_changes.pop_front() {
+            if batch.changes.len() < BATCH_ROWS_MAX && keys.insert(change.row_key().to_owned()) {
+                batch.changes.push(change);
             } else {
-                later.push_back(upkeep);
+                later.push_back(change);
             }
         }
-        self.upkeep_waiting = later;
+        self.pending_changes = later;
         let mut later = VecDeque::new();
-        while let Some(claim) = self.claims_waiting.pop_front() {
+        while let Some(claim) = self.pending_claims.pop_front() {
             if !claim.is_awaited() {
                 continue;
             }
-            let rows = batch.upkeep.len() + batch.claims.len();
+            let rows = batch.changes.len() + batch.claims.len();
             if rows < BATCH_ROWS_MAX && keys.insert(claim.row_key.clone()) {
                 batch.claims.push(claim);
             } else {
                 later.push_back(claim);
             }
         }
-        self.claims_waiting = later;
+        self.pending_claims = later;
         batch
     }
 
@@ -184,23 +184,23 @@
             match self.table.commit(&batch).await {
                 Ok(revision) => {
                     self.note_success();
-                    return self.settle_written(batch, revision);
+                    return self.complete_written(batch, revision);
                 }
                 Err(PlatformError::Conflict { failed }) => {
                     self.note_success();
-                    if !self.settle_failed(&mut batch, &failed) {
-                        return self.give_back(batch);
+                    if !self.remove_failed(&mut batch, &failed) {
+                        return self.requeue_unwritten(batch);
                     }
                 }
                 Err(error) if error.is_not_written() => {
-                    self.give_back(batch);
+                    self.requeue_unwritten(batch);
                     return self.note_failure();
                 }
                 Err(_) if batch.claims.is_empty() => {
                     // Upkeep may be sent twice, so it waits until a look finds the store well.
                     // Taking it for resolved would close the breaker with nothing heard of the
                     // store, and the next claim would wait for a timeout.
-                    self.give_back(batch);
+                    self.requeue_unwritten(batch);
                     return self.note_failure();
                 }
                 Err(_) => {
@@ -213,10 +213,10 @@
         }
     }
 
-    fn settle_written(&self, batch: Batch, revision: Revision) {
-        for upkeep in batch.upkeep {
-            self.counters.add(upkeep.counter());
-            upkeep.settled();
+    fn complete_written(&self, batch: Batch, revision: Revision) {
+        for change in batch.changes {
+            self.counters.add(change.success_counter());
+            change.notify_waiter();
         }
         for claim in batch.claims {
             self.grant(claim, revision);
@@ -228,37 +228,37 @@
         if !pending.is_awaited() {
             self.counters.add("claims.undelivered");
         }
-        let hold = Hold {
+        let held_row = HeldRow {
             row_key: pending.row_key.clone(),
             row: pending.row.clone(),
             revision,
-            upkeep: self.upkeep_sender.clone(),
+            change_sender: self.change_sender.clone(),
         };
-        pending.answer(Answer::Granted(Claim::new(hold, pending.give_up_at)));
+        pending.send_reply(ClaimReply::Granted(Claim::new(held_row, pending.dispatch_deadline)));
     }
 
     /// Takes what failed out of `batch`; false when the answer named nothing of it.
-    fn settle_failed(&mut self, batch: &mut Batch, failed: &[FailedCondition]) -> bool {
+    fn remove_failed(&mut self, batch: &mut Batch, failed: &[FailedCondition]) -> bool {
         let is_fenced = self.table.note_fence(failed);
         let out = batch.split_off(failed);
         let is_progress = is_fenced || !out.is_empty();
         for mut claim in out.claims {
-            claim.answer(Answer::Taken);
+            claim.send_reply(ClaimReply::Taken);
         }
         // The row is another than the one that this gate wrote: an operator released it, or an
         // earlier write of this same upkeep took effect.
-        self.counters.add_many("claims.upkeep_moot", out.upkeep.len() as u64);
-        out.upkeep.into_iter().for_each(Upkeep::settled);
+        self.counters.add_many("claims.upkeep_moot", out.changes.len() as u64);
+        out.changes.into_iter().for_each(ClaimChange::notify_waiter);
         is_progress
     }
 
     /// After a proof that nothing of `batch` was written: refuses claims, keeps upkeep.
-    fn give_back(&mut self, batch: Batch) {
+    fn requeue_unwritten(&mut self, batch: Batch) {
         for claim in batch.claims {
-            refuse(claim);
+            reject(claim);
         }
-        for upkeep in batch.upkeep.into_iter().rev() {
-            self.upkeep_waiting.push_front(upkeep);
+        for change in batch.changes.into_iter().rev() {
+            self.pending_changes.push_front(change);
         }
     }
 
@@ -268,67 +268,70 @@
     /// over, whatever the table says, and a row that turns up is released.
     async fn resolve(&mut self) {
         let Some(mut batch) = self.unresolved.take() else { return };
-        match self.table.outcome(&batch).await {
+        match self.table.resolve_outcome(&batch).await {
             Ok(rows) => {
                 self.note_success();
-                self.settle_read(batch, &rows);
+                self.complete_resolved(batch, &rows);
             }
             Err(_) => {
-                batch.claims.iter_mut().for_each(|claim| claim.answer(Answer::StoreAway));
+                batch
+                    .claims
+                    .iter_mut()
+                    .for_each(|claim| claim.send_reply(ClaimReply::StoreUnavailable));
                 self.unresolved = Some(batch);
                 self.note_failure();
             }
         }
     }
 
-    fn settle_read(&mut self, batch: Batch, rows: &HashMap<String, Revision>) {
+    fn complete_resolved(&mut self, batch: Batch, rows: &HashMap<String, Revision>) {
         for claim in batch.claims.into_iter().rev() {
             match rows.get(&claim.row_key) {
                 Some(revision) => self.grant(claim, *revision),
                 // Proved absent, so the same attempt may go again.
-                None => self.claims_waiting.push_front(claim),
+                None => self.pending_claims.push_front(claim),
             }
         }
-        for upkeep in batch.upkeep.into_iter().rev() {
-            self.upkeep_waiting.push_front(upkeep);
+        for change in batch.changes.into_iter().rev() {
+            self.pending_changes.push_front(change);
         }
     }
 
-    /// While the store is away: refuses claims at once, looks at the store at `look_at`.
-    async fn recover(&mut self, look_at: Instant) {
+    /// While the store is away: refuses claims at once, looks at the store at `probe_at`.
+    async fn recover(&mut self, probe_at: Instant) {
         loop {
             tokio::select! {
-                () = sleep_until(look_at.into()) => break,
-                Some(claim) = self.claims.recv() => refuse(claim),
+                () = sleep_until(probe_at.into()) => break,
+                Some(claim) = self.claims.recv() => reject(claim),
             }
         }
         if self.unresolved.is_some() {
             return self.resolve().await;
         }
-        match self.table.look().await {
+        match self.table.probe().await {
             Ok(_) => self.note_success(),
             Err(_) => self.note_failure(),
         }
     }
 
     fn note_success(&self) {
-        if self.breaker.lock().succeeded() {
+        if self.breaker.lock().record_success() {
             self.counters.add("claims.store_back");
         }
     }
 
     fn note_failure(&mut self) {
         let jitter = self.jitter.random();
-        if self.breaker.lock().failed(Instant::now(), jitter) {
+        if self.breaker.lock().record_failure(Instant::now(), jitter) {
             self.counters.add("claims.store_lost");
         }
         while let Ok(claim) = self.claims.try_recv() {
-            refuse(claim);
+            reject(claim);
         }
-        self.claims_waiting.drain(..).for_each(refuse);
+        self.pending_claims.drain(..).for_each(reject);
     }
 }
 
-fn refuse(mut claim: PendingClaim) {
-    claim.answer(Answer::StoreAway);
+fn reject(mut claim: PendingClaim) {
+    claim.send_reply(ClaimReply::StoreUnavailable);
 }
--- a/crates/yuccarackd/src/coordination/gate/dispatch.rs
+++ b/crates/yuccarackd/src/coordination/gate/dispatch.rs
@@ -100,7 +100,7 @@
         call: GateCall,
         claim: Claim,
     ) -> Result<Response<CallBody>, Refusal> {
-        let Some(claim) = claim.hand_over() else {
+        let Some(claim) = claim.begin_dispatch() else {
             return Err(Refusal::not_run(Reason::DeadlinePassed));
         };
         let deadline = call.deadline;
@@ -271,7 +271,7 @@
         Ok(response) => response,
         Err(refusal) => {
             if refusal.outcome == Outcome::NotRun {
-                claim.release_not_run_seen().await;
+                claim.release_not_run_and_wait().await;
             }
             // Otherwise the claim stays open: the request may have run, so it must not run again.
             return Err(refusal);
@@ -283,7 +283,7 @@
     };
     let is_complete = start.rest.is_none();
     let content_type = parts.headers.get(header::CONTENT_TYPE);
-    claim.done(RecordedOutcome {
+    claim.record_outcome(RecordedOutcome {
         status: parts.status.as_u16(),
         content_type: content_type.and_then(|value| value.to_str().ok().map(str::to_owned)),
         body: is_complete.then(|| start.start.to_vec()),
--- a/crates/yuccarackd/src/coordination/gate/mod.rs
+++ b/crates/yuccarackd/src/coordination/gate/mod.rs
@@ -36,7 +36,7 @@
 };
 use crate::{
     coordination::{
-        claims::{Claim, ClaimKeeper},
+        claims::{Claim, ClaimTracker},
         suspects::{SuspectKeeper, Trial},
     },
     protocol::{
@@ -63,7 +63,7 @@
     /// Services with the rules in force and their members.
     pub directory: Directory,
     /// Claims of the idempotency keys of requests that must not repeat.
-    pub claims: ClaimKeeper,
+    pub claims: ClaimTracker,
     /// Suspects, which are requests that may crash targets.
     pub suspects: SuspectKeeper,
     /// Connection pool for requests to the target.
--- a/crates/yuccarackd/src/coordination/gate/prerequisites.rs
+++ b/crates/yuccarackd/src/coordination/gate/prerequisites.rs
@@ -78,13 +78,13 @@
     /// a claim could use.
     pub(super) async fn claim(&self, request: ClaimRequest) -> Result<ClaimResult, Refusal> {
         match self.parts.claims.claim(request).await {
-            ClaimVerdict::Mine(claim) => Ok(ClaimResult::Granted(claim)),
+            ClaimVerdict::Granted(claim) => Ok(ClaimResult::Granted(claim)),
             ClaimVerdict::Recorded(outcome) => Ok(ClaimResult::Recorded(replay_response(outcome)?)),
             ClaimVerdict::InProgress => {
                 Err(Refusal::unknown(Reason::InProgress).with_retry_after(NOT_READY_RETRY_AFTER))
             }
             ClaimVerdict::KeyReused => Err(Refusal::not_run(Reason::KeyReused)),
-            ClaimVerdict::StoreAway { retry_after } => {
+            ClaimVerdict::StoreUnavailable { retry_after } => {
                 Err(Refusal::not_run(Reason::StoreUnavailable).with_retry_after(retry_after))
             }
         }
@@ -94,7 +94,7 @@
 /// Releases a claim before the caller gets `not_run` for its request.
 pub(super) async fn release_claim(claim: Option<Claim>) {
     if let Some(claim) = claim {
-        claim.release_seen().await;
+        claim.release_and_wait().await;
     }
 }
 
@@ -115,7 +115,7 @@
         key,
         attempt: call.attempt,
         fingerprint,
-        give_up_at: call.deadline,
+        dispatch_deadline: call.deadline,
     }))
 }
 
--- a/crates/yuccarackd/src/daemon/assembly.rs
+++ b/crates/yuccarackd/src/daemon/assembly.rs
@@ -10,7 +10,7 @@
 use super::lifetimes::{Stops, Tasks};
 use crate::{
     coordination::{
-        claims::ClaimKeeper,
+        claims::ClaimTracker,
         control_plane::ControlPlane,
         entry::{Entry, EntryParts},
         gate::{Gate, GateParts, server::GateServer},
@@ -95,8 +95,8 @@
         CallServer::new(listener, head_max_bytes, self.counters.clone(), counter_group)
     }
 
-    fn start_claims(&self) -> ClaimKeeper {
-        ClaimKeeper::start(
+    fn start_claims(&self) -> ClaimTracker {
+        ClaimTracker::start(
             self.platform.clone(),
             self.settings.instance.clone(),
             self.counters.clone(),
--- a/crates/yuccarackd/tests/claims/lost_answers.rs
+++ b/crates/yuccarackd/tests/claims/lost_answers.rs
@@ -42,13 +42,13 @@
     let before = platform.stats();
     platform.set_faults(late());
     let mut short = request("refill", 1);
-    short.give_up_at = Instant::now() + Duration::from_millis(100);
-    let call = gate.keeper.claim(short);
+    short.dispatch_deadline = Instant::now() + Duration::from_millis(100);
+    let call = gate.tracker.claim(short);
     let (verdict, ()) = tokio::join!(call, async {
         commit_received(&platform, before.received_bytes).await;
         heal(&platform);
     });
-    assert!(matches!(verdict, ClaimVerdict::StoreAway { .. }), "{verdict:?}");
+    assert!(matches!(verdict, ClaimVerdict::StoreUnavailable { .. }), "{verdict:?}");
     eventually("the late write is turned away", || platform.stats().conflicts > before.conflicts)
         .await;
     assert_eq!(state(&platform, "refill"), None);
@@ -71,10 +71,10 @@
         heal(&platform);
     });
     assert_eq!(gate.count("claims.fence_raised"), 2, "at the start and after the loss");
-    let running = mine.hand_over().expect("there is time");
+    let running = mine.begin_dispatch().expect("there is time");
     eventually("the late write is turned away", || platform.stats().conflicts > before.conflicts)
         .await;
-    running.done(outcome());
+    running.record_outcome(outcome());
     eventually("the outcome is recorded", || state(&platform, "refill") == Some(ClaimState::Done))
         .await;
     gate.stop().await;
@@ -88,7 +88,7 @@
     let gate = TestGate::start(&platform, "tampere", ANSWER_TIMEOUT);
     let before = platform.stats();
     platform.set_faults(late());
-    let first = gate.keeper.claim(request("refill-0", 100));
+    let first = gate.tracker.claim(request("refill-0", 100));
     let (_, ()) = tokio::join!(first, async {
         commit_received(&platform, before.received_bytes).await;
         heal(&platform);
@@ -110,9 +110,9 @@
 async fn a_record_whose_answer_is_lost_is_made_again() {
     let platform = platform().await;
     let gate = warm_gate(&platform, "tampere").await;
-    let running = gate.mine("refill", 1).await.hand_over().expect("there is time");
+    let running = gate.mine("refill", 1).await.begin_dispatch().expect("there is time");
     platform.set_faults(PlatformFaults { lose_answers: 2, ..Default::default() });
-    running.done(outcome());
+    running.record_outcome(outcome());
     eventually("the outcome is recorded", || state(&platform, "refill") == Some(ClaimState::Done))
         .await;
     let _next = gate.mine_at_last("next", 2).await;
@@ -133,7 +133,7 @@
     mine.release();
     commit_received(&platform, before.received_bytes).await;
     heal(&platform);
-    let _running = other.mine_at_last("refill", 2).await.hand_over().expect("there is time");
+    let _running = other.mine_at_last("refill", 2).await.begin_dispatch().expect("there is time");
     eventually("the late write is turned away", || {
         platform.stats().conflicts > before.conflicts + other.count("claims.in_progress")
     })
--- a/crates/yuccarackd/tests/claims/store_away.rs
+++ b/crates/yuccarackd/tests/claims/store_away.rs
@@ -30,11 +30,11 @@
     gate.mine("warm", 1).await.release();
     platform.set_faults(PlatformFaults { mode, ..Default::default() });
     let first = gate.claim("refill", 0).await;
-    assert!(matches!(first, ClaimVerdict::StoreAway { .. }), "{first:?}");
+    assert!(matches!(first, ClaimVerdict::StoreUnavailable { .. }), "{first:?}");
     for attempt in 1..2_000 {
         // Refused without a wait for anything, a look at the store that is under way included.
         match gate.claim("refill", attempt).now_or_never() {
-            Some(ClaimVerdict::StoreAway { retry_after }) => assert!(!retry_after.is_zero()),
+            Some(ClaimVerdict::StoreUnavailable { retry_after }) => assert!(!retry_after.is_zero()),
             other => panic!("{other:?}"),
         }
         yield_now().await;
@@ -54,10 +54,10 @@
 async fn an_outcome_waits_for_the_store() {
     let platform = platform().await;
     let gate = TestGate::start(&platform, "tampere", ANSWER_TIMEOUT);
-    let running = gate.mine("refill", 1).await.hand_over().expect("there is time");
+    let running = gate.mine("refill", 1).await.begin_dispatch().expect("there is time");
     let unused = gate.mine("unused", 2).await;
     platform.set_faults(PlatformFaults { mode: PlatformMode::Down, ..Default::default() });
-    running.done(outcome());
+    running.record_outcome(outcome());
     unused.release();
     eventually("the loss is seen", || gate.count("claims.store_lost") == 1).await;
     heal(&platform);
@@ -80,7 +80,7 @@
     let keys: Vec<String> = (0..150).map(|number| format!("refill-{number}")).collect();
     let verdicts = join_all(keys.iter().zip(0..).map(|(key, number)| gate.claim(key, number)));
     for verdict in verdicts.await {
-        assert!(matches!(verdict, ClaimVerdict::Mine(_)), "{verdict:?}");
+        assert!(matches!(verdict, ClaimVerdict::Granted(_)), "{verdict:?}");
     }
     assert_eq!(gate.count("claims.store_away"), 0);
     gate.stop().await;
@@ -95,16 +95,16 @@
 async fn an_outcome_that_gets_no_answer_shows_that_the_store_is_away() {
     let platform = platform().await;
     let gate = TestGate::start(&platform, "tampere", ANSWER_TIMEOUT);
-    let running = gate.mine("refill", 1).await.hand_over().expect("there is time");
+    let running = gate.mine("refill", 1).await.begin_dispatch().expect("there is time");
     platform.set_faults(PlatformFaults { mode: PlatformMode::BlackHole, ..Default::default() });
     let batches_before = gate.count("claims.batches");
-    running.done(outcome());
+    running.record_outcome(outcome());
     eventually("the loss is seen", || gate.count("claims.store_lost") == 1).await;
     sleep(ANSWER_TIMEOUT * 4).await;
     assert_eq!(gate.count("claims.store_back"), 0);
     assert_eq!(gate.count("claims.batches"), batches_before + 1);
     match gate.claim("other", 2).now_or_never() {
-        Some(ClaimVerdict::StoreAway { .. }) => {}
+        Some(ClaimVerdict::StoreUnavailable { .. }) => {}
         other => panic!("{other:?}"),
     }
     heal(&platform);
--- a/crates/yuccarackd/tests/claims/support.rs
+++ b/crates/yuccarackd/tests/claims/support.rs
@@ -14,7 +14,7 @@
 };
 use yuccarack_standins::platform::{Platform, PlatformFaults};
 use yuccarackd::{
-    coordination::claims::{Claim, ClaimKeeper, ClaimRequest, ClaimVerdict},
+    coordination::claims::{Claim, ClaimRequest, ClaimTracker, ClaimVerdict},
     state::counters::Counters,
 };
 
@@ -27,7 +27,7 @@
 
 /// One gate's keeper of claims.
 pub struct TestGate {
-    pub keeper: ClaimKeeper,
+    pub tracker: ClaimTracker,
     pub counters: Counters,
     tasks: TaskTracker,
     stop: CancellationToken,
@@ -39,20 +39,20 @@
         let (tasks, stop) = (TaskTracker::new(), CancellationToken::new());
         let counters = Counters::new();
         let client = PlatformClient::new(platform.address(), answer_timeout);
-        let keeper =
-            ClaimKeeper::start(client, name.to_owned(), counters.clone(), &tasks, stop.clone());
-        Self { keeper, counters, tasks, stop }
+        let tracker =
+            ClaimTracker::start(client, name.to_owned(), counters.clone(), &tasks, stop.clone());
+        Self { tracker, counters, tasks, stop }
     }
 
     /// Claims `key` for `attempt`, giving up after a generous while.
     pub async fn claim(&self, key: &str, attempt: AttemptId) -> ClaimVerdict {
-        self.keeper.claim(request(key, attempt)).await
+        self.tracker.claim(request(key, attempt)).await
     }
 
     /// Claims `key`, which nobody holds.
     pub async fn mine(&self, key: &str, attempt: AttemptId) -> Claim {
         match self.claim(key, attempt).await {
-            ClaimVerdict::Mine(claim) => claim,
+            ClaimVerdict::Granted(claim) => claim,
             other => panic!("{key} was to be free, and is {other:?}"),
         }
     }
@@ -61,7 +61,7 @@
     pub async fn mine_at_last(&self, key: &str, attempt: AttemptId) -> Claim {
         let trying = async {
             loop {
-                if let ClaimVerdict::Mine(claim) = self.claim(key, attempt).await {
+                if let ClaimVerdict::Granted(claim) = self.claim(key, attempt).await {
                     return claim;
                 }
                 sleep(Duration::from_millis(10)).await;
@@ -96,7 +96,7 @@
         // Attempts are drawn from all 128 bits, more than a JSON number holds.
         attempt: AttemptId::MAX - attempt,
         fingerprint: FINGERPRINT,
-        give_up_at: Instant::now() + WAIT_MAX,
+        dispatch_deadline: Instant::now() + WAIT_MAX,
     }
 }
 
--- a/crates/yuccarackd/tests/claims/verdicts.rs
+++ b/crates/yuccarackd/tests/claims/verdicts.rs
@@ -28,7 +28,8 @@
         <[ClaimVerdict; 2]>::from(both)
     });
     for both in join_all(claims).await {
-        let mine = both.iter().filter(|verdict| matches!(verdict, ClaimVerdict::Mine(_))).count();
+        let mine =
+            both.iter().filter(|verdict| matches!(verdict, ClaimVerdict::Granted(_))).count();
         let open = both.iter().filter(|verdict| matches!(verdict, ClaimVerdict::InProgress));
         assert_eq!((mine, open.count()), (1, 1), "{both:?}");
     }
@@ -46,7 +47,7 @@
     let keys: Vec<String> = (0..256).map(|number| format!("refill-{number}")).collect();
     let verdicts = join_all(keys.iter().zip(0..).map(|(key, number)| gate.claim(key, number)));
     for verdict in verdicts.await {
-        assert!(matches!(verdict, ClaimVerdict::Mine(_)), "{verdict:?}");
+        assert!(matches!(verdict, ClaimVerdict::Granted(_)), "{verdict:?}");
     }
     let batches = gate.count("claims.batches");
     assert!(batches <= 8, "{batches} transactions for 256 claims");
@@ -60,13 +61,13 @@
     let platform = platform().await;
     let gate = TestGate::start(&platform, "tampere", ANSWER_TIMEOUT);
     let other = TestGate::start(&platform, "turku", ANSWER_TIMEOUT);
-    let held = other.mine("refill-3", 99).await.hand_over().expect("there is time");
+    let held = other.mine("refill-3", 99).await.begin_dispatch().expect("there is time");
     let keys: Vec<String> = (0..10).map(|number| format!("refill-{number}")).collect();
     let verdicts = join_all(keys.iter().zip(0..).map(|(key, number)| gate.claim(key, number)));
     for (number, verdict) in verdicts.await.into_iter().enumerate() {
         match number {
             3 => assert!(matches!(verdict, ClaimVerdict::InProgress), "{verdict:?}"),
-            _ => assert!(matches!(verdict, ClaimVerdict::Mine(_)), "{verdict:?}"),
+            _ => assert!(matches!(verdict, ClaimVerdict::Granted(_)), "{verdict:?}"),
         }
     }
     drop(held);
@@ -82,10 +83,10 @@
     let platform = platform().await;
     let first = TestGate::start(&platform, "tampere", ANSWER_TIMEOUT);
     let second = TestGate::start(&platform, "turku", ANSWER_TIMEOUT);
-    let running = first.mine("refill", 1).await.hand_over().expect("there is time");
+    let running = first.mine("refill", 1).await.begin_dispatch().expect("there is time");
     let during = second.claim("refill", 2).await;
     assert!(matches!(during, ClaimVerdict::InProgress), "{during:?}");
-    running.done(outcome());
+    running.record_outcome(outcome());
     eventually("the outcome is recorded", || state(&platform, "refill") == Some(ClaimState::Done))
         .await;
     match second.claim("refill", 3).await {
@@ -102,10 +103,10 @@
 async fn a_large_body_is_left_out_of_the_record() {
     let platform = platform().await;
     let gate = TestGate::start(&platform, "tampere", ANSWER_TIMEOUT);
-    let running = gate.mine("invoice", 1).await.hand_over().expect("there is time");
+    let running = gate.mine("invoice", 1).await.begin_dispatch().expect("there is time");
     let mut large = outcome();
     large.body = Some(vec![b'x'; 4 * 1024 + 1]);
-    running.done(large);
+    running.record_outcome(large);
     eventually("the outcome is recorded", || state(&platform, "invoice") == Some(ClaimState::Done))
         .await;
     match gate.claim("invoice", 2).await {
@@ -124,15 +125,15 @@
 async fn a_key_of_another_request_is_refused_open_and_done() {
     let platform = platform().await;
     let gate = TestGate::start(&platform, "tampere", ANSWER_TIMEOUT);
-    let running = gate.mine("refill", 1).await.hand_over().expect("there is time");
+    let running = gate.mine("refill", 1).await.begin_dispatch().expect("there is time");
     let mut other = request("refill", 2);
     other.fingerprint = FINGERPRINT + 1;
-    let open = gate.keeper.claim(other.clone()).await;
+    let open = gate.tracker.claim(other.clone()).await;
     assert!(matches!(open, ClaimVerdict::KeyReused), "{open:?}");
-    running.done(outcome());
+    running.record_outcome(outcome());
     eventually("the outcome is recorded", || state(&platform, "refill") == Some(ClaimState::Done))
         .await;
-    let done = gate.keeper.claim(other).await;
+    let done = gate.tracker.claim(other).await;
     assert!(matches!(done, ClaimVerdict::KeyReused), "{done:?}");
     gate.stop().await;
     platform.stop().await;
@@ -147,7 +148,7 @@
     let second = TestGate::start(&platform, "kushiro", ANSWER_TIMEOUT);
     first.mine("repair", 1).await.release();
     second.mine_at_last("repair", 2).await.release();
-    let shed = first.mine_at_last("repair", 3).await.hand_over().expect("there is time");
+    let shed = first.mine_at_last("repair", 3).await.begin_dispatch().expect("there is time");
     shed.release_not_run();
     let _held = second.mine_at_last("repair", 4).await;
     first.stop().await;
@@ -180,8 +181,8 @@
         ..Default::default()
     });
     let bytes_before = platform.stats().received_bytes;
-    let keeper = gate.keeper.clone();
-    let call = tokio::spawn(async move { keeper.claim(request("repair", 2)).await });
+    let tracker = gate.tracker.clone();
+    let call = tokio::spawn(async move { tracker.claim(request("repair", 2)).await });
     super::support::commit_received(&platform, bytes_before).await;
     call.abort();
     super::support::heal(&platform);
@@ -198,7 +199,7 @@
     let platform = platform().await;
     let first = TestGate::start(&platform, "tampere", ANSWER_TIMEOUT);
     let second = TestGate::start(&platform, "turku", ANSWER_TIMEOUT);
-    drop(first.mine("invoice", 1).await.hand_over().expect("there is time"));
+    drop(first.mine("invoice", 1).await.begin_dispatch().expect("there is time"));
     first.stop().await;
     for attempt in 2..20 {
         let verdict = second.claim("invoice", attempt).await;
@@ -216,18 +217,18 @@
     let frozen = TestGate::start(&platform, "sapporo", ANSWER_TIMEOUT);
     let other = TestGate::start(&platform, "kushiro", ANSWER_TIMEOUT);
     let mut short = request("repair", 1);
-    short.give_up_at = Instant::now() + Duration::from_millis(500);
-    let give_up_at = short.give_up_at;
-    let ClaimVerdict::Mine(held) = frozen.keeper.claim(short).await else {
+    short.dispatch_deadline = Instant::now() + Duration::from_millis(500);
+    let dispatch_deadline = short.dispatch_deadline;
+    let ClaimVerdict::Granted(held) = frozen.tracker.claim(short).await else {
         panic!("the key was to be free");
     };
-    tokio::time::sleep_until(give_up_at.into()).await;
+    tokio::time::sleep_until(dispatch_deadline.into()).await;
     operator_releases(&platform, "repair");
-    let resend = other.mine("repair", 2).await.hand_over().expect("there is time");
-    assert!(held.hand_over().is_none(), "the woken gate would run it too");
+    let resend = other.mine("repair", 2).await.begin_dispatch().expect("there is time");
+    assert!(held.begin_dispatch().is_none(), "the woken gate would run it too");
     frozen.stop().await;
     assert_eq!(state(&platform, "repair"), Some(ClaimState::Open), "the resend's claim stands");
-    resend.done(outcome());
+    resend.record_outcome(outcome());
     other.stop().await;
     assert_eq!(state(&platform, "repair"), Some(ClaimState::Done));
     platform.stop().await;
@@ -240,10 +241,10 @@
     let platform = platform().await;
     let old = TestGate::start(&platform, "tampere", ANSWER_TIMEOUT);
     let new = TestGate::start(&platform, "turku", ANSWER_TIMEOUT);
-    let forgotten = old.mine("refill", 1).await.hand_over().expect("there is time");
+    let forgotten = old.mine("refill", 1).await.begin_dispatch().expect("there is time");
     operator_releases(&platform, "refill");
-    let _running = new.mine("refill", 2).await.hand_over().expect("there is time");
-    forgotten.done(outcome());
+    let _running = new.mine("refill", 2).await.begin_dispatch().expect("there is time");
+    forgotten.record_outcome(outcome());
     eventually("the record is moot", || old.count("claims.upkeep_moot") == 1).await;
     assert_eq!(state(&platform, "refill"), Some(ClaimState::Open));
     old.stop().await;
@@ -257,9 +258,9 @@
 async fn a_stopping_keeper_writes_what_it_has() {
     let platform = platform().await;
     let gate = TestGate::start(&platform, "tampere", ANSWER_TIMEOUT);
-    let running = gate.mine("refill", 1).await.hand_over().expect("there is time");
+    let running = gate.mine("refill", 1).await.begin_dispatch().expect("there is time");
     let unused = gate.mine("other", 2).await;
-    running.done(outcome());
+    running.record_outcome(outcome());
     unused.release();
     gate.stop().await;
     assert_eq!(state(&platform, "refill"), Some(ClaimState::Done));
--- a/crates/yuccarackd/tests/claims/walk.rs
+++ b/crates/yuccarackd/tests/claims/walk.rs
@@ -114,9 +114,9 @@
                 }
             }
             Step::Settle => self.settle().await,
-            Step::HandOver => self.hand_over(),
+            Step::HandOver => self.begin_dispatch(),
             Step::Release => drop(self.held.pop()),
-            Step::Done => self.end(Known::Done, |claim| claim.done(outcome())),
+            Step::Done => self.end(Known::Done, |claim| claim.record_outcome(outcome())),
             Step::Shed => self.end(Known::NeverRan, RunningClaim::release_not_run),
             Step::Die => self.end(Known::Unknown, drop),
             Step::LoseAnswer => {
@@ -145,23 +145,23 @@
     fn ask(&mut self, gate: usize, key: usize) {
         self.attempt += 1;
         let request = request(&name(key), self.attempt);
-        let keeper = self.gates[gate].keeper.clone();
-        self.asked.push((key, tokio::spawn(async move { keeper.claim(request).await })));
+        let tracker = self.gates[gate].tracker.clone();
+        self.asked.push((key, tokio::spawn(async move { tracker.claim(request).await })));
     }
 
     async fn settle(&mut self) {
         // So that a call whose store is away for good doesn't wait for its deadline.
         heal(&self.platform);
         for (key, call) in std::mem::take(&mut self.asked) {
-            if let Ok(ClaimVerdict::Mine(claim)) = call.await {
+            if let Ok(ClaimVerdict::Granted(claim)) = call.await {
                 self.held.push((key, claim));
             }
         }
     }
 
-    fn hand_over(&mut self) {
+    fn begin_dispatch(&mut self) {
         let Some((key, claim)) = self.held.pop() else { return };
-        let Some(running) = claim.hand_over() else { return };
+        let Some(running) = claim.begin_dispatch() else { return };
         assert_eq!(self.known[key], Known::NeverRan, "{} runs a second time", name(key));
         self.known[key] = Known::Running;
         self.running.push((key, running));
@@ -179,7 +179,7 @@
         self.settle().await;
         self.held.clear();
         while !self.running.is_empty() {
-            self.end(Known::Done, |claim| claim.done(outcome()));
+            self.end(Known::Done, |claim| claim.record_outcome(outcome()));
         }
         for key in 0..KEYS {
             self.check(key).await;
@@ -194,10 +194,10 @@
         let gate = &self.gates[key % GATES];
         for attempt in 10_000..12_000 {
             match (gate.claim(&name(key), attempt).await, self.known[key]) {
-                (ClaimVerdict::Mine(_), Known::NeverRan)
+                (ClaimVerdict::Granted(_), Known::NeverRan)
                 | (ClaimVerdict::Recorded(_), Known::Done) => return,
                 (ClaimVerdict::InProgress, Known::Unknown) if attempt > 10_005 => return,
-                (ClaimVerdict::InProgress | ClaimVerdict::StoreAway { .. }, _) => {}
+                (ClaimVerdict::InProgress | ClaimVerdict::StoreUnavailable { .. }, _) => {}
                 (verdict, known) => {
                     panic!("{} is {known:?}, the table says {verdict:?}", name(key))
                 }
