--- a/crates/yuccarackd/src/coordination/gate/dispatch.rs
+++ b/crates/yuccarackd/src/coordination/gate/dispatch.rs
@@ -130,7 +130,7 @@
         if Instant::now() >= call.deadline {
             return Err(Refusal::not_run(Reason::DeadlinePassed));
         }
-        let trial = trial.map(Trial::hand_over);
+        let trial = trial.map(Trial::begin_dispatch);
         let crash_check = CrashCheck { gate: Arc::clone(&gate), target: Arc::clone(&target) };
         let running = RunningRequest {
             slot,
--- a/crates/yuccarackd/src/coordination/gate/guarded_body.rs
+++ b/crates/yuccarackd/src/coordination/gate/guarded_body.rs
@@ -37,7 +37,7 @@
         self.slot.finish();
         self.in_flight.finish();
         if let Some(trial) = self.trial {
-            trial.ended_well();
+            trial.finish();
         }
     }
 
@@ -58,7 +58,7 @@
         self.slot.finish_shed();
         self.in_flight.finish();
         if let Some(trial) = self.trial {
-            trial.not_run();
+            trial.finish_not_run();
         }
     }
 
@@ -67,7 +67,7 @@
         self.slot.finish_failed();
         self.in_flight.finish();
         if let Some(trial) = self.trial {
-            trial.not_run();
+            trial.finish_not_run();
         }
     }
 
--- a/crates/yuccarackd/src/coordination/gate/mod.rs
+++ b/crates/yuccarackd/src/coordination/gate/mod.rs
@@ -37,7 +37,7 @@
 use crate::{
     coordination::{
         claims::{Claim, ClaimTracker},
-        suspects::{SuspectKeeper, Trial},
+        suspects::{SuspectTracker, Trial},
     },
     protocol::{
         body::CallBody,
@@ -65,7 +65,7 @@
     /// Claims of the idempotency keys of requests that must not repeat.
     pub claims: ClaimTracker,
     /// Suspects, which are requests that may crash targets.
-    pub suspects: SuspectKeeper,
+    pub suspects: SuspectTracker,
     /// Connection pool for requests to the target.
     pub upstream: Upstream,
     /// Counters of refusals and crashes.
@@ -151,7 +151,7 @@
             return;
         };
         let service = view.announcement.service.as_str();
-        self.parts.suspects.follow(service.to_owned());
+        self.parts.suspects.watch_service(service.to_owned());
         let service_view = self.parts.directory.view(service);
         let Some(rules) = service_view.as_ref().and_then(|service_view| service_view.rules.clone())
         else {
@@ -297,7 +297,7 @@
             "service" => &service, "in_flight" => suspects.len());
         let fingerprints =
             suspects.into_iter().map(|suspect| (suspect.fingerprint, suspect.is_alone)).collect();
-        self.parts.suspects.target_died(&service, fingerprints).await;
+        self.parts.suspects.record_target_crash(&service, fingerprints).await;
     }
 
     /// Adds load and rules revision to a response, so that they need no message of their own.
--- a/crates/yuccarackd/src/coordination/gate/prerequisites.rs
+++ b/crates/yuccarackd/src/coordination/gate/prerequisites.rs
@@ -66,7 +66,7 @@
                 let remaining = until.saturating_duration_since(Instant::now());
                 Err(Refusal::not_run(Reason::Quarantined).with_retry_after(remaining))
             }
-            TrialVerdict::StoreAway { retry_after } => {
+            TrialVerdict::StoreUnavailable { retry_after } => {
                 Err(Refusal::not_run(Reason::StoreUnavailable).with_retry_after(retry_after))
             }
         }
--- a/crates/yuccarackd/src/coordination/suspects/attempt.rs
+++ b/crates/yuccarackd/src/coordination/suspects/attempt.rs
@@ -12,9 +12,9 @@
 use yuccarack_policy::suspects::{SuspectPhase, Verdict};
 
 use super::{
-    row::{Change, Standing, new_row, standing, trial_row, unix_ms},
-    shared::{Found, Shared},
-    trial::{Ended, Trial, TrialParts, TrialVerdict},
+    row::{Change, RowStatus, new_row, row_status, trial_row, unix_ms},
+    shared::{Shared, StoredSuspect},
+    trial::{Trial, TrialEnd, TrialParts, TrialVerdict},
 };
 use crate::protocol::suspect_update::SuspectEvent;
 
@@ -27,21 +27,25 @@
 pub struct TrialAttempt {
     shared: Shared,
     parts: TrialParts,
-    ended: UnboundedSender<Ended>,
+    trial_end_sender: UnboundedSender<TrialEnd>,
     /// Whether a write may have taken effect, or may still.
     is_open: bool,
 }
 
 enum Step {
     Written,
-    Again,
-    Refused(TrialVerdict),
+    Retry,
+    Rejected(TrialVerdict),
 }
 
 impl TrialAttempt {
     /// Makes a try for the trial of `parts`, whose end goes to `ended`.
-    pub fn new(shared: Shared, parts: TrialParts, ended: UnboundedSender<Ended>) -> Self {
-        Self { shared, parts, ended, is_open: false }
+    pub fn new(
+        shared: Shared,
+        parts: TrialParts,
+        trial_end_sender: UnboundedSender<TrialEnd>,
+    ) -> Self {
+        Self { shared, parts, trial_end_sender, is_open: false }
     }
 
     /// Asks the table.
@@ -52,8 +56,8 @@
         for _ in 0..WRITES_MAX {
             match self.step().await {
                 Step::Written => return self.grant(),
-                Step::Refused(verdict) => return verdict,
-                Step::Again => {}
+                Step::Rejected(verdict) => return verdict,
+                Step::Retry => {}
             }
         }
         TrialVerdict::OnTrialElsewhere { retry_after: RETRY_AFTER }
@@ -61,100 +65,104 @@
 
     async fn step(&mut self) -> Step {
         let key = suspect_key(&self.parts.service, self.parts.fingerprint);
-        let Ok(found) = self.shared.read(&key).await else {
-            return Step::Refused(self.store_away());
+        let Ok(stored) = self.shared.read(&key).await else {
+            return Step::Rejected(self.store_unavailable());
         };
-        match standing(found.value.as_ref(), unix_ms()) {
-            Standing::Clear | Standing::Suspected => self.write(&key, &found).await,
-            Standing::OnTrial if self.is_own(&found) => Step::Written,
-            Standing::OnTrial => Step::Refused(self.on_trial()),
-            Standing::TrialLost => {
+        match row_status(stored.value.as_ref(), unix_ms()) {
+            RowStatus::Clear | RowStatus::Suspected => self.write(&key, &stored).await,
+            RowStatus::OnTrial if self.is_own(&stored) => Step::Written,
+            RowStatus::OnTrial => Step::Rejected(self.reject_on_trial()),
+            RowStatus::TrialLost => {
                 self.shared.counters.add("suspects.trial_lost");
-                self.record_quarantine(&found);
-                Step::Refused(self.quarantined())
+                self.record_quarantine(&stored);
+                Step::Rejected(self.reject_quarantined())
             }
-            Standing::Quarantined { .. } => Step::Refused(self.quarantined()),
+            RowStatus::Quarantined { .. } => Step::Rejected(self.reject_quarantined()),
         }
     }
 
-    async fn write(&mut self, key: &str, found: &Found) -> Step {
-        let Some(row) = self.row_to_write(found) else {
-            self.record_quarantine(found);
-            return Step::Refused(self.quarantined());
+    async fn write(&mut self, key: &str, stored: &StoredSuspect) -> Step {
+        let Some(row) = self.row_to_write(stored) else {
+            self.record_quarantine(stored);
+            return Step::Rejected(self.reject_quarantined());
         };
         let Ok(value) = serde_json::to_value(row) else {
-            return Step::Refused(self.store_away());
+            return Step::Rejected(self.store_unavailable());
         };
         // Before the write, so that a call that is dropped in its midst has it undone.
         let was_open = std::mem::replace(&mut self.is_open, true);
-        match self.shared.write_over(found, Write::put(key, value)).await {
+        match self.shared.commit_over(stored, Write::put(key, value)).await {
             Ok(()) => Step::Written,
             Err(PlatformError::Conflict { .. }) => {
                 self.is_open = was_open;
-                Step::Again
+                Step::Retry
             }
             Err(error) if error.is_not_written() => {
                 self.is_open = was_open;
-                Step::Refused(self.store_away())
+                Step::Rejected(self.store_unavailable())
             }
-            Err(_) => Step::Again,
+            Err(_) => Step::Retry,
         }
     }
 
     /// The row that is to be written; `None` when the deaths known here and there forbid it.
-    fn row_to_write(&self, found: &Found) -> Option<SuspectRow> {
+    fn row_to_write(&self, stored: &StoredSuspect) -> Option<SuspectRow> {
         let TrialParts { service, fingerprint, .. } = &self.parts;
         let now = unix_ms();
-        let row = found.value.clone().unwrap_or_else(|| new_row(service, *fingerprint, now));
-        let died = self.shared.memory.lock().died(*fingerprint);
-        trial_row(row, &self.parts, &died, now)
+        let row = stored.value.clone().unwrap_or_else(|| new_row(service, *fingerprint, now));
+        let instances = self.shared.cache.lock().crashed_instances(*fingerprint);
+        trial_row(row, &self.parts, &instances, now)
     }
 
-    fn is_own(&self, found: &Found) -> bool {
-        found.value.as_ref().is_some_and(|row| row.trial == Some(self.parts.trial))
+    fn is_own(&self, stored: &StoredSuspect) -> bool {
+        stored.value.as_ref().is_some_and(|row| row.trial == Some(self.parts.trial))
     }
 
     fn grant(mut self) -> TrialVerdict {
         self.is_open = false;
         let TrialParts { service, fingerprint, .. } = &self.parts;
-        self.shared.memory.lock().trial_started(Instant::now(), *fingerprint);
+        self.shared.cache.lock().record_trial_start(Instant::now(), *fingerprint);
         self.shared.counters.add("suspects.trial_started");
-        self.shared.tell(service, &[(*fingerprint, SuspectEvent::TrialStarted)]);
-        let memory = self.shared.memory.clone();
-        TrialVerdict::Granted(Trial::new(self.parts.clone(), self.ended.clone(), memory))
+        self.shared.broadcast(service, &[(*fingerprint, SuspectEvent::TrialStarted)]);
+        let cache = self.shared.cache.clone();
+        TrialVerdict::Granted(Trial::new(self.parts.clone(), self.trial_end_sender.clone(), cache))
     }
 
-    fn record_quarantine(&self, found: &Found) {
+    fn record_quarantine(&self, stored: &StoredSuspect) {
         let TrialParts { service, fingerprint, .. } = &self.parts;
-        let mut died = self.shared.memory.lock().died(*fingerprint);
-        died.extend(found.value.iter().flat_map(|row| row.died.iter().cloned()));
-        self.shared.change(service, *fingerprint, Change::Died { died, is_quarantined: true });
-        self.shared.tell(service, &[(*fingerprint, SuspectEvent::Quarantined)]);
+        let mut instances = self.shared.cache.lock().crashed_instances(*fingerprint);
+        instances.extend(stored.value.iter().flat_map(|row| row.died.iter().cloned()));
+        self.shared.queue_change(
+            service,
+            *fingerprint,
+            Change::Crashed { instances, is_quarantined: true },
+        );
+        self.shared.broadcast(service, &[(*fingerprint, SuspectEvent::Quarantined)]);
     }
 
-    fn on_trial(&self) -> TrialVerdict {
-        self.learn(SuspectPhase::OnTrial);
+    fn reject_on_trial(&self) -> TrialVerdict {
+        self.merge_phase(SuspectPhase::OnTrial);
         TrialVerdict::OnTrialElsewhere { retry_after: RETRY_AFTER }
     }
 
-    fn quarantined(&self) -> TrialVerdict {
-        match self.learn(SuspectPhase::Quarantined) {
+    fn reject_quarantined(&self) -> TrialVerdict {
+        match self.merge_phase(SuspectPhase::Quarantined) {
             Verdict::Quarantined { until } => TrialVerdict::Quarantined { until },
             _ => TrialVerdict::Quarantined { until: Instant::now() + RETRY_AFTER },
         }
     }
 
-    fn learn(&self, phase: SuspectPhase) -> Verdict {
+    fn merge_phase(&self, phase: SuspectPhase) -> Verdict {
         let fingerprint: Fingerprint = self.parts.fingerprint;
         let now = Instant::now();
-        let mut memory = self.shared.memory.lock();
-        memory.learn(now, fingerprint, phase, &[]);
-        memory.verdict(now, fingerprint)
+        let mut cache = self.shared.cache.lock();
+        cache.merge(now, fingerprint, phase, &[]);
+        cache.verdict(now, fingerprint)
     }
 
-    fn store_away(&self) -> TrialVerdict {
+    fn store_unavailable(&self) -> TrialVerdict {
         self.shared.counters.add("suspects.store_away");
-        TrialVerdict::StoreAway { retry_after: RETRY_AFTER }
+        TrialVerdict::StoreUnavailable { retry_after: RETRY_AFTER }
     }
 }
 
@@ -162,7 +170,7 @@
     fn drop(&mut self) {
         if self.is_open {
             let TrialParts { service, fingerprint, trial } = &self.parts;
-            self.shared.change(service, *fingerprint, Change::TrialVoid { trial: *trial });
+            self.shared.queue_change(service, *fingerprint, Change::TrialVoid { trial: *trial });
         }
     }
 }
--- a/crates/yuccarackd/src/coordination/suspects/memory.rs
+++ b/crates/yuccarackd/src/coordination/suspects/cache.rs
@@ -11,33 +11,33 @@
 use crate::protocol::suspect_update::{SuspectEvent, SuspectUpdate};
 
 /// Deaths in whose course a request was in flight, after which it is quarantined.
-pub(super) const DEATHS_MAX: usize = 2;
+pub(super) const CRASHES_MAX: usize = 2;
 
 /// Most suspects whose deaths are told apart; as many as the policy remembers.
-const DEATHS_REMEMBERED_MAX: usize = 1_024;
+const CRASH_RECORDS_MAX: usize = 1_024;
 
 /// The policy's memory, with what only a daemon knows: where targets died, which trials are here.
 #[derive(Debug)]
-pub struct Memory {
+pub struct SuspectCache {
     suspects: Suspects,
-    died: HashMap<Fingerprint, HashSet<InstanceId>>,
+    crashes: HashMap<Fingerprint, HashSet<InstanceId>>,
     trials: HashMap<Fingerprint, AttemptId>,
 }
 
-impl Memory {
+impl SuspectCache {
     /// Makes an empty memory.
     pub fn new() -> Self {
         let suspects = Suspects::new(SuspectsConfig::default());
-        Self { suspects, died: HashMap::new(), trials: HashMap::new() }
+        Self { suspects, crashes: HashMap::new(), trials: HashMap::new() }
     }
 
     /// How a request may run.
     pub fn verdict(&mut self, now: Instant, fingerprint: Fingerprint) -> Verdict {
         let verdict = self.suspects.verdict(now, fingerprint);
-        let deaths = self.died.get(&fingerprint).map_or(0, HashSet::len);
-        if verdict == Verdict::Alone && deaths >= DEATHS_MAX {
+        let crash_count = self.crashes.get(&fingerprint).map_or(0, HashSet::len);
+        if verdict == Verdict::Alone && crash_count >= CRASHES_MAX {
             // Its quarantine is over; what led to it must not lead to the next one too.
-            self.died.remove(&fingerprint);
+            self.crashes.remove(&fingerprint);
         }
         verdict
     }
@@ -46,7 +46,7 @@
     ///
     /// Trials of this gate count among them also when their caller has hung up: a caller that
     /// hangs up just before each crash would otherwise never be found.
-    pub fn own_target_died(
+    pub fn record_own_target_crash(
         &mut self,
         now: Instant,
         instance: &str,
@@ -61,7 +61,7 @@
                 continue;
             }
             let phases = self.suspects.record_crash(now, &[fingerprint], alone);
-            let is_second = self.add_death(now, fingerprint, instance);
+            let is_second = self.add_crash(now, fingerprint, instance);
             let is_quarantined =
                 is_second || phases.iter().any(|(_, phase)| *phase == SuspectPhase::Quarantined);
             if is_quarantined {
@@ -74,12 +74,12 @@
     }
 
     /// Takes over what a peer saw.
-    pub fn hear(&mut self, now: Instant, news: &SuspectUpdate) {
-        let fingerprint = news.fingerprint;
-        match news.event {
+    pub fn apply_update(&mut self, now: Instant, update: &SuspectUpdate) {
+        let fingerprint = update.fingerprint;
+        match update.event {
             SuspectEvent::TargetDied => {
                 self.suspects.merge(now, fingerprint, SuspectPhase::Suspected);
-                self.add_death(now, fingerprint, &news.instance);
+                self.add_crash(now, fingerprint, &update.instance);
             }
             SuspectEvent::Quarantined => {
                 self.suspects.merge(now, fingerprint, SuspectPhase::Quarantined);
@@ -93,47 +93,47 @@
     }
 
     /// Takes over what the table says.
-    pub fn learn(
+    pub fn merge(
         &mut self,
         now: Instant,
         fingerprint: Fingerprint,
         phase: SuspectPhase,
-        died: &[InstanceId],
+        instances: &[InstanceId],
     ) {
         self.suspects.merge(now, fingerprint, phase);
-        for instance in died {
-            self.add_death(now, fingerprint, instance);
+        for instance in instances {
+            self.add_crash(now, fingerprint, instance);
         }
     }
 
     /// Forgets a request.
     fn clear(&mut self, fingerprint: Fingerprint) {
         self.suspects.clear(fingerprint);
-        self.died.remove(&fingerprint);
+        self.crashes.remove(&fingerprint);
     }
 
     /// Where targets died with a request in flight, as far as it is known here.
-    pub fn died(&self, fingerprint: Fingerprint) -> Vec<InstanceId> {
-        self.died.get(&fingerprint).into_iter().flatten().cloned().collect()
+    pub fn crashed_instances(&self, fingerprint: Fingerprint) -> Vec<InstanceId> {
+        self.crashes.get(&fingerprint).into_iter().flatten().cloned().collect()
     }
 
     /// Notes that a trial was granted to this gate.
-    pub fn trial_started(&mut self, now: Instant, fingerprint: Fingerprint) {
+    pub fn record_trial_start(&mut self, now: Instant, fingerprint: Fingerprint) {
         self.suspects.trial_started(now, fingerprint);
     }
 
     /// Notes that a trial's request is being handed to the target.
-    pub fn trial_handed_over(&mut self, fingerprint: Fingerprint, trial: AttemptId) {
+    pub fn record_trial_dispatch(&mut self, fingerprint: Fingerprint, trial: AttemptId) {
         self.trials.insert(fingerprint, trial);
     }
 
     /// Ends a trial whose request was never handed over.
-    pub fn trial_not_started(&mut self, now: Instant, fingerprint: Fingerprint) {
+    pub fn abandon_unstarted_trial(&mut self, now: Instant, fingerprint: Fingerprint) {
         self.suspects.trial_abandoned(now, fingerprint);
     }
 
     /// Ends a trial of this gate well; false when the target has died of it meanwhile.
-    pub fn trial_ended_well(&mut self, fingerprint: Fingerprint, trial: AttemptId) -> bool {
+    pub fn finish_trial(&mut self, fingerprint: Fingerprint, trial: AttemptId) -> bool {
         let is_open = self.end_trial(fingerprint, trial);
         if is_open {
             self.clear(fingerprint);
@@ -142,7 +142,7 @@
     }
 
     /// Ends a trial of this gate that taught nothing; false when the target has died of it.
-    pub fn trial_abandoned(
+    pub fn abandon_trial(
         &mut self,
         now: Instant,
         fingerprint: Fingerprint,
@@ -165,14 +165,14 @@
 
     /// Two targets that died with the same request in flight are proof enough, also when both had
     /// company: else a caller that sends it to two daemons at once would get a third target.
-    fn add_death(&mut self, now: Instant, fingerprint: Fingerprint, instance: &str) -> bool {
-        if self.died.len() >= DEATHS_REMEMBERED_MAX {
+    fn add_crash(&mut self, now: Instant, fingerprint: Fingerprint, instance: &str) -> bool {
+        if self.crashes.len() >= CRASH_RECORDS_MAX {
             let suspects = &mut self.suspects;
-            self.died.retain(|known, _| suspects.verdict(now, *known) != Verdict::Clear);
+            self.crashes.retain(|known, _| suspects.verdict(now, *known) != Verdict::Clear);
         }
-        let died = self.died.entry(fingerprint).or_default();
-        died.insert(instance.to_owned());
-        let is_second = died.len() >= DEATHS_MAX;
+        let instances = self.crashes.entry(fingerprint).or_default();
+        instances.insert(instance.to_owned());
+        let is_second = instances.len() >= CRASHES_MAX;
         if is_second {
             self.suspects.merge(now, fingerprint, SuspectPhase::Quarantined);
         }
--- a/crates/yuccarackd/src/coordination/suspects/fingerprint.rs
+++ b/crates/yuccarackd/src/coordination/suspects/fingerprint.rs
@@ -38,7 +38,7 @@
         add(&mut hash, &self.content_length.map_or([0xff; 8], u64::to_le_bytes));
         let counted = self.body.len().min(FINGERPRINT_BODY_MAX_BYTES);
         add(&mut hash, &self.body[..counted]);
-        if !self.is_whole() {
+        if !self.is_complete() {
             add(&mut hash, self.key.unwrap_or_default().as_bytes());
         }
         hash.digest()
@@ -49,7 +49,7 @@
     /// Then the key doesn't count: a caller that sends its crashing order again under a fresh key
     /// would crash a target with each. With part of the body unknown the key does count: all
     /// orders of one length would look alike, and one of them would have the others refused.
-    fn is_whole(&self) -> bool {
+    fn is_complete(&self) -> bool {
         let is_known = self.content_length == Some(self.body.len() as u64);
         is_known && self.body.len() <= FINGERPRINT_BODY_MAX_BYTES
     }
--- a/crates/yuccarackd/src/coordination/suspects/mod.rs
+++ b/crates/yuccarackd/src/coordination/suspects/mod.rs
@@ -5,14 +5,14 @@
 //! suspect's row, so two gates can't both run it. See docs/AT_MOST_ONCE.md.
 
 mod attempt;
+mod cache;
+mod event_handler;
 pub mod fingerprint;
-mod keeper;
-mod listener;
-mod memory;
 mod recorder;
 mod row;
 mod shared;
+mod tracker;
 mod trial;
 
-pub use keeper::SuspectKeeper;
+pub use tracker::SuspectTracker;
 pub use trial::{RunningTrial, Trial, TrialVerdict};
--- a/crates/yuccarackd/src/coordination/suspects/row.rs
+++ b/crates/yuccarackd/src/coordination/suspects/row.rs
@@ -6,14 +6,14 @@
 use yuccarack_platform::rows::{SuspectRow, SuspectState};
 use yuccarack_policy::suspects::{SuspectPhase, SuspectsConfig};
 
-use super::{memory::DEATHS_MAX, trial::TrialParts};
+use super::{cache::CRASHES_MAX, trial::TrialParts};
 
 /// What stands in the table of one request, as far as it still counts.
 ///
 /// The wall clocks of two daemons differ. They only decide when something is forgotten, and what
-/// lies beyond its time is taken for the graver of its two readings, see [`Standing::TrialLost`].
+/// lies beyond its time is taken for the graver of its two readings, see [`RowStatus::TrialLost`].
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum RowStatus {
     /// Nothing, or nothing that counts.
     Clear,
     /// It may be tried alone.
@@ -34,9 +34,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
     /// A target died.
-    Died {
+    Crashed {
         /// Where targets died, as far as this daemon knows.
-        died: Vec<InstanceId>,
+        instances: Vec<InstanceId>,
         /// Whether this daemon takes it for the second crash.
         is_quarantined: bool,
     },
@@ -63,32 +63,32 @@
 
 /// What a change makes of a row.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Changed {
+pub enum ChangeResult {
     /// Nothing is to be written.
-    Same,
+    Unchanged,
     /// This is written.
     Put(Box<SuspectRow>),
     /// The row is taken away.
-    Gone,
+    Delete,
 }
 
 /// The row's standing at `now_unix_ms`.
-pub fn standing(row: Option<&SuspectRow>, now_unix_ms: u64) -> Standing {
-    let Some(row) = row else { return Standing::Clear };
+pub fn row_status(row: Option<&SuspectRow>, now_unix_ms: u64) -> RowStatus {
+    let Some(row) = row else { return RowStatus::Clear };
     let left_ms = row.expires_at_unix_ms.saturating_sub(now_unix_ms);
     match (row.state, left_ms) {
-        (SuspectState::Suspected, 0) => Standing::Clear,
-        (SuspectState::OnTrial, 0) => Standing::TrialLost,
+        (SuspectState::Suspected, 0) => RowStatus::Clear,
+        (SuspectState::OnTrial, 0) => RowStatus::TrialLost,
         // Once its time is over it is tried alone once more, as the policy does.
-        (SuspectState::Quarantined, 0) | (SuspectState::Suspected, _) => Standing::Suspected,
-        (SuspectState::OnTrial, _) => Standing::OnTrial,
+        (SuspectState::Quarantined, 0) | (SuspectState::Suspected, _) => RowStatus::Suspected,
+        (SuspectState::OnTrial, _) => RowStatus::OnTrial,
         (SuspectState::Quarantined, _) => {
-            Standing::Quarantined { left: Duration::from_millis(left_ms) }
+            RowStatus::Quarantined { left: Duration::from_millis(left_ms) }
         }
     }
 }
 
-impl Standing {
+impl RowStatus {
     /// The phase that the policy knows it by.
     pub fn phase(&self) -> Option<SuspectPhase> {
         match self {
@@ -108,53 +108,54 @@
         service: &ServiceName,
         fingerprint: Fingerprint,
         now_unix_ms: u64,
-    ) -> Changed {
+    ) -> ChangeResult {
         match self {
-            Self::Died { died, is_quarantined } => {
-                let counted = row.filter(|row| standing(Some(row), now_unix_ms) != Standing::Clear);
+            Self::Crashed { instances, is_quarantined } => {
+                let counted =
+                    row.filter(|row| row_status(Some(row), now_unix_ms) != RowStatus::Clear);
                 let new = new_row(service, fingerprint, now_unix_ms);
                 let old = counted.cloned();
-                merge_deaths(old, new, died, *is_quarantined, now_unix_ms)
+                merge_crashes(old, new, instances, *is_quarantined, now_unix_ms)
             }
             Self::TrialAbandoned { trial } => match row {
                 Some(row) if row.trial == Some(*trial) => {
-                    Changed::Put(Box::new(suspected(row, now_unix_ms)))
+                    ChangeResult::Put(Box::new(suspected(row, now_unix_ms)))
                 }
-                _ => Changed::Same,
+                _ => ChangeResult::Unchanged,
             },
             Self::TrialVoid { trial } => {
                 let Some(row) = row else {
-                    return Changed::Put(Box::new(new_row(service, fingerprint, now_unix_ms)));
+                    return ChangeResult::Put(Box::new(new_row(service, fingerprint, now_unix_ms)));
                 };
-                match standing(Some(row), now_unix_ms) {
-                    Standing::Clear | Standing::Suspected => {}
+                match row_status(Some(row), now_unix_ms) {
+                    RowStatus::Clear | RowStatus::Suspected => {}
                     _ if row.trial == Some(*trial) => {}
                     // Written since by another, so the late write fails already.
-                    _ => return Changed::Same,
+                    _ => return ChangeResult::Unchanged,
                 }
-                Changed::Put(Box::new(suspected(row, now_unix_ms)))
+                ChangeResult::Put(Box::new(suspected(row, now_unix_ms)))
             }
             Self::Cleared { trial } => match row {
-                Some(row) if row.trial == Some(*trial) => Changed::Gone,
-                _ => Changed::Same,
+                Some(row) if row.trial == Some(*trial) => ChangeResult::Delete,
+                _ => ChangeResult::Unchanged,
             },
         }
     }
 }
 
-fn merge_deaths(
+fn merge_crashes(
     old: Option<SuspectRow>,
     new: SuspectRow,
-    died: &[InstanceId],
+    instances: &[InstanceId],
     is_quarantined: bool,
     now_unix_ms: u64,
-) -> Changed {
+) -> ChangeResult {
     let is_new = old.is_none();
     let mut row = old.unwrap_or(new);
     let before = row.clone();
-    add_deaths(&mut row, died);
+    add_crashes(&mut row, instances);
     let has_more = row.died.len() > before.died.len();
-    if is_quarantined || row.died.len() >= DEATHS_MAX {
+    if is_quarantined || row.died.len() >= CRASHES_MAX {
         if row.state != SuspectState::Quarantined || has_more {
             set_state(&mut row, SuspectState::Quarantined, now_unix_ms);
         }
@@ -162,9 +163,9 @@
         set_state(&mut row, SuspectState::Suspected, now_unix_ms);
     }
     if !is_new && row == before {
-        return Changed::Same;
+        return ChangeResult::Unchanged;
     }
-    Changed::Put(Box::new(row))
+    ChangeResult::Put(Box::new(row))
 }
 
 fn suspected(row: &SuspectRow, now_unix_ms: u64) -> SuspectRow {
@@ -186,12 +187,12 @@
 pub fn trial_row(
     mut row: SuspectRow,
     parts: &TrialParts,
-    died: &[InstanceId],
+    instances: &[InstanceId],
     now_unix_ms: u64,
 ) -> Option<SuspectRow> {
     forget_served_quarantine(&mut row);
-    add_deaths(&mut row, died);
-    if row.died.len() >= DEATHS_MAX {
+    add_crashes(&mut row, instances);
+    if row.died.len() >= CRASHES_MAX {
         return None;
     }
     row.trial = Some(parts.trial);
@@ -199,8 +200,8 @@
     Some(row)
 }
 
-fn add_deaths(row: &mut SuspectRow, died: &[InstanceId]) {
-    for instance in died {
+fn add_crashes(row: &mut SuspectRow, instances: &[InstanceId]) {
+    for instance in instances {
         if !row.died.contains(instance) {
             row.died.push(instance.clone());
         }
--- a/crates/yuccarackd/src/coordination/suspects/shared.rs
+++ b/crates/yuccarackd/src/coordination/suspects/shared.rs
@@ -11,7 +11,7 @@
     rows::SuspectRow,
 };
 
-use super::{memory::Memory, row::Change};
+use super::{cache::SuspectCache, row::Change};
 use crate::{
     protocol::{
         control::UrgentUpdate,
@@ -36,7 +36,7 @@
 
 /// What was read of one suspect.
 #[derive(Debug, Default)]
-pub struct Found {
+pub struct StoredSuspect {
     /// The row's value; unset for no row and for one that can't be read, which is written over.
     pub value: Option<SuspectRow>,
     row: Option<Row>,
@@ -52,31 +52,31 @@
     /// Counters.
     pub counters: Counters,
     /// What is known here.
-    pub memory: Arc<Mutex<Memory>>,
+    pub cache: Arc<Mutex<SuspectCache>>,
     /// News for all members of the service.
-    pub news: Sender<UrgentUpdate>,
+    pub update_sender: Sender<UrgentUpdate>,
     /// Changes for the recorder.
     pub changes: UnboundedSender<PendingChange>,
 }
 
 impl Shared {
     /// Tells all members; without room the table's next reading tells them.
-    pub fn tell(&self, service: &str, events: &[(Fingerprint, SuspectEvent)]) {
+    pub fn broadcast(&self, service: &str, events: &[(Fingerprint, SuspectEvent)]) {
         for events in events.chunks(EVENTS_PER_MESSAGE_MAX) {
-            let news = events.iter().map(|&(fingerprint, event)| SuspectUpdate {
+            let updates = events.iter().map(|&(fingerprint, event)| SuspectUpdate {
                 service: service.to_owned(),
                 fingerprint,
                 event,
                 instance: self.instance.clone(),
             });
-            if self.news.try_send(UrgentUpdate::Suspects(news.collect())).is_err() {
+            if self.update_sender.try_send(UrgentUpdate::Suspects(updates.collect())).is_err() {
                 self.counters.add("suspects.news_dropped");
             }
         }
     }
 
     /// Has a row changed in the background.
-    pub fn change(&self, service: &str, fingerprint: Fingerprint, change: Change) {
+    pub fn queue_change(&self, service: &str, fingerprint: Fingerprint, change: Change) {
         let pending = PendingChange { service: service.to_owned(), fingerprint, change };
         // The recorder has ended only when the daemon stops; peers have heard the news.
         let _ = self.changes.send(pending);
@@ -87,10 +87,10 @@
     /// # Errors
     ///
     /// The platform's.
-    pub async fn read(&self, key: &str) -> Result<Found, PlatformError> {
-        let Some(row) = self.platform.row(key).await? else { return Ok(Found::default()) };
+    pub async fn read(&self, key: &str) -> Result<StoredSuspect, PlatformError> {
+        let Some(row) = self.platform.row(key).await? else { return Ok(StoredSuspect::default()) };
         let value = serde_json::from_value(row.value.clone()).ok();
-        Ok(Found { value, row: Some(row) })
+        Ok(StoredSuspect { value, row: Some(row) })
     }
 
     /// Writes `write` over what was read.
@@ -98,12 +98,16 @@
     /// # Errors
     ///
     /// The platform's; a conflict when the row was written since.
-    pub async fn write_over(&self, found: &Found, write: Write) -> Result<(), PlatformError> {
-        let must = found
+    pub async fn commit_over(
+        &self,
+        stored: &StoredSuspect,
+        write: Write,
+    ) -> Result<(), PlatformError> {
+        let precondition = stored
             .row
             .as_ref()
             .map_or(Precondition::BeAbsent, |row| Precondition::BeAt(row.revision));
-        let conditions = vec![Condition::new(write.key.clone(), must)];
+        let conditions = vec![Condition::new(write.key.clone(), precondition)];
         self.platform.commit(&Commit { conditions, writes: vec![write] }).await?;
         Ok(())
     }
--- a/crates/yuccarackd/src/coordination/suspects/keeper.rs
+++ b/crates/yuccarackd/src/coordination/suspects/tracker.rs
@@ -15,12 +15,12 @@
 
 use super::{
     attempt::TrialAttempt,
-    listener::Listener,
-    memory::Memory,
+    cache::SuspectCache,
+    event_handler::EventHandler,
     recorder::Recorder,
     row::Change,
     shared::Shared,
-    trial::{Ended, TrialParts, TrialVerdict},
+    trial::{TrialEnd, TrialParts, TrialVerdict},
 };
 use crate::{
     protocol::{control::UrgentUpdate, suspect_update::SuspectEvent},
@@ -29,14 +29,14 @@
 
 /// Knows which requests may crash targets; clones share their tasks.
 #[derive(Clone)]
-pub struct SuspectKeeper {
+pub struct SuspectTracker {
     shared: Shared,
-    ended: UnboundedSender<Ended>,
+    trial_end_sender: UnboundedSender<TrialEnd>,
     service: watch::Sender<Option<ServiceName>>,
     trial_ids: Arc<Mutex<SmallRng>>,
 }
 
-impl SuspectKeeper {
+impl SuspectTracker {
     /// Makes a keeper and starts its tasks on `tasks`.
     ///
     /// What it puts into `news` is to reach all members of the service at once; what they say
@@ -45,30 +45,35 @@
         platform: PlatformClient,
         instance: InstanceId,
         counters: Counters,
-        news: mpsc::Sender<UrgentUpdate>,
-        heard: mpsc::Receiver<UrgentUpdate>,
+        update_sender: mpsc::Sender<UrgentUpdate>,
+        update_receiver: mpsc::Receiver<UrgentUpdate>,
         tasks: &TaskTracker,
         stop: CancellationToken,
     ) -> Self {
-        let (changes, changes_in) = mpsc::unbounded_channel();
-        let (ended, ended_in) = mpsc::unbounded_channel();
-        let (service, service_in) = watch::channel(None);
-        let memory = Arc::new(Mutex::new(Memory::new()));
-        let shared = Shared { platform, instance, counters, memory, news, changes };
-        let listener = Listener::new(shared.clone(), heard, ended_in);
-        let recorder = Recorder::new(shared.clone(), changes_in, service_in);
+        let (changes, change_receiver) = mpsc::unbounded_channel();
+        let (trial_end_sender, trial_end_receiver) = mpsc::unbounded_channel();
+        let (service, service_receiver) = watch::channel(None);
+        let cache = Arc::new(Mutex::new(SuspectCache::new()));
+        let shared = Shared { platform, instance, counters, cache, update_sender, changes };
+        let event_handler = EventHandler::new(shared.clone(), update_receiver, trial_end_receiver);
+        let recorder = Recorder::new(shared.clone(), change_receiver, service_receiver);
         let recorder_stop = CancellationToken::new();
         tasks.spawn(recorder.run(recorder_stop.clone()));
         tasks.spawn(async move {
-            listener.run(stop).await;
+            event_handler.run(stop).await;
             // Only now, so that what the listener's last trials ask for is written.
             recorder_stop.cancel();
         });
-        Self { shared, ended, service, trial_ids: Arc::new(Mutex::new(SmallRng::from_os_rng())) }
+        Self {
+            shared,
+            trial_end_sender,
+            service,
+            trial_ids: Arc::new(Mutex::new(SmallRng::from_os_rng())),
+        }
     }
 
     /// Follows the suspects of `service`, the own target's, in the table from now on.
-    pub fn follow(&self, service: ServiceName) {
+    pub fn watch_service(&self, service: ServiceName) {
         self.service.send_if_modified(|followed| {
             let is_new = followed.as_ref() != Some(&service);
             *followed = Some(service);
@@ -78,7 +83,7 @@
 
     /// How a request may run; asks nobody.
     pub async fn verdict(&self, _service: &str, fingerprint: Fingerprint) -> Verdict {
-        let verdict = self.shared.memory.lock().verdict(Instant::now(), fingerprint);
+        let verdict = self.shared.cache.lock().verdict(Instant::now(), fingerprint);
         let counter = match verdict {
             Verdict::Clear => return verdict,
             Verdict::Alone => "suspects.alone",
@@ -95,22 +100,24 @@
     pub async fn begin_trial(&self, service: &str, fingerprint: Fingerprint) -> TrialVerdict {
         let trial = self.trial_ids.lock().random::<AttemptId>();
         let parts = TrialParts { service: service.to_owned(), fingerprint, trial };
-        TrialAttempt::new(self.shared.clone(), parts, self.ended.clone()).run().await
+        TrialAttempt::new(self.shared.clone(), parts, self.trial_end_sender.clone()).run().await
     }
 
     /// Notes that the own target died with these requests on it, each with whether it was alone.
     ///
     /// News are on their way when this returns, so before a caller can send its request again;
     /// the rows follow in the background.
-    pub async fn target_died(&self, service: &str, in_flight: Vec<(Fingerprint, bool)>) {
-        let mut memory = self.shared.memory.lock();
-        let events = memory.own_target_died(Instant::now(), &self.shared.instance, &in_flight);
+    pub async fn record_target_crash(&self, service: &str, in_flight: Vec<(Fingerprint, bool)>) {
+        let mut cache = self.shared.cache.lock();
+        let events =
+            cache.record_own_target_crash(Instant::now(), &self.shared.instance, &in_flight);
         self.shared.counters.add_many("suspects.blamed", events.len() as u64);
-        self.shared.tell(service, &events);
+        self.shared.broadcast(service, &events);
         for (fingerprint, event) in events {
             let is_quarantined = event == SuspectEvent::Quarantined;
-            let change = Change::Died { died: memory.died(fingerprint), is_quarantined };
-            self.shared.change(service, fingerprint, change);
+            let change =
+                Change::Crashed { instances: cache.crashed_instances(fingerprint), is_quarantined };
+            self.shared.queue_change(service, fingerprint, change);
         }
     }
 }
--- a/crates/yuccarackd/src/coordination/suspects/trial.rs
+++ b/crates/yuccarackd/src/coordination/suspects/trial.rs
@@ -9,7 +9,7 @@
 use tokio::sync::mpsc::UnboundedSender;
 use yuccarack_config::ids::{AttemptId, Fingerprint, ServiceName};
 
-use super::memory::Memory;
+use super::cache::SuspectCache;
 
 /// Whether a suspect may run here.
 #[derive(Debug)]
@@ -27,7 +27,7 @@
         until: Instant,
     },
     /// The store can't tell whether it runs elsewhere; it is proved that it doesn't run here.
-    StoreAway {
+    StoreUnavailable {
         /// Time after which another try is worth it.
         retry_after: Duration,
     },
@@ -37,8 +37,8 @@
 /// gives it back.
 #[derive(Debug)]
 pub struct Trial {
-    handle: Handle,
-    memory: Arc<Mutex<Memory>>,
+    handle: TrialHandle,
+    cache: Arc<Mutex<SuspectCache>>,
 }
 
 /// A trial whose request may have reached the target.
@@ -48,14 +48,14 @@
 #[derive(Debug)]
 #[must_use = "a trial that isn't ended keeps its request from running"]
 pub struct RunningTrial {
-    handle: Handle,
+    handle: TrialHandle,
 }
 
 #[derive(Debug)]
-struct Handle {
+struct TrialHandle {
     parts: Option<TrialParts>,
-    ended: UnboundedSender<Ended>,
-    when_dropped: fn(TrialParts) -> Ended,
+    trial_end_sender: UnboundedSender<TrialEnd>,
+    end_on_drop: fn(TrialParts) -> TrialEnd,
 }
 
 /// Which trial it is.
@@ -71,64 +71,71 @@
 
 /// How a trial ended.
 #[derive(Debug)]
-pub enum Ended {
+pub enum TrialEnd {
     /// The target lives.
-    Well(TrialParts),
+    Succeeded(TrialParts),
     /// It was given back before it began.
     NotStarted(TrialParts),
     /// Nothing was handed over.
     NotRun(TrialParts),
     /// Its caller hung up; the request may still run.
-    InSilence(TrialParts),
+    CallerDisconnected(TrialParts),
 }
 
 impl Trial {
     pub(super) fn new(
         parts: TrialParts,
-        ended: UnboundedSender<Ended>,
-        memory: Arc<Mutex<Memory>>,
+        trial_end_sender: UnboundedSender<TrialEnd>,
+        cache: Arc<Mutex<SuspectCache>>,
     ) -> Self {
-        let handle = Handle { parts: Some(parts), ended, when_dropped: Ended::NotStarted };
-        Self { handle, memory }
+        let handle =
+            TrialHandle { parts: Some(parts), trial_end_sender, end_on_drop: TrialEnd::NotStarted };
+        Self { handle, cache }
     }
 
     /// Goes over to running; to be called before the first byte is handed over.
     ///
     /// Only from here on the target's death counts against it: one that waited for its slot when
     /// another request took the target down has done nothing.
-    pub fn hand_over(mut self) -> RunningTrial {
+    pub fn begin_dispatch(mut self) -> RunningTrial {
         let parts = self.handle.parts.take();
         if let Some(parts) = &parts {
-            self.memory.lock().trial_handed_over(parts.fingerprint, parts.trial);
+            self.cache.lock().record_trial_dispatch(parts.fingerprint, parts.trial);
+        }
+        let trial_end_sender = self.handle.trial_end_sender.clone();
+        RunningTrial {
+            handle: TrialHandle {
+                parts,
+                trial_end_sender,
+                end_on_drop: TrialEnd::CallerDisconnected,
+            },
         }
-        let ended = self.handle.ended.clone();
-        RunningTrial { handle: Handle { parts, ended, when_dropped: Ended::InSilence } }
     }
 }
 
 impl RunningTrial {
     /// Ends the trial: the whole answer came and the target lives.
-    pub fn ended_well(mut self) {
-        self.handle.end(Ended::Well);
+    pub fn finish(mut self) {
+        self.handle.end(TrialEnd::Succeeded);
     }
 
     /// Ends the trial with the proof that nothing of the request ran.
-    pub fn not_run(mut self) {
-        self.handle.end(Ended::NotRun);
+    pub fn finish_not_run(mut self) {
+        self.handle.end(TrialEnd::NotRun);
     }
 }
 
-impl Handle {
-    fn end(&mut self, how: fn(TrialParts) -> Ended) {
+impl TrialHandle {
+    fn end(&mut self, how: fn(TrialParts) -> TrialEnd) {
         if let Some(parts) = self.parts.take() {
             // After the listener's end the row stays on trial until its time is over.
-            let _ = self.ended.send(how(parts));
+            let _ = self.trial_end_sender.send(how(parts));
         }
     }
 }
 
-impl Drop for Handle {
+impl Drop for TrialHandle {
     fn drop(&mut self) {
-        self.end(self.when_dropped);
+        self.end(self.end_on_drop);
     }
 }
--- a/crates/yuccarackd/src/daemon/assembly.rs
+++ b/crates/yuccarackd/src/daemon/assembly.rs
@@ -15,7 +15,7 @@
         entry::{Entry, EntryParts},
         gate::{Gate, GateParts, server::GateServer},
         measuring::Measuring,
-        suspects::SuspectKeeper,
+        suspects::SuspectTracker,
     },
     state::{call_log::CallLog, counters::Counters},
     transport::{call_server::CallServer, upstream::Upstream},
@@ -105,10 +105,10 @@
         )
     }
 
-    fn start_suspects(&self, control: &mut ControlPlane) -> SuspectKeeper {
+    fn start_suspects(&self, control: &mut ControlPlane) -> SuspectTracker {
         // The control plane has just started, so nobody else has taken them.
         let arrived = control.take_arrived().unwrap_or_else(|| mpsc::channel(1).1);
-        SuspectKeeper::start(
+        SuspectTracker::start(
             self.platform.clone(),
             self.settings.instance.clone(),
             self.counters.clone(),
--- a/crates/yuccarackd/tests/suspects/support.rs
+++ b/crates/yuccarackd/tests/suspects/support.rs
@@ -16,7 +16,7 @@
 use yuccarack_policy::suspects::Verdict;
 use yuccarack_standins::platform::Platform;
 use yuccarackd::{
-    coordination::suspects::{SuspectKeeper, Trial, TrialVerdict},
+    coordination::suspects::{SuspectTracker, Trial, TrialVerdict},
     protocol::control::UrgentUpdate,
     state::counters::Counters,
 };
@@ -34,8 +34,8 @@
 /// Gates that hear each other's news.
 pub struct Gates {
     pub platform: Platform,
-    pub gates: Vec<SuspectKeeper>,
-    ears: Arc<Mutex<Vec<mpsc::Sender<UrgentUpdate>>>>,
+    pub gates: Vec<SuspectTracker>,
+    update_senders: Arc<Mutex<Vec<mpsc::Sender<UrgentUpdate>>>>,
     tasks: TaskTracker,
     stop: CancellationToken,
 }
@@ -48,7 +48,7 @@
         let mut gates = Self {
             platform,
             gates: Vec::new(),
-            ears: Arc::default(),
+            update_senders: Arc::default(),
             tasks: TaskTracker::new(),
             stop: CancellationToken::new(),
         };
@@ -62,10 +62,10 @@
     pub fn add(&mut self) -> usize {
         let number = self.gates.len();
         let (news, mut said) = mpsc::channel(NEWS_MAX);
-        let (ear, heard) = mpsc::channel(NEWS_MAX);
-        self.ears.lock().push(ear);
+        let (update_sender, heard) = mpsc::channel(NEWS_MAX);
+        self.update_senders.lock().push(update_sender);
         let client = PlatformClient::new(self.platform.address(), ANSWER_TIMEOUT);
-        self.gates.push(SuspectKeeper::start(
+        self.gates.push(SuspectTracker::start(
             client,
             format!("gate-{number}"),
             Counters::new(),
@@ -74,15 +74,20 @@
             &self.tasks,
             self.stop.clone(),
         ));
-        let (ears, stop) = (self.ears.clone(), self.stop.clone());
+        let (update_senders, stop) = (self.update_senders.clone(), self.stop.clone());
         self.tasks.spawn(async move {
             loop {
                 let news: UrgentUpdate = tokio::select! {
                     Some(news) = said.recv() => news,
                     () = stop.cancelled() => return,
                 };
-                for (_, ear) in ears.lock().iter().enumerate().filter(|(ear, _)| *ear != number) {
-                    ear.try_send(news.clone()).expect("there is room");
+                for (_, update_sender) in update_senders
+                    .lock()
+                    .iter()
+                    .enumerate()
+                    .filter(|(update_sender, _)| *update_sender != number)
+                {
+                    update_sender.try_send(news.clone()).expect("there is room");
                 }
             }
         });
@@ -90,13 +95,13 @@
     }
 
     /// A target died at gate `number` with one request on it, in company.
-    pub async fn died(&self, number: usize, fingerprint: u64) {
-        self.gates[number].target_died(SERVICE, vec![(fingerprint, false)]).await;
+    pub async fn record_crash(&self, number: usize, fingerprint: u64) {
+        self.gates[number].record_target_crash(SERVICE, vec![(fingerprint, false)]).await;
     }
 
     /// A target died of a trial.
-    pub async fn died_alone(&self, number: usize) {
-        self.gates[number].target_died(SERVICE, Vec::new()).await;
+    pub async fn crash_on_trial(&self, number: usize) {
+        self.gates[number].record_target_crash(SERVICE, Vec::new()).await;
     }
 
     /// Asks for a trial.
--- a/crates/yuccarackd/tests/suspects/trials.rs
+++ b/crates/yuccarackd/tests/suspects/trials.rs
@@ -20,7 +20,7 @@
 async fn one_gate_of_many_gets_the_trial() {
     let gates = Gates::start(4).await;
     for request in 0..50 {
-        gates.died(0, request).await;
+        gates.record_crash(0, request).await;
         let asked = join_all((0..4).map(|number| gates.begin(number, request))).await;
         let granted = asked.iter().filter(|asked| matches!(asked, TrialVerdict::Granted(_)));
         let elsewhere =
@@ -34,9 +34,9 @@
 #[tokio::test]
 async fn a_trial_that_ends_well_clears_everywhere() {
     let gates = Gates::start(3).await;
-    gates.died(0, REQUEST).await;
+    gates.record_crash(0, REQUEST).await;
     gates.until_all("suspected", REQUEST, |verdict| *verdict == Verdict::Alone).await;
-    gates.granted(1, REQUEST).await.hand_over().ended_well();
+    gates.granted(1, REQUEST).await.begin_dispatch().finish();
     gates.until_all("clear", REQUEST, |verdict| *verdict == Verdict::Clear).await;
     eventually("the row is gone", || gates.row(REQUEST).is_none()).await;
     gates.stop().await;
@@ -47,9 +47,9 @@
 #[tokio::test]
 async fn a_second_crash_quarantines_everywhere() {
     let mut gates = Gates::start(3).await;
-    gates.died(0, REQUEST).await;
-    let running = gates.granted(1, REQUEST).await.hand_over();
-    gates.died_alone(1).await;
+    gates.record_crash(0, REQUEST).await;
+    let running = gates.granted(1, REQUEST).await.begin_dispatch();
+    gates.crash_on_trial(1).await;
     drop(running);
     gates.until_all("quarantined", REQUEST, is_quarantined).await;
     eventually("the row says so", || {
@@ -58,7 +58,7 @@
     .await;
     let late = gates.add();
     assert_eq!(gates.verdict(late, REQUEST).await, Verdict::Clear, "it has just started");
-    gates.gates[late].follow(super::support::SERVICE.to_owned());
+    gates.gates[late].watch_service(super::support::SERVICE.to_owned());
     gates.until_all("quarantined at the new daemon too", REQUEST, is_quarantined).await;
     for number in 0..4 {
         let asked = gates.begin(number, REQUEST).await;
@@ -72,11 +72,11 @@
 #[tokio::test]
 async fn a_crash_after_a_hang_up_counts() {
     let gates = Gates::start(2).await;
-    gates.died(0, REQUEST).await;
-    drop(gates.granted(1, REQUEST).await.hand_over());
+    gates.record_crash(0, REQUEST).await;
+    drop(gates.granted(1, REQUEST).await.begin_dispatch());
     let asked = gates.begin(0, REQUEST).await;
     assert!(matches!(asked, TrialVerdict::OnTrialElsewhere { .. }), "{asked:?}");
-    gates.died_alone(1).await;
+    gates.crash_on_trial(1).await;
     gates.until_all("quarantined", REQUEST, is_quarantined).await;
     gates.stop().await;
 }
@@ -85,10 +85,10 @@
 #[tokio::test]
 async fn a_trial_of_which_nothing_ran_is_given_back() {
     let gates = Gates::start(2).await;
-    gates.died(0, REQUEST).await;
+    gates.record_crash(0, REQUEST).await;
     drop(gates.granted(1, REQUEST).await);
     let trial = gates.granted_at_last(0, REQUEST).await;
-    trial.hand_over().not_run();
+    trial.begin_dispatch().finish_not_run();
     drop(gates.granted_at_last(1, REQUEST).await);
     gates.stop().await;
 }
@@ -98,8 +98,8 @@
 #[tokio::test]
 async fn a_trial_that_nobody_ends_counts_as_a_crash() {
     let gates = Gates::start(3).await;
-    gates.died(0, REQUEST).await;
-    let _running = gates.granted(1, REQUEST).await.hand_over();
+    gates.record_crash(0, REQUEST).await;
+    let _running = gates.granted(1, REQUEST).await.begin_dispatch();
     gates.let_expire(REQUEST);
     let asked = gates.begin(2, REQUEST).await;
     assert!(matches!(asked, TrialVerdict::Quarantined { .. }), "{asked:?}");
@@ -114,7 +114,7 @@
 #[tokio::test]
 async fn two_deaths_at_once_quarantine() {
     let gates = Gates::start(3).await;
-    tokio::join!(gates.died(0, REQUEST), gates.died(1, REQUEST));
+    tokio::join!(gates.record_crash(0, REQUEST), gates.record_crash(1, REQUEST));
     gates.until_all("quarantined", REQUEST, is_quarantined).await;
     gates.stop().await;
 }
@@ -124,9 +124,9 @@
 #[tokio::test]
 async fn a_served_quarantine_leaves_one_more_trial() {
     let gates = Gates::start(2).await;
-    gates.died(0, REQUEST).await;
-    let _running = gates.granted(1, REQUEST).await.hand_over();
-    gates.died_alone(1).await;
+    gates.record_crash(0, REQUEST).await;
+    let _running = gates.granted(1, REQUEST).await.begin_dispatch();
+    gates.crash_on_trial(1).await;
     eventually("the row says so", || {
         gates.row(REQUEST).is_some_and(|row| row.state == SuspectState::Quarantined)
     })
@@ -134,7 +134,7 @@
     gates.let_expire(REQUEST);
     let mut later = gates;
     let fresh = later.add();
-    later.granted(fresh, REQUEST).await.hand_over().ended_well();
+    later.granted(fresh, REQUEST).await.begin_dispatch().finish();
     eventually("the row is gone", || later.row(REQUEST).is_none()).await;
     later.stop().await;
 }
@@ -143,11 +143,11 @@
 #[tokio::test]
 async fn without_the_store_there_is_no_trial() {
     let gates = Gates::start(2).await;
-    gates.died(0, REQUEST).await;
+    gates.record_crash(0, REQUEST).await;
     for mode in [PlatformMode::Down, PlatformMode::BlackHole] {
         gates.platform.set_faults(PlatformFaults { mode, ..Default::default() });
         let asked = gates.begin(1, REQUEST).await;
-        assert!(matches!(asked, TrialVerdict::StoreAway { .. }), "{asked:?}");
+        assert!(matches!(asked, TrialVerdict::StoreUnavailable { .. }), "{asked:?}");
     }
     gates.platform.set_faults(PlatformFaults::default());
     drop(gates.granted_at_last(1, REQUEST).await);
@@ -158,10 +158,10 @@
 #[tokio::test]
 async fn a_trial_whose_answer_is_lost_is_found() {
     let gates = Gates::start(2).await;
-    gates.died(0, REQUEST).await;
+    gates.record_crash(0, REQUEST).await;
     eventually("the death is written", || gates.row(REQUEST).is_some()).await;
     gates.platform.set_faults(PlatformFaults { lose_answers: 1, ..Default::default() });
-    let _running = gates.granted(1, REQUEST).await.hand_over();
+    let _running = gates.granted(1, REQUEST).await.begin_dispatch();
     let asked = gates.begin(0, REQUEST).await;
     assert!(matches!(asked, TrialVerdict::OnTrialElsewhere { .. }), "{asked:?}");
     gates.stop().await;
@@ -172,14 +172,14 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_trial_given_up_cannot_take_effect_late() {
     let gates = Gates::start(2).await;
-    gates.died(0, REQUEST).await;
+    gates.record_crash(0, REQUEST).await;
     eventually("the death is written", || gates.row(REQUEST).is_some()).await;
     // Under the answer's timeout, so that the row can be read.
     let late = PlatformFaults { delay_ms: 100, late_effect: true, ..Default::default() };
     gates.platform.set_faults(late);
-    let keeper = gates.gates[1].clone();
+    let tracker = gates.gates[1].clone();
     let call =
-        tokio::spawn(async move { keeper.begin_trial(super::support::SERVICE, REQUEST).await });
+        tokio::spawn(async move { tracker.begin_trial(super::support::SERVICE, REQUEST).await });
     eventually("the write is on its way", || gates.platform.commits_pending() > 0).await;
     call.abort();
     gates.platform.set_faults(PlatformFaults::default());
@@ -201,16 +201,16 @@
     let gates = Gates::start(2).await;
     let down = PlatformFaults { mode: PlatformMode::Down, ..Default::default() };
     gates.platform.set_faults(down);
-    gates.died(0, REQUEST).await;
+    gates.record_crash(0, REQUEST).await;
     // By now the first gate has tried to write and waits for the store.
     let failed = gates.platform.stats().failed;
     eventually("the death can't be written", || gates.platform.stats().failed > failed).await;
     gates.platform.set_faults(PlatformFaults::default());
     gates.until_all("suspected", REQUEST, |verdict| *verdict == Verdict::Alone).await;
-    gates.granted(1, REQUEST).await.hand_over().ended_well();
+    gates.granted(1, REQUEST).await.begin_dispatch().finish();
     gates.until_all("clear", REQUEST, |verdict| *verdict == Verdict::Clear).await;
     // Another death, written after the first one's turn has come.
-    gates.died(0, REQUEST + 1).await;
+    gates.record_crash(0, REQUEST + 1).await;
     eventually("the other death is written", || gates.row(REQUEST + 1).is_some()).await;
     eventually("the trial's row is gone", || gates.row(REQUEST).is_none()).await;
     assert_eq!(gates.row(REQUEST), None);
@@ -222,11 +222,11 @@
 #[tokio::test]
 async fn a_death_before_the_hand_over_is_not_the_trial_s() {
     let gates = Gates::start(2).await;
-    gates.died(0, REQUEST).await;
+    gates.record_crash(0, REQUEST).await;
     let waiting = gates.granted(1, REQUEST).await;
-    gates.died(1, REQUEST + 1).await;
+    gates.record_crash(1, REQUEST + 1).await;
     drop(waiting);
-    gates.granted_at_last(0, REQUEST).await.hand_over().ended_well();
+    gates.granted_at_last(0, REQUEST).await.begin_dispatch().finish();
     gates.until_all("clear", REQUEST, |verdict| *verdict == Verdict::Clear).await;
     gates.stop().await;
 }
