--- a/crates/yuccarackd/src/coordination/entry/attempt_sender.rs
+++ b/crates/yuccarackd/src/coordination/entry/attempt_sender.rs
@@ -76,7 +76,7 @@
             Ok(self.send_local(prepared.attempt, prepared.request).await)
         } else {
             let address = prepared.chosen.address;
-            self.entry.parts.upstream.send(address, prepared.request, Freshness::Kept).await
+            self.entry.parts.upstream.send(address, prepared.request, Freshness::Pooled).await
         };
         match result {
             Ok(response) => self.classify_response(response, &mut record),
--- a/crates/yuccarackd/src/coordination/entry/mod.rs
+++ b/crates/yuccarackd/src/coordination/entry/mod.rs
@@ -83,14 +83,14 @@
 }
 
 impl CallHandler for Entry {
-    const TAKES_PIPELINES: bool = true;
+    const ACCEPTS_PIPELINING: bool = true;
 
     async fn handle(
         self: Arc<Self>,
         arrival: Arrival,
         request: Request<CallBody>,
     ) -> Response<CallBody> {
-        let Arrival { peer, came_at: now } = arrival;
+        let Arrival { peer, received_at: now } = arrival;
         self.parts.counters.add("entry.calls");
         let (parts, body) = request.into_parts();
         let head = match CallHead::parse(&parts, peer.ip(), now, &mut rand::rng()) {
--- a/crates/yuccarackd/src/coordination/gate/dispatch.rs
+++ b/crates/yuccarackd/src/coordination/gate/dispatch.rs
@@ -36,7 +36,7 @@
         refusal::{Outcome, Reason, Refusal},
     },
     transport::{
-        connection::{Connection, SendError, Sending},
+        connection::{BodyLength, Connection, SendError},
         upstream::Freshness,
     },
 };
@@ -82,7 +82,7 @@
     /// Returns a refusal whose outcome says whether the request is confirmed not to have run.
     pub async fn run(self, call: GateCall) -> Result<Response<CallBody>, Refusal> {
         let response_deadline = call.deadline;
-        self.exchange(call, Freshness::Kept, response_deadline).await
+        self.exchange(call, Freshness::Pooled, response_deadline).await
     }
 
     /// Dispatches a claimed request and records its outcome.
@@ -184,7 +184,7 @@
         for delay in CRASH_CHECK_DELAYS {
             sleep(delay).await;
             let probe =
-                Connection::open(target.address(), Sending::Short, &self.parts.background).await;
+                Connection::open(target.address(), BodyLength::Short, &self.parts.background).await;
             has_crashed = probe.is_err_and(|error| is_connection_refused(&error));
             if has_crashed {
                 break;
--- a/crates/yuccarackd/src/coordination/gate/server.rs
+++ b/crates/yuccarackd/src/coordination/gate/server.rs
@@ -33,7 +33,7 @@
         arrival: Arrival,
         request: Request<CallBody>,
     ) -> Response<CallBody> {
-        let Arrival { peer, came_at: now } = arrival;
+        let Arrival { peer, received_at: now } = arrival;
         let (parts, body) = request.into_parts();
         let head = CallHead::parse(&parts, peer.ip(), now, &mut rand::rng());
         let Ok(head) = head else {
--- a/crates/yuccarackd/src/coordination/gossip.rs
+++ b/crates/yuccarackd/src/coordination/gossip.rs
@@ -247,7 +247,7 @@
     ) -> Result<ControlResponse, ExchangeError> {
         let bytes = encode(question)?;
         let deadline = Instant::now() + ANSWER_TIMEOUT;
-        let answer = self.shared.client.ask(address, &bytes, deadline).await?;
+        let answer = self.shared.client.send_request(address, &bytes, deadline).await?;
         Ok(decode(&answer)?)
     }
 
--- a/crates/yuccarackd/src/coordination/measuring.rs
+++ b/crates/yuccarackd/src/coordination/measuring.rs
@@ -18,7 +18,7 @@
 use super::gate::{Gate, target::GateTarget};
 use crate::{
     state::counters::Counters,
-    transport::load_look::{Look, look},
+    transport::load_probe::{LoadProbe, probe_load},
 };
 
 /// Wait for a target that can be asked.
@@ -84,7 +84,7 @@
     async fn look(&mut self, target: &GateTarget, path: &str, permit: MeasurementPermit) {
         let before = self.budget.total_cost();
         let handed_over_before = target.slots.in_flight();
-        let seen = look(target.address(), path, permit.bytes_max, permit.give_up_at).await;
+        let seen = probe_load(target.address(), path, permit.bytes_max, permit.give_up_at).await;
         self.budget.record_end(Instant::now(), seen.bytes);
         let handed_over = handed_over_before.max(target.slots.in_flight());
         self.note(target, &seen, handed_over);
@@ -94,7 +94,7 @@
         self.counters.add_many("measuring.time_us", spent.time_us - before.time_us);
     }
 
-    fn note(&mut self, target: &GateTarget, seen: &Look, handed_over: usize) {
+    fn note(&mut self, target: &GateTarget, seen: &LoadProbe, handed_over: usize) {
         match seen.load {
             Some(load) => {
                 let handed_over = u16::try_from(handed_over).unwrap_or(u16::MAX);
--- a/crates/yuccarackd/src/coordination/routed/entry/attempts.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/attempts.rs
@@ -214,7 +214,7 @@
         let is_offered = self.entry.parts.settings.current().decisions.offered_bodies;
         let request = self.call.request(&hop, is_offered);
         let upstream = &self.entry.parts.upstream;
-        match upstream.send(gate.address(), request, Freshness::Kept).await {
+        match upstream.send(gate.address(), request, Freshness::Pooled).await {
             Ok(response) => self.receive_response(gate, response),
             Err(error) => Reply::Refused(send_error_refusal(&error)),
         }
--- a/crates/yuccarackd/src/coordination/routed/entry/mod.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/mod.rs
@@ -106,7 +106,7 @@
 }
 
 impl CallHandler for RoutedEntry {
-    const TAKES_PIPELINES: bool = true;
+    const ACCEPTS_PIPELINING: bool = true;
 
     /// Allows an early start only for repeatable requests, as the caller sends the request again if
     /// an earlier response closes the connection. While this daemon leaves it closes connections,
@@ -128,10 +128,10 @@
         arrival: Arrival,
         request: Request<CallBody>,
     ) -> Response<CallBody> {
-        let Arrival { peer, came_at } = arrival;
+        let Arrival { peer, received_at } = arrival;
         self.parts.counters.add("entry.calls");
         let (parts, body) = request.into_parts();
-        let mut trace = CallTrace::new(came_at, peer);
+        let mut trace = CallTrace::new(received_at, peer);
         let result = self.process(parts, body, &mut trace).await;
         self.finish(result, &trace)
     }
--- a/crates/yuccarackd/src/coordination/routed/entry/prober.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/prober.rs
@@ -6,7 +6,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::{RoutedEntry, service::RoutedService};
-use crate::{coordination::jitter::jittered, transport::look::is_listening};
+use crate::{coordination::jitter::jittered, transport::tcp_probe::is_listening};
 
 /// Mean time between two rounds of probes, which is jittered.
 const ROUND_INTERVAL: Duration = Duration::from_millis(400);
--- a/crates/yuccarackd/src/coordination/routed/gate/crash_tracker.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/crash_tracker.rs
@@ -157,7 +157,7 @@
         let map = request.headers_mut();
         map.insert(CRASH_SUSPECTS, report.clone());
         map.insert(header::HOST, HeaderValue::from_static("peer"));
-        let sent = self.inner.parts.upstream.send(address, request, Freshness::Kept);
+        let sent = self.inner.parts.upstream.send(address, request, Freshness::Pooled);
         sent.await.is_ok_and(|response| response.status().is_success())
     }
 }
--- a/crates/yuccarackd/src/coordination/routed/gate/health_checks.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/health_checks.rs
@@ -118,7 +118,8 @@
     let address = active.view.address;
     let host = HeaderValue::from_str(&address.to_string()).ok()?;
     let request = Request::get(path).header(header::HOST, host).body(body::empty()).ok()?;
-    let response = gate.health_check_upstream.send(address, request, Freshness::Kept).await.ok()?;
+    let response =
+        gate.health_check_upstream.send(address, request, Freshness::Pooled).await.ok()?;
     // After a restart another target may listen on the address.
     let is_own = response.headers().get(headers::TARGET)? == active.view.target.as_str();
     let slowdown_percent = load::decode(response.headers()).and_then(|load| load.pace_percent);
--- a/crates/yuccarackd/src/coordination/routed/gate/mod.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/mod.rs
@@ -51,7 +51,7 @@
             target::{RoutedTarget, TargetView},
         },
     },
-    transport::{look::is_listening, upstream::Upstream},
+    transport::{tcp_probe::is_listening, upstream::Upstream},
 };
 
 /// `Retry-After` of a refusal because the target of this gate accepts no requests now.
--- a/crates/yuccarackd/src/coordination/routed/gate/pooled_connections.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/pooled_connections.rs
@@ -29,8 +29,8 @@
     /// Returns which connections a repeatable request may use at `now`.
     pub fn freshness(&self, now: Instant) -> Freshness {
         match *self.cautious_until.lock() {
-            Some(until) if until > now => Freshness::KeptWithin(CAUTIOUS_IDLE_MAX),
-            _ => Freshness::Kept,
+            Some(until) if until > now => Freshness::PooledWithin(CAUTIOUS_IDLE_MAX),
+            _ => Freshness::Pooled,
         }
     }
 }
--- a/crates/yuccarackd/src/coordination/routed/peers/mod.rs
+++ b/crates/yuccarackd/src/coordination/routed/peers/mod.rs
@@ -305,7 +305,7 @@
             is_streaming: false,
             changes,
         };
-        let sent = self.send(address, &query, Freshness::Kept);
+        let sent = self.send(address, &query, Freshness::Pooled);
         let response = timeout(RESPONSE_HEAD_TIMEOUT, sent).await??;
         let transfer = self.inner.parts.transfers.begin();
         let body = read_full(response.into_body(), |bytes| transfer.record_bytes(bytes)).await?;
--- a/crates/yuccarackd/src/coordination/routed/sweeper.rs
+++ b/crates/yuccarackd/src/coordination/routed/sweeper.rs
@@ -17,7 +17,7 @@
 use crate::{
     coordination::jitter::jittered,
     state::routed::{members::Members, update_source::SyncState},
-    transport::look::is_listening,
+    transport::tcp_probe::is_listening,
 };
 
 /// Probes within the time after which an instance counts as removed.
--- a/crates/yuccarackd/src/daemon/assembly.rs
+++ b/crates/yuccarackd/src/daemon/assembly.rs
@@ -7,7 +7,7 @@
 use yuccarack_config::settings::DaemonSettings;
 use yuccarack_platform::PlatformClient;
 
-use super::lifetimes::{Stops, Tasks};
+use super::lifetimes::{StopTokens, Tasks};
 use crate::{
     coordination::{
         claims::ClaimTracker,
@@ -36,7 +36,7 @@
     /// Parents of what is spawned.
     pub tasks: Tasks,
     /// Words that end it.
-    pub stops: Stops,
+    pub stops: StopTokens,
 }
 
 impl Assembly {
@@ -52,17 +52,17 @@
             counters: self.counters.clone(),
             logger: self.logger.clone(),
             requests: self.tasks.gate.clone(),
-            background: self.tasks.rest.clone(),
+            background: self.tasks.background.clone(),
         }));
-        let stop = &self.stops.rest;
-        self.tasks.rest.spawn(Arc::clone(&gate).follow(stop.clone()));
+        let stop = &self.stops.background;
+        self.tasks.background.spawn(Arc::clone(&gate).follow(stop.clone()));
         let measuring = Measuring::new(Arc::clone(&gate), self.counters.clone());
-        self.tasks.rest.spawn(measuring.run(stop.clone()));
+        self.tasks.background.spawn(measuring.run(stop.clone()));
         gate
     }
 
     /// Makes the entry beside `gate`.
-    pub fn entry(&self, control: &ControlPlane, gate: Arc<Gate>, call_log: CallLog) -> Entry {
+    pub fn new_entry(&self, control: &ControlPlane, gate: Arc<Gate>, call_log: CallLog) -> Entry {
         Entry::new(EntryParts {
             instance: self.settings.instance.clone(),
             failure_domain: self.settings.failure_domain.clone(),
@@ -80,14 +80,14 @@
     pub fn serve_calls(&self, listener: TcpListener, entry: Entry) {
         let server = self.server(listener, "entry");
         let (tasks, stop) = (self.tasks.calls.clone(), self.stops.calls.clone());
-        self.tasks.rest.spawn(server.run(Arc::new(entry), tasks, stop));
+        self.tasks.background.spawn(server.run(Arc::new(entry), tasks, stop));
     }
 
     /// Serves other daemons.
     pub fn serve_daemons(&self, listener: TcpListener, gate: Arc<Gate>) {
         let server = self.server(listener, "gate");
         let (tasks, stop) = (self.tasks.gate.clone(), self.stops.gate.clone());
-        self.tasks.rest.spawn(server.run(Arc::new(GateServer::new(gate)), tasks, stop));
+        self.tasks.background.spawn(server.run(Arc::new(GateServer::new(gate)), tasks, stop));
     }
 
     fn server(&self, listener: TcpListener, counter_group: &'static str) -> CallServer {
@@ -100,8 +100,8 @@
             self.platform.clone(),
             self.settings.instance.clone(),
             self.counters.clone(),
-            &self.tasks.rest,
-            self.stops.rest.clone(),
+            &self.tasks.background,
+            self.stops.background.clone(),
         )
     }
 
@@ -114,8 +114,8 @@
             self.counters.clone(),
             control.urgent.clone(),
             arrived,
-            &self.tasks.rest,
-            self.stops.rest.clone(),
+            &self.tasks.background,
+            self.stops.background.clone(),
         )
     }
 }
--- a/crates/yuccarackd/src/daemon/lifetimes.rs
+++ b/crates/yuccarackd/src/daemon/lifetimes.rs
@@ -10,12 +10,12 @@
     /// Connections of other daemons, and claimed requests that outlive them.
     pub gate: TaskTracker,
     /// Everything else.
-    pub rest: TaskTracker,
+    pub background: TaskTracker,
 }
 
 /// Words that end parts of a daemon, said in this order.
 #[derive(Clone, Default)]
-pub struct Stops {
+pub struct StopTokens {
     /// Callers are to take their next call elsewhere.
     pub leaving: CancellationToken,
     /// Other daemons are to send their next request elsewhere.
@@ -25,5 +25,5 @@
     /// No request of another daemon is taken any more.
     pub gate: CancellationToken,
     /// The rest ends.
-    pub rest: CancellationToken,
+    pub background: CancellationToken,
 }
--- a/crates/yuccarackd/src/daemon/mod.rs
+++ b/crates/yuccarackd/src/daemon/mod.rs
@@ -19,7 +19,7 @@
 pub use self::errors::DaemonError;
 use self::{
     assembly::Assembly,
-    lifetimes::{Stops, Tasks},
+    lifetimes::{StopTokens, Tasks},
 };
 use crate::{
     coordination::{control_plane::ControlPlane, gate::Gate},
@@ -29,7 +29,7 @@
 
 /// Longest wait for what is left once calls have ended or were cut off: outcomes of claims that are
 /// still to be written, and connections that close.
-const REST_MAX: Duration = Duration::from_secs(10);
+const BACKGROUND_STOP_MAX: Duration = Duration::from_secs(10);
 
 /// A running daemon.
 pub struct Daemon {
@@ -58,7 +58,7 @@
         )
         .await?;
         let gate = assembly.start_gate(&mut control);
-        let entry = assembly.entry(&control, Arc::clone(&gate), call_log);
+        let entry = assembly.new_entry(&control, Arc::clone(&gate), call_log);
         assembly.serve_calls(call_listener, entry);
         assembly.serve_daemons(gate_listener, Arc::clone(&gate));
         info!(assembly.logger, "serving";
@@ -100,15 +100,16 @@
         self.gate.drain();
         sleep(Duration::from_millis(budgets.drain_notice_ms.into())).await;
         stops.calls.cancel();
-        let calls_ended = ended_by(&tasks.calls, drain_by).await;
+        let calls_ended = join_until(&tasks.calls, drain_by).await;
         stops.gate.cancel();
-        let gate_ended = ended_by(&tasks.gate, drain_by).await;
+        let gate_ended = join_until(&tasks.gate, drain_by).await;
         upstream.close_idle();
-        stops.rest.cancel();
+        stops.background.cancel();
         self.control.stop().await?;
         // Also after a cut: the outcomes of claims that have ended are still to be written.
-        let rest_ended = ended_by(&tasks.rest, Instant::now() + REST_MAX).await;
-        if !(calls_ended && gate_ended && rest_ended) {
+        let background_ended =
+            join_until(&tasks.background, Instant::now() + BACKGROUND_STOP_MAX).await;
+        if !(calls_ended && gate_ended && background_ended) {
             warn!(logger, "calls were cut off");
             return Err(DaemonError::DrainTimeout);
         }
@@ -121,33 +122,33 @@
     let platform_timeout = Duration::from_millis(settings.budgets.platform_timeout_ms.into());
     let tasks = Tasks::default();
     Ok(Assembly {
-        counters: counters(&settings)?,
+        counters: new_counters(&settings)?,
         platform: PlatformClient::new(settings.platform_address, platform_timeout),
-        upstream: Upstream::new(tasks.rest.clone()),
+        upstream: Upstream::new(tasks.background.clone()),
         settings: Arc::new(settings),
         logger,
         tasks,
-        stops: Stops::default(),
+        stops: StopTokens::default(),
     })
 }
 
 /// Binds `address` and puts the port there that the kernel gave.
 async fn listen(address: &mut SocketAddr) -> Result<TcpListener, DaemonError> {
-    let wanted = *address;
-    let failed = |cause| DaemonError::Listen { address: wanted, cause };
-    let listener = TcpListener::bind(wanted).await.map_err(failed)?;
-    *address = listener.local_addr().map_err(failed)?;
+    let requested = *address;
+    let listen_error = |cause| DaemonError::Listen { address: requested, cause };
+    let listener = TcpListener::bind(requested).await.map_err(listen_error)?;
+    *address = listener.local_addr().map_err(listen_error)?;
     Ok(listener)
 }
 
-fn counters(settings: &DaemonSettings) -> Result<Counters, DaemonError> {
+fn new_counters(settings: &DaemonSettings) -> Result<Counters, DaemonError> {
     match settings.statsd_address {
         None => Ok(Counters::new()),
         Some(address) => Counters::new().with_collector(address).map_err(DaemonError::Counters),
     }
 }
 
-async fn ended_by(tasks: &TaskTracker, by: Instant) -> bool {
+async fn join_until(tasks: &TaskTracker, by: Instant) -> bool {
     tasks.close();
     timeout_at(by, tasks.wait()).await.is_ok()
 }
--- a/crates/yuccarackd/src/daemon/routed.rs
+++ b/crates/yuccarackd/src/daemon/routed.rs
@@ -13,8 +13,8 @@
 
 use self::wiring::Wiring;
 use super::{
-    DaemonError, ended_by,
-    lifetimes::{Stops, Tasks},
+    DaemonError, join_until,
+    lifetimes::{StopTokens, Tasks},
     listen,
 };
 use crate::{
@@ -40,7 +40,7 @@
 /// Time for which a stopping daemon goes on as before, but for saying that it isn't ready: callers
 /// of the instance are told within two questions for readiness, a second apart. Its target is
 /// reached by nobody else, so refusing other daemons any sooner would only idle it.
-const NOTICE: Duration = Duration::from_millis(2_300);
+const READINESS_NOTICE: Duration = Duration::from_millis(2_300);
 
 /// Time for which a stopping gate turns requests away before it closes its connections.
 ///
@@ -52,7 +52,7 @@
 
 /// Time before the hard end of a stop at which what still runs is cut off, so that connections and
 /// the log can be closed in order; on a tenth of a core that took up to half a second.
-const CLOSING: Duration = Duration::from_millis(800);
+const CLOSE_RESERVE: Duration = Duration::from_millis(800);
 
 /// A running daemon for routed calls.
 pub struct RoutedDaemon {
@@ -63,7 +63,7 @@
     publisher: RowPublisher,
     upstream: Upstream,
     tasks: Tasks,
-    stops: Stops,
+    stops: StopTokens,
 }
 
 /// Listeners of one daemon.
@@ -91,7 +91,7 @@
         };
         let counters = Counters::new();
         let tasks = Tasks::default();
-        let upstream = Upstream::new(tasks.rest.clone());
+        let upstream = Upstream::new(tasks.background.clone());
         let (routing, members) = (RoutingState::new(), Members::new());
         let wiring = Wiring {
             events: EventLog::new(logger, counters.clone(), settings.log_lines_percent),
@@ -103,11 +103,11 @@
             upstream,
             counters,
             tasks,
-            stops: Stops::default(),
+            stops: StopTokens::default(),
             settings: LiveSettings::new(settings),
         };
         let gate = wiring.start_gate();
-        let (peers, publisher) = wiring.start_state();
+        let (peers, publisher) = wiring.start_sync();
         wiring.serve(listeners, &gate, peers);
         let Wiring { settings, routing, events, upstream, tasks, stops, .. } = wiring;
         let started = settings.current();
@@ -121,7 +121,7 @@
             metrics_address: started.metrics_address.to_string(),
         });
         let daemon = Self { settings, routing, events, gate, publisher, upstream, tasks, stops };
-        daemon.take_routing_file();
+        daemon.apply_routing_file();
         Ok(daemon)
     }
 
@@ -129,7 +129,7 @@
     pub fn reload(&self, file: &Path) {
         match self.settings.reload(file) {
             Ok(reloaded) => {
-                self.take_routing_file();
+                self.apply_routing_file();
                 self.events.write(|| SettingsReloaded { result: format!("{reloaded:?}") });
             }
             Err(error) => self.events.write(|| SettingsNotReloaded { cause: error.to_string() }),
@@ -137,7 +137,7 @@
     }
 
     /// Puts the table of the routing file in force, if the settings name one and it is newer.
-    fn take_routing_file(&self) {
+    fn apply_routing_file(&self) {
         match self.settings.current().routing() {
             Ok(Some(table)) => {
                 let version = table.version;
@@ -165,24 +165,24 @@
         let Self { settings, events, gate, publisher, upstream, tasks, stops, .. } = self;
         events.write(|| Stopping { running: gate.running() });
         let stop_max = Duration::from_millis(settings.current().bounds.stop_max_ms.into());
-        let end_by = Instant::now() + stop_max.saturating_sub(CLOSING);
+        let end_by = Instant::now() + stop_max.saturating_sub(CLOSE_RESERVE);
         stops.leaving.cancel();
-        tasks.rest.spawn(publisher.withdraw());
-        sleep(NOTICE.min(stop_max / 2)).await;
+        tasks.background.spawn(publisher.withdraw());
+        sleep(READINESS_NOTICE.min(stop_max / 2)).await;
         stops.gate_leaving.cancel();
         stops.calls.cancel();
         let gate_notice = sleep(GATE_NOTICE.min(stop_max / 10));
-        let (calls_ended, ()) = tokio::join!(ended_by(&tasks.calls, end_by), gate_notice);
+        let (calls_ended, ()) = tokio::join!(join_until(&tasks.calls, end_by), gate_notice);
         stops.gate.cancel();
-        let gate_ended = ended_by(&tasks.gate, end_by).await;
+        let gate_ended = join_until(&tasks.gate, end_by).await;
         upstream.close_idle();
-        stops.rest.cancel();
-        let rest_ended = ended_by(&tasks.rest, end_by + CLOSING / 2).await;
-        if !(calls_ended && gate_ended && rest_ended) {
+        stops.background.cancel();
+        let background_ended = join_until(&tasks.background, end_by + CLOSE_RESERVE / 2).await;
+        if !(calls_ended && gate_ended && background_ended) {
             events.write(|| StoppedForcibly {
                 calls: !calls_ended,
                 gate: !gate_ended,
-                rest: !rest_ended,
+                rest: !background_ended,
             });
             return Err(DaemonError::DrainTimeout);
         }
--- a/crates/yuccarackd/src/daemon/routed/wiring.rs
+++ b/crates/yuccarackd/src/daemon/routed/wiring.rs
@@ -22,7 +22,7 @@
         store_follower::{LastStoreResponse, StoreFollower},
         sweeper::Sweeper,
     },
-    daemon::lifetimes::{Stops, Tasks},
+    daemon::lifetimes::{StopTokens, Tasks},
     protocol::peer_update::RoutedMember,
     state::{
         counters::Counters,
@@ -44,7 +44,7 @@
 const HEAD_MAX_BYTES: usize = 32 * 1024;
 
 /// Time after which the rows of a fleet that starts for the first time stand.
-const ROWS_WRITTEN: Duration = Duration::from_millis(2_500);
+const FIRST_ROWS_DELAY: Duration = Duration::from_millis(2_500);
 
 /// What the parts share while they are put together.
 pub(super) struct Wiring {
@@ -58,7 +58,7 @@
     pub(super) target: RoutedTarget,
     pub(super) upstream: Upstream,
     pub(super) tasks: Tasks,
-    pub(super) stops: Stops,
+    pub(super) stops: StopTokens,
 }
 
 impl Wiring {
@@ -74,22 +74,22 @@
                 upstream: self.upstream.clone(),
                 counters: self.counters.clone(),
                 events: self.events.clone(),
-                background: self.tasks.rest.clone(),
+                background: self.tasks.background.clone(),
             }),
             upstream: self.upstream.clone(),
             counters: self.counters.clone(),
             metrics: self.metrics.clone(),
             decisions: self.settings.current().decisions,
             events: self.events.clone(),
-            background: self.tasks.rest.clone(),
+            background: self.tasks.background.clone(),
             leaving: self.stops.gate_leaving.clone(),
         }));
-        self.tasks.rest.spawn(Arc::clone(&gate).follow(self.stops.rest.clone()));
+        self.tasks.background.spawn(Arc::clone(&gate).follow(self.stops.background.clone()));
         gate
     }
 
     /// Starts what brings news in and out: store and peers.
-    pub(super) fn start_state(&self) -> (Peers, RowPublisher) {
+    pub(super) fn start_sync(&self) -> (Peers, RowPublisher) {
         let platform = PlatformClient::new(self.settings.current().store_address, RESPONSE_TIMEOUT);
         let store = StoreClient::new(platform, self.counters.clone());
         let (sync_state, transfers) = (SyncState::new(), Transfers::new());
@@ -108,7 +108,7 @@
             counters: self.counters.clone(),
             events: self.events.clone(),
         });
-        let stop = &self.stops.rest;
+        let stop = &self.stops.background;
         self.spawn_until_stop(peers.clone().run(stop.clone()));
         let follower = StoreFollower {
             store: store.clone(),
@@ -121,29 +121,30 @@
             last_response: LastStoreResponse::new(),
             transfers,
             first_read_at: match settings.is_first_start {
-                true => Instant::now() + ROWS_WRITTEN,
+                true => Instant::now() + FIRST_ROWS_DELAY,
                 false => Instant::now(),
             },
         };
-        self.tell_state(&follower);
+        self.register_state_gauges(&follower);
         let (instance, domain) = (settings.instance.clone(), settings.failure_domain.clone());
         let relays = RelayFollower::new(peers.clone(), store.clone(), instance, domain);
         self.spawn_until_stop(relays.run());
         self.spawn_until_stop(CatchUp::new(peers.clone(), follower.clone()).run());
         self.spawn_until_stop(self.sweeper(&follower).run());
-        self.tasks.rest.spawn(follower.clone().follow_routing(stop.clone()));
-        self.tasks.rest.spawn(follower.follow_members(stop.clone()));
+        self.tasks.background.spawn(follower.clone().follow_routing(stop.clone()));
+        self.tasks.background.spawn(follower.follow_members(stop.clone()));
         let publisher = self.publisher(store);
-        self.tasks.rest.spawn(publisher.clone().run(stop.clone()));
+        self.tasks.background.spawn(publisher.clone().run(stop.clone()));
         (peers, publisher)
     }
 
     /// Tells with the metrics what is known and how old it is.
-    fn tell_state(&self, follower: &StoreFollower) {
-        let (metrics, routing, age) = (&self.metrics, self.routing.clone(), self.routing.clone());
+    fn register_state_gauges(&self, follower: &StoreFollower) {
+        let (metrics, routing, in_force) =
+            (&self.metrics, self.routing.clone(), self.routing.clone());
         let (newest, behind) = (self.routing.clone(), self.routing.clone());
         let (members, target) = (self.members.clone(), self.target.clone());
-        let (news, told, last_response) = (
+        let (sync_state, relay_state, last_response) = (
             follower.sync_state.clone(),
             follower.sync_state.clone(),
             follower.last_response.clone(),
@@ -156,7 +157,7 @@
         metrics.register_gauge(
             "routing_age_seconds",
             "Time since it came in force; -1 without.",
-            move || age.in_force_for().map_or(-1, whole_seconds),
+            move || in_force.in_force_for().map_or(-1, whole_seconds),
         );
         metrics.register_gauge("routing_newest_version", "Newest version known of.", move || {
             i64::try_from(newest.newest_version()).unwrap_or(i64::MAX)
@@ -166,20 +167,21 @@
             "Time since a newer version than the one in force was known of; 0 without one.",
             move || i64::try_from(behind.behind_for().as_millis()).unwrap_or(i64::MAX),
         );
-        let (evacuations, own) = (self.evacuations.clone(), self.evacuations.clone());
+        let (evacuations, own_evacuations) = (self.evacuations.clone(), self.evacuations.clone());
         let settings = self.settings.clone();
         metrics.register_gauge(
             "domains_evacuated",
             "Failure domains that are evacuated.",
-            move || count(evacuations.count()),
+            move || gauge_value(evacuations.count()),
         );
         metrics.register_gauge(
             "target_evacuated",
             "Whether the own target gets nothing for that, 1 or 0.",
-            move || i64::from(own.is_evacuated(&settings.current().failure_domain)),
+            move || i64::from(own_evacuations.is_evacuated(&settings.current().failure_domain)),
         );
-        metrics
-            .register_gauge("members", "Instances that are known.", move || count(members.count()));
+        metrics.register_gauge("members", "Instances that are known.", move || {
+            gauge_value(members.count())
+        });
         metrics.register_gauge(
             "target_ready",
             "Whether the own target takes work, 1 or 0.",
@@ -191,12 +193,12 @@
         metrics.register_gauge(
             "store_served",
             "Whether the store's news come in, 1 or 0.",
-            move || i64::from(news.source() != UpdateSource::Unassigned),
+            move || i64::from(sync_state.source() != UpdateSource::Unassigned),
         );
         metrics.register_gauge(
             "news_relayed",
             "Whether they come by another daemon, 1 or 0.",
-            move || i64::from(told.source() == UpdateSource::Relay),
+            move || i64::from(relay_state.source() == UpdateSource::Relay),
         );
         metrics.register_gauge("store_silence_seconds", "Time since its last answer.", move || {
             whole_seconds(last_response.age())
@@ -208,8 +210,8 @@
     /// Failure: a stopping daemon waits for answers of peers that are gone, one after the other,
     /// until it is killed.
     fn spawn_until_stop(&self, task: impl Future<Output = ()> + Send + 'static) {
-        let stop = self.stops.rest.clone();
-        self.tasks.rest.spawn(async move {
+        let stop = self.stops.background.clone();
+        self.tasks.background.spawn(async move {
             tokio::select! {
                 () = stop.cancelled() => {}
                 () = task => {}
@@ -249,20 +251,21 @@
 
     pub(super) fn serve(&self, listeners: Listeners, gate: &Arc<Gate>, peers: Peers) {
         let (tasks, stops) = (&self.tasks, &self.stops);
-        let entry = Arc::new(self.entry(Arc::clone(gate), peers.clone()));
-        self.spawn_until_stop(Arc::clone(&entry).probe_unreachable_gates(stops.rest.clone()));
-        let (of_entry, members) = (Arc::clone(&entry), self.members.clone());
+        let entry = Arc::new(self.new_entry(Arc::clone(gate), peers.clone()));
+        self.spawn_until_stop(Arc::clone(&entry).probe_unreachable_gates(stops.background.clone()));
+        let (gauge_entry, members) = (Arc::clone(&entry), self.members.clone());
         let help = "Gates that this entry can't reach now.";
-        self.metrics
-            .register_gauge("gates_unreachable", help, move || count(of_entry.unreachable_gates()));
+        self.metrics.register_gauge("gates_unreachable", help, move || {
+            gauge_value(gauge_entry.unreachable_gates())
+        });
         let help = "Instances that say what they serve.";
         self.metrics
-            .register_gauge("members_serving", help, move || count(members.serving_count()));
+            .register_gauge("members_serving", help, move || gauge_value(members.serving_count()));
         let calls = self.server(listeners.calls, "entry");
-        tasks.rest.spawn(calls.run(entry, tasks.calls.clone(), stops.calls.clone()));
-        let door = Arc::new(GateServer::new(Arc::clone(gate), peers));
+        tasks.background.spawn(calls.run(entry, tasks.calls.clone(), stops.calls.clone()));
+        let gate_server = Arc::new(GateServer::new(Arc::clone(gate), peers));
         let gates = self.server(listeners.gate, "gate");
-        tasks.rest.spawn(gates.run(door, tasks.gate.clone(), stops.gate.clone()));
+        tasks.background.spawn(gates.run(gate_server, tasks.gate.clone(), stops.gate.clone()));
         let control = Arc::new(ControlServer {
             target: self.target.clone(),
             routing: self.routing.clone(),
@@ -272,15 +275,19 @@
         });
         let metrics = MetricsServer { metrics: self.metrics.clone(), events: self.events.clone() };
         let server = self.server(listeners.metrics, "metrics");
-        tasks.rest.spawn(server.run(Arc::new(metrics), tasks.rest.clone(), stops.rest.clone()));
+        tasks.background.spawn(server.run(
+            Arc::new(metrics),
+            tasks.background.clone(),
+            stops.background.clone(),
+        ));
         for listener in [listeners.heartbeats, listeners.readiness] {
             let server = self.server(listener, "control");
-            let (handler, stop) = (Arc::clone(&control), stops.rest.clone());
-            tasks.rest.spawn(server.run(handler, tasks.rest.clone(), stop));
+            let (handler, stop) = (Arc::clone(&control), stops.background.clone());
+            tasks.background.spawn(server.run(handler, tasks.background.clone(), stop));
         }
     }
 
-    fn entry(&self, gate: Arc<Gate>, peers: Peers) -> RoutedEntry {
+    fn new_entry(&self, gate: Arc<Gate>, peers: Peers) -> RoutedEntry {
         RoutedEntry::new(RoutedEntryParts {
             settings: self.settings.clone(),
             routing: self.routing.clone(),
@@ -302,7 +309,7 @@
 }
 
 /// A number for a gauge.
-fn count(number: usize) -> i64 {
+fn gauge_value(number: usize) -> i64 {
     i64::try_from(number).unwrap_or(i64::MAX)
 }
 
--- a/crates/yuccarackd/src/logging.rs
+++ b/crates/yuccarackd/src/logging.rs
@@ -5,14 +5,14 @@
 
 /// Lines that wait to be written; more are dropped and counted, so that a reader of the lines who
 /// is slow never holds up a call.
-const WAITING_MAX: usize = 1_024;
+const QUEUED_LINES_MAX: usize = 1_024;
 
 /// Makes the logger of a daemon for routed calls; lines go to the standard output.
 pub fn routed_logger(settings: &LogSettings, instance: &str) -> Logger {
     let json =
         slog_json::Json::new(std::io::stdout()).add_default_keys().set_flush(true).build().fuse();
     let lines = slog_async::Async::new(json)
-        .chan_size(WAITING_MAX)
+        .chan_size(QUEUED_LINES_MAX)
         .overflow_strategy(slog_async::OverflowStrategy::DropAndReport)
         .build()
         .filter_level(level(settings.level))
--- a/crates/yuccarackd/src/main.rs
+++ b/crates/yuccarackd/src/main.rs
@@ -13,12 +13,12 @@
 };
 
 /// Exit code for settings that don't hold; nothing was started.
-const EXIT_BAD_SETTINGS: u8 = 2;
+const EXIT_INVALID_SETTINGS: u8 = 2;
 
 fn main() -> ExitCode {
     match options().run() {
-        Options::Check { check } => checked(DaemonSettings::load(&check)),
-        Options::CheckRouted { check_routed } => checked(RoutedSettings::load(&check_routed)),
+        Options::Check { check } => report_check(DaemonSettings::load(&check)),
+        Options::CheckRouted { check_routed } => report_check(RoutedSettings::load(&check_routed)),
         Options::Serve { settings } => serve(DaemonSettings::load(&settings), run),
         Options::Routed { routed_settings } => {
             let settings = RoutedSettings::load(&routed_settings);
@@ -27,10 +27,10 @@
     }
 }
 
-fn checked<T>(settings: Result<T, FileError>) -> ExitCode {
+fn report_check<T>(settings: Result<T, FileError>) -> ExitCode {
     match settings {
         Ok(_) => ExitCode::SUCCESS,
-        Err(error) => refuse(&error),
+        Err(error) => reject_settings(&error),
     }
 }
 
@@ -40,7 +40,7 @@
 ) -> ExitCode {
     let settings = match settings {
         Ok(settings) => settings,
-        Err(error) => return refuse(&error),
+        Err(error) => return reject_settings(&error),
     };
     match run(settings) {
         Ok(()) => ExitCode::SUCCESS,
@@ -51,9 +51,9 @@
     }
 }
 
-fn refuse(error: &FileError) -> ExitCode {
+fn reject_settings(error: &FileError) -> ExitCode {
     eprintln!("{error}");
-    ExitCode::from(EXIT_BAD_SETTINGS)
+    ExitCode::from(EXIT_INVALID_SETTINGS)
 }
 
 fn run(settings: DaemonSettings) -> Result<(), DaemonError> {
@@ -81,7 +81,7 @@
         .map_err(DaemonError::Runtime)?;
     runtime.block_on(async {
         let daemon = RoutedDaemon::start(settings, logger).await?;
-        let mut reloads = stop_signal::reloads().map_err(DaemonError::Signal)?;
+        let mut reloads = stop_signal::reload_signals().map_err(DaemonError::Signal)?;
         let stop = stop_signal::wait();
         tokio::pin!(stop);
         loop {
--- a/crates/yuccarackd/src/stop_signal.rs
+++ b/crates/yuccarackd/src/stop_signal.rs
@@ -24,6 +24,6 @@
 /// # Errors
 ///
 /// The operating system's, when signals can't be watched.
-pub fn reloads() -> io::Result<Signal> {
+pub fn reload_signals() -> io::Result<Signal> {
     signal(SignalKind::hangup())
 }
--- a/crates/yuccarackd/src/transport/admin_server.rs
+++ b/crates/yuccarackd/src/transport/admin_server.rs
@@ -69,7 +69,7 @@
 /// The running admin endpoint.
 pub struct AdminServer {
     address: SocketAddr,
-    ask_to_stop: Box<dyn FnOnce() + Send>,
+    request_stop: Box<dyn FnOnce() + Send>,
     thread: JoinHandle<io::Result<()>>,
 }
 
@@ -102,8 +102,8 @@
         // Failure: a target keeps its announcing connection open, and the server's graceful stop
         // waits 30 s for it, which shows as a daemon that takes half a minute to leave. All calls
         // have ended by now and the answers here are small, so idle connections are just closed.
-        let ask_to_stop = Box::new(move || handle.stop(false));
-        Ok(Self { address, ask_to_stop, thread })
+        let request_stop = Box::new(move || handle.stop(false));
+        Ok(Self { address, request_stop, thread })
     }
 
     /// Address that it listens on.
@@ -117,7 +117,7 @@
     ///
     /// What the server ended with.
     pub fn stop(self) -> io::Result<()> {
-        (self.ask_to_stop)();
+        (self.request_stop)();
         self.thread.join().unwrap_or_else(|_| Err(io::Error::other("the admin thread panicked")))
     }
 }
@@ -145,7 +145,7 @@
     }
     state.counters.add(counter);
     let refusal = Refusal { reason: "address_not_accepted".to_owned(), detail: peer.to_string() };
-    Ok(json_answer(&ctx, StatusCode::FORBIDDEN, &refusal))
+    Ok(json_response(&ctx, StatusCode::FORBIDDEN, &refusal))
 }
 
 async fn announce(
@@ -155,52 +155,52 @@
     let state = ctx.state();
     let announcement: Announcement = match serde_json::from_slice(&body) {
         Ok(announcement) => announcement,
-        Err(error) => return refuse_announcement(ctx, &error),
+        Err(error) => return reject_announcement(ctx, &error),
     };
     if let Err(error) = announcement.check() {
-        return refuse_announcement(ctx, &error);
+        return reject_announcement(ctx, &error);
     }
     state.counters.add("announce.taken");
     state.own_target.apply_announcement(announcement, Instant::now());
-    empty_answer(StatusCode::NO_CONTENT)
+    empty_response(StatusCode::NO_CONTENT)
 }
 
-fn refuse_announcement(ctx: &Context<'_>, error: &dyn std::error::Error) -> WebResponse {
+fn reject_announcement(ctx: &Context<'_>, error: &dyn std::error::Error) -> WebResponse {
     ctx.state().counters.add("announce.refused_content");
     let refusal =
         Refusal { reason: "announcement_not_valid".to_owned(), detail: error.to_string() };
-    json_answer(ctx, StatusCode::BAD_REQUEST, &refusal)
+    json_response(ctx, StatusCode::BAD_REQUEST, &refusal)
 }
 
 async fn hint(ctx: &Context<'_>) -> WebResponse {
     (ctx.state().hint)();
-    empty_answer(StatusCode::NO_CONTENT)
+    empty_response(StatusCode::NO_CONTENT)
 }
 
 async fn status(ctx: &Context<'_>) -> WebResponse {
     let report = status_report(ctx.state());
-    json_answer(ctx, StatusCode::OK, &report)
+    json_response(ctx, StatusCode::OK, &report)
 }
 
 async fn targets(ctx: &Context<'_>) -> WebResponse {
     let views = ctx.state().directory.views();
     let rows: Vec<MemberRow> = views.iter().flat_map(|view| view.members.to_vec()).collect();
-    json_answer(ctx, StatusCode::OK, &rows)
+    json_response(ctx, StatusCode::OK, &rows)
 }
 
 async fn counters(ctx: &Context<'_>) -> WebResponse {
-    json_answer(ctx, StatusCode::OK, &ctx.state().counters.snapshot())
+    json_response(ctx, StatusCode::OK, &ctx.state().counters.snapshot())
 }
 
 async fn explain(ctx: &Context<'_>) -> WebResponse {
     let path = ctx.req().uri().path();
     let id = path.strip_prefix(EXPLAIN_PATH).unwrap_or_default();
     match (ctx.state().explain)(id) {
-        Some(found) => json_answer(ctx, StatusCode::OK, &found),
+        Some(found) => json_response(ctx, StatusCode::OK, &found),
         None => {
             let refusal =
                 Refusal { reason: "request_not_remembered".to_owned(), detail: id.to_owned() };
-            json_answer(ctx, StatusCode::NOT_FOUND, &refusal)
+            json_response(ctx, StatusCode::NOT_FOUND, &refusal)
         }
     }
 }
@@ -236,19 +236,19 @@
     }
 }
 
-fn json_answer<T: Serialize>(ctx: &Context<'_>, status: StatusCode, body: &T) -> WebResponse {
+fn json_response<T: Serialize>(ctx: &Context<'_>, status: StatusCode, body: &T) -> WebResponse {
     let Ok(body) = serde_json::to_vec(body) else {
         ctx.state().counters.add("admin.unwritable");
-        return empty_answer(StatusCode::INTERNAL_SERVER_ERROR);
+        return empty_response(StatusCode::INTERNAL_SERVER_ERROR);
     };
-    let mut answer = WebResponse::new(body.into());
-    *answer.status_mut() = status;
-    answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    answer
+    let mut response = WebResponse::new(body.into());
+    *response.status_mut() = status;
+    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    response
 }
 
-fn empty_answer(status: StatusCode) -> WebResponse {
-    let mut answer = WebResponse::new(ResponseBody::none());
-    *answer.status_mut() = status;
-    answer
+fn empty_response(status: StatusCode) -> WebResponse {
+    let mut response = WebResponse::new(ResponseBody::none());
+    *response.status_mut() = status;
+    response
 }
--- a/crates/yuccarackd/src/transport/call_server.rs
+++ b/crates/yuccarackd/src/transport/call_server.rs
@@ -37,7 +37,7 @@
 ///
 /// Failure: a request is on its way when its connection is closed, nobody reads it, and its sender
 /// can't tell whether it ran. A way takes some 3 ms at most; the rest is for a starved processor.
-const LINGER: Duration = Duration::from_millis(100);
+const STOP_LINGER: Duration = Duration::from_millis(100);
 
 /// Whom a call comes from, and since when it waits.
 #[derive(Clone, Copy, Debug)]
@@ -45,13 +45,13 @@
     /// The caller's address.
     pub peer: SocketAddr,
     /// When its head had come, though others on its connection went first.
-    pub came_at: Instant,
+    pub received_at: Instant,
 }
 
 /// What answers calls.
 pub trait CallHandler: Send + Sync + 'static {
     /// Whether callers send requests before their earlier ones are answered.
-    const TAKES_PIPELINES: bool = false;
+    const ACCEPTS_PIPELINING: bool = false;
 
     /// Whether the read with this head may run before its turn on its connection, though an answer
     /// before it may close that and its caller then sends it again.
@@ -153,14 +153,14 @@
             let (handler, pipeline) = (Arc::clone(&handler), Arc::clone(&pipeline));
             let (tracker, counters) = (tracker.clone(), self.counters.clone());
             service_fn(move |request: Request<Incoming>| {
-                let is_held_back = request.headers().contains_key(header::EXPECT);
+                let expects_continue = request.headers().contains_key(header::EXPECT);
                 let request = request.map(|body| {
                     DrainedBody::new(body, tracker.clone())
-                        .with_held_back(is_held_back)
+                        .with_expect_continue(expects_continue)
                         .boxed_unsync()
                 });
                 let call = Call::new(&handler, &pipeline, &counters, request);
-                async move { Ok::<_, std::convert::Infallible>(call.answer(peer).await) }
+                async move { Ok::<_, std::convert::Infallible>(call.respond(peer).await) }
             })
         };
         let early_calls =
@@ -173,23 +173,23 @@
             .max_buf_size(self.head_max_bytes)
             .serve_connection(TokioIo::new(stream), service);
         let mut connection = pin!(connection);
-        let ended = tokio::select! {
-            ended = connection.as_mut() => ended,
+        let result = tokio::select! {
+            result = connection.as_mut() => result,
             () = stop.cancelled() => tokio::select! {
-                ended = connection.as_mut() => ended,
-                () = lingered(&pipeline) => {
+                result = connection.as_mut() => result,
+                () = linger(&pipeline) => {
                     connection.as_mut().graceful_shutdown();
                     connection.await
                 }
             },
         };
-        if let Err(error) = ended {
-            self.count(&error);
+        if let Err(error) = result {
+            self.count_error(&error);
         }
     }
 
     /// hyper has answered a bad head with 400 or 431 by itself and closed the connection.
-    fn count(&self, error: &hyper::Error) {
+    fn count_error(&self, error: &hyper::Error) {
         let reason = if error.is_parse_too_large() {
             "head_too_large"
         } else if error.is_parse() {
@@ -205,9 +205,9 @@
 
 /// The time for which a stopping server's connection goes on: closed earlier, it would cut off reads
 /// that run already.
-async fn lingered(pipeline: &Pipeline) {
-    tokio::time::sleep(LINGER).await;
-    pipeline.until_none_early().await;
+async fn linger(pipeline: &Pipeline) {
+    tokio::time::sleep(STOP_LINGER).await;
+    pipeline.wait_none_early().await;
 }
 
 /// One call whose turn has come.
@@ -227,7 +227,7 @@
         request: Request<CallBody>,
     ) -> Self {
         let (head, body) = request.into_parts();
-        let turn = pipeline.take_turn(is_read(handler.as_ref(), &head, &body));
+        let turn = pipeline.take_turn(is_pipelinable_read(handler.as_ref(), &head, &body));
         Self {
             handler: Arc::clone(handler),
             pipeline: Arc::clone(pipeline),
@@ -237,34 +237,34 @@
         }
     }
 
-    async fn answer(self, peer: SocketAddr) -> Response<CallBody> {
+    async fn respond(self, peer: SocketAddr) -> Response<CallBody> {
         let Self { handler, pipeline, counters, turn, request } = self;
-        let Turn { came_at, early, answering } = turn;
+        let Turn { received_at, early, guard } = turn;
         let (head, body) = request.into_parts();
         let early = match early {
-            Some(early) if early.is_of(&head) => early.answer().await,
+            Some(early) if early.matches(&head) => early.response().await,
             _ => None,
         };
-        let mut answer = match early {
-            Some(answer) => {
+        let mut response = match early {
+            Some(response) => {
                 counters.add("entry.started_early");
-                answer
+                response
             }
             None => {
                 let request = Request::from_parts(head, body);
-                handler.handle(Arrival { peer, came_at }, request).await
+                handler.handle(Arrival { peer, received_at }, request).await
             }
         };
         if pipeline.has_early() {
             // The connection stays until what runs on it already is answered.
-            answer.headers_mut().remove(header::CONNECTION);
+            response.headers_mut().remove(header::CONNECTION);
         }
-        answer.map(|body| answering.until_sent(body).boxed_unsync())
+        response.map(|body| guard.hold_until_sent(body).boxed_unsync())
     }
 }
 
 /// Whether others may run beside this one, as HTTP allows for requests that only read.
-fn is_read<H: CallHandler>(handler: &H, head: &Parts, body: &CallBody) -> bool {
-    let only_reads = matches!(head.method, Method::GET | Method::HEAD);
-    H::TAKES_PIPELINES && only_reads && body.is_end_stream() && handler.may_start_early(head)
+fn is_pipelinable_read<H: CallHandler>(handler: &H, head: &Parts, body: &CallBody) -> bool {
+    let is_read_method = matches!(head.method, Method::GET | Method::HEAD);
+    H::ACCEPTS_PIPELINING && is_read_method && body.is_end_stream() && handler.may_start_early(head)
 }
--- a/crates/yuccarackd/src/transport/connection.rs
+++ b/crates/yuccarackd/src/transport/connection.rs
@@ -18,7 +18,7 @@
 use tokio::{net::TcpStream, time::timeout};
 use tokio_util::task::TaskTracker;
 
-use super::counted_stream::{CountedStream, HandedOver};
+use super::counted_stream::{CountedStream, SentBytes};
 use crate::protocol::body::CallBody;
 
 /// Longest wait for a connection; an instance that takes longer is as good as away.
@@ -38,7 +38,7 @@
 
 /// What a connection is opened for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sending {
+pub enum BodyLength {
     /// Requests that fit into the system's buffers.
     Short,
     /// A request with a long body, for which its peer may take its time.
@@ -90,7 +90,7 @@
 #[derive(Debug)]
 pub struct Connection {
     sender: SendRequest<CallBody>,
-    handed_over: HandedOver,
+    sent_bytes: SentBytes,
     idle_since: Instant,
 }
 
@@ -102,7 +102,7 @@
     /// [`SendError::Unreachable`] when none could be made in time.
     pub async fn open(
         address: SocketAddr,
-        sending: Sending,
+        body_length: BodyLength,
         tracker: &TaskTracker,
     ) -> Result<Self, SendError> {
         let stream = match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
@@ -115,9 +115,9 @@
         };
         // Small requests must not wait for the peer's acknowledgement of the one before.
         let _ = stream.set_nodelay(true);
-        watch_silence(&stream, sending);
+        set_dead_peer_timeouts(&stream, body_length);
         let stream = CountedStream::new(stream);
-        let handed_over = stream.handed_over();
+        let sent_bytes = stream.sent_bytes();
         let (sender, driver) = http1::handshake(TokioIo::new(stream))
             .await
             .map_err(|_| SendError::Unreachable { address, refused: false })?;
@@ -125,7 +125,7 @@
             // The driver's failure is the request's failure and is told there.
             let _ = driver.await;
         });
-        Ok(Self { sender, handed_over, idle_since: Instant::now() })
+        Ok(Self { sender, sent_bytes, idle_since: Instant::now() })
     }
 
     /// Whether the connection can take a request now, and has not been idle since before
@@ -152,10 +152,10 @@
         &mut self,
         request: Request<CallBody>,
     ) -> Result<Response<Incoming>, SendError> {
-        let before = self.handed_over.bytes();
-        let sent = self.sender.send_request(request).await;
-        sent.map_err(|error| {
-            if self.handed_over.bytes() == before {
+        let sent_before = self.sent_bytes.total();
+        let result = self.sender.send_request(request).await;
+        result.map_err(|error| {
+            if self.sent_bytes.total() == sent_before {
                 SendError::NothingSent
             } else {
                 SendError::Broken(error)
@@ -164,7 +164,7 @@
     }
 
     /// Marks the connection as idle from `now` on.
-    pub fn rest(&mut self, now: Instant) {
+    pub fn mark_idle(&mut self, now: Instant) {
         self.idle_since = now;
     }
 }
@@ -173,10 +173,10 @@
 ///
 /// Without these options a dead connection is noticed by its requests' deadlines only, so their
 /// failure is left at that.
-fn watch_silence(stream: &TcpStream, sending: Sending) {
-    let unacknowledged_max = match sending {
-        Sending::Short => UNACKNOWLEDGED_MAX,
-        Sending::Long => UNACKNOWLEDGED_MAX_LONG,
+fn set_dead_peer_timeouts(stream: &TcpStream, body_length: BodyLength) {
+    let unacknowledged_max = match body_length {
+        BodyLength::Short => UNACKNOWLEDGED_MAX,
+        BodyLength::Long => UNACKNOWLEDGED_MAX_LONG,
     };
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
--- a/crates/yuccarackd/src/transport/control_channel.rs
+++ b/crates/yuccarackd/src/transport/control_channel.rs
@@ -26,11 +26,11 @@
 /// its acknowledgement.
 const OVERHEAD_BYTES: usize = 8 + 4 + 52 + 52;
 /// Questions that are answered at the same time.
-const ANSWERERS: usize = 4;
+const RESPONDERS: usize = 4;
 /// Connections to other daemons that are kept.
-const CONNECTIONS_MAX: usize = 32;
+const POOLED_CONNECTIONS_MAX: usize = 32;
 /// Pause after the listener failed, so that a lasting fault doesn't spin.
-const FAULT_PAUSE: Duration = Duration::from_millis(100);
+const ERROR_BACKOFF: Duration = Duration::from_millis(100);
 
 /// Why a question got no answer.
 #[derive(Debug, Error)]
@@ -95,38 +95,38 @@
         self.address
     }
 
-    /// Starts tasks that give each question to `answer`, until `stop`.
-    pub fn serve<F, A>(self, answer: F, tracker: &TaskTracker, stop: &CancellationToken)
+    /// Starts tasks that give each question to `handler`, until `stop`.
+    pub fn serve<F, A>(self, handler: F, tracker: &TaskTracker, stop: &CancellationToken)
     where
         F: Fn(Vec<u8>) -> A + Clone + Send + Sync + 'static,
         A: Future<Output = Vec<u8>> + Send,
     {
-        for _ in 0..ANSWERERS {
+        for _ in 0..RESPONDERS {
             let socket = Arc::clone(&self.socket);
-            let (budget, answer, stop) = (self.budget.clone(), answer.clone(), stop.clone());
+            let (budget, handler, stop) = (self.budget.clone(), handler.clone(), stop.clone());
             tracker.spawn(async move {
                 tokio::select! {
                     () = stop.cancelled() => {}
-                    () = answer_all(&socket, &budget, answer) => {}
+                    () = respond_to_all(&socket, &budget, handler) => {}
                 }
             });
         }
     }
 }
 
-async fn answer_all<F, A>(socket: &Socket<Rep0>, budget: &ByteBudget, answer: F)
+async fn respond_to_all<F, A>(socket: &Socket<Rep0>, budget: &ByteBudget, handler: F)
 where
     F: Fn(Vec<u8>) -> A,
     A: Future<Output = Vec<u8>>,
 {
     let mut context = socket.context();
     loop {
-        let Ok((question, responder)) = context.receive().await else {
-            sleep(FAULT_PAUSE).await;
+        let Ok((request, responder)) = context.receive().await else {
+            sleep(ERROR_BACKOFF).await;
             continue;
         };
-        budget.record_received(question.len() + OVERHEAD_BYTES);
-        let bytes = answer(question.as_slice().to_vec()).await;
+        budget.record_received(request.len() + OVERHEAD_BYTES);
+        let bytes = handler(request.as_slice().to_vec()).await;
         budget.record_sent(bytes.len() + OVERHEAD_BYTES);
         // An asker that has gone needs no answer.
         let _ = responder.reply(Message::from(bytes.as_slice())).await;
@@ -134,7 +134,7 @@
 }
 
 /// One kept connection and when it was last used.
-struct Kept {
+struct PooledConnection {
     address: SocketAddr,
     socket: Arc<Socket<Req0>>,
     used_at: Instant,
@@ -143,7 +143,7 @@
 /// Asks other daemons; clones share their connections.
 #[derive(Clone)]
 pub struct ControlClient {
-    kept: Arc<Mutex<Vec<Kept>>>,
+    pooled: Arc<Mutex<Vec<PooledConnection>>>,
     budget: ByteBudget,
 }
 
@@ -151,7 +151,7 @@
     /// Starts without connections.
     pub fn new(budget: ByteBudget) -> Self {
         limit_threads();
-        Self { kept: Arc::default(), budget }
+        Self { pooled: Arc::default(), budget }
     }
 
     /// Sends `question` to `address` and waits for the answer.
@@ -162,67 +162,64 @@
     /// # Errors
     ///
     /// Any [`ChannelError`]; the connection isn't used again then.
-    pub async fn ask(
+    pub async fn send_request(
         &self,
         address: SocketAddr,
-        question: &[u8],
+        request: &[u8],
         deadline: Instant,
     ) -> Result<Vec<u8>, ChannelError> {
-        let result = match timeout_at(deadline.into(), self.exchange(address, question)).await {
+        let result = match timeout_at(deadline.into(), self.exchange(address, request)).await {
             Ok(result) => result,
             Err(_) => Err(ChannelError::DeadlinePassed),
         };
         if result.is_err() {
-            self.forget(address);
+            self.remove_from_pool(address);
         }
         result
     }
 
-    async fn exchange(
-        &self,
-        address: SocketAddr,
-        question: &[u8],
-    ) -> Result<Vec<u8>, ChannelError> {
+    async fn exchange(&self, address: SocketAddr, request: &[u8]) -> Result<Vec<u8>, ChannelError> {
         let socket = self.connection(address).await?;
         let mut context = socket.context();
         context.set_resend_time(None).map_err(ChannelError::Connect)?;
-        self.budget.record_sent(question.len() + OVERHEAD_BYTES);
-        let asked = context.request(Message::from(question)).await;
-        let answer = asked.map_err(|(error, _)| ChannelError::Transfer(error))?;
-        let answer = answer.await.map_err(ChannelError::Transfer)?;
-        self.budget.record_received(answer.len() + OVERHEAD_BYTES);
-        Ok(answer.as_slice().to_vec())
+        self.budget.record_sent(request.len() + OVERHEAD_BYTES);
+        let pending = context.request(Message::from(request)).await;
+        let response = pending.map_err(|(error, _)| ChannelError::Transfer(error))?;
+        let response = response.await.map_err(ChannelError::Transfer)?;
+        self.budget.record_received(response.len() + OVERHEAD_BYTES);
+        Ok(response.as_slice().to_vec())
     }
 
     async fn connection(&self, address: SocketAddr) -> Result<Arc<Socket<Req0>>, ChannelError> {
-        if let Some(kept) = self.kept.lock().iter_mut().find(|kept| kept.address == address) {
-            kept.used_at = Instant::now();
-            return Ok(Arc::clone(&kept.socket));
+        if let Some(pooled) = self.pooled.lock().iter_mut().find(|pooled| pooled.address == address)
+        {
+            pooled.used_at = Instant::now();
+            return Ok(Arc::clone(&pooled.socket));
         }
-        let socket = Req0::dial(url(address)?).await.map_err(ChannelError::Connect)?;
+        let socket = Req0::dial(nng_url(address)?).await.map_err(ChannelError::Connect)?;
         let socket = Arc::new(socket);
-        self.keep(address, Arc::clone(&socket));
+        self.add_to_pool(address, Arc::clone(&socket));
         Ok(socket)
     }
 
-    fn keep(&self, address: SocketAddr, socket: Arc<Socket<Req0>>) {
-        let kept = Kept { address, socket, used_at: Instant::now() };
-        let mut connections = self.kept.lock();
-        connections.push(kept);
-        if connections.len() <= CONNECTIONS_MAX {
+    fn add_to_pool(&self, address: SocketAddr, socket: Arc<Socket<Req0>>) {
+        let pooled = PooledConnection { address, socket, used_at: Instant::now() };
+        let mut connections = self.pooled.lock();
+        connections.push(pooled);
+        if connections.len() <= POOLED_CONNECTIONS_MAX {
             return;
         }
-        let oldest = connections.iter().enumerate().min_by_key(|(_, kept)| kept.used_at);
+        let oldest = connections.iter().enumerate().min_by_key(|(_, pooled)| pooled.used_at);
         if let Some((index, _)) = oldest {
             connections.swap_remove(index);
         }
     }
 
-    fn forget(&self, address: SocketAddr) {
-        self.kept.lock().retain(|kept| kept.address != address);
+    fn remove_from_pool(&self, address: SocketAddr) {
+        self.pooled.lock().retain(|pooled| pooled.address != address);
     }
 }
 
-fn url(address: SocketAddr) -> Result<CString, ChannelError> {
+fn nng_url(address: SocketAddr) -> Result<CString, ChannelError> {
     CString::new(format!("tcp://{address}")).map_err(|_| ChannelError::Address)
 }
--- a/crates/yuccarackd/src/transport/counted_stream.rs
+++ b/crates/yuccarackd/src/transport/counted_stream.rs
@@ -17,11 +17,11 @@
 
 /// Bytes handed to the peer so far; clones share it.
 #[derive(Clone, Debug, Default)]
-pub struct HandedOver(Arc<AtomicU64>);
+pub struct SentBytes(Arc<AtomicU64>);
 
-impl HandedOver {
+impl SentBytes {
     /// The bytes so far.
-    pub fn bytes(&self) -> u64 {
+    pub fn total(&self) -> u64 {
         self.0.load(Ordering::Acquire)
     }
 
@@ -39,18 +39,18 @@
 #[derive(Debug)]
 pub struct CountedStream {
     stream: TcpStream,
-    handed_over: HandedOver,
+    sent_bytes: SentBytes,
 }
 
 impl CountedStream {
     /// Wraps a fresh connection.
     pub fn new(stream: TcpStream) -> Self {
-        Self { stream, handed_over: HandedOver::default() }
+        Self { stream, sent_bytes: SentBytes::default() }
     }
 
     /// The count, to be read while the stream is in use.
-    pub fn handed_over(&self) -> HandedOver {
-        self.handed_over.clone()
+    pub fn sent_bytes(&self) -> SentBytes {
+        self.sent_bytes.clone()
     }
 }
 
@@ -71,7 +71,7 @@
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write(cx, buf);
-        self.handed_over.add(&written);
+        self.sent_bytes.add(&written);
         written
     }
 
@@ -81,7 +81,7 @@
         bufs: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
-        self.handed_over.add(&written);
+        self.sent_bytes.add(&written);
         written
     }
 
--- a/crates/yuccarackd/src/transport/drained_body.rs
+++ b/crates/yuccarackd/src/transport/drained_body.rs
@@ -31,19 +31,19 @@
 pub struct DrainedBody {
     body: Option<Incoming>,
     /// Whether its sender waits for a word before it sends any of it; reading asks for it.
-    is_held_back: bool,
+    expects_continue: bool,
     tracker: TaskTracker,
 }
 
 impl DrainedBody {
     /// Wraps `body`; an unwanted rest is read under `tracker`.
     pub fn new(body: Incoming, tracker: TaskTracker) -> Self {
-        Self { body: Some(body), is_held_back: false, tracker }
+        Self { body: Some(body), expects_continue: false, tracker }
     }
 
     /// Leaves it unread where nobody has begun to read it, if its sender holds it back until then.
-    pub fn with_held_back(mut self, is_held_back: bool) -> Self {
-        self.is_held_back = is_held_back;
+    pub fn with_expect_continue(mut self, expects_continue: bool) -> Self {
+        self.expects_continue = expects_continue;
         self
     }
 }
@@ -56,7 +56,7 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
-        self.is_held_back = false;
+        self.expects_continue = false;
         match &mut self.body {
             Some(body) => Pin::new(body).poll_frame(cx).map_err(BodyError::Truncated),
             None => Poll::Ready(None),
@@ -74,8 +74,8 @@
 
 impl Drop for DrainedBody {
     fn drop(&mut self) {
-        let is_held_back = self.is_held_back;
-        let unread = self.body.take().filter(|body| !body.is_end_stream() && !is_held_back);
+        let expects_continue = self.expects_continue;
+        let unread = self.body.take().filter(|body| !body.is_end_stream() && !expects_continue);
         // Without a runtime the process is ending and its connections with it.
         if let (Some(body), Ok(runtime)) = (unread, Handle::try_current()) {
             self.tracker.spawn_on(drain(body), &runtime);
@@ -89,12 +89,12 @@
 }
 
 async fn discard(mut body: Incoming) {
-    let mut left = DRAIN_MAX_BYTES;
+    let mut remaining_bytes = DRAIN_MAX_BYTES;
     while let Some(Ok(frame)) = body.frame().await {
         let read = frame.data_ref().map_or(0, Bytes::len);
-        if read > left {
+        if read > remaining_bytes {
             return;
         }
-        left -= read;
+        remaining_bytes -= read;
     }
 }
--- a/crates/yuccarackd/src/transport/load_look.rs
+++ b/crates/yuccarackd/src/transport/load_probe.rs
@@ -37,7 +37,7 @@
 
 /// The end of a look.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Look {
+pub struct LoadProbe {
     /// What the target said, unless it said nothing that makes sense within the bounds.
     pub load: Option<TargetLoad>,
     /// Bytes that were read.
@@ -49,19 +49,24 @@
 /// Failure: an endpoint answers with megabytes of noise, or trickles or hangs, and measuring costs
 /// a busy target more than its work. The socket itself refuses to read on past the budget, so no
 /// layer above it can.
-pub async fn look(address: SocketAddr, path: &str, bytes_max: u32, give_up_at: Instant) -> Look {
+pub async fn probe_load(
+    address: SocketAddr,
+    path: &str,
+    bytes_max: u32,
+    give_up_at: Instant,
+) -> LoadProbe {
     let budget = Arc::new(AtomicU32::new(bytes_max));
-    let asked = ask(address, path, Arc::clone(&budget));
-    let load = match timeout_at(give_up_at.into(), asked).await {
+    let request = request_load(address, path, Arc::clone(&budget));
+    let load = match timeout_at(give_up_at.into(), request).await {
         Ok(Ok(load)) => Some(load),
         Ok(Err(_)) | Err(_) => None,
     };
-    Look { load, bytes: bytes_max - budget.load(Ordering::Acquire) }
+    LoadProbe { load, bytes: bytes_max - budget.load(Ordering::Acquire) }
 }
 
 /// Why a look gave no load; only its count matters.
 #[derive(Debug, thiserror::Error)]
-enum LookError {
+enum LoadProbeError {
     #[error("the load endpoint can't be reached")]
     Connection(#[from] io::Error),
     #[error("the load endpoint's answer broke")]
@@ -69,14 +74,14 @@
     #[error("the load endpoint's path is no path")]
     Path(#[from] http::Error),
     #[error("the load endpoint's answer makes no sense")]
-    Answer(#[from] serde_json::Error),
+    Response(#[from] serde_json::Error),
 }
 
-async fn ask(
+async fn request_load(
     address: SocketAddr,
     path: &str,
     budget: Arc<AtomicU32>,
-) -> Result<TargetLoad, LookError> {
+) -> Result<TargetLoad, LoadProbeError> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
     socket.set_recv_buffer_size(RECEIVE_BUFFER_BYTES)?;
     let stream = BoundedStream { stream: socket.connect(address).await?, budget };
@@ -85,14 +90,14 @@
         .header(header::HOST, address.to_string())
         .header(header::CONNECTION, "close")
         .body(Empty::<Bytes>::new())?;
-    let answer = async move {
-        let answer = sender.send_request(request).await?;
-        let body = answer.into_body().collect().await?;
+    let response = async move {
+        let response = sender.send_request(request).await?;
+        let body = response.into_body().collect().await?;
         Ok(serde_json::from_slice(&body.to_bytes())?)
     };
     // Both in this future, so that dropping it at the deadline closes the socket.
-    let (answer, _) = tokio::join!(answer, connection);
-    answer
+    let (response, _) = tokio::join!(response, connection);
+    response
 }
 
 /// A stream that reads no more than its budget.
@@ -107,15 +112,15 @@
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let left = self.budget.load(Ordering::Acquire);
-        if left == 0 {
+        let remaining = self.budget.load(Ordering::Acquire);
+        if remaining == 0 {
             return Poll::Ready(Err(io::ErrorKind::QuotaExceeded.into()));
         }
-        let mut part = vec![0; buf.remaining().min(left as usize)];
+        let mut part = vec![0; buf.remaining().min(remaining as usize)];
         let mut part = ReadBuf::new(&mut part);
         let polled = Pin::new(&mut self.stream).poll_read(cx, &mut part);
         buf.put_slice(part.filled());
-        let read = u32::try_from(part.filled().len()).unwrap_or(left);
+        let read = u32::try_from(part.filled().len()).unwrap_or(remaining);
         self.budget.fetch_sub(read, Ordering::AcqRel);
         polled
     }
--- a/crates/yuccarackd/src/transport/pipelining/early.rs
+++ b/crates/yuccarackd/src/transport/pipelining/early_calls.rs
@@ -5,7 +5,7 @@
 use http::{Request, Response, request::Parts};
 use tokio_util::{sync::CancellationToken, task::AbortOnDropHandle, task::TaskTracker};
 
-use super::pipeline::{EarlyCount, Pipeline};
+use super::pipeline::{EarlyGuard, Pipeline};
 use crate::{
     protocol::body::{self, CallBody},
     transport::call_server::{Arrival, CallHandler},
@@ -30,7 +30,7 @@
 pub struct EarlyCall {
     head: Parts,
     call: AbortOnDropHandle<Response<CallBody>>,
-    _count: EarlyCount,
+    _guard: EarlyGuard,
 }
 
 impl<H: CallHandler> EarlyCalls<H> {
@@ -47,25 +47,25 @@
 
     /// Whether another one may start.
     pub(super) fn has_room(&self) -> bool {
-        self.pipeline.early() < EARLY_MAX && !self.stop.is_cancelled()
+        self.pipeline.early_count() < EARLY_MAX && !self.stop.is_cancelled()
     }
 
     /// Starts the read with this head, if its handler lets it run before its turn.
-    pub(super) fn start(&self, head: Parts, came_at: Instant) -> Option<EarlyCall> {
+    pub(super) fn start(&self, head: Parts, received_at: Instant) -> Option<EarlyCall> {
         if !self.handler.may_start_early(&head) {
             return None;
         }
-        let arrival = Arrival { peer: self.peer, came_at };
+        let arrival = Arrival { peer: self.peer, received_at };
         let request = Request::from_parts(head.clone(), body::empty());
         let call = Arc::clone(&self.handler).handle(arrival, request);
         let call = AbortOnDropHandle::new(self.tracker.spawn(call));
-        Some(EarlyCall { head, call, _count: self.pipeline.count_early() })
+        Some(EarlyCall { head, call, _guard: self.pipeline.begin_early() })
     }
 }
 
 impl EarlyCall {
     /// Whether this is the request that hyper has read by now.
-    pub fn is_of(&self, head: &Parts) -> bool {
+    pub fn matches(&self, head: &Parts) -> bool {
         self.head.method == head.method
             && self.head.uri == head.uri
             && self.head.version == head.version
@@ -73,7 +73,7 @@
     }
 
     /// Its answer; none when its task has failed, which has told why by itself, and it has to run anew.
-    pub async fn answer(self) -> Option<Response<CallBody>> {
+    pub async fn response(self) -> Option<Response<CallBody>> {
         self.call.await.ok()
     }
 }
--- a/crates/yuccarackd/src/transport/pipelining/framing.rs
+++ b/crates/yuccarackd/src/transport/pipelining/framing.rs
@@ -8,7 +8,7 @@
 
 /// A request whose end is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Extent {
+pub struct RequestExtent {
     /// Bytes of its head, the blank line included.
     pub head_bytes: usize,
     /// Bytes of its body.
@@ -17,31 +17,31 @@
 
 /// What the start of some bytes is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Framed {
+pub enum Framing {
     /// A head whose end has not come yet.
     Partial,
     /// A request.
-    Whole(Extent),
+    Complete(RequestExtent),
     /// Something that may end otherwise than its head tells, or after which no request may follow.
-    Unclear,
+    Ambiguous,
 }
 
 /// Finds the end of the request that `bytes` begin with.
 ///
 /// Whatever two readers could understand differently is unclear: two lengths, a length beside
 /// chunks, an older protocol, a change of protocol. Only the server itself decides on those.
-pub fn frame(bytes: &[u8]) -> Framed {
+pub fn frame(bytes: &[u8]) -> Framing {
     let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
     let mut head = httparse::Request::new(&mut headers);
     match head.parse(bytes) {
-        Ok(Status::Complete(head_bytes)) => whole(&head, head_bytes),
-        Ok(Status::Partial) => Framed::Partial,
-        Err(_) => Framed::Unclear,
+        Ok(Status::Complete(head_bytes)) => frame_complete_head(&head, head_bytes),
+        Ok(Status::Partial) => Framing::Partial,
+        Err(_) => Framing::Ambiguous,
     }
 }
 
 /// The head of a read without a body, for a head that [`frame`] found whole.
-pub fn read_head(bytes: &[u8]) -> Option<Parts> {
+pub fn parse_read_head(bytes: &[u8]) -> Option<Parts> {
     let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
     let mut head = httparse::Request::new(&mut headers);
     head.parse(bytes).ok()?;
@@ -59,43 +59,44 @@
     Some(parts)
 }
 
-fn whole(head: &httparse::Request<'_, '_>, head_bytes: usize) -> Framed {
+fn frame_complete_head(head: &httparse::Request<'_, '_>, head_bytes: usize) -> Framing {
     if head.version != Some(1) || head.method == Some("CONNECT") {
-        return Framed::Unclear;
+        return Framing::Ambiguous;
     }
     let mut length = None;
     for header in head.headers.iter() {
-        match reading_of(header) {
-            HeaderReading::OfNoMatter => {}
-            HeaderReading::Length(bytes) if length.is_none() => length = Some(bytes),
-            HeaderReading::Length(_) | HeaderReading::Unclear => return Framed::Unclear,
+        match classify_header(header) {
+            HeaderFraming::Irrelevant => {}
+            HeaderFraming::Length(bytes) if length.is_none() => length = Some(bytes),
+            HeaderFraming::Length(_) | HeaderFraming::Ambiguous => return Framing::Ambiguous,
         }
     }
-    Framed::Whole(Extent { head_bytes, body_bytes: length.unwrap_or(0) })
+    Framing::Complete(RequestExtent { head_bytes, body_bytes: length.unwrap_or(0) })
 }
 
 /// What a header says of a request's end.
-enum HeaderReading {
-    OfNoMatter,
+enum HeaderFraming {
+    Irrelevant,
     Length(u64),
-    Unclear,
+    Ambiguous,
 }
 
-fn reading_of(header: &Header<'_>) -> HeaderReading {
+fn classify_header(header: &Header<'_>) -> HeaderFraming {
     let is = |name: &str| header.name.eq_ignore_ascii_case(name);
     if is("transfer-encoding") || is("upgrade") || is("expect") {
-        return HeaderReading::Unclear;
+        return HeaderFraming::Ambiguous;
     }
     if is("content-length") {
-        return length(header.value).map_or(HeaderReading::Unclear, HeaderReading::Length);
+        return parse_content_length(header.value)
+            .map_or(HeaderFraming::Ambiguous, HeaderFraming::Length);
     }
     if is("connection") && !header.value.eq_ignore_ascii_case(b"keep-alive") {
-        return HeaderReading::Unclear;
+        return HeaderFraming::Ambiguous;
     }
-    HeaderReading::OfNoMatter
+    HeaderFraming::Irrelevant
 }
 
-fn length(value: &[u8]) -> Option<u64> {
+fn parse_content_length(value: &[u8]) -> Option<u64> {
     let is_number = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
     std::str::from_utf8(value).ok().filter(|_| is_number)?.parse().ok()
 }
--- a/crates/yuccarackd/src/transport/pipelining/mod.rs
+++ b/crates/yuccarackd/src/transport/pipelining/mod.rs
@@ -7,13 +7,13 @@
 //! at a time, goes on reading while that one is answered, starts reads that follow, and tells hyper
 //! at once that the connection has ended. Framing, order and close stay hyper's.
 
-mod early;
+mod early_calls;
 mod framing;
 mod pipeline;
 mod stream;
 
 pub use self::{
-    early::EarlyCalls,
+    early_calls::EarlyCalls,
     pipeline::{Pipeline, Turn},
     stream::PipelinedStream,
 };
--- a/crates/yuccarackd/src/transport/pipelining/pipeline.rs
+++ b/crates/yuccarackd/src/transport/pipelining/pipeline.rs
@@ -12,33 +12,33 @@
 use parking_lot::Mutex;
 use tokio::sync::Notify;
 
-use super::early::EarlyCall;
+use super::early_calls::EarlyCall;
 use crate::protocol::body::{BodyError, CallBody};
 
 /// One connection, as its stream and its service share it.
 #[derive(Default)]
 pub struct Pipeline {
     state: Mutex<State>,
-    early_ended: Notify,
+    early_finished: Notify,
 }
 
 #[derive(Default)]
 struct State {
     /// Whether a request is being answered.
-    is_answering: bool,
+    is_responding: bool,
     /// Whether that one is a read, so that others may run beside it.
     is_read: bool,
     /// Who waits for the end of that answer.
-    reader: Option<Waker>,
+    stream_waker: Option<Waker>,
     /// The request that the stream has given to hyper.
-    given: Option<Given>,
-    early: usize,
+    passed: Option<PassedRequest>,
+    early_count: usize,
 }
 
 /// A request that the stream gives to hyper.
-pub(super) struct Given {
+pub(super) struct PassedRequest {
     /// When it came.
-    pub came_at: Instant,
+    pub received_at: Instant,
     /// Its call, if it was started early.
     pub early: Option<EarlyCall>,
 }
@@ -46,18 +46,18 @@
 /// A request whose turn has come.
 pub struct Turn {
     /// When it came.
-    pub came_at: Instant,
+    pub received_at: Instant,
     /// Its call, if it was started early.
     pub early: Option<EarlyCall>,
     /// Kept until it is answered.
-    pub answering: Answering,
+    pub guard: ResponseGuard,
 }
 
 /// Held while a request is answered.
-pub struct Answering(Arc<Pipeline>);
+pub struct ResponseGuard(Arc<Pipeline>);
 
 /// Held while a read runs, or waits answered, before its turn.
-pub(super) struct EarlyCount(Arc<Pipeline>);
+pub(super) struct EarlyGuard(Arc<Pipeline>);
 
 impl Pipeline {
     /// Starts without a request.
@@ -68,96 +68,96 @@
     /// Takes the request that hyper hands over; reads may run beside it if `is_read`.
     pub fn take_turn(self: &Arc<Self>, is_read: bool) -> Turn {
         let mut state = self.state.lock();
-        state.is_answering = true;
+        state.is_responding = true;
         state.is_read = is_read;
-        let given = state.given.take();
+        let passed = state.passed.take();
         drop(state);
-        let (came_at, early) = match given {
-            Some(given) => (given.came_at, given.early),
+        let (received_at, early) = match passed {
+            Some(passed) => (passed.received_at, passed.early),
             None => (Instant::now(), None),
         };
-        Turn { came_at, early, answering: Answering(Arc::clone(self)) }
+        Turn { received_at, early, guard: ResponseGuard(Arc::clone(self)) }
     }
 
     /// Whether reads run, or wait answered, before their turn.
     pub fn has_early(&self) -> bool {
-        self.early() > 0
+        self.early_count() > 0
     }
 
     /// Waits until no read runs, or waits answered, before its turn.
-    pub async fn until_none_early(&self) {
+    pub async fn wait_none_early(&self) {
         loop {
-            let ended = self.early_ended.notified();
+            let finished = self.early_finished.notified();
             if !self.has_early() {
                 return;
             }
-            ended.await;
+            finished.await;
         }
     }
 
-    pub(super) fn early(&self) -> usize {
-        self.state.lock().early
+    pub(super) fn early_count(&self) -> usize {
+        self.state.lock().early_count
     }
 
-    pub(super) fn count_early(self: &Arc<Self>) -> EarlyCount {
-        self.state.lock().early += 1;
-        EarlyCount(Arc::clone(self))
+    pub(super) fn begin_early(self: &Arc<Self>) -> EarlyGuard {
+        self.state.lock().early_count += 1;
+        EarlyGuard(Arc::clone(self))
     }
 
     /// Notes what hyper reads next.
-    pub(super) fn give(&self, given: Given) {
-        self.state.lock().given = Some(given);
+    pub(super) fn pass(&self, request: PassedRequest) {
+        self.state.lock().passed = Some(request);
     }
 
     /// Whether a request is being answered; if so, `cx` is woken at its end.
-    pub(super) fn is_answering(&self, cx: &Context<'_>) -> bool {
+    pub(super) fn is_responding(&self, cx: &Context<'_>) -> bool {
         let mut state = self.state.lock();
-        if !state.is_answering {
+        if !state.is_responding {
             return false;
         }
-        match &mut state.reader {
-            Some(reader) => reader.clone_from(cx.waker()),
+        match &mut state.stream_waker {
+            Some(waker) => waker.clone_from(cx.waker()),
             none => *none = Some(cx.waker().clone()),
         }
         true
     }
 
     /// Whether the request that is being answered is a read.
-    pub(super) fn answers_read(&self) -> bool {
+    pub(super) fn is_responding_to_read(&self) -> bool {
         let state = self.state.lock();
-        state.is_answering && state.is_read
+        state.is_responding && state.is_read
     }
 }
 
-impl Drop for Answering {
+impl Drop for ResponseGuard {
     fn drop(&mut self) {
         let mut state = self.0.state.lock();
-        state.is_answering = false;
-        let reader = state.reader.take();
+        state.is_responding = false;
+        let waker = state.stream_waker.take();
         drop(state);
-        if let Some(reader) = reader {
-            reader.wake();
+        if let Some(waker) = waker {
+            waker.wake();
         }
     }
 }
 
-impl Drop for EarlyCount {
+impl Drop for EarlyGuard {
     fn drop(&mut self) {
-        self.0.state.lock().early -= 1;
-        self.0.early_ended.notify_one();
+        self.0.state.lock().early_count -= 1;
+        self.0.early_finished.notify_one();
     }
 }
 
 /// An answer's body; the next request's turn comes when hyper has taken it whole or dropped it.
 pub struct TurnBody {
     body: CallBody,
-    _answering: Answering,
+    _guard: ResponseGuard,
 }
 
-impl Answering {
+impl ResponseGuard {
     /// Holds the turn until `body` has been sent.
-    pub fn until_sent(self, body: CallBody) -> TurnBody {
-        TurnBody { body, _answering: self }
+    pub fn hold_until_sent(self, body: CallBody) -> TurnBody {
+        TurnBody { body, _guard: self }
     }
 }
 
--- a/crates/yuccarackd/src/transport/pipelining/stream.rs
+++ b/crates/yuccarackd/src/transport/pipelining/stream.rs
@@ -17,9 +17,9 @@
 use tokio_util::io::poll_read_buf;
 
 use super::{
-    early::{EarlyCall, EarlyCalls},
-    framing::{Extent, Framed, frame, read_head},
-    pipeline::{Given, Pipeline},
+    early_calls::{EarlyCall, EarlyCalls},
+    framing::{Framing, RequestExtent, frame, parse_read_head},
+    pipeline::{PassedRequest, Pipeline},
 };
 use crate::transport::call_server::CallHandler;
 
@@ -27,7 +27,7 @@
 const READ_BYTES: usize = 4 * 1024;
 
 /// Most bytes that are read ahead; a sender of more is held up by flow control.
-const AHEAD_MAX_BYTES: usize = 64 * 1024;
+const READ_AHEAD_MAX_BYTES: usize = 64 * 1024;
 
 /// A connection of a caller, between its socket and hyper.
 pub struct PipelinedStream<H> {
@@ -35,27 +35,27 @@
     /// Read of the socket and not yet given to hyper.
     unread: BytesMut,
     /// Bytes of `unread` that belong to the head that hyper reads.
-    head_left: usize,
+    head_remaining_bytes: usize,
     /// Bytes of the body that hyper reads which are still to come.
-    body_left: u64,
+    body_remaining_bytes: u64,
     /// Requests at the start of `unread`, of which hyper has nothing yet.
-    following: VecDeque<Following>,
-    has_ended: bool,
+    queued: VecDeque<QueuedRequest>,
+    is_eof: bool,
     /// Whether all bytes pass as they come, since the end of a request isn't known.
-    passes_all: bool,
+    is_passthrough: bool,
     head_max_bytes: usize,
     pipeline: Arc<Pipeline>,
     early_calls: EarlyCalls<H>,
 }
 
 /// A request that waits for its turn.
-struct Following {
-    extent: Extent,
-    came_at: Instant,
+struct QueuedRequest {
+    extent: RequestExtent,
+    received_at: Instant,
     early: Option<EarlyCall>,
 }
 
-impl Following {
+impl QueuedRequest {
     fn bytes(&self) -> usize {
         let body_bytes = usize::try_from(self.extent.body_bytes).unwrap_or(usize::MAX);
         self.extent.head_bytes.saturating_add(body_bytes)
@@ -73,11 +73,11 @@
         Self {
             stream,
             unread: BytesMut::new(),
-            head_left: 0,
-            body_left: 0,
-            following: VecDeque::new(),
-            has_ended: false,
-            passes_all: !H::TAKES_PIPELINES,
+            head_remaining_bytes: 0,
+            body_remaining_bytes: 0,
+            queued: VecDeque::new(),
+            is_eof: false,
+            is_passthrough: !H::ACCEPTS_PIPELINING,
             head_max_bytes,
             pipeline,
             early_calls,
@@ -90,137 +90,143 @@
         ready!(self.stream.poll_read_ready(cx))?;
         self.unread.reserve(READ_BYTES);
         let read = ready!(poll_read_buf(Pin::new(&mut self.stream), cx, &mut self.unread))?;
-        self.has_ended = read == 0;
+        self.is_eof = read == 0;
         Poll::Ready(Ok(()))
     }
 
     /// Gives hyper up to `most` of what was read.
-    fn give(&mut self, most: usize, buf: &mut ReadBuf<'_>) -> usize {
-        let given = most.min(self.unread.len()).min(buf.remaining());
-        buf.put_slice(&self.unread[..given]);
-        self.unread.advance(given);
+    fn pass_bytes(&mut self, max_bytes: usize, buf: &mut ReadBuf<'_>) -> usize {
+        let passed = max_bytes.min(self.unread.len()).min(buf.remaining());
+        buf.put_slice(&self.unread[..passed]);
+        self.unread.advance(passed);
         if self.unread.is_empty() {
             self.unread = BytesMut::new();
         }
-        given
+        passed
     }
 
     fn pass_all(&mut self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         if !self.unread.is_empty() {
-            self.give(usize::MAX, buf);
+            self.pass_bytes(usize::MAX, buf);
             return Poll::Ready(Ok(()));
         }
-        if self.has_ended {
+        if self.is_eof {
             return Poll::Ready(Ok(()));
         }
         Pin::new(&mut self.stream).poll_read(cx, buf)
     }
 
-    fn give_body(&mut self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let most = usize::try_from(self.body_left).unwrap_or(usize::MAX);
+    fn pass_body(&mut self, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+        let max_bytes = usize::try_from(self.body_remaining_bytes).unwrap_or(usize::MAX);
         if !self.unread.is_empty() {
-            self.body_left -= self.give(most, buf) as u64;
+            self.body_remaining_bytes -= self.pass_bytes(max_bytes, buf) as u64;
             return Poll::Ready(Ok(()));
         }
-        if self.has_ended {
+        if self.is_eof {
             return Poll::Ready(Ok(()));
         }
-        if most < buf.remaining() {
+        if max_bytes < buf.remaining() {
             // What follows the body isn't for hyper yet.
             ready!(self.fill(cx))?;
-            self.body_left -= self.give(most, buf) as u64;
+            self.body_remaining_bytes -= self.pass_bytes(max_bytes, buf) as u64;
             return Poll::Ready(Ok(()));
         }
         let before = buf.filled().len();
         ready!(Pin::new(&mut self.stream).poll_read(cx, buf))?;
-        self.body_left -= (buf.filled().len() - before) as u64;
+        self.body_remaining_bytes -= (buf.filled().len() - before) as u64;
         Poll::Ready(Ok(()))
     }
 
     /// Finds the next request; `Ready` when hyper may read on.
-    fn next(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+    fn pass_next(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         loop {
-            if let Some(next) = self.following.pop_front() {
-                self.begin(next.extent, Given { came_at: next.came_at, early: next.early });
+            if let Some(next) = self.queued.pop_front() {
+                self.begin_request(
+                    next.extent,
+                    PassedRequest { received_at: next.received_at, early: next.early },
+                );
                 return Poll::Ready(Ok(()));
             }
             match frame(&self.unread) {
-                Framed::Whole(extent) => {
-                    self.begin(extent, Given { came_at: Instant::now(), early: None });
+                Framing::Complete(extent) => {
+                    self.begin_request(
+                        extent,
+                        PassedRequest { received_at: Instant::now(), early: None },
+                    );
                     return Poll::Ready(Ok(()));
                 }
-                Framed::Partial if self.unread.len() <= self.head_max_bytes && !self.has_ended => {
+                Framing::Partial if self.unread.len() <= self.head_max_bytes && !self.is_eof => {
                     ready!(self.fill(cx))?;
                 }
                 // Refused by hyper, or for hyper alone to understand.
-                Framed::Partial | Framed::Unclear => {
-                    self.passes_all = true;
+                Framing::Partial | Framing::Ambiguous => {
+                    self.is_passthrough = true;
                     return Poll::Ready(Ok(()));
                 }
             }
         }
     }
 
-    fn begin(&mut self, extent: Extent, given: Given) {
-        self.head_left = extent.head_bytes;
-        self.body_left = extent.body_bytes;
-        self.pipeline.give(given);
+    fn begin_request(&mut self, extent: RequestExtent, request: PassedRequest) {
+        self.head_remaining_bytes = extent.head_bytes;
+        self.body_remaining_bytes = extent.body_bytes;
+        self.pipeline.pass(request);
     }
 
     /// Reads on while a request is answered; `Ready` only at the end of the connection, of which
     /// hyper then cancels all calls.
-    fn look_ahead(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        while !self.has_ended && self.unread.len() < AHEAD_MAX_BYTES {
+    fn read_ahead(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        while !self.is_eof && self.unread.len() < READ_AHEAD_MAX_BYTES {
             match self.fill(cx) {
                 Poll::Ready(filled) => filled?,
                 Poll::Pending => break,
             }
         }
-        if self.has_ended {
+        if self.is_eof {
             return Poll::Ready(Ok(()));
         }
         if !self.unread.is_empty() {
-            self.find_following();
+            self.find_queued();
             self.start_early();
         }
         Poll::Pending
     }
 
     /// Notes when each request that follows came, however long it has to wait for its turn.
-    fn find_following(&mut self) {
-        let mut at: usize = self.following.iter().map(Following::bytes).sum();
-        while at < self.unread.len() {
-            let Framed::Whole(extent) = frame(&self.unread[at..]) else { return };
-            let following = Following { extent, came_at: Instant::now(), early: None };
-            let end = at.saturating_add(following.bytes());
+    fn find_queued(&mut self) {
+        let mut offset: usize = self.queued.iter().map(QueuedRequest::bytes).sum();
+        while offset < self.unread.len() {
+            let Framing::Complete(extent) = frame(&self.unread[offset..]) else { return };
+            let queued = QueuedRequest { extent, received_at: Instant::now(), early: None };
+            let end = offset.saturating_add(queued.bytes());
             if end > self.unread.len() {
                 return;
             }
-            self.following.push_back(following);
-            at = end;
+            self.queued.push_back(queued);
+            offset = end;
         }
     }
 
     /// Starts reads as long as only reads are before them: what follows an order may depend on it.
     fn start_early(&mut self) {
-        if !self.pipeline.answers_read() {
+        if !self.pipeline.is_responding_to_read() {
             return;
         }
-        let mut at = 0;
-        for following in &mut self.following {
-            let end = at + following.bytes();
-            if following.early.is_none() {
-                if following.extent.body_bytes > 0 || !self.early_calls.has_room() {
+        let mut offset = 0;
+        for queued in &mut self.queued {
+            let end = offset + queued.bytes();
+            if queued.early.is_none() {
+                if queued.extent.body_bytes > 0 || !self.early_calls.has_room() {
                     return;
                 }
-                let head = read_head(&self.unread[at..end]);
-                let early = head.and_then(|head| self.early_calls.start(head, following.came_at));
+                let head = parse_read_head(&self.unread[offset..end]);
+                let early = head.and_then(|head| self.early_calls.start(head, queued.received_at));
                 if early.is_none() {
                     return;
                 }
-                following.early = early;
+                queued.early = early;
             }
-            at = end;
+            offset = end;
         }
     }
 }
@@ -232,21 +238,21 @@
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         loop {
-            if self.passes_all {
+            if self.is_passthrough {
                 return self.pass_all(cx, buf);
             }
-            if self.head_left > 0 {
-                let most = self.head_left;
-                self.head_left -= self.give(most, buf);
+            if self.head_remaining_bytes > 0 {
+                let max_bytes = self.head_remaining_bytes;
+                self.head_remaining_bytes -= self.pass_bytes(max_bytes, buf);
                 return Poll::Ready(Ok(()));
             }
-            if self.body_left > 0 {
-                return self.give_body(cx, buf);
+            if self.body_remaining_bytes > 0 {
+                return self.pass_body(cx, buf);
             }
-            if self.pipeline.is_answering(cx) {
-                return self.look_ahead(cx);
+            if self.pipeline.is_responding(cx) {
+                return self.read_ahead(cx);
             }
-            ready!(self.next(cx))?;
+            ready!(self.pass_next(cx))?;
         }
     }
 }
--- a/crates/yuccarackd/src/transport/upstream.rs
+++ b/crates/yuccarackd/src/transport/upstream.rs
@@ -20,7 +20,7 @@
 use parking_lot::Mutex;
 use tokio_util::task::TaskTracker;
 
-use super::connection::{Connection, SendError, Sending};
+use super::connection::{BodyLength, Connection, SendError};
 use crate::protocol::body::{BodyError, CallBody};
 
 /// Idle connections kept to one address.
@@ -37,9 +37,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
     /// Any that is idle; a request that may run twice is sent again if the peer closed it.
-    Kept,
+    Pooled,
     /// Any that has not been idle for longer.
-    KeptWithin(Duration),
+    PooledWithin(Duration),
     /// A new one: the peer can't have closed it for idleness while the request was on its way, so
     /// a request that must not repeat isn't left unknown for so small a thing. Costs one connect.
     New,
@@ -72,19 +72,19 @@
         request: Request<CallBody>,
         freshness: Freshness,
     ) -> Result<Response<CallBody>, SendError> {
-        let sending = sending_of(&request);
-        let freshness = if sending == Sending::Long { Freshness::New } else { freshness };
+        let body_length = classify_body_length(&request);
+        let freshness = if body_length == BodyLength::Long { Freshness::New } else { freshness };
         let mut connection = match self.take_idle(address, freshness).await {
             Some(connection) => connection,
-            None => Connection::open(address, sending, &self.tracker).await?,
+            None => Connection::open(address, body_length, &self.tracker).await?,
         };
-        let sent_whole = Arc::new(AtomicBool::new(false));
+        let sent_fully = Arc::new(AtomicBool::new(false));
         let (parts, body) = request.into_parts();
-        let watched = WatchedBody::new(body, Arc::clone(&sent_whole)).boxed_unsync();
-        let answer = connection.send(Request::from_parts(parts, watched)).await?;
-        let is_kept = sending == Sending::Short;
-        let lease = Lease { address, connection, sent_whole, is_kept, upstream: self.clone() };
-        Ok(answer.map(|body| LeasedBody::new(body, lease).boxed_unsync()))
+        let tracked = TrackedBody::new(body, Arc::clone(&sent_fully)).boxed_unsync();
+        let response = connection.send(Request::from_parts(parts, tracked)).await?;
+        let is_reusable = body_length == BodyLength::Short;
+        let lease = Lease { address, connection, sent_fully, is_reusable, upstream: self.clone() };
+        Ok(response.map(|body| LeasedBody::new(body, lease).boxed_unsync()))
     }
 
     /// Closes all idle connections.
@@ -94,8 +94,8 @@
 
     async fn take_idle(&self, address: SocketAddr, freshness: Freshness) -> Option<Connection> {
         let idle_max = match freshness {
-            Freshness::Kept => IDLE_TIME_MAX,
-            Freshness::KeptWithin(idle_max) => idle_max.min(IDLE_TIME_MAX),
+            Freshness::Pooled => IDLE_TIME_MAX,
+            Freshness::PooledWithin(idle_max) => idle_max.min(IDLE_TIME_MAX),
             Freshness::New => return None,
         };
         let oldest = Instant::now().checked_sub(idle_max)?;
@@ -107,8 +107,8 @@
         }
     }
 
-    fn give_back(&self, address: SocketAddr, mut connection: Connection) {
-        connection.rest(Instant::now());
+    fn return_to_pool(&self, address: SocketAddr, mut connection: Connection) {
+        connection.mark_idle(Instant::now());
         let mut idle = self.idle.lock();
         let connections = idle.entry(address).or_default();
         if connections.len() < IDLE_MAX {
@@ -117,11 +117,11 @@
     }
 }
 
-fn sending_of(request: &Request<CallBody>) -> Sending {
+fn classify_body_length(request: &Request<CallBody>) -> BodyLength {
     let length = request.body().size_hint().upper();
     match length {
-        Some(bytes) if bytes <= SHORT_BODY_MAX_BYTES => Sending::Short,
-        _ => Sending::Long,
+        Some(bytes) if bytes <= SHORT_BODY_MAX_BYTES => BodyLength::Short,
+        _ => BodyLength::Long,
     }
 }
 
@@ -130,18 +130,18 @@
 struct Lease {
     address: SocketAddr,
     connection: Connection,
-    sent_whole: Arc<AtomicBool>,
+    sent_fully: Arc<AtomicBool>,
     /// Whether it may carry another request: one that was opened for a long body is slow to tell
     /// that its peer is dead.
-    is_kept: bool,
+    is_reusable: bool,
     upstream: Upstream,
 }
 
 impl Lease {
     /// An answer may end before its request does; such a connection still has a request on it.
-    fn end(self) {
-        if self.is_kept && self.sent_whole.load(Ordering::Acquire) {
-            self.upstream.give_back(self.address, self.connection);
+    fn release(self) {
+        if self.is_reusable && self.sent_fully.load(Ordering::Acquire) {
+            self.upstream.return_to_pool(self.address, self.connection);
         }
     }
 }
@@ -157,14 +157,14 @@
     fn new(body: Incoming, lease: Lease) -> Self {
         let mut leased = Self { body, lease: Some(lease) };
         if leased.body.is_end_stream() {
-            leased.end_lease();
+            leased.release_connection();
         }
         leased
     }
 
-    fn end_lease(&mut self) {
+    fn release_connection(&mut self) {
         if let Some(lease) = self.lease.take() {
-            lease.end();
+            lease.release();
         }
     }
 }
@@ -181,7 +181,7 @@
         match frame {
             Some(Ok(frame)) => {
                 if self.body.is_end_stream() {
-                    self.end_lease();
+                    self.release_connection();
                 }
                 Poll::Ready(Some(Ok(frame)))
             }
@@ -190,7 +190,7 @@
                 Poll::Ready(Some(Err(BodyError::Truncated(error))))
             }
             None => {
-                self.end_lease();
+                self.release_connection();
                 Poll::Ready(None)
             }
         }
@@ -206,26 +206,26 @@
 }
 
 /// A request's body that remembers whether it was read to its end.
-struct WatchedBody {
+struct TrackedBody {
     body: CallBody,
-    sent_whole: Arc<AtomicBool>,
+    sent_fully: Arc<AtomicBool>,
 }
 
-impl WatchedBody {
-    fn new(body: CallBody, sent_whole: Arc<AtomicBool>) -> Self {
-        let watched = Self { body, sent_whole };
-        watched.note_end();
-        watched
+impl TrackedBody {
+    fn new(body: CallBody, sent_fully: Arc<AtomicBool>) -> Self {
+        let tracked = Self { body, sent_fully };
+        tracked.note_end();
+        tracked
     }
 
     fn note_end(&self) {
         if self.body.is_end_stream() {
-            self.sent_whole.store(true, Ordering::Release);
+            self.sent_fully.store(true, Ordering::Release);
         }
     }
 }
 
-impl Body for WatchedBody {
+impl Body for TrackedBody {
     type Data = Bytes;
     type Error = BodyError;
 
@@ -235,7 +235,7 @@
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let frame = ready!(Pin::new(&mut self.body).poll_frame(cx));
         if frame.is_none() {
-            self.sent_whole.store(true, Ordering::Release);
+            self.sent_fully.store(true, Ordering::Release);
         } else {
             self.note_end();
         }
--- a/crates/yuccarackd/tests/pipelining.rs
+++ b/crates/yuccarackd/tests/pipelining.rs
@@ -92,7 +92,7 @@
 }
 
 impl<const AHEAD: bool> CallHandler for Noting<AHEAD> {
-    const TAKES_PIPELINES: bool = AHEAD;
+    const ACCEPTS_PIPELINING: bool = AHEAD;
 
     fn may_start_early(&self, _head: &Parts) -> bool {
         AHEAD
