--- a/crates/yuccarackd/src/coordination/routed/entry/attempts.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/attempts.rs
@@ -36,7 +36,7 @@
     service: Arc<RoutedService>,
     tracker: &'a OutcomeTracker,
     gates: &'a AttemptedGates,
-    asked: AttemptHistory,
+    history: AttemptHistory,
     /// Number of targets that may have run the request.
     targets_run: u8,
     /// Shortest `Retry-After` of the gates that refused the request.
@@ -66,7 +66,7 @@
             service,
             tracker,
             gates,
-            asked: AttemptHistory::default(),
+            history: AttemptHistory::default(),
             targets_run: 0,
             retry_after: None,
         }
@@ -82,7 +82,7 @@
         if result.as_ref().is_err_and(is_capacity_refusal) {
             self.entry.stats.record_shortage(Instant::now(), &self.call.service);
         }
-        self.entry.parts.metrics.observe_attempts(self.asked.count());
+        self.entry.parts.metrics.observe_attempts(self.history.count());
         result
     }
 
@@ -91,15 +91,15 @@
         loop {
             let settings = self.entry.parts.settings.current();
             self.service.restrict_to_home_regions(
-                &mut self.asked,
+                &mut self.history,
                 &self.call.home_regions,
                 &settings,
             );
-            let Some(gate) = self.service.choose(Instant::now(), &self.asked) else {
+            let Some(gate) = self.service.choose(Instant::now(), &self.history) else {
                 return last.unwrap_or_else(|| Err(Refusal::not_run(Reason::NoTarget)));
             };
             let reply = self.send(&gate).await;
-            self.asked.record(gate.key, reply.to_said(gate.may_wait));
+            self.history.record(gate.key, reply.to_gate_reply(gate.may_wait));
             let Some(failure) = self.classify_failure(&reply) else {
                 return match reply {
                     Reply::Answered(response) => Ok(response),
@@ -174,7 +174,7 @@
     }
 
     async fn send(&mut self, gate: &ChosenGate) -> Reply {
-        let sent = SentAttempt { service: Arc::clone(&self.service), key: gate.key, end: None };
+        let sent = SentAttempt { service: Arc::clone(&self.service), key: gate.key, outcome: None };
         self.tracker.record_sent();
         self.gates.start(&gate.member.instance);
         let now = Instant::now();
@@ -193,7 +193,7 @@
             self.tracker.record_not_run();
             self.record_retry_after(refusal);
         }
-        sent.finish(reply.to_try_end());
+        sent.finish(reply.to_outcome());
         reply
     }
 
@@ -248,26 +248,26 @@
 struct SentAttempt {
     service: Arc<RoutedService>,
     key: GateKey,
-    end: Option<GateAttemptOutcome>,
+    outcome: Option<GateAttemptOutcome>,
 }
 
 impl SentAttempt {
-    fn finish(mut self, end: GateAttemptOutcome) {
-        self.end = Some(end);
+    fn finish(mut self, outcome: GateAttemptOutcome) {
+        self.outcome = Some(outcome);
     }
 }
 
 impl Drop for SentAttempt {
     fn drop(&mut self) {
-        let end = self.end.unwrap_or(GateAttemptOutcome::Cancelled);
-        self.service.record_attempt_end(Instant::now(), self.key, end);
+        let outcome = self.outcome.unwrap_or(GateAttemptOutcome::Cancelled);
+        self.service.record_attempt_outcome(Instant::now(), self.key, outcome);
     }
 }
 
 impl Reply {
     /// Classifies the reply for the choice of the next gate; `may_wait` is whether the gate may
     /// queue it.
-    fn to_said(&self, may_wait: bool) -> GateReply {
+    fn to_gate_reply(&self, may_wait: bool) -> GateReply {
         match self {
             Self::Refused(refusal) if matches!(refusal.reason, Reason::Admission(_)) => {
                 if may_wait { GateReply::NoQueueSpace } else { GateReply::NoFreeSlot }
@@ -276,7 +276,7 @@
         }
     }
 
-    fn to_try_end(&self) -> GateAttemptOutcome {
+    fn to_outcome(&self) -> GateAttemptOutcome {
         match self {
             Self::Answered(response) if response.status().is_server_error() => {
                 GateAttemptOutcome::Failed
--- a/crates/yuccarackd/src/coordination/routed/entry/call.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/call.rs
@@ -30,7 +30,7 @@
     /// When the entry gives up on the call.
     pub deadline: CallDeadline,
     /// Until when the response has its full value for the caller.
-    pub on_time_by: Instant,
+    pub soft_deadline: Instant,
     /// When the call arrived at the entry.
     pub came_at: Instant,
     /// Service whose targets may run the call.
@@ -92,7 +92,7 @@
             service: self.service.clone(),
             kind: self.kind,
             left_ms: millis(self.deadline.remaining(now)),
-            on_time_left_ms: millis(self.on_time_by.saturating_duration_since(now)),
+            on_time_left_ms: millis(self.soft_deadline.saturating_duration_since(now)),
             rank: self.rank,
             is_repeatable: self.is_repeatable,
             may_wait,
--- a/crates/yuccarackd/src/coordination/routed/entry/mod.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/mod.rs
@@ -215,7 +215,7 @@
         Ok(RoutedCall {
             request_id: head.request_id,
             deadline,
-            on_time_by: came_at + on_time.saturating_sub(prior_wait),
+            soft_deadline: came_at + on_time.saturating_sub(prior_wait),
             came_at,
             service: self.choose_service(route)?,
             kind,
--- a/crates/yuccarackd/src/coordination/routed/entry/route_stats.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/route_stats.rs
@@ -25,7 +25,7 @@
 #[derive(Default)]
 struct KindStats {
     prior_waits: PriorWaitEstimator,
-    futile_runs: AdaptiveThrottle,
+    throttle: AdaptiveThrottle,
 }
 
 impl RouteStats {
@@ -46,7 +46,7 @@
     /// Returns whether a request of `kind` is admitted.
     pub fn admits(&self, kind: u64) -> bool {
         !self.decisions.futile_runs
-            || self.update(kind, |stats| stats.futile_runs.admits(&mut rand::rng()))
+            || self.update(kind, |stats| stats.throttle.admits(&mut rand::rng()))
     }
 
     /// Records that a request of `kind` was refused.
@@ -62,7 +62,7 @@
     /// Records how a run of `kind` at `service` ended.
     pub fn record_run(&self, now: Instant, kind: u64, service: &str, result: RunResult) {
         let is_short = self.shortages.lock().is_other_service_short(now, service);
-        self.update(kind, |stats| stats.futile_runs.record_run(result, is_short));
+        self.update(kind, |stats| stats.throttle.record_run(result, is_short));
     }
 
     fn update<T>(&self, kind: u64, change: impl FnOnce(&mut KindStats) -> T) -> T {
--- a/crates/yuccarackd/src/coordination/routed/entry/service.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/service.rs
@@ -34,7 +34,7 @@
     placement: Placement,
     key_by_instance: HashMap<InstanceId, GateKey>,
     member_by_key: SecondaryMap<GateKey, Arc<RoutedMember>>,
-    extra_tries: ExtraAttempts,
+    extra_attempts: ExtraAttempts,
     mean_service_time: Option<Duration>,
     rng: SmallRng,
 }
@@ -79,7 +79,7 @@
             placement: Placement::new().with_decisions(settings.decisions),
             key_by_instance: HashMap::new(),
             member_by_key: SecondaryMap::new(),
-            extra_tries: ExtraAttempts::new(
+            extra_attempts: ExtraAttempts::new(
                 bounds.extra_tries_percent,
                 bounds.extra_tries,
                 entries,
@@ -103,7 +103,7 @@
             return;
         }
         state.generation = generation;
-        state.extra_tries.set_entry_count(entries);
+        state.extra_attempts.set_entry_count(entries);
         let mut removed = std::mem::take(&mut state.key_by_instance);
         for member in members {
             let key = match removed.remove(&member.instance) {
@@ -122,10 +122,10 @@
         }
     }
 
-    /// Bars the request of `asked` from gates outside of its home regions; no regions bar nothing.
+    /// Excludes gates outside of `home_regions` from further attempts; an empty list excludes none.
     pub fn restrict_to_home_regions(
         &self,
-        asked: &mut AttemptHistory,
+        history: &mut AttemptHistory,
         home_regions: &[RegionName],
         settings: &RoutedSettings,
     ) {
@@ -139,20 +139,20 @@
         };
         let state = self.state.lock();
         let outside = state.member_by_key.iter().filter(|(_, member)| !is_in_home_region(member));
-        asked.set_excluded(outside.map(|(key, _)| key).collect());
+        history.set_excluded(outside.map(|(key, _)| key).collect());
     }
 
     /// Records a request, which adds its share to the budget of extra attempts.
     pub fn record_request(&self) {
-        self.state.lock().extra_tries.earn();
+        self.state.lock().extra_attempts.earn();
     }
 
-    /// Chooses a gate for a request whose earlier attempts are in `asked`, and counts the request
+    /// Chooses a gate for a request whose earlier attempts are in `history`, and counts the request
     /// as sent there.
-    pub fn choose(&self, now: Instant, asked: &AttemptHistory) -> Option<ChosenGate> {
+    pub fn choose(&self, now: Instant, history: &AttemptHistory) -> Option<ChosenGate> {
         let state = &mut *self.state.lock();
-        let mean_work = state.mean_service_time.unwrap_or(DEFAULT_SERVICE_TIME);
-        let placed = state.placement.choose(now, &mut state.rng, asked, mean_work)?;
+        let mean_service_time = state.mean_service_time.unwrap_or(DEFAULT_SERVICE_TIME);
+        let placed = state.placement.choose(now, &mut state.rng, history, mean_service_time)?;
         let member = Arc::clone(state.member_by_key.get(placed.gate)?);
         state.placement.record_attempt(placed.gate);
         Some(ChosenGate { key: placed.gate, member, may_wait: placed.may_wait })
@@ -171,11 +171,11 @@
     }
 
     /// Records how an attempt at a gate ended.
-    pub fn record_attempt_end(&self, now: Instant, key: GateKey, end: GateAttemptOutcome) {
+    pub fn record_attempt_outcome(&self, now: Instant, key: GateKey, outcome: GateAttemptOutcome) {
         let state = &mut *self.state.lock();
-        state.placement.record_outcome(now, key, end);
-        if end == GateAttemptOutcome::Answered {
-            state.extra_tries.record_success();
+        state.placement.record_outcome(now, key, outcome);
+        if outcome == GateAttemptOutcome::Answered {
+            state.extra_attempts.record_success();
         }
     }
 
@@ -200,6 +200,6 @@
         &self,
         failure: FailedGateAttempt,
     ) -> Result<(), NoExtraAttemptReason> {
-        self.state.lock().extra_tries.decide(failure)
+        self.state.lock().extra_attempts.decide(failure)
     }
 }
--- a/crates/yuccarackd/src/coordination/routed/gate/mod.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/mod.rs
@@ -198,7 +198,8 @@
             );
         }
         let queued_at = Instant::now();
-        let lease = active.slots.admit(request.work()).await.map_err(admission_refusal)?;
+        let lease =
+            active.slots.admit(request.to_work_request()).await.map_err(admission_refusal)?;
         let queued = queued_at.elapsed();
         request.queued = Some(queued);
         self.parts.metrics.observe_queue_time(queued);
@@ -381,9 +382,9 @@
     }
 }
 
-fn admission_refusal(refused: QueueRefusal) -> Refusal {
-    Refusal::not_run(Reason::Admission(refused.reason.as_str()))
-        .with_retry_after(refused.retry_after)
+fn admission_refusal(refusal: QueueRefusal) -> Refusal {
+    Refusal::not_run(Reason::Admission(refusal.reason.as_str()))
+        .with_retry_after(refusal.retry_after)
 }
 
 /// Rounds down to milliseconds for a log line.
--- a/crates/yuccarackd/src/coordination/routed/gate/request.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/request.rs
@@ -23,7 +23,7 @@
     /// When the caller gives up.
     pub deadline: CallDeadline,
     /// Until when the response has its full value for the caller.
-    pub on_time_by: Instant,
+    pub soft_deadline: Instant,
     /// When the request arrived at the gate.
     pub came_at: Instant,
     /// Time in the queue; `None` until the request gets a slot.
@@ -40,16 +40,16 @@
         forwarding::strip_hop_by_hop(&mut parts.headers);
         forwarding::strip_internal_headers(&mut parts.headers);
         let deadline = CallDeadline::new(now + Duration::from_millis(hop.left_ms.into()));
-        let on_time_by = now + Duration::from_millis(hop.on_time_left_ms.into());
-        Self { hop, deadline, on_time_by, came_at: now, queued: None, parts, body }
+        let soft_deadline = now + Duration::from_millis(hop.on_time_left_ms.into());
+        Self { hop, deadline, soft_deadline, came_at: now, queued: None, parts, body }
     }
 
     /// Returns the attributes by which the queue orders and refuses the request.
-    pub fn work(&self) -> WorkRequest {
+    pub fn to_work_request(&self) -> WorkRequest {
         WorkRequest {
             kind: self.hop.kind,
             rank: self.hop.rank,
-            soft_deadline: self.on_time_by,
+            soft_deadline: self.soft_deadline,
             deadline: self.deadline.at(),
             may_wait: self.hop.may_wait,
         }
--- a/crates/yuccarackd/src/coordination/routed/gate/work_slots.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/work_slots.rs
@@ -72,10 +72,10 @@
     /// # Errors
     ///
     /// Returns why the request gets no slot; nothing of it has run.
-    pub async fn admit(&self, work: WorkRequest) -> Result<SlotLease, QueueRefusal> {
+    pub async fn admit(&self, request: WorkRequest) -> Result<SlotLease, QueueRefusal> {
         let (key, settled) = {
             let mut state = self.shared.state.lock();
-            match state.queue.offer(Instant::now(), work) {
+            match state.queue.offer(Instant::now(), request) {
                 QueueDecision::Run(key) => {
                     self.shared.started.notify_waiters();
                     self.shared.notify_health_check_due(&state.queue);
@@ -227,24 +227,24 @@
 pub struct SlotLease {
     slots: WorkSlots,
     key: RunningKey,
-    end: WorkOutcome,
+    outcome: WorkOutcome,
 }
 
 impl SlotLease {
     fn new(slots: WorkSlots, key: RunningKey) -> Self {
-        Self { slots, key, end: WorkOutcome::Aborted }
+        Self { slots, key, outcome: WorkOutcome::Aborted }
     }
 
     /// Releases the slot after a complete response, whose time counts as a service time.
     pub fn finish(mut self) {
-        self.end = WorkOutcome::Completed;
+        self.outcome = WorkOutcome::Completed;
     }
 }
 
 impl Drop for SlotLease {
     fn drop(&mut self) {
-        let (key, end) = (self.key, self.end);
-        self.slots.change(|queue, now| queue.release(now, key, end));
+        let (key, outcome) = (self.key, self.outcome);
+        self.slots.change(|queue, now| queue.release(now, key, outcome));
     }
 }
 
