--- a/crates/yuccarack_policy/src/cold_rate.rs
+++ b/crates/yuccarack_policy/src/cold_rate.rs
@@ -1,88 +1,92 @@
-//! How many requests a target gets while it may be cold.
+//! Rate limit for a target while it may be cold.
 //!
-//! The pattern is a small service whose targets bear far fewer requests a second while they are cold
-//! than their usual share of the load. After a loss of power that load meets all of them at once, they
-//! crash, come back cold, and meet it again, for as long as it lasts. A target may also become cold at
-//! any moment, which its gate learns only later. So what counts is every request that was handed
-//! over since the target was last known to be warm: if these keep the bound, they keep it whenever the
-//! target became cold.
+//! The targets of a small service may bear far fewer requests a second while they are cold than
+//! their usual share of the load. After a power loss that load meets all of them at once: they
+//! crash, restart cold and meet it again, as long as the load lasts. A target may also become cold
+//! at any time, and its gate learns of it only later. So the limit counts every request dispatched
+//! since the target was last known to be warm. If these stay within the bound, they do so whenever
+//! the target became cold.
 
 use std::{
     collections::VecDeque,
     time::{Duration, Instant},
 };
 
-/// Longest time from the decision on a request to its arrival at the target, which is on the same machine.
+/// Longest time from the decision on a request to its arrival at the target on the same machine.
 ///
-/// Failure: a daemon that gets a tenth of a core stands still for most of 100 ms, and what it let through
-/// before arrives together with what it lets through after.
+/// A daemon limited to a tenth of a core is stopped for most of 100 ms at a time; requests that it
+/// dispatched before such a stop arrive together with those dispatched after it.
 pub const DISPATCH_DELAY_MAX: Duration = Duration::from_millis(150);
 
-/// The same while the processor isn't starved. A request that was let through as long before a look had
-/// arrived by then; one that stands still with its daemon goes before the look that the daemon sends later.
+/// The same while the daemon isn't short of processor time. A request dispatched that long before a
+/// health check has arrived by the time the target answers the check; if the daemon is stopped
+/// meanwhile, both are delayed and the request is still sent first.
 const DISPATCH_DELAY_USUAL: Duration = Duration::from_millis(20);
 
-/// Span in which the bound holds: the second of the rule, and the time on the way.
+/// Time window in which the bound holds: the second of the operators' rule plus the dispatch delay.
 pub const WINDOW: Duration = Duration::from_millis(1_000).saturating_add(DISPATCH_DELAY_MAX);
 
 /// Requests that a cold target may get at once before they are spread over the window.
 const BURST: usize = 4;
 
-/// Share of the bound from which the target is asked whether it is warm, so that the answer is there before
-/// the bound holds anything up.
+/// Share of the bound from which the target is asked whether it is warm, so that the response is
+/// there before the bound delays any request.
 const HEALTH_CHECK_SHARE: f64 = 0.7;
 
-/// Least time between two such questions.
+/// Shortest time between two health checks for this reason.
 const HEALTH_CHECK_INTERVAL_MIN: Duration = Duration::from_millis(100);
 
-/// Most requests that a target which may be cold gets in any second.
+/// Most requests in any second to a target that may be cold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ColdBound(usize);
 
 impl ColdBound {
-    /// The bound of a target that bears `rate_per_1000_s` requests in 1,000 seconds, as operators allow
-    /// `excess_percent` of that and `slack` requests more; none without a rate.
+    /// Returns the bound of a target that bears `rate_per_1000_s` requests in 1,000 seconds when
+    /// cold. Operators allow `excess_percent` of that and `slack` further requests. Returns `None`
+    /// without a rate.
     ///
-    /// A target that gets nothing at all would never become warm, so the least bound is one request.
+    /// A target that gets no request would never become warm, so the bound is at least one.
     pub fn new(rate_per_1000_s: u32, excess_percent: u32, slack: u32) -> Option<Self> {
         if rate_per_1000_s == 0 {
             return None;
         }
         let allowed = u64::from(rate_per_1000_s) * u64::from(excess_percent) / 100_000;
-        let most = allowed.saturating_add(slack.into()).max(1);
-        Some(Self(usize::try_from(most).unwrap_or(usize::MAX)))
+        let requests = allowed.saturating_add(slack.into()).max(1);
+        Some(Self(usize::try_from(requests).unwrap_or(usize::MAX)))
     }
 
-    /// Most requests in any second.
+    /// Returns the largest number of requests in any second.
     pub fn requests(self) -> usize {
         self.0
     }
 
-    /// Mean time between two requests at the bound.
+    /// Returns the mean time between two requests at the bound.
     pub fn interval(self) -> Duration {
         WINDOW.div_f64(self.0 as f64)
     }
 }
 
-/// A request that a target may have got while it was cold.
+/// A request that the target may have received while it was cold.
 #[derive(Clone, Copy, Debug)]
 struct Dispatch {
     dispatched_at: Instant,
-    /// Whether the target had said that it was cold, and no look had proved it warm since.
+    /// Whether the target had reported that it was cold, and no health check since has shown it
+    /// warm.
     is_cold: bool,
 }
 
-/// Limits the requests of one target that may be cold.
+/// Limits the requests to one target that may be cold.
 #[derive(Clone, Debug, Default)]
 pub struct ColdRate {
     bound: Option<ColdBound>,
-    /// Requests of the last window that the target may have got while it was cold, the latest last.
+    /// Dispatches of the last window that the target may have received while it was cold, the
+    /// latest last.
     dispatches: VecDeque<Dispatch>,
-    /// Start of this process; an earlier one may have handed requests over until then.
+    /// Start of this process; a previous one may have dispatched requests until then.
     started_at: Option<Instant>,
-    /// Start of the target's cold time, at the earliest; unset where that isn't known.
+    /// Earliest possible start of the target's cold time; `None` if unknown.
     cold_from: Option<Instant>,
-    /// Latest moment at which the target is known to have been warm.
+    /// Latest time at which the target is known to have been warm.
     warm_as_of: Option<Instant>,
     cold_until: Option<Instant>,
     health_checked_at: Option<Instant>,
@@ -90,18 +94,18 @@
 }
 
 impl ColdRate {
-    /// Limits the target of a process that started at `started_at`, without a bound yet.
+    /// Creates the limit of a process that started at `started_at`, without a bound yet.
     pub fn new(started_at: Instant) -> Self {
         Self { started_at: Some(started_at), ..Self::default() }
     }
 
-    /// Spreads requests over the window while the target is cold, or lets them go as they come.
+    /// Sets whether requests to a cold target are spread over the window or go as they come.
     pub fn with_spread(mut self, is_spread: bool) -> Self {
         self.is_spread = is_spread;
         self
     }
 
-    /// Follows the operators' bound; none lifts it.
+    /// Sets the operators' bound; `None` lifts the limit.
     pub fn set_bound(&mut self, bound: Option<ColdBound>) {
         self.bound = bound;
     }
@@ -111,19 +115,20 @@
         self.cold_from = Some(cold_from);
     }
 
-    /// Notes that the target, asked just now, says that it is cold until `cold_until`.
+    /// Notes that the target has just answered a health check and is cold until `cold_until`.
     pub fn set_cold_until(&mut self, cold_until: Instant) {
         self.cold_until = Some(cold_until);
         // It may have been cold since it was last known to be warm.
         self.dispatches.iter_mut().for_each(|request| request.is_cold = true);
     }
 
-    /// Notes that a heartbeat says so. It may have been long on its way, so it never ends a cold time.
+    /// Notes a cold time reported by a heartbeat. A heartbeat may be old, so it never ends a cold
+    /// time.
     pub fn extend_cold_until(&mut self, cold_until: Instant) {
         self.cold_until = self.cold_until.max(Some(cold_until));
     }
 
-    /// Notes that the target was warm at `as_of`, or later.
+    /// Notes that the target was warm at `as_of` or later.
     pub fn set_warm(&mut self, as_of: Instant) {
         self.warm_as_of = self.warm_as_of.max(Some(as_of));
         self.cold_until = None;
@@ -132,31 +137,31 @@
         });
     }
 
-    /// Whether the target says that it is cold.
+    /// Returns whether the target has reported that it is cold at `now`.
     pub fn is_cold(&self, now: Instant) -> bool {
         self.cold_until.is_some_and(|until| until > now)
     }
 
-    /// Time for which it will be cold by its own word.
+    /// Returns for how long the target will be cold by its own report.
     pub fn cold_time_left(&self, now: Instant) -> Duration {
         self.cold_until.map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
     }
 
-    /// Mean time between two requests while the target is cold; none where nothing bounds them.
+    /// Returns the mean time between two requests while the target is cold; `None` without a limit.
     pub fn interval(&self, now: Instant) -> Option<Duration> {
         self.bound.filter(|_| self.is_cold(now)).map(ColdBound::interval)
     }
 
-    /// When the next request may be handed over; none if at once.
+    /// Returns when the next request may be dispatched; `None` if at once.
     pub fn next_dispatch_at(&self, now: Instant) -> Option<Instant> {
         let bound = self.bound?;
-        let free_at = self.window_allows_at(bound).max(self.restart_allows_at(bound, now));
+        let next_at = self.window_allows_at(bound).max(self.restart_allows_at(bound, now));
         let is_spread = self.is_spread && self.is_cold(now);
         let spread_at = if is_spread { self.spread_allows_at(bound) } else { None };
-        free_at.max(spread_at).filter(|free_at| *free_at > now)
+        next_at.max(spread_at).filter(|next_at| *next_at > now)
     }
 
-    /// Notes that a request is handed over.
+    /// Records a dispatch.
     pub fn record_dispatch(&mut self, now: Instant) {
         if self.bound.is_none() {
             return;
@@ -164,26 +169,28 @@
         while self.dispatches.front().is_some_and(|oldest| oldest.dispatched_at + WINDOW <= now) {
             self.dispatches.pop_front();
         }
-        // Between the reported end of a cold time and the proof that it is warm it may still be cold.
+        // After the reported end of a cold time the target may still be cold until a check shows it
+        // warm.
         let is_cold = self.cold_until.is_some();
         self.dispatches.push_back(Dispatch { dispatched_at: now, is_cold });
     }
 
-    /// When the target is to be asked whether it is warm; none while the bound is far or it is cold.
+    /// Returns when to ask the target whether it is warm: at the reported end of its cold time, else
+    /// once the bound is near. `None` while the bound is far off.
     pub fn health_check_due_at(&self, now: Instant) -> Option<Instant> {
         let bound = self.bound?;
-        let pause_ends_at =
-            self.health_checked_at.map(|looked_at| looked_at + HEALTH_CHECK_INTERVAL_MIN);
+        let interval_ends_at =
+            self.health_checked_at.map(|checked_at| checked_at + HEALTH_CHECK_INTERVAL_MIN);
         let due_at = match self.cold_until.filter(|until| *until > now) {
             Some(until) => until,
             None if self.dispatches_in_window(now) >= self.health_check_threshold(bound) => now,
             None if self.next_dispatch_at(now).is_some() => now,
             None => return None,
         };
-        Some(pause_ends_at.map_or(due_at, |ends_at| ends_at.max(due_at)))
+        Some(interval_ends_at.map_or(due_at, |ends_at| ends_at.max(due_at)))
     }
 
-    /// Notes that the target was asked.
+    /// Records that the target was asked.
     pub fn record_health_check(&mut self, now: Instant) {
         self.health_checked_at = Some(now);
     }
@@ -192,7 +199,7 @@
         (bound.requests() as f64 * HEALTH_CHECK_SHARE) as usize
     }
 
-    /// Requests of the last window that count.
+    /// Returns the number of dispatches within the last window.
     fn dispatches_in_window(&self, now: Instant) -> usize {
         self.dispatches.iter().filter(|request| request.dispatched_at + WINDOW > now).count()
     }
@@ -202,7 +209,9 @@
         self.dispatches.get(first).map(|request| request.dispatched_at + WINDOW)
     }
 
-    /// Failure: a daemon is killed and starts again at once, and its target gets the requests of two
+    /// Returns when a request may be dispatched after a restart of the daemon.
+    ///
+    /// A daemon that is killed and restarts at once must not let its target get the requests of two
     /// processes within one second.
     fn restart_allows_at(&self, bound: ColdBound, now: Instant) -> Option<Instant> {
         let started_at = self.started_at?;
@@ -210,26 +219,30 @@
             return None;
         }
         let earlier = self.earlier_process_dispatches(bound, started_at);
-        let is_free = self.dispatches_in_window(now) + earlier < bound.requests();
-        (!is_free).then(|| started_at + WINDOW)
+        let has_room = self.dispatches_in_window(now) + earlier < bound.requests();
+        (!has_room).then(|| started_at + WINDOW)
     }
 
-    /// Requests that an earlier process may have handed over since the target became cold.
+    /// Returns how many requests a previous process may have dispatched since the target became
+    /// cold.
     ///
-    /// After a loss of power target and daemon start together, and there was no earlier process: held back for
-    /// a whole window, every target of the fleet would idle while callers wait.
+    /// After a power loss target and daemon start together and there was no previous process.
+    /// Holding requests back for a whole window would leave every target of the fleet idle while
+    /// callers wait.
     fn earlier_process_dispatches(&self, bound: ColdBound, started_at: Instant) -> usize {
         let Some(cold_from) = self.cold_from.filter(|_| self.is_spread) else {
             return bound.requests();
         };
         match started_at.saturating_duration_since(cold_from) {
             Duration::ZERO => 0,
-            cold_for => BURST + cold_for.div_duration_f64(bound.interval()).ceil() as usize,
+            cold_time => BURST + cold_time.div_duration_f64(bound.interval()).ceil() as usize,
         }
     }
 
-    /// Failure: all that a cold target may get in a second goes in the first tenths of it, and what is urgent
-    /// and comes after that waits for the rest of the second.
+    /// Returns when the next request may be dispatched if requests are spread over the window.
+    ///
+    /// Otherwise a cold target's requests would all be dispatched within the first tenths of a
+    /// second, and a more urgent one that comes later would wait for the rest of it.
     fn spread_allows_at(&self, bound: ColdBound) -> Option<Instant> {
         let burst = BURST.min(bound.requests());
         let first = self.dispatches.len().checked_sub(burst)?;
--- a/crates/yuccarack_policy/src/health_checks.rs
+++ b/crates/yuccarack_policy/src/health_checks.rs
@@ -1,42 +1,42 @@
-//! When a gate asks its target for the pace.
+//! Schedule of the health checks by which a gate learns its target's slowdown.
 //!
-//! The pattern is a target that few requests reach and whose neighbours slow it down several times a
-//! second. Each answer tells its pace, but where answers are few the gate learns of a slow spell late,
-//! and until then lets in what would have been answered in time elsewhere. So it asks a target that
-//! works when no answer has told the pace for a while. A target under load is never asked, since its
-//! answers tell enough, nor one without work.
+//! A target that gets few requests may be slowed down several times a second by other load on its
+//! machine. Each response reports the slowdown, but where responses are rare the gate learns of it
+//! late, and until then admits requests that another target would have answered in time. So it asks
+//! a target that has work when no response has reported a slowdown for a while. A busy target is
+//! never asked, since its responses report enough, and neither is one without work.
 
 use std::time::{Duration, Instant};
 
 use crate::slowdown::SlowdownEstimate;
 
-/// Least age of the newest word of the pace from which the target is asked; a sixth of the time for
-/// which a pace lasts.
+/// Age of the latest report from which the target is asked, a sixth of the usual duration of a
+/// slowdown.
 pub const REPORT_AGE_MIN: Duration = Duration::from_millis(50);
 
-/// Share of the mean work that this age has at least: long work sees several paces in any case, and
-/// the one at its start says less of its end.
+/// Smallest such age as a share of the mean service time. Long requests see several slowdowns
+/// anyway, and the one at their start says less about their end.
 const REPORT_AGE_SHARE: f64 = 0.5;
 
-/// Longest wait for the answer, which tells nothing new after that.
+/// Longest wait for the response, which would report nothing new after that.
 pub const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(40);
 
-/// First pause after a look that was in vain; each further one doubles it.
+/// Pause after the first failed health check; each further failure in a row doubles it.
 const PAUSE_FIRST: Duration = Duration::from_millis(100);
 
-/// Longest such pause.
+/// Longest pause after failures.
 const PAUSE_MAX: Duration = Duration::from_secs(3);
 
-/// How a look ended.
+/// Result of a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthCheckResult {
-    /// The target told its pace.
+    /// The target reported its slowdown.
     SlowdownReported,
-    /// It didn't.
+    /// The target reported no slowdown.
     NoReport,
 }
 
-/// Looks at one target.
+/// Schedule of the health checks of one target.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HealthCheckSchedule {
     failed_in_row: u32,
@@ -44,27 +44,28 @@
 }
 
 impl HealthCheckSchedule {
-    /// Starts without a look.
+    /// Creates a schedule without a health check so far.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// When the next look is due at a target with so many requests `running` of such mean work, by
-    /// what is known of its pace; none while it has no work, or has never told a pace.
+    /// Returns when the next health check is due at a target with `running` requests, given their
+    /// mean service time and the estimated slowdown; `None` while the target has no work or has
+    /// never reported a slowdown.
     pub fn due_at(
         &self,
         running: usize,
-        mean_work: Duration,
-        pace: &SlowdownEstimate,
+        mean_service_time: Duration,
+        slowdown: &SlowdownEstimate,
     ) -> Option<Instant> {
-        let reported_at = pace.reported_at().filter(|_| running > 0)?;
-        let due_at = reported_at + REPORT_AGE_MIN.max(mean_work.mul_f64(REPORT_AGE_SHARE));
+        let reported_at = slowdown.reported_at().filter(|_| running > 0)?;
+        let due_at = reported_at + REPORT_AGE_MIN.max(mean_service_time.mul_f64(REPORT_AGE_SHARE));
         Some(self.paused_until.map_or(due_at, |until| until.max(due_at)))
     }
 
-    /// Notes the end of a look.
-    pub fn record(&mut self, now: Instant, looked: HealthCheckResult) {
-        match looked {
+    /// Records the result of a health check.
+    pub fn record(&mut self, now: Instant, result: HealthCheckResult) {
+        match result {
             HealthCheckResult::SlowdownReported => *self = Self::new(),
             HealthCheckResult::NoReport => {
                 let pause = PAUSE_FIRST * 2_u32.saturating_pow(self.failed_in_row.min(8));
--- a/crates/yuccarack_policy/src/lib.rs
+++ b/crates/yuccarack_policy/src/lib.rs
@@ -1,7 +1,7 @@
-//! Decisions under load: what is let in, what waits, what is turned away and where work goes.
+//! Load management decisions: admission, queueing, rejection and the choice of a target or gate.
 //!
-//! Nothing here touches a network, a clock or a thread: `now` and the random generator come in,
-//! and every type is driven by plain calls. Both the entry and the gate of a daemon run this code.
+//! The crate uses no network, clock or threads. Callers pass `now` and the random generator in, and
+//! every type is driven by plain calls. Both the entry and the gate of a daemon use it.
 
 pub mod adaptive_throttle;
 pub mod admission;
--- a/crates/yuccarack_policy/src/slowdown.rs
+++ b/crates/yuccarack_policy/src/slowdown.rs
@@ -1,18 +1,19 @@
-//! How long work takes at a target at this moment, against the usual time.
+//! Estimate of a target's current slowdown: its service time relative to the usual one.
 //!
-//! The pattern is a neighbour on the same machine: several times a second a target slows fourfold
-//! and recovers, so a figure from half a second ago says little. A report is believed while it is
-//! fresh and then forgotten in favour of the mean.
+//! Other load on the same machine makes a target up to four times slower several times a second, so
+//! a report that is half a second old says little. A report counts while it is fresh and then fades
+//! toward the mean.
 
 use std::time::{Duration, Instant};
 
-/// Time for which a pace usually lasts; the neighbours of a target change their load about as often.
+/// Usual duration of a slowdown; the other load on a target's machine changes about as often.
 pub const SLOWDOWN_DURATION: Duration = Duration::from_millis(300);
 
-/// Weight of a new report in the mean; some twenty reports, a second or two of work, make it up.
+/// Weight of a new report in the mean, which covers about twenty reports or a second or two of
+/// work.
 const MEAN_WEIGHT: f64 = 0.05;
 
-/// The pace of one target.
+/// Estimated slowdown of one target.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowdownEstimate {
     last: f64,
@@ -21,51 +22,54 @@
 }
 
 impl SlowdownEstimate {
-    /// Starts at the usual pace.
+    /// Creates an estimate without a slowdown.
     pub fn new() -> Self {
         Self { last: 1.0, reported_at: None, mean: 1.0 }
     }
 
-    /// Takes a report; 1.0 is the usual time, 4.0 four times as long.
-    pub fn record(&mut self, at: Instant, slowness: f64) {
+    /// Records a report made at `at`; 1.0 is the usual service time, 4.0 four times that.
+    pub fn record(&mut self, at: Instant, slowdown: f64) {
         if self.reported_at.is_some_and(|reported_at| reported_at > at) {
             return;
         }
-        let slowness = slowness.clamp(0.1, 100.0);
-        self.last = slowness;
+        let slowdown = slowdown.clamp(0.1, 100.0);
+        self.last = slowdown;
         self.reported_at = Some(at);
-        self.mean += MEAN_WEIGHT * (slowness - self.mean);
+        self.mean += MEAN_WEIGHT * (slowdown - self.mean);
     }
 
-    /// When the last report came.
+    /// Returns the time of the latest report.
     pub fn reported_at(&self) -> Option<Instant> {
         self.reported_at
     }
 
-    /// The mean of the reports.
+    /// Returns the mean of the reports.
     pub fn mean(&self) -> f64 {
         self.mean
     }
 
-    /// The pace expected at `now`: the last report's, and the older that is the more the mean.
+    /// Returns the slowdown expected at `now`: the latest report, fading toward the mean with its
+    /// age.
     pub fn at(&self, now: Instant) -> f64 {
         let Some(reported_at) = self.reported_at else { return self.mean };
         let age = now.saturating_duration_since(reported_at).as_secs_f64();
-        let trust = (-age / SLOWDOWN_DURATION.as_secs_f64()).exp();
-        self.mean + trust * (self.last - self.mean)
+        let weight = (-age / SLOWDOWN_DURATION.as_secs_f64()).exp();
+        self.mean + weight * (self.last - self.mean)
     }
 
-    /// Time that `work` of the usual pace takes when it starts at `now`.
+    /// Returns the service time of a request that starts at `now` and takes `unloaded_time` without
+    /// a slowdown.
     ///
-    /// The pace of now holds for [`PACE_LASTS`], the mean after that.
-    pub fn service_time(&self, now: Instant, work: Duration) -> Duration {
-        let pace = self.at(now);
-        let at_this_pace = work.mul_f64(pace);
-        if at_this_pace <= SLOWDOWN_DURATION {
-            return at_this_pace;
+    /// The current slowdown is taken to last for [`SLOWDOWN_DURATION`], and the mean to hold after
+    /// that.
+    pub fn service_time(&self, now: Instant, unloaded_time: Duration) -> Duration {
+        let slowdown = self.at(now);
+        let slowed_time = unloaded_time.mul_f64(slowdown);
+        if slowed_time <= SLOWDOWN_DURATION {
+            return slowed_time;
         }
-        let left = work.saturating_sub(SLOWDOWN_DURATION.div_f64(pace));
-        SLOWDOWN_DURATION + left.mul_f64(self.mean)
+        let remaining = unloaded_time.saturating_sub(SLOWDOWN_DURATION.div_f64(slowdown));
+        SLOWDOWN_DURATION + remaining.mul_f64(self.mean)
     }
 }
 
--- a/crates/yuccarack_policy/src/work_queue/decision.rs
+++ b/crates/yuccarack_policy/src/work_queue/decision.rs
@@ -1,57 +1,57 @@
-//! What a queue decides on a request.
+//! Decisions of the work queue on a request.
 
 use std::time::Duration;
 
 use super::{RunningKey, WaitingKey};
 
-/// What becomes of a request that arrives.
+/// Decision on a request that arrives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueueDecision {
-    /// It runs.
+    /// The request runs now.
     Run(RunningKey),
-    /// It waits until it is settled.
+    /// The request waits until `poll` returns its [`WaitResult`].
     Wait(WaitingKey),
-    /// It doesn't run here.
+    /// The request is rejected and does not run at this gate.
     Refused(QueueRefusal),
 }
 
-/// What becomes of a request that has waited.
+/// Result of a wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WaitResult {
-    /// It runs.
+    /// The request runs now.
     Run(WaitingKey, RunningKey),
-    /// It doesn't run here.
+    /// The request is rejected and does not run at this gate.
     Refused(WaitingKey, QueueRefusal),
 }
 
-/// Why a request doesn't run here, and when it is worth coming back.
+/// A rejection with its reason and the time after which a retry makes sense.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueueRefusal {
-    /// Why.
+    /// Reason of the rejection.
     pub reason: QueueRefusalReason,
-    /// Time after which there should be room.
+    /// Time after which a slot is expected to be free.
     pub retry_after: Duration,
 }
 
-/// Why a request doesn't run here.
+/// Why a request is rejected at this gate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum QueueRefusalReason {
-    /// All slots that are filled are taken, and it may not wait.
+    /// All usable slots are taken, and the request may not wait.
     Full,
-    /// The target is cold and gets no more at this moment, and it may not wait.
+    /// The target is cold and at its rate limit, and the request may not wait.
     Cold,
-    /// The target is slow at this moment, and it may not wait.
+    /// The target is currently slow, and the request may not wait.
     Slow,
-    /// It would not be answered before its caller gives up.
+    /// The request could not be completed before its deadline.
     CannotEndInTime,
-    /// It would be answered late, and so would everything behind it.
+    /// The request would miss its soft deadline and delay everything behind it.
     TooLate,
-    /// The target leaves.
+    /// The target is draining.
     Leaving,
 }
 
 impl QueueRefusalReason {
-    /// The reason's name in logs and counters.
+    /// Returns the reason's name in logs and counters.
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Full => "full",
--- a/crates/yuccarack_policy/src/work_queue/estimates.rs
+++ b/crates/yuccarack_policy/src/work_queue/estimates.rs
@@ -1,36 +1,41 @@
-//! How long requests take and wait at one gate, as far as it can be known.
+//! Estimates of service times and waits at one gate.
 
 use std::time::{Duration, Instant};
 
 use super::WorkQueue;
 
-/// How much longer work takes at a target that has just started, as targets of the fleet do.
+/// Factor by which a target of the fleet is slower while it is cold, that is, just after its start.
 const COLD_SLOWDOWN: f64 = 2.0;
 
 impl WorkQueue {
-    /// Most requests that run at once at the rate that the target gets now.
+    /// Returns the largest number of requests that run at once at the rate that the target
+    /// currently gets.
     pub fn effective_limit(&self, now: Instant) -> usize {
         let Some(interval) = self.cold_rate.interval(now) else { return self.limit() };
-        let run_time = self.with_slowdown(now, self.service_times.mean());
-        let at_once = run_time.div_duration_f64(interval) as usize;
-        at_once.clamp(1, self.limit())
+        let service_time = self.with_slowdown(now, self.service_times.mean());
+        let concurrency = service_time.div_duration_f64(interval) as usize;
+        concurrency.clamp(1, self.limit())
     }
 
     pub(super) fn estimated_wait(&self, now: Instant, ahead: usize) -> Duration {
-        let turn =
+        let slot_interval =
             self.slowdown.service_time(now, self.service_times.mean()).div_f64(self.limit() as f64);
-        let turn = self.cold_rate.interval(now).map_or(turn, |interval| interval.max(turn));
-        turn.mul_f64((ahead + 1) as f64)
+        let slot_interval = self
+            .cold_rate
+            .interval(now)
+            .map_or(slot_interval, |interval| interval.max(slot_interval));
+        slot_interval.mul_f64((ahead + 1) as f64)
     }
 
     pub(super) fn service_time(&self, now: Instant, kind: u64) -> Duration {
         self.with_slowdown(now, self.service_times.mean_of(kind))
     }
 
-    /// Time within which most work of `kind` ends that starts now.
+    /// Returns the time within which most requests of `kind` complete that start now.
     ///
-    /// Failure: work is let in that is just on time if it takes as long as the mean. In an overload
-    /// all of it is, so that half of it is late, and the slots work for answers of little use.
+    /// Judged by the mean, a request is admitted that is just on time if it takes no longer than
+    /// average. In an overload all admitted requests are of that sort, so half of them are late and
+    /// the slots are spent on responses of little use.
     pub(super) fn upper_service_time(&self, now: Instant, kind: u64) -> Duration {
         let time = match self.decisions.likely_times {
             true => self.service_times.upper_estimate(kind),
@@ -39,10 +44,15 @@
         self.with_slowdown(now, time)
     }
 
-    /// Time that `work` takes that starts now. The pace that a target tells after its start counts that
-    /// it is slow then.
-    fn with_slowdown(&self, now: Instant, work: Duration) -> Duration {
-        let time = self.slowdown.service_time(now, work);
-        if self.cold_rate.is_cold(now) { time.max(work.mul_f64(COLD_SLOWDOWN)) } else { time }
+    /// Returns the service time of a request that starts now and takes `unloaded_time` without a
+    /// slowdown. The slowdown that a target reports after its start already includes that it is
+    /// cold.
+    fn with_slowdown(&self, now: Instant, unloaded_time: Duration) -> Duration {
+        let time = self.slowdown.service_time(now, unloaded_time);
+        if self.cold_rate.is_cold(now) {
+            time.max(unloaded_time.mul_f64(COLD_SLOWDOWN))
+        } else {
+            time
+        }
     }
 }
--- a/crates/yuccarack_policy/src/work_queue/mod.rs
+++ b/crates/yuccarack_policy/src/work_queue/mod.rs
@@ -1,16 +1,18 @@
-//! What one gate runs at once, what waits there, in which order, and what is turned away.
+//! Request queue of one gate: what runs at once, what waits in which order, and what is rejected.
 //!
-//! The pattern is a burst on targets that slow down when they are full: at more than four fifths of
-//! its slots a target takes 1.7 times as long for everything, so filling it up answers fewer
-//! requests and not more. What doesn't fit waits here, where it can still be turned away unrun and
-//! the most urgent goes first. What can't be answered before its caller gives up is turned away at
-//! once, with the time after which there is room, and what can't be on time any more lets go first
-//! all that still can: otherwise a burst of two seconds makes every answer late for many more.
+//! It is made for bursts on targets that slow down when they are full: with more than four fifths
+//! of its slots in use a target takes 1.7 times as long for everything, so filling it up completes
+//! fewer requests. Requests beyond that wait here, where they can still be rejected without having
+//! run and the most urgent one goes first. A request that can't complete before its deadline is
+//! rejected at once, with the time after which there is room. A request that can't meet its soft
+//! deadline yields to all that still can; otherwise a burst of two seconds would make responses
+//! late long after it has ended.
 //!
-//! Much of what a service runs are calls that requests of other services make, which are short against
-//! its own requests. Turned away or late, each of them wastes the run of its parent; let in first, it
-//! holds up the rest by little. So short work goes first, and may wait for as long as its caller does. A cold
-//! target is bounded by the number of requests and not by their time, and gets the most urgent ones first.
+//! Many requests of a service are calls made on behalf of requests of other services, and are short
+//! compared with the rest. Rejecting or delaying one wastes the work of its parent request, whereas
+//! admitting it first delays the others little. So short requests go first and may wait until their
+//! deadline. A cold target is limited by the number of requests rather than by their time, so it
+//! gets the most urgent ones first.
 
 mod decision;
 mod estimates;
@@ -34,46 +36,44 @@
 use crate::{cold_rate::ColdRate, slowdown::SlowdownEstimate};
 
 new_key_type! {
-    /// A request that runs; it must be released exactly once.
+    /// Key of a running request; it must be released exactly once.
     pub struct RunningKey;
-    /// A request that waits.
+    /// Key of a waiting request.
     pub struct WaitingKey;
 }
 
-/// Share of a target's slots that are filled.
+/// Share of a target's slots that are used.
 ///
-/// Above it a target slows 1.7 times (measured on targets of 8 and 9 slots), which costs more
-/// answers than the added slots bring: 7 at full pace against 9 / 1.7 = 5.3.
+/// Above it a target is 1.7 times slower, which costs more responses than the added slots bring: 7
+/// slots at full speed against 9 / 1.7 = 5.3.
 pub const USABLE_SLOT_SHARE: f64 = 0.8;
 
-/// Pace from which a request that could go to another target is sent on.
+/// Slowdown from which a request that could go to another target is passed on.
 ///
-/// Targets slow fourfold at their worst; at three times a bounce costs less than the slow run. The
-/// table in docs/POLICY.md has the values that were tried.
+/// Targets slow down fourfold at worst; at threefold another attempt costs less than the slow run.
 pub const SLOWDOWN_MAX: f64 = 3.0;
 
-/// Longest time after which a caller is told to come back; by then a burst is over.
+/// Longest time after which a caller is asked to retry; a burst is over by then.
 pub const RETRY_AFTER_MAX: Duration = Duration::from_secs(2);
 
-/// Shortest time after which a caller is told to come back: sooner, it meets the same queue.
+/// Shortest time after which a caller is asked to retry; earlier it would meet the same queue.
 pub const RETRY_AFTER_MIN: Duration = Duration::from_millis(50);
 
-/// Share of its time left that a request may wait which can't be on time any more.
+/// Largest share of its remaining time that a request may wait that can't meet its soft deadline.
 ///
-/// It is overtaken by whatever still can, so that a long queue would hold it to its end unrun;
-/// turned away at once, it may come back when there is room. The table in docs/POLICY.md has the
-/// values that were tried.
+/// Every request that still can overtakes it, so a long queue would hold it until its deadline
+/// without running it. Rejected at once, it can come back when there is room.
 const LATE_WAIT_SHARE_MAX: f64 = 0.1;
 
-/// Least time between two looks at what waits; a request loses hope so much later at the most, which
-/// is less than a network round trip between domains and the way back to its caller.
+/// Shortest time between two polls of the waiting requests. It delays a rejection by at most as
+/// much, which is less than a network round trip between failure domains and back to the caller.
 const POLL_INTERVAL_MIN: Duration = Duration::from_millis(5);
 
-/// Share of the time for an answer of full use that a request is taken to run for, until one of its kind has
-/// ended here.
+/// Share of the time to the soft deadline that is assumed as service time of a kind until a request
+/// of that kind has completed here.
 ///
-/// Failure: after a loss of all power no gate knows how long work takes. At a guess too low each of them lets
-/// several times as many wait as can be answered in time, and all of these are late.
+/// After a power loss no gate knows any service time. With too low a guess each gate would queue
+/// several times as many requests as it can serve in time, and all of them would be late.
 const ASSUMED_SERVICE_SHARE: f64 = 1.0 / 3.0;
 
 #[derive(Clone, Copy, Debug)]
@@ -83,7 +83,7 @@
     slowdown: f64,
 }
 
-/// Decides at one gate.
+/// Queue of one gate and its target.
 #[derive(Clone, Debug)]
 pub struct WorkQueue {
     slots: u16,
@@ -113,61 +113,61 @@
         }
     }
 
-    /// Decides by these.
+    /// Sets which of the optional decisions are in use.
     pub fn with_decisions(mut self, decisions: Decisions) -> Self {
         self.decisions = decisions;
         self.cold_rate = self.cold_rate.with_spread(decisions.cold_spread);
         self
     }
 
-    /// Lets the target get what `cold_rate` allows.
+    /// Replaces the rate limit for the time that the target may be cold.
     pub fn with_cold_rate(mut self, cold_rate: ColdRate) -> Self {
         self.cold_rate = cold_rate.with_spread(self.decisions.cold_spread);
         self
     }
 
-    /// Follows a changed number of slots.
+    /// Sets the number of slots that the target announces, and starts waiting requests if it grew.
     pub fn set_slots(&mut self, now: Instant, slots: u16) {
         self.slots = slots;
         self.start_waiting(now);
     }
 
-    /// Limits what the target gets while it may be cold.
+    /// Returns the rate limit for the time that the target may be cold.
     pub fn cold_rate(&self) -> &ColdRate {
         &self.cold_rate
     }
 
-    /// The same, to note what is known of it.
+    /// Returns the same rate limit, for recording what is known about the target.
     pub fn cold_rate_mut(&mut self) -> &mut ColdRate {
         &mut self.cold_rate
     }
 
-    /// Takes a report of the target's pace.
-    pub fn record_slowdown(&mut self, now: Instant, slowness: f64) {
-        self.slowdown.record(now, slowness);
+    /// Records a slowdown that the target reported; 1.0 is the usual service time.
+    pub fn record_slowdown(&mut self, now: Instant, slowdown: f64) {
+        self.slowdown.record(now, slowdown);
     }
 
-    /// The pace as it is known.
+    /// Returns the estimate of the target's slowdown.
     pub fn slowdown(&self) -> &SlowdownEstimate {
         &self.slowdown
     }
 
-    /// Most requests that run at once.
+    /// Returns the largest number of requests that run at once.
     pub fn limit(&self) -> usize {
         ((f64::from(self.slots) * USABLE_SLOT_SHARE) as usize).max(1)
     }
 
-    /// Requests that run.
+    /// Returns the number of running requests.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Requests that wait.
+    /// Returns the number of waiting requests.
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Mean time that a request takes at the usual pace.
+    /// Returns the mean service time over all kinds, without slowdown.
     pub fn mean_service_time(&self) -> Duration {
         self.service_times.mean()
     }
@@ -180,13 +180,13 @@
         if request.deadline <= now {
             return self.refused(now, QueueRefusalReason::CannotEndInTime);
         }
-        if let Some(on_time_left) = request.soft_deadline.checked_duration_since(now) {
-            self.service_times.assume(request.kind, on_time_left.mul_f64(ASSUMED_SERVICE_SHARE));
+        if let Some(soft_time_left) = request.soft_deadline.checked_duration_since(now) {
+            self.service_times.assume(request.kind, soft_time_left.mul_f64(ASSUMED_SERVICE_SHARE));
         }
         let has_slot = self.running.len() < self.limit();
         let has_room = has_slot && self.cold_rate.next_dispatch_at(now).is_none();
-        let is_passed_over = self.decisions.slow_passed_over && !request.may_wait;
-        if has_room && is_passed_over && self.slowdown.at(now) >= SLOWDOWN_MAX {
+        let may_pass_on = self.decisions.slow_passed_over && !request.may_wait;
+        if has_room && may_pass_on && self.slowdown.at(now) >= SLOWDOWN_MAX {
             return self.refused(now, QueueRefusalReason::Slow);
         }
         if has_room {
@@ -202,72 +202,76 @@
         }
     }
 
-    /// Ends a run, which may let waiting requests run; `poll` tells which.
-    pub fn release(&mut self, now: Instant, key: RunningKey, end: WorkOutcome) {
+    /// Ends a run, which may start waiting requests; `poll` returns these.
+    pub fn release(&mut self, now: Instant, key: RunningKey, outcome: WorkOutcome) {
         let Some(run) = self.running.remove(key) else { return };
-        if end == WorkOutcome::Completed {
-            let took = now.saturating_duration_since(run.started_at);
-            let slowness = (run.slowdown + self.slowdown.at(now)) / 2.0;
-            self.service_times.record(run.kind, took.div_f64(slowness.max(0.1)));
+        if outcome == WorkOutcome::Completed {
+            let service_time = now.saturating_duration_since(run.started_at);
+            let slowdown = (run.slowdown + self.slowdown.at(now)) / 2.0;
+            self.service_times.record(run.kind, service_time.div_f64(slowdown.max(0.1)));
         }
         self.start_waiting(now);
     }
 
-    /// Takes back a waiting request whose caller has left.
+    /// Withdraws a waiting request whose caller has disconnected.
     ///
-    /// Failure: its caller leaves between the decision that it runs and the `poll` that tells so;
-    /// nobody would know of the run, and its slot would be lost for good.
+    /// The caller may disconnect between the decision to run the request and the `poll` that
+    /// returns it. The run is then released here, since nobody else knows of it and its slot would
+    /// be lost for good.
     pub fn cancel(&mut self, now: Instant, key: WaitingKey) {
         self.waiting.remove(key);
-        let of_key = |settled: &WaitResult| match settled {
+        let is_for_key = |result: &WaitResult| match result {
             WaitResult::Run(waiting, _) | WaitResult::Refused(waiting, _) => *waiting == key,
         };
-        let settled = self.finished_waits.iter().position(of_key);
-        if let Some(index) = settled
+        let position = self.finished_waits.iter().position(is_for_key);
+        if let Some(index) = position
             && let WaitResult::Run(_, run) = self.finished_waits.remove(index)
         {
             self.release(now, run, WorkOutcome::Aborted);
         }
     }
 
-    /// Settles what has become due; each waiting request is told once.
+    /// Updates the queue and returns the waits that have ended; each is returned once.
     pub fn poll(&mut self, now: Instant) -> Vec<WaitResult> {
         self.refuse_unservable(now);
         self.start_waiting(now);
         std::mem::take(&mut self.finished_waits)
     }
 
-    /// When `poll` must be called next, if nothing else happens before; always after `now`.
+    /// Returns when `poll` must be called next if nothing else happens before; always later than
+    /// `now`.
     ///
-    /// Failure: the pace changes while a request waits, so that it was to be looked at by now and has
-    /// hope all the same. Asked for the past, its caller looks again at once and again, and burns the
-    /// processor for up to a tenth of a second, all that a daemon has on a tenth of a core.
+    /// The slowdown may change while a request waits, so that its check was due by now although it
+    /// can still be served. With a time in the past the caller would poll in a busy loop for up to
+    /// a tenth of a second, which is the whole quota of a daemon with a tenth of a core.
     pub fn next_wake(&self, now: Instant) -> Option<Instant> {
-        let loses_hope_at = |waiting: &WaitingRequest| {
-            let work = waiting.request;
-            let run_time = self.service_time(now, work.kind);
-            let late_at = work.soft_deadline.checked_sub(self.upper_service_time(now, work.kind));
-            let late_at = late_at.filter(|late_at| *late_at > now);
-            let hopeless_at = work.deadline.checked_sub(run_time).unwrap_or(work.deadline);
-            late_at.map_or(hopeless_at, |late_at| late_at.min(hopeless_at))
+        let unservable_at = |waiting: &WaitingRequest| {
+            let request = waiting.request;
+            let service_time = self.service_time(now, request.kind);
+            let soft_limit_at =
+                request.soft_deadline.checked_sub(self.upper_service_time(now, request.kind));
+            let soft_limit_at = soft_limit_at.filter(|soft_limit_at| *soft_limit_at > now);
+            let hard_limit_at =
+                request.deadline.checked_sub(service_time).unwrap_or(request.deadline);
+            soft_limit_at.map_or(hard_limit_at, |soft_limit_at| soft_limit_at.min(hard_limit_at))
         };
-        let next = self.waiting.values().map(loses_hope_at).min()?;
+        let next = self.waiting.values().map(unservable_at).min()?;
         let has_slot = self.running.len() < self.limit();
         let starts_at = self.cold_rate.next_dispatch_at(now).filter(|_| has_slot);
         let next = starts_at.map_or(next, |starts_at| starts_at.min(next));
         Some(next.max(now + POLL_INTERVAL_MIN))
     }
 
-    /// Refuses all that waits and all that comes from now on; what runs goes on.
+    /// Rejects all waiting and all new requests; running ones continue.
     pub fn start_draining(&mut self, now: Instant) {
         self.is_draining = true;
-        let refused = self.refusal(now, QueueRefusalReason::Leaving);
+        let refusal = self.refusal(now, QueueRefusalReason::Leaving);
         for (key, _) in self.waiting.drain() {
-            self.finished_waits.push(WaitResult::Refused(key, refused));
+            self.finished_waits.push(WaitResult::Refused(key, refusal));
         }
     }
 
-    /// Takes work again after all.
+    /// Accepts requests again.
     pub fn stop_draining(&mut self) {
         self.is_draining = false;
     }
@@ -281,28 +285,28 @@
         })
     }
 
-    /// Whether a request that has to wait is answered while that is of use.
-    fn check_wait(&self, now: Instant, work: &WorkRequest) -> Result<(), QueueRefusalReason> {
-        let likely_time = self.upper_service_time(now, work.kind);
-        let arrived = priority_key(work, self.is_expedited(now, work.kind), now, likely_time);
+    /// Checks whether a request that has to wait can still be answered in time to be of use.
+    fn check_wait(&self, now: Instant, request: &WorkRequest) -> Result<(), QueueRefusalReason> {
+        let upper_time = self.upper_service_time(now, request.kind);
+        let arrived = priority_key(request, self.is_expedited(now, request.kind), now, upper_time);
         let ahead = self.waiting.values().filter(|other| self.priority_of(other, now) <= arrived);
         let starts_at = now + self.estimated_wait(now, ahead.count());
-        if starts_at + self.service_time(now, work.kind) > work.deadline {
+        if starts_at + self.service_time(now, request.kind) > request.deadline {
             return Err(QueueRefusalReason::CannotEndInTime);
         }
-        if self.is_too_late_to_wait(now, work, starts_at + likely_time) {
+        if self.is_too_late_to_wait(now, request, starts_at + upper_time) {
             return Err(QueueRefusalReason::TooLate);
         }
         Ok(())
     }
 
-    /// Whether a request that would be answered at `done_at` is too late to wait for long.
-    fn is_too_late_to_wait(&self, now: Instant, work: &WorkRequest, done_at: Instant) -> bool {
-        if done_at <= work.soft_deadline || self.is_short(work.kind) {
+    /// Returns whether a request that would complete at `done_at` is too late to wait for long.
+    fn is_too_late_to_wait(&self, now: Instant, request: &WorkRequest, done_at: Instant) -> bool {
+        if done_at <= request.soft_deadline || self.is_short(request.kind) {
             return false;
         }
         let wait = self.estimated_wait(now, self.waiting.len());
-        let left = work.deadline.saturating_duration_since(now);
+        let left = request.deadline.saturating_duration_since(now);
         wait > left.mul_f64(LATE_WAIT_SHARE_MAX)
     }
 
@@ -310,10 +314,10 @@
         self.decisions.short_first && self.service_times.is_short(kind)
     }
 
-    /// Whether work of `kind` goes before all that isn't short.
+    /// Returns whether requests of `kind` go before all that aren't short.
     ///
-    /// Failure: a cold target gets so many requests a second, short ones or not, and those that are called for
-    /// less urgent work take them all.
+    /// Not on a cold target: that gets a fixed number of requests a second whatever their length,
+    /// and short requests on behalf of less urgent ones would take them all.
     fn is_expedited(&self, now: Instant, kind: u64) -> bool {
         let is_bounded = self.decisions.cold_by_rank && self.cold_rate.interval(now).is_some();
         self.is_short(kind) && !is_bounded
@@ -335,38 +339,37 @@
     }
 
     fn priority_of(&self, waiting: &WaitingRequest, now: Instant) -> PriorityKey {
-        let work = &waiting.request;
-        let likely_time = self.upper_service_time(now, work.kind);
-        priority_key(work, self.is_expedited(now, work.kind), now, likely_time)
+        let request = &waiting.request;
+        let upper_time = self.upper_service_time(now, request.kind);
+        priority_key(request, self.is_expedited(now, request.kind), now, upper_time)
     }
 
-    /// Turns away what waits without hope.
+    /// Rejects the waiting requests that can't be served in time.
     ///
-    /// What can't be answered any more would be held to its end, and its caller could not come back.
-    /// What can't be on time any more is overtaken by all that still can: in an overload of seconds it
-    /// waited for up to eight tenths of its time and was turned away then. Worth held to the end
-    /// unserved, over 12 played days of high load: 1.4 % to 0.4 %.
+    /// A request that can't meet its deadline would be held until then, too late for its caller to
+    /// retry. One that can't meet its soft deadline is overtaken by all that still can: in an
+    /// overload of some seconds it would wait for up to 80 % of its time and be rejected after all.
     fn refuse_unservable(&mut self, now: Instant) {
         let waiting = self.waiting.iter();
-        let hopeless =
+        let unservable =
             waiting.filter_map(|(key, waiting)| Some((key, self.refusal_reason(now, waiting)?)));
-        let hopeless: Vec<(WaitingKey, QueueRefusalReason)> = hopeless.collect();
-        for (key, reason) in hopeless {
-            let refused = self.refusal(now, reason);
+        let unservable: Vec<(WaitingKey, QueueRefusalReason)> = unservable.collect();
+        for (key, reason) in unservable {
+            let refusal = self.refusal(now, reason);
             self.waiting.remove(key);
-            self.finished_waits.push(WaitResult::Refused(key, refused));
+            self.finished_waits.push(WaitResult::Refused(key, refusal));
         }
     }
 
-    /// Why a waiting request has no hope, if it has none.
+    /// Returns why a waiting request can't be served in time, if so.
     fn refusal_reason(&self, now: Instant, waiting: &WaitingRequest) -> Option<QueueRefusalReason> {
         let done_at = now + self.service_time(now, waiting.request.kind);
         if done_at > waiting.request.deadline {
             return Some(QueueRefusalReason::CannotEndInTime);
         }
-        let likely_at = now + self.upper_service_time(now, waiting.request.kind);
-        let is_in_vain = self.is_too_late_to_wait(now, &waiting.request, likely_at);
-        is_in_vain.then_some(QueueRefusalReason::TooLate)
+        let likely_done_at = now + self.upper_service_time(now, waiting.request.kind);
+        let is_too_late = self.is_too_late_to_wait(now, &waiting.request, likely_done_at);
+        is_too_late.then_some(QueueRefusalReason::TooLate)
     }
 
     fn refused(&self, now: Instant, reason: QueueRefusalReason) -> QueueDecision {
@@ -374,9 +377,9 @@
     }
 
     fn refusal(&self, now: Instant, reason: QueueRefusalReason) -> QueueRefusal {
-        let drained = self.estimated_wait(now, self.waiting.len());
-        // While it is cold most of its usual load is refused, and has room only after that.
-        let drained = drained.max(self.cold_rate.cold_time_left(now));
-        QueueRefusal { reason, retry_after: drained.clamp(RETRY_AFTER_MIN, RETRY_AFTER_MAX) }
+        let room_in = self.estimated_wait(now, self.waiting.len());
+        // A cold target rejects most of its usual load and has room only once it is warm.
+        let room_in = room_in.max(self.cold_rate.cold_time_left(now));
+        QueueRefusal { reason, retry_after: room_in.clamp(RETRY_AFTER_MIN, RETRY_AFTER_MAX) }
     }
 }
--- a/crates/yuccarack_policy/src/work_queue/request.rs
+++ b/crates/yuccarack_policy/src/work_queue/request.rs
@@ -1,27 +1,28 @@
-//! What a queue is told of a request: what it wants, and how its run ended.
+//! A request for a slot and the outcome of its run.
 
 use std::time::Instant;
 
-/// One request that wants to run.
+/// A request that needs a slot of the target.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkRequest {
-    /// Requests of one kind take alike long.
+    /// Kind of the request; requests of one kind have similar service times.
     pub kind: u64,
-    /// How urgent it is; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub rank: u8,
-    /// Until when its answer is of full use.
+    /// Time until which the response is of full use.
     pub soft_deadline: Instant,
-    /// When its caller gives up.
+    /// When the caller gives up.
     pub deadline: Instant,
-    /// Whether it may wait here; else it goes to another target if it can't run well at once.
+    /// Whether the request may wait at this gate. Otherwise it goes to another one unless it can
+    /// run at once and without slowdown.
     pub may_wait: bool,
 }
 
-/// How a run ended.
+/// Outcome of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkOutcome {
-    /// With an answer.
+    /// The target sent a complete response.
     Completed,
-    /// Without one, or given up.
+    /// The run ended without a complete response or was abandoned.
     Aborted,
 }
--- a/crates/yuccarack_policy/src/work_queue/service_times.rs
+++ b/crates/yuccarack_policy/src/work_queue/service_times.rs
@@ -1,45 +1,47 @@
-//! How long requests of each kind take at the usual pace.
+//! Estimates of the service time by kind of request, without slowdown.
 
 use std::{collections::HashMap, time::Duration};
 
-/// Time that a request is taken to need while nothing is known of any kind; between the shortest and the
-/// longest kinds of today's services, 22 and 210 ms.
+/// Service time assumed while none is known. It lies between the shortest and the longest kinds of
+/// the services, 22 and 210 ms.
 const DEFAULT_SERVICE_TIME: Duration = Duration::from_millis(100);
 
-/// Weight of a new time; some ten requests make up the mean, a second of work of a busy target.
+/// Weight of a new sample. The mean covers about ten requests, a second of work of a busy target.
 const SAMPLE_WEIGHT: f64 = 0.1;
 
-/// Most kinds that are told apart; an operator's table has some dozen routes to one service.
+/// Most kinds that are told apart; an operator's table has a few dozen routes to one service.
 const KINDS_MAX: usize = 1_024;
 
-/// Share of the work that a busy slot does at a random moment, up to which work counts as short.
+/// Largest service time of a short request, as a share of the mean service time seen by a busy slot
+/// at a random moment.
 ///
-/// The calls that services make of each other take a fifth to a third of the time of the requests
-/// they are made for.
+/// The calls between services take a fifth to a third of the time of the requests that they are
+/// made for.
 const SHORT_SHARE: f64 = 0.6;
 
-/// Weight of a new time in what a busy slot does; both kinds of a mix have to be seen for it.
+/// Weight of a new sample in the moments, low enough that they cover all kinds of a mix.
 const SLOT_TIME_WEIGHT: f64 = 0.02;
 
-/// Deviations by which a time that most work keeps lies above the mean.
+/// Number of mean deviations above the mean that most requests of a kind stay within.
 const UPPER_DEVIATIONS: f64 = 1.0;
 
-/// Smoothed time of one kind.
+/// Smoothed service time of one kind.
 #[derive(Clone, Copy, Debug)]
 struct KindEstimate {
     mean: Duration,
-    /// Mean distance from the mean.
+    /// Smoothed absolute deviation from the mean.
     deviation: Duration,
-    /// Whether it is only assumed, until a first request has ended.
+    /// Whether the time is assumed, which holds until the first request of the kind has completed.
     is_assumed: bool,
 }
 
-/// Smoothed times by kind.
+/// Smoothed service times by kind.
 #[derive(Clone, Debug)]
 pub struct ServiceTimeEstimates {
     by_kind: HashMap<u64, KindEstimate>,
     mean: Option<Duration>,
-    /// Means of the times and of their squares, in s; their ratio is the work that a busy slot does.
+    /// Means of the service times and of their squares, in s and s². Their ratio is the mean
+    /// service time that a busy slot is occupied with at a random moment.
     moments: Option<(f64, f64)>,
 }
 
@@ -52,20 +54,20 @@
         self.by_kind.get(&kind).map_or_else(|| self.mean(), |time| time.mean)
     }
 
-    /// Time that most work of `kind` keeps.
+    /// Returns a time that most requests of `kind` stay within.
     pub fn upper_estimate(&self, kind: u64) -> Duration {
-        let likely = |time: &KindEstimate| time.mean + time.deviation.mul_f64(UPPER_DEVIATIONS);
-        self.by_kind.get(&kind).map_or_else(|| self.mean(), likely)
+        let upper = |time: &KindEstimate| time.mean + time.deviation.mul_f64(UPPER_DEVIATIONS);
+        self.by_kind.get(&kind).map_or_else(|| self.mean(), upper)
     }
 
     pub fn mean(&self) -> Duration {
         self.mean.unwrap_or(DEFAULT_SERVICE_TIME)
     }
 
-    /// Whether work of `kind` is short against what usually holds a slot.
+    /// Returns whether requests of `kind` are short compared with what usually occupies a slot.
     ///
-    /// The mean over requests would not tell: a service that is called ten times for each request
-    /// of its own seems to do nothing but short work.
+    /// The mean over requests does not show that: a service that gets ten calls on behalf of others
+    /// for each request of its own would seem to have short requests only.
     pub fn is_short(&self, kind: u64) -> bool {
         let (Some(time), Some((mean, square))) = (self.by_kind.get(&kind), self.moments) else {
             return false;
@@ -73,7 +75,7 @@
         time.mean.as_secs_f64() <= SHORT_SHARE * square / mean.max(f64::MIN_POSITIVE)
     }
 
-    /// Takes `time` for that of `kind` until a request of it has ended.
+    /// Assumes `time` as the service time of `kind` until a request of that kind has completed.
     pub fn assume(&mut self, kind: u64, time: Duration) {
         if self.by_kind.len() >= KINDS_MAX || self.by_kind.contains_key(&kind) {
             return;
@@ -91,15 +93,15 @@
             mean_square + SLOT_TIME_WEIGHT * (square - mean_square),
         ));
         self.mean = Some(self.mean.map_or(time, |mean| smoothed(mean, time)));
-        let first = KindEstimate { mean: time, deviation: Duration::ZERO, is_assumed: false };
+        let sample = KindEstimate { mean: time, deviation: Duration::ZERO, is_assumed: false };
         if let Some(known) = self.by_kind.get_mut(&kind) {
             if known.is_assumed {
-                *known = first;
+                *known = sample;
             }
             known.deviation = smoothed(known.deviation, known.mean.abs_diff(time));
             known.mean = smoothed(known.mean, time);
         } else if self.by_kind.len() < KINDS_MAX {
-            self.by_kind.insert(kind, first);
+            self.by_kind.insert(kind, sample);
         }
     }
 }
--- a/crates/yuccarack_policy/src/work_queue/waiting.rs
+++ b/crates/yuccarack_policy/src/work_queue/waiting.rs
@@ -1,26 +1,26 @@
-//! One request that waits, and its place among the others.
+//! Waiting requests and their order.
 
 use std::time::{Duration, Instant};
 
 use super::WorkRequest;
 
-/// A request that waits.
+/// A request in the queue.
 #[derive(Clone, Copy, Debug)]
 pub struct WaitingRequest {
     pub request: WorkRequest,
 }
 
-/// Place in the order, the least goes first: what goes ahead of all else, what can be on time, the most
-/// urgent, and what has the least time left.
+/// Sort key of a waiting request, the least runs first: expedited requests, requests that can meet
+/// their soft deadline, the most urgent ones, and those with the earliest soft deadline.
 pub type PriorityKey = (bool, bool, u8, Instant);
 
-/// The place of `work`, which takes `run_time` if it starts now.
+/// Returns the sort key of `request`, which takes `service_time` if it starts now.
 pub fn priority_key(
-    work: &WorkRequest,
-    is_ahead: bool,
+    request: &WorkRequest,
+    is_expedited: bool,
     now: Instant,
-    run_time: Duration,
+    service_time: Duration,
 ) -> PriorityKey {
-    let is_late = now + run_time > work.soft_deadline;
-    (!is_ahead, is_late, work.rank, work.soft_deadline)
+    let is_late = now + service_time > request.soft_deadline;
+    (!is_expedited, is_late, request.rank, request.soft_deadline)
 }
