--- a/crates/yuccarackd/src/coordination/answering.rs
+++ b/crates/yuccarackd/src/coordination/control_handler.rs
@@ -20,7 +20,7 @@
 
 /// Answers the questions of other daemons; clones share all.
 #[derive(Clone)]
-pub struct Answering {
+pub struct ControlHandler {
     /// Settings of the daemon.
     pub settings: Arc<DaemonSettings>,
     /// What is known.
@@ -35,46 +35,46 @@
     pub counters: Counters,
 }
 
-impl Answering {
+impl ControlHandler {
     /// Answers one question.
-    pub async fn answer(self, question: Vec<u8>) -> Vec<u8> {
-        let answer = match decode(&question) {
-            Ok(question) => self.answer_one(question).await,
+    pub async fn respond(self, request: Vec<u8>) -> Vec<u8> {
+        let response = match decode(&request) {
+            Ok(request) => self.respond_to(request).await,
             Err(_) => {
                 self.counters.add("control.not_understood");
                 ControlResponse::NotUnderstood
             }
         };
-        encode(&answer).unwrap_or_default()
+        encode(&response).unwrap_or_default()
     }
 
-    async fn answer_one(&self, question: ControlRequest) -> ControlResponse {
-        match question {
-            ControlRequest::Sync(question) => self.answer_sync(&question),
-            ControlRequest::Push(news) => self.take_push(news),
-            ControlRequest::Urgent(news) => self.take_urgent(news),
+    async fn respond_to(&self, request: ControlRequest) -> ControlResponse {
+        match request {
+            ControlRequest::Sync(request) => self.respond_sync(&request),
+            ControlRequest::Push(update) => self.accept_push(update),
+            ControlRequest::Urgent(update) => self.accept_urgent(update),
             ControlRequest::Probe { instance } => self.probe(&instance).await,
             ControlRequest::Ping => ControlResponse::Taken,
         }
     }
 
-    fn answer_sync(&self, question: &SyncRequest) -> ControlResponse {
-        match self.reconciler.news_for(question) {
-            Some(news) => ControlResponse::News(news),
+    fn respond_sync(&self, request: &SyncRequest) -> ControlResponse {
+        match self.reconciler.update_for(request) {
+            Some(update) => ControlResponse::News(update),
             None => ControlResponse::Elsewhere { peers: self.referrals() },
         }
     }
 
     /// ServiceUpdate of services that nobody here wants are dropped, so that peers can't fill the memory.
-    fn take_push(&self, news: ServiceUpdate) -> ControlResponse {
-        if self.directory.peek(&news.service).is_some() {
-            self.reconciler.take(news);
+    fn accept_push(&self, update: ServiceUpdate) -> ControlResponse {
+        if self.directory.peek(&update.service).is_some() {
+            self.reconciler.apply(update);
         }
         ControlResponse::Taken
     }
 
-    fn take_urgent(&self, news: UrgentUpdate) -> ControlResponse {
-        let counter = match self.urgent.try_send(news) {
+    fn accept_urgent(&self, update: UrgentUpdate) -> ControlResponse {
+        let counter = match self.urgent.try_send(update) {
             Ok(()) => "urgent.received",
             Err(_) => "urgent.dropped",
         };
--- a/crates/yuccarackd/src/coordination/control_parts.rs
+++ b/crates/yuccarackd/src/coordination/control_parts.rs
@@ -10,11 +10,11 @@
 
 use crate::{
     coordination::{
-        answering::Answering,
+        control_handler::ControlHandler,
         gossip::{Gossip, GossipParts},
+        member_remover::MemberRemover,
         membership::{Membership, MembershipParts},
         reconciler::Reconciler,
-        removal::Removal,
         rules_sync::{RulesSync, RulesSyncParts},
         table::Table,
     },
@@ -27,7 +27,7 @@
 };
 
 /// What the tasks share.
-pub(super) struct Parts {
+pub(super) struct ControlParts {
     pub(super) settings: Arc<DaemonSettings>,
     pub(super) counters: Counters,
     pub(super) logger: Logger,
@@ -37,12 +37,12 @@
     pub(super) reconciler: Reconciler,
     pub(super) gossip: Gossip,
     pub(super) reachability: Reachability,
-    pub(super) changed: Arc<Notify>,
+    pub(super) own_service_changed: Arc<Notify>,
     pub(super) tracker: TaskTracker,
     pub(super) stop: CancellationToken,
 }
 
-impl Parts {
+impl ControlParts {
     pub(super) fn new(
         settings: Arc<DaemonSettings>,
         counters: Counters,
@@ -52,7 +52,7 @@
     ) -> Self {
         let directory = Directory::new();
         let reachability = Reachability::new();
-        let changed = Arc::new(Notify::new());
+        let own_service_changed = Arc::new(Notify::new());
         // A client of its own, since its connections live on the thread that opened them.
         let timeout_ms = u64::from(settings.budgets.platform_timeout_ms);
         let timeout = Duration::from_millis(timeout_ms);
@@ -62,7 +62,7 @@
             directory.clone(),
             counters.clone(),
             logger.clone(),
-            Arc::clone(&changed),
+            Arc::clone(&own_service_changed),
         );
         let gossip = Gossip::new(GossipParts {
             settings: Arc::clone(&settings),
@@ -72,7 +72,7 @@
             counters: counters.clone(),
             reconciler: reconciler.clone(),
             reachability: reachability.clone(),
-            changed: Arc::clone(&changed),
+            own_service_changed: Arc::clone(&own_service_changed),
         });
         Self {
             settings,
@@ -84,7 +84,7 @@
             reconciler,
             gossip,
             reachability,
-            changed,
+            own_service_changed,
             tracker: TaskTracker::new(),
             stop: CancellationToken::new(),
         }
@@ -98,7 +98,7 @@
             gossip: self.gossip.clone(),
             counters: self.counters.clone(),
             logger: self.logger.clone(),
-            changed: Arc::clone(&self.changed),
+            own_service_changed: Arc::clone(&self.own_service_changed),
         })
     }
 
@@ -112,11 +112,11 @@
             counters: self.counters.clone(),
             logger: self.logger.clone(),
         };
-        Membership::new(parts, draining, Arc::clone(&self.changed))
+        Membership::new(parts, draining, Arc::clone(&self.own_service_changed))
     }
 
-    pub(super) fn removal(&self) -> Removal {
-        Removal {
+    pub(super) fn member_remover(&self) -> MemberRemover {
+        MemberRemover {
             settings: Arc::clone(&self.settings),
             directory: self.directory.clone(),
             gossip: self.gossip.clone(),
@@ -124,12 +124,12 @@
             table: self.table.clone(),
             counters: self.counters.clone(),
             logger: self.logger.clone(),
-            changed: Arc::clone(&self.changed),
+            own_service_changed: Arc::clone(&self.own_service_changed),
         }
     }
 
-    pub(super) fn answering(&self, urgent: mpsc::Sender<UrgentUpdate>) -> Answering {
-        Answering {
+    pub(super) fn control_handler(&self, urgent: mpsc::Sender<UrgentUpdate>) -> ControlHandler {
+        ControlHandler {
             settings: Arc::clone(&self.settings),
             directory: self.directory.clone(),
             reconciler: self.reconciler.clone(),
--- a/crates/yuccarackd/src/coordination/control_plane.rs
+++ b/crates/yuccarackd/src/coordination/control_plane.rs
@@ -18,7 +18,7 @@
 use yuccarack_config::settings::DaemonSettings;
 
 use crate::{
-    coordination::{control_parts::Parts, gossip::Gossip, rules_sync::RulesSync},
+    coordination::{control_parts::ControlParts, gossip::Gossip, rules_sync::RulesSync},
     protocol::control::UrgentUpdate,
     state::{
         byte_budget::ByteBudget, counters::Counters, directory::Directory, own_target::OwnTarget,
@@ -31,9 +31,9 @@
 };
 
 /// Urgent news that wait to be sent or taken; more are dropped and counted.
-const URGENT_WAITING_MAX: usize = 256;
+const URGENT_QUEUE_MAX: usize = 256;
 /// How long connections are given to close at the end.
-const CLOSE_MAX: Duration = Duration::from_secs(1);
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Why the control plane could not start or stop well.
 #[derive(Debug, Error)]
@@ -66,8 +66,8 @@
     /// Whether the store answers.
     pub store_health: StoreHealth,
     /// News that members of the own service need at once; a full queue must not be waited for.
-    pub urgent: mpsc::Sender<UrgentUpdate>,
-    arrived: Option<mpsc::Receiver<UrgentUpdate>>,
+    pub urgent_sender: mpsc::Sender<UrgentUpdate>,
+    urgent_receiver: Option<mpsc::Receiver<UrgentUpdate>>,
     control_address: SocketAddr,
     admin: AdminServer,
     draining: watch::Sender<bool>,
@@ -103,16 +103,16 @@
         let settings = with_bound_addresses(&settings, &server, &admin_listener)?;
 
         let store_health = StoreHealth::new();
-        let parts = Parts::new(settings, counters, logger, &store_health, budget);
+        let parts = ControlParts::new(settings, counters, logger, &store_health, budget);
         let (draining, is_draining) = watch::channel(false);
-        let (urgent, to_send) = mpsc::channel(URGENT_WAITING_MAX);
-        let (arriving, arrived) = mpsc::channel(URGENT_WAITING_MAX);
+        let (urgent_sender, send_queue) = mpsc::channel(URGENT_QUEUE_MAX);
+        let (received_sender, urgent_receiver) = mpsc::channel(URGENT_QUEUE_MAX);
         let directory = parts.directory.clone();
         let own_target = parts.own_target.clone();
         let stop = parts.stop.clone();
 
         let rules_sync = parts.rules_sync();
-        let hinted = rules_sync.clone();
+        let rules_sync_hint = rules_sync.clone();
         let admin_state = AdminState {
             settings: Arc::clone(&parts.settings),
             counters: parts.counters.clone(),
@@ -121,21 +121,23 @@
             store_health: store_health.clone(),
             draining: is_draining.clone(),
             explain,
-            hint: Arc::new(move || hinted.hint()),
+            hint: Arc::new(move || rules_sync_hint.hint()),
         };
         let control_address = parts.settings.control_address;
         let admin = AdminServer::start(admin_state, admin_listener).map_err(ControlError::Admin)?;
         let thread = std::thread::Builder::new()
             .name("control".to_owned())
-            .spawn(move || run(runtime, parts, server, rules_sync, is_draining, to_send, arriving))
+            .spawn(move || {
+                run(runtime, parts, server, rules_sync, is_draining, send_queue, received_sender)
+            })
             .map_err(ControlError::Thread)?;
-        let arrived = Some(arrived);
+        let urgent_receiver = Some(urgent_receiver);
         Ok(Self {
             directory,
             own_target,
             store_health,
-            urgent,
-            arrived,
+            urgent_sender,
+            urgent_receiver,
             control_address,
             admin,
             draining,
@@ -145,8 +147,8 @@
     }
 
     /// Urgent news of other daemons; only the first taker gets them.
-    pub fn take_arrived(&mut self) -> Option<mpsc::Receiver<UrgentUpdate>> {
-        self.arrived.take()
+    pub fn take_urgent_receiver(&mut self) -> Option<mpsc::Receiver<UrgentUpdate>> {
+        self.urgent_receiver.take()
     }
 
     /// Address of the admin endpoint.
@@ -204,50 +206,50 @@
 /// Runs all control tasks on this thread until they have ended.
 fn run(
     runtime: Runtime,
-    parts: Parts,
+    parts: ControlParts,
     server: ControlServer,
     rules_sync: RulesSync,
     draining: watch::Receiver<bool>,
-    to_send: mpsc::Receiver<UrgentUpdate>,
-    arriving: mpsc::Sender<UrgentUpdate>,
+    send_queue: mpsc::Receiver<UrgentUpdate>,
+    received_sender: mpsc::Sender<UrgentUpdate>,
 ) {
     runtime.block_on(async {
         let (tracker, stop) = (&parts.tracker, &parts.stop);
         // Peers are answered until this daemon has said that it has gone.
-        let stop_answering = CancellationToken::new();
-        let answering = parts.answering(arriving);
-        let answer = move |question| answering.clone().answer(question);
-        server.serve(answer, tracker, &stop_answering);
-        tracker.spawn(parts.gossip.clone().tick(stop.clone()));
-        tracker.spawn(parts.gossip.clone().spread(stop.clone()));
-        tracker.spawn(send_urgent(parts.gossip.clone(), to_send, tracker.clone(), stop.clone()));
-        tracker.spawn(parts.removal().run(stop.clone()));
+        let stop_serving = CancellationToken::new();
+        let control_handler = parts.control_handler(received_sender);
+        let respond = move |request| control_handler.clone().respond(request);
+        server.serve(respond, tracker, &stop_serving);
+        tracker.spawn(parts.gossip.clone().run_exchanges(stop.clone()));
+        tracker.spawn(parts.gossip.clone().run_broadcasts(stop.clone()));
+        tracker.spawn(send_urgent(parts.gossip.clone(), send_queue, tracker.clone(), stop.clone()));
+        tracker.spawn(parts.member_remover().run(stop.clone()));
         tracker.spawn(rules_sync.clone().poll(stop.clone()));
         if let Some(lookups) = parts.directory.take_lookup_receiver() {
-            tracker.spawn(rules_sync.answer_lookups(lookups, tracker.clone(), stop.clone()));
+            tracker.spawn(rules_sync.serve_lookups(lookups, tracker.clone(), stop.clone()));
         }
         parts.membership(draining).run(stop.clone()).await;
-        stop_answering.cancel();
+        stop_serving.cancel();
         tracker.close();
         tracker.wait().await;
     });
-    runtime.shutdown_timeout(CLOSE_MAX);
+    runtime.shutdown_timeout(CLOSE_TIMEOUT);
 }
 
 async fn send_urgent(
     gossip: Gossip,
-    mut to_send: mpsc::Receiver<UrgentUpdate>,
+    mut send_queue: mpsc::Receiver<UrgentUpdate>,
     tracker: TaskTracker,
     stop: CancellationToken,
 ) {
     loop {
-        let news = tokio::select! {
+        let update = tokio::select! {
             () = stop.cancelled() => return,
-            news = to_send.recv() => news,
+            update = send_queue.recv() => update,
         };
-        let Some(news) = news else { return };
+        let Some(update) = update else { return };
         // Each by itself: a member that doesn't answer must not hold up the next news.
         let gossip = gossip.clone();
-        tracker.spawn(async move { gossip.send_urgent(news).await });
+        tracker.spawn(async move { gossip.send_urgent(update).await });
     }
 }
--- a/crates/yuccarackd/src/coordination/gossip.rs
+++ b/crates/yuccarackd/src/coordination/gossip.rs
@@ -16,7 +16,7 @@
 
 use crate::{
     coordination::{
-        foreign_turns::ForeignTurns,
+        foreign_schedule::ForeignSchedule,
         jitter::{generator, jittered},
         reconciler::Reconciler,
     },
@@ -33,18 +33,18 @@
 };
 
 /// Longest wait for an answer of another daemon.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Bytes left below which the budget counts as short: some ten exchanges.
-const RESERVE_BYTES: u32 = 4_096;
+const LOW_BUDGET_BYTES: u32 = 4_096;
 /// Members that hear of a change at once; each of them passes it on to as many.
 ///
 /// With three, a change reaches 94 in 100 within the first wave (the share that e^-3x leaves
 /// out); the ticks bring it to the others.
-const SPREAD_TO: usize = 3;
+const FANOUT: usize = 3;
 /// Least time between two waves, so that changes that come together go out together.
-const SPREAD_PAUSE: Duration = Duration::from_millis(20);
+const BROADCAST_INTERVAL_MIN: Duration = Duration::from_millis(20);
 /// Most members of the own service that urgent news go to.
-const URGENT_TO_MAX: usize = 64;
+const URGENT_FANOUT_MAX: usize = 64;
 
 /// Why an exchange with another daemon failed.
 #[derive(Debug, Error)]
@@ -56,17 +56,17 @@
     #[error(transparent)]
     Message(#[from] MessageError),
     /// The other daemon gave an answer of another kind.
-    #[error("the answer doesn't fit the question")]
-    Unfit,
+    #[error("the response doesn't fit the request")]
+    UnexpectedResponse,
 }
 
 /// What an exchange brought.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Exchanged {
+pub enum ExchangeOutcome {
     /// The other knows the service, and both now know what either knew.
-    Known,
+    Synced,
     /// The other doesn't know the service; these may.
-    Elsewhere(Vec<SocketAddr>),
+    Referred(Vec<SocketAddr>),
 }
 
 struct Shared {
@@ -78,18 +78,18 @@
     reconciler: Reconciler,
     reachability: Reachability,
     /// Told when something about the own service changed.
-    changed: Arc<Notify>,
-    turns: ForeignTurns,
+    own_service_changed: Arc<Notify>,
+    foreign_schedule: ForeignSchedule,
 }
 
 /// Whose turn it is while the budget is short.
 #[derive(Clone, Copy)]
-enum Turns {
+enum ExchangeTurn {
     Own,
     Foreign,
 }
 
-impl Turns {
+impl ExchangeTurn {
     fn other(self) -> Self {
         match self {
             Self::Own => Self::Foreign,
@@ -121,7 +121,7 @@
     /// Who answers.
     pub reachability: Reachability,
     /// Told when something about the own service changed.
-    pub changed: Arc<Notify>,
+    pub own_service_changed: Arc<Notify>,
 }
 
 impl Gossip {
@@ -135,61 +135,61 @@
             counters: parts.counters,
             reconciler: parts.reconciler,
             reachability: parts.reachability,
-            changed: parts.changed,
-            turns: ForeignTurns::default(),
+            own_service_changed: parts.own_service_changed,
+            foreign_schedule: ForeignSchedule::default(),
         };
         Self { shared: Arc::new(shared) }
     }
 
     /// Exchanges with one random member each tick until `stop`.
-    pub async fn tick(self, stop: CancellationToken) {
+    pub async fn run_exchanges(self, stop: CancellationToken) {
         let interval_ms = u64::from(self.shared.settings.budgets.gossip_interval_ms);
         // Jitter takes a quarter away on average.
         let interval = Duration::from_millis(interval_ms) * 4 / 3;
-        let mut next = Turns::Own;
+        let mut next = ExchangeTurn::Own;
         loop {
             tokio::select! {
                 () = stop.cancelled() => return,
-                () = sleep(jittered(interval)) => self.exchange_in_turn(&mut next).await,
+                () = sleep(jittered(interval)) => self.run_tick(&mut next).await,
             }
         }
     }
 
     /// Passes changes of the own service on to some members at once, until `stop`.
-    pub async fn spread(self, stop: CancellationToken) {
+    pub async fn run_broadcasts(self, stop: CancellationToken) {
         loop {
             tokio::select! {
                 () = stop.cancelled() => return,
-                () = self.shared.changed.notified() => self.spread_once().await,
+                () = self.shared.own_service_changed.notified() => self.broadcast_changes().await,
             }
-            sleep(SPREAD_PAUSE).await;
+            sleep(BROADCAST_INTERVAL_MIN).await;
         }
     }
 
     /// Compares with some members of the own service now.
-    pub async fn spread_once(&self) {
+    pub async fn broadcast_changes(&self) {
         let Some(view) = self.own_view() else { return };
         self.shared.counters.add("gossip.waves");
-        let peers = self.random_members(&view, SPREAD_TO);
+        let peers = self.random_members(&view, FANOUT);
         join_all(peers.iter().map(|peer| self.exchange_with(&view.name, peer))).await;
     }
 
     /// Tells members of the own service what can't wait.
-    pub async fn send_urgent(&self, news: UrgentUpdate) {
+    pub async fn send_urgent(&self, update: UrgentUpdate) {
         let Some(view) = self.own_view() else { return };
-        let peers = self.random_members(&view, URGENT_TO_MAX);
-        let question = ControlRequest::Urgent(news);
-        let tell = async |peer: &MemberRow| {
-            let result = self.ask_member(peer, &question).await;
+        let peers = self.random_members(&view, URGENT_FANOUT_MAX);
+        let request = ControlRequest::Urgent(update);
+        let send = async |peer: &MemberRow| {
+            let result = self.send_to_member(peer, &request).await;
             let counter = if result.is_ok() { "urgent.sent" } else { "urgent.failed" };
             self.shared.counters.add(counter);
         };
-        join_all(peers.iter().map(tell)).await;
+        join_all(peers.iter().map(send)).await;
     }
 
     /// Asks `peer` for a sign of life; says whether it gave one.
     pub async fn ping(&self, peer: &MemberRow) -> bool {
-        self.ask_member(peer, &ControlRequest::Ping).await.is_ok()
+        self.send_to_member(peer, &ControlRequest::Ping).await.is_ok()
     }
 
     /// Compares what is known of `service` with the daemon at `address`.
@@ -201,22 +201,22 @@
         &self,
         service: &str,
         address: SocketAddr,
-    ) -> Result<Exchanged, ExchangeError> {
+    ) -> Result<ExchangeOutcome, ExchangeError> {
         let reconciler = &self.shared.reconciler;
-        let question = reconciler.question(service);
-        let news = match self.ask(address, &ControlRequest::Sync(question)).await? {
-            ControlResponse::News(news) if news.service == service => news,
-            ControlResponse::Elsewhere { peers } => return Ok(Exchanged::Elsewhere(peers)),
-            _ => return Err(ExchangeError::Unfit),
+        let request = reconciler.sync_request(service);
+        let update = match self.send_request(address, &ControlRequest::Sync(request)).await? {
+            ControlResponse::News(update) if update.service == service => update,
+            ControlResponse::Elsewhere { peers } => return Ok(ExchangeOutcome::Referred(peers)),
+            _ => return Err(ExchangeError::UnexpectedResponse),
         };
-        let lacking = reconciler.lacking(&news);
-        let pace = Duration::from_millis(u64::from(news.pace_ms));
-        reconciler.take(news);
-        if let Some(lacking) = lacking {
-            self.ask(address, &ControlRequest::Push(lacking)).await?;
+        let missing = reconciler.update_lacked_by(&update);
+        let interval = Duration::from_millis(u64::from(update.pace_ms));
+        reconciler.apply(update);
+        if let Some(missing) = missing {
+            self.send_request(address, &ControlRequest::Push(missing)).await?;
         }
-        self.shared.turns.ended_well(service, pace, Instant::now());
-        Ok(Exchanged::Known)
+        self.shared.foreign_schedule.record_success(service, interval, Instant::now());
+        Ok(ExchangeOutcome::Synced)
     }
 
     /// Compares what is known of `service` with a random one of its members.
@@ -224,15 +224,15 @@
     /// # Errors
     ///
     /// Any [`ExchangeError`].
-    pub async fn exchange_any(&self, service: &str) -> Option<Exchanged> {
+    pub async fn exchange_any(&self, service: &str) -> Option<ExchangeOutcome> {
         let view = self.shared.directory.peek(service)?;
         let peer = self.random_members(&view, 1).pop()?;
         self.exchange_with(service, &peer).await
     }
 
     /// Whether exchanges about a foreign `service` go well.
-    pub fn is_in_touch(&self, service: &str) -> bool {
-        self.shared.turns.is_in_touch(service, Instant::now())
+    pub fn has_recent_exchange(&self, service: &str) -> bool {
+        self.shared.foreign_schedule.has_recent_exchange(service, Instant::now())
     }
 
     /// Asks `address` and waits for its answer.
@@ -240,15 +240,15 @@
     /// # Errors
     ///
     /// Any [`ExchangeError`].
-    pub async fn ask(
+    pub async fn send_request(
         &self,
         address: SocketAddr,
-        question: &ControlRequest,
+        request: &ControlRequest,
     ) -> Result<ControlResponse, ExchangeError> {
-        let bytes = encode(question)?;
-        let deadline = Instant::now() + ANSWER_TIMEOUT;
-        let answer = self.shared.client.send_request(address, &bytes, deadline).await?;
-        Ok(decode(&answer)?)
+        let bytes = encode(request)?;
+        let deadline = Instant::now() + RESPONSE_TIMEOUT;
+        let response = self.shared.client.send_request(address, &bytes, deadline).await?;
+        Ok(decode(&response)?)
     }
 
     /// Asks a member and takes note of whether it answers.
@@ -256,13 +256,13 @@
     /// # Errors
     ///
     /// Any [`ExchangeError`].
-    pub async fn ask_member(
+    pub async fn send_to_member(
         &self,
         peer: &MemberRow,
-        question: &ControlRequest,
+        request: &ControlRequest,
     ) -> Result<ControlResponse, ExchangeError> {
-        let result = self.ask(peer.control_address, question).await;
-        self.note(peer, result.is_ok());
+        let result = self.send_request(peer.control_address, request).await;
+        self.record_reachability(peer, result.is_ok());
         result
     }
 
@@ -271,11 +271,11 @@
     /// When the budget is short, ticks go to the own service and to a foreign one alternately.
     /// Served first in each tick, the own service would spend all that comes in, and a caller would
     /// never hear of a foreign service's new rules.
-    async fn exchange_in_turn(&self, next: &mut Turns) {
+    async fn run_tick(&self, next: &mut ExchangeTurn) {
         self.shared.counters.add("gossip.ticks");
         let own = self.shared.directory.own_service();
-        let due = self.foreign_due(own.as_deref());
-        if self.shared.budget.has_more_than(RESERVE_BYTES, Instant::now()) {
+        let due = self.due_foreign_services(own.as_deref());
+        if self.shared.budget.has_more_than(LOW_BUDGET_BYTES, Instant::now()) {
             self.exchange_own(own.as_ref()).await;
             join_all(due.iter().map(|service| self.exchange_foreign(service))).await;
             return;
@@ -285,8 +285,10 @@
             return;
         }
         match (*next, due.first()) {
-            (Turns::Foreign, Some(service)) => self.exchange_foreign(service).await,
-            (Turns::Own, _) | (Turns::Foreign, None) => self.exchange_own(own.as_ref()).await,
+            (ExchangeTurn::Foreign, Some(service)) => self.exchange_foreign(service).await,
+            (ExchangeTurn::Own, _) | (ExchangeTurn::Foreign, None) => {
+                self.exchange_own(own.as_ref()).await
+            }
         }
         *next = next.other();
     }
@@ -298,26 +300,26 @@
     }
 
     async fn exchange_foreign(&self, service: &ServiceName) {
-        self.shared.turns.began(service, Instant::now());
+        self.shared.foreign_schedule.record_start(service, Instant::now());
         self.exchange_any(service).await;
     }
 
-    fn foreign_due(&self, own: Option<&str>) -> Vec<ServiceName> {
+    fn due_foreign_services(&self, own: Option<&str>) -> Vec<ServiceName> {
         let views = self.shared.directory.views();
         let names = views.iter().map(|view| view.name.clone());
         let foreign = names.filter(|name| Some(name.as_str()) != own).collect();
-        self.shared.turns.due(foreign, Instant::now())
+        self.shared.foreign_schedule.due(foreign, Instant::now())
     }
 
-    async fn exchange_with(&self, service: &str, peer: &MemberRow) -> Option<Exchanged> {
+    async fn exchange_with(&self, service: &str, peer: &MemberRow) -> Option<ExchangeOutcome> {
         let result = self.exchange(service, peer.control_address).await;
-        self.note(peer, result.is_ok());
+        self.record_reachability(peer, result.is_ok());
         result.ok()
     }
 
-    fn note(&self, peer: &MemberRow, has_answered: bool) {
+    fn record_reachability(&self, peer: &MemberRow, has_responded: bool) {
         let now = Instant::now();
-        if has_answered {
+        if has_responded {
             self.shared.reachability.record_response(&peer.instance, now);
             return;
         }
--- a/crates/yuccarackd/src/coordination/measuring.rs
+++ b/crates/yuccarackd/src/coordination/load_prober.rs
@@ -25,7 +25,7 @@
 const NO_TARGET_WAIT: Duration = Duration::from_secs(1);
 
 /// Measures one target.
-pub struct Measuring {
+pub struct LoadProber {
     gate: Arc<Gate>,
     counters: Counters,
     rules: MeasuringRules,
@@ -33,7 +33,7 @@
     hidden: HiddenLoad,
 }
 
-impl Measuring {
+impl LoadProber {
     /// Starts with an unspent budget.
     pub fn new(gate: Arc<Gate>, counters: Counters) -> Self {
         let rules = MeasuringRules::default();
@@ -56,14 +56,14 @@
             tokio::time::sleep(NO_TARGET_WAIT).await;
             return;
         };
-        self.follow_rules(&target).await;
+        self.apply_rules(&target).await;
         let Some(path) = target.view.announcement.load_path.clone() else {
             tokio::time::sleep(NO_TARGET_WAIT).await;
             return;
         };
         let now = Instant::now();
         match self.budget.try_start(now) {
-            Some(permit) => self.look(&target, &path, permit).await,
+            Some(permit) => self.probe(&target, &path, permit).await,
             None => {
                 let next_at = self.budget.next_at(now).max(now + Duration::from_millis(1));
                 tokio::time::sleep_until(next_at.into()).await;
@@ -72,7 +72,7 @@
     }
 
     /// A changed budget starts unspent, so what the old one allowed has to leave the window first.
-    async fn follow_rules(&mut self, target: &GateTarget) {
+    async fn apply_rules(&mut self, target: &GateTarget) {
         if self.rules == target.rules.measuring {
             return;
         }
@@ -81,24 +81,24 @@
         tokio::time::sleep(WINDOW).await;
     }
 
-    async fn look(&mut self, target: &GateTarget, path: &str, permit: MeasurementPermit) {
+    async fn probe(&mut self, target: &GateTarget, path: &str, permit: MeasurementPermit) {
         let before = self.budget.total_cost();
-        let handed_over_before = target.slots.in_flight();
-        let seen = probe_load(target.address(), path, permit.bytes_max, permit.give_up_at).await;
-        self.budget.record_end(Instant::now(), seen.bytes);
-        let handed_over = handed_over_before.max(target.slots.in_flight());
-        self.note(target, &seen, handed_over);
+        let dispatched_before = target.slots.in_flight();
+        let probe = probe_load(target.address(), path, permit.bytes_max, permit.give_up_at).await;
+        self.budget.record_end(Instant::now(), probe.bytes);
+        let dispatched = dispatched_before.max(target.slots.in_flight());
+        self.record(target, &probe, dispatched);
         let spent = self.budget.total_cost();
         self.counters.add("measuring.requests");
-        self.counters.add_many("measuring.bytes", u64::from(seen.bytes));
+        self.counters.add_many("measuring.bytes", u64::from(probe.bytes));
         self.counters.add_many("measuring.time_us", spent.time_us - before.time_us);
     }
 
-    fn note(&mut self, target: &GateTarget, seen: &LoadProbe, handed_over: usize) {
-        match seen.load {
+    fn record(&mut self, target: &GateTarget, probe: &LoadProbe, dispatched: usize) {
+        match probe.load {
             Some(load) => {
-                let handed_over = u16::try_from(handed_over).unwrap_or(u16::MAX);
-                self.hidden.record(load.in_flight, handed_over);
+                let dispatched = u16::try_from(dispatched).unwrap_or(u16::MAX);
+                self.hidden.record(load.in_flight, dispatched);
             }
             None => {
                 self.counters.add("measuring.no_answer");
--- a/crates/yuccarackd/src/coordination/removal.rs
+++ b/crates/yuccarackd/src/coordination/member_remover.rs
@@ -46,17 +46,17 @@
 
 /// What is thought of a silent member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Judgement {
+enum Liveness {
     /// Somebody reaches it.
     Alive,
     /// Somebody near it doesn't reach it either.
     Dead,
     /// Nobody near it could be asked.
-    Unclear,
+    Unknown,
 }
 
 /// Ends the rows of dead members of the own service.
-pub struct Removal {
+pub struct MemberRemover {
     /// Settings of the daemon.
     pub settings: Arc<DaemonSettings>,
     /// What is known.
@@ -72,37 +72,37 @@
     /// Where changes of state are logged.
     pub logger: Logger,
     /// Told when a row was ended.
-    pub changed: Arc<Notify>,
+    pub own_service_changed: Arc<Notify>,
 }
 
-impl Removal {
+impl MemberRemover {
     /// Pings silent members and ends the rows of the dead until `stop`.
     pub async fn run(self, stop: CancellationToken) {
         loop {
             tokio::select! {
                 () = stop.cancelled() => return,
-                () = sleep(jittered(ROUND_INTERVAL)) => self.round().await,
+                () = sleep(jittered(ROUND_INTERVAL)) => self.run_round().await,
             }
         }
     }
 
-    async fn round(&self) {
+    async fn run_round(&self) {
         let own = self.directory.own_service();
         let Some(view) = own.and_then(|service| self.directory.peek(&service)) else { return };
-        self.forget_unknown();
-        let silent = self.silent(&view);
-        join_all(silent.iter().take(PINGS_MAX).map(|member| self.gossip.ping(member))).await;
+        self.prune_reachability();
+        let unreachable = self.unreachable_members(&view);
+        join_all(unreachable.iter().take(PINGS_MAX).map(|member| self.gossip.ping(member))).await;
         // One a round bounds what a daemon that is itself cut off can do.
         let now = Instant::now();
         let is_due = |member: &&MemberRow| {
             self.reachability.is_silent_for(&member.instance, SILENCE_MIN, FAILURES_MIN, now)
         };
-        if let Some(member) = silent.iter().find(is_due) {
-            self.judge_and_end(&view, member).await;
+        if let Some(member) = unreachable.iter().find(is_due) {
+            self.check_and_remove(&view, member).await;
         }
     }
 
-    fn forget_unknown(&self) {
+    fn prune_reachability(&self) {
         let views = self.directory.views();
         let is_known = |instance: &str| {
             views.iter().any(|view| view.members.iter().any(|row| row.instance == instance))
@@ -111,22 +111,22 @@
     }
 
     /// Members that don't answer, in random order.
-    fn silent(&self, view: &ServiceView) -> Vec<MemberRow> {
+    fn unreachable_members(&self, view: &ServiceView) -> Vec<MemberRow> {
         let is_silent = |row: &&MemberRow| {
             row.instance != self.settings.instance && !self.reachability.is_reachable(&row.instance)
         };
-        let silent: Vec<&MemberRow> = view.members.iter().filter(is_silent).collect();
-        let shuffled = silent.choose_multiple(&mut generator(), silent.len());
+        let unreachable: Vec<&MemberRow> = view.members.iter().filter(is_silent).collect();
+        let shuffled = unreachable.choose_multiple(&mut generator(), unreachable.len());
         shuffled.map(|row| MemberRow::clone(row)).collect()
     }
 
-    async fn judge_and_end(&self, view: &ServiceView, member: &MemberRow) {
-        let judgement = self.judge(view, member).await;
-        self.counters.add_reason("removal", judgement.name());
-        let is_dead = match judgement {
-            Judgement::Alive => false,
-            Judgement::Dead => true,
-            Judgement::Unclear => self.reachability.is_silent_for(
+    async fn check_and_remove(&self, view: &ServiceView, member: &MemberRow) {
+        let liveness = self.check_liveness(view, member).await;
+        self.counters.add_reason("removal", liveness.name());
+        let is_dead = match liveness {
+            Liveness::Alive => false,
+            Liveness::Dead => true,
+            Liveness::Unknown => self.reachability.is_silent_for(
                 &member.instance,
                 SILENCE_WITHOUT_WITNESS,
                 FAILURES_MIN,
@@ -136,7 +136,7 @@
         if !is_dead {
             return;
         }
-        match self.end(member).await {
+        match self.remove(member).await {
             Ok(true) => info!(self.logger, "ended the row of a dead member";
                 "service" => &member.service, "instance" => &member.instance,
                 "incarnation" => member.incarnation),
@@ -152,7 +152,7 @@
     /// others: taking a whole failure domain for dead, and taking all others for dead. A witness
     /// near the silent one sees whether it lives; where none answers, nothing is concluded for as
     /// long as regions usually lose each other.
-    async fn judge(&self, view: &ServiceView, member: &MemberRow) -> Judgement {
+    async fn check_liveness(&self, view: &ServiceView, member: &MemberRow) -> Liveness {
         let witnesses = self.witnesses(view, member);
         let has_near = witnesses.iter().any(|row| row.failure_domain == member.failure_domain);
         let has_others_near = view.members.iter().any(|row| {
@@ -160,19 +160,19 @@
         });
         let is_same_domain = self.settings.failure_domain == member.failure_domain;
         if has_others_near && !has_near && !is_same_domain {
-            return Judgement::Unclear;
+            return Liveness::Unknown;
         }
-        let question = ControlRequest::Probe { instance: member.instance.clone() };
-        let asked = witnesses.iter().map(|row| self.gossip.ask_member(row, &question));
-        let mut judgement = Judgement::Unclear;
-        for answer in join_all(asked).await {
-            match answer {
-                Ok(ControlResponse::Probed { is_reachable: true }) => return Judgement::Alive,
-                Ok(ControlResponse::Probed { is_reachable: false }) => judgement = Judgement::Dead,
+        let request = ControlRequest::Probe { instance: member.instance.clone() };
+        let requests = witnesses.iter().map(|row| self.gossip.send_to_member(row, &request));
+        let mut liveness = Liveness::Unknown;
+        for response in join_all(requests).await {
+            match response {
+                Ok(ControlResponse::Probed { is_reachable: true }) => return Liveness::Alive,
+                Ok(ControlResponse::Probed { is_reachable: false }) => liveness = Liveness::Dead,
                 Ok(_) | Err(_) => {}
             }
         }
-        judgement
+        liveness
     }
 
     fn witnesses(&self, view: &ServiceView, member: &MemberRow) -> Vec<MemberRow> {
@@ -190,15 +190,15 @@
 
     /// Writes that `member` has gone, if its row is still the one that was judged; says whether
     /// it was.
-    async fn end(&self, member: &MemberRow) -> Result<bool, TableError> {
-        let stands = self.table.member(&member.service, &member.instance).await?;
+    async fn remove(&self, member: &MemberRow) -> Result<bool, TableError> {
+        let stored = self.table.member(&member.service, &member.instance).await?;
         let gone = MemberRow { state: TargetState::Gone, ..member.clone() };
-        let Some((revision, row)) = stands else {
+        let Some((revision, row)) = stored else {
             // Its row was taken away long ago, and somebody who had been cut off since told of it
             // again. Just forgotten here, it would be told of by the next one that knows it; as
             // gone it is remembered, and word of its end goes round.
             self.directory.merge_members(&member.service, vec![gone]);
-            self.changed.notify_one();
+            self.own_service_changed.notify_one();
             return Ok(false);
         };
         if row.state == TargetState::Gone || is_newer(&row, member) {
@@ -208,17 +208,17 @@
         self.table.put_member(&gone, Some(revision)).await?;
         self.counters.add("removal.ended");
         self.directory.merge_members(&member.service, vec![gone]);
-        self.changed.notify_one();
+        self.own_service_changed.notify_one();
         Ok(true)
     }
 }
 
-impl Judgement {
+impl Liveness {
     fn name(self) -> &'static str {
         match self {
             Self::Alive => "alive",
             Self::Dead => "dead",
-            Self::Unclear => "unclear",
+            Self::Unknown => "unclear",
         }
     }
 }
--- a/crates/yuccarackd/src/coordination/membership.rs
+++ b/crates/yuccarackd/src/coordination/membership.rs
@@ -39,7 +39,7 @@
 /// unseen by writers.
 const RETRY_DELAY_MAX: Duration = Duration::from_secs(5);
 /// Longest time a stopping daemon tries to say in the table that it has gone.
-const FAREWELL_MAX: Duration = Duration::from_secs(2);
+const DEPARTURE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What the membership works with.
 pub struct MembershipParts {
@@ -63,7 +63,7 @@
 struct OwnRow {
     row: Option<MemberRow>,
     /// Rows of services that the target no longer serves and that don't say so yet.
-    left: Vec<MemberRow>,
+    departed: Vec<MemberRow>,
     incarnation: Incarnation,
     outranked_at: Option<Instant>,
 }
@@ -74,9 +74,9 @@
     draining: watch::Receiver<bool>,
     own: Mutex<OwnRow>,
     /// Told when the own row changed, so that it's written.
-    unwritten: Notify,
+    write_needed: Notify,
     /// Told when the own row changed, so that peers hear of it.
-    changed: Arc<Notify>,
+    own_service_changed: Arc<Notify>,
 }
 
 impl Membership {
@@ -88,26 +88,32 @@
     pub fn new(
         parts: MembershipParts,
         draining: watch::Receiver<bool>,
-        changed: Arc<Notify>,
+        own_service_changed: Arc<Notify>,
     ) -> Self {
         let own =
-            OwnRow { row: None, left: Vec::new(), incarnation: unix_ms(), outranked_at: None };
-        Self { parts, draining, own: Mutex::new(own), unwritten: Notify::new(), changed }
+            OwnRow { row: None, departed: Vec::new(), incarnation: unix_ms(), outranked_at: None };
+        Self {
+            parts,
+            draining,
+            own: Mutex::new(own),
+            write_needed: Notify::new(),
+            own_service_changed,
+        }
     }
 
     /// Keeps the own row right until `stop`, then says that it has gone.
     pub async fn run(self, stop: CancellationToken) {
-        tokio::join!(self.follow(&stop), self.keep_written(&stop));
-        self.say_farewell().await;
+        tokio::join!(self.run_updates(&stop), self.run_writer(&stop));
+        self.announce_departure().await;
     }
 
-    async fn follow(&self, stop: &CancellationToken) {
+    async fn run_updates(&self, stop: &CancellationToken) {
         let mut target = self.parts.own_target.subscribe();
         let mut draining = self.draining.clone();
-        let mut news = self.parts.directory.subscribe();
+        let mut directory = self.parts.directory.subscribe();
         let mut silence = interval(SILENCE_CHECK_INTERVAL);
         loop {
-            self.update();
+            self.update_row();
             tokio::select! {
                 () = stop.cancelled() => return,
                 _ = silence.tick() => {
@@ -116,7 +122,7 @@
                 }
                 _ = target.changed() => {}
                 _ = draining.changed() => {}
-                _ = news.changed() => self.outrank_known(),
+                _ = directory.changed() => self.outrank_known(),
             }
         }
     }
@@ -132,12 +138,12 @@
     }
 
     /// Brings the own row up to what the target last said.
-    fn update(&self) {
+    fn update_row(&self) {
         let Some(view) = self.parts.own_target.current() else { return };
         let mut own = self.own.lock();
-        let mut row = self.row_of(&view, own.incarnation);
+        let mut row = self.build_row(&view, own.incarnation);
         match own.row.take_if(|own| own.service != row.service) {
-            Some(old) => self.leave_service(&mut own, old),
+            Some(old) => self.mark_departed(&mut own, old),
             None => row.sequence = own.row.as_ref().map_or(0, |own| own.sequence),
         }
         if own.row.as_ref() == Some(&row) {
@@ -154,15 +160,15 @@
     fn publish(&self, own: &mut OwnRow, row: MemberRow) {
         self.parts.directory.merge_members(&row.service, vec![row.clone()]);
         own.row = Some(row);
-        self.unwritten.notify_one();
-        self.changed.notify_one();
+        self.write_needed.notify_one();
+        self.own_service_changed.notify_one();
     }
 
     /// Marks the row of a service that the target no longer serves.
-    fn leave_service(&self, own: &mut OwnRow, old: MemberRow) {
-        let gone = gone(old);
+    fn mark_departed(&self, own: &mut OwnRow, old: MemberRow) {
+        let gone = as_gone(old);
         self.parts.directory.merge_members(&gone.service, vec![gone.clone()]);
-        own.left.push(gone);
+        own.departed.push(gone);
     }
 
     fn outrank_known(&self) {
@@ -198,14 +204,14 @@
         self.publish(own, row);
     }
 
-    async fn keep_written(&self, stop: &CancellationToken) {
+    async fn run_writer(&self, stop: &CancellationToken) {
         let mut retry_delay = RETRY_DELAY_MIN;
         loop {
             let wait = async {
                 match self.write_all().await {
                     Ok(()) => {
                         retry_delay = RETRY_DELAY_MIN;
-                        self.unwritten.notified().await;
+                        self.write_needed.notified().await;
                     }
                     Err(_) => {
                         self.parts.counters.add("membership.write_retries");
@@ -223,9 +229,9 @@
 
     async fn write_all(&self) -> Result<(), TableError> {
         loop {
-            let Some(left) = self.own.lock().left.first().cloned() else { break };
-            self.write(&left).await?;
-            self.own.lock().left.retain(|row| *row != left);
+            let Some(departed) = self.own.lock().departed.first().cloned() else { break };
+            self.write(&departed).await?;
+            self.own.lock().departed.retain(|row| *row != departed);
         }
         let Some(row) = self.own.lock().row.clone() else { return Ok(()) };
         self.write(&row).await
@@ -236,8 +242,8 @@
     /// Guards against a write whose answer was lost, or that raced with a peer's: the next try
     /// reads what stands there now, so nothing is written twice or over something unseen.
     async fn write(&self, row: &MemberRow) -> Result<(), TableError> {
-        let stands = self.parts.table.member(&row.service, &row.instance).await?;
-        let Some((revision, known)) = stands else {
+        let stored = self.parts.table.member(&row.service, &row.instance).await?;
+        let Some((revision, known)) = stored else {
             self.parts.table.put_member(row, None).await?;
             return Ok(());
         };
@@ -254,15 +260,15 @@
         Ok(())
     }
 
-    async fn say_farewell(&self) {
+    async fn announce_departure(&self) {
         {
             let mut own = self.own.lock();
             let Some(row) = own.row.clone() else { return };
-            self.publish(&mut own, gone(row));
+            self.publish(&mut own, as_gone(row));
         }
-        self.parts.gossip.spread_once().await;
+        self.parts.gossip.broadcast_changes().await;
         // A store that is away must not hold up the stop: peers find the row's owner gone.
-        let _ = timeout(FAREWELL_MAX, async {
+        let _ = timeout(DEPARTURE_TIMEOUT, async {
             while self.write_all().await.is_err() {
                 sleep(jittered(RETRY_DELAY_MIN)).await;
             }
@@ -270,7 +276,7 @@
         .await;
     }
 
-    fn row_of(&self, view: &TargetView, incarnation: Incarnation) -> MemberRow {
+    fn build_row(&self, view: &TargetView, incarnation: Incarnation) -> MemberRow {
         let settings = &self.parts.settings;
         let is_draining = *self.draining.borrow();
         MemberRow {
@@ -288,7 +294,7 @@
     }
 }
 
-fn gone(row: MemberRow) -> MemberRow {
+fn as_gone(row: MemberRow) -> MemberRow {
     MemberRow { state: TargetState::Gone, sequence: row.sequence + 1, ..row }
 }
 
--- a/crates/yuccarackd/src/coordination/mod.rs
+++ b/crates/yuccarackd/src/coordination/mod.rs
@@ -1,20 +1,20 @@
 //! What the daemon does: entry, gate, membership, rules, claims, suspects.
 
-pub mod answering;
 pub mod claims;
+pub mod control_handler;
 mod control_parts;
 pub mod control_plane;
 pub mod entry;
-pub mod finding;
-mod foreign_turns;
+mod foreign_schedule;
 pub mod gate;
 pub mod gossip;
 pub mod jitter;
-pub mod measuring;
+pub mod load_prober;
+pub mod member_remover;
 pub mod membership;
 pub mod reconciler;
-pub mod removal;
 pub mod routed;
 pub mod rules_sync;
+pub mod service_finder;
 pub mod suspects;
 pub mod table;
--- a/crates/yuccarackd/src/coordination/reconciler.rs
+++ b/crates/yuccarackd/src/coordination/reconciler.rs
@@ -19,7 +19,7 @@
 };
 
 /// Members that are sent when not all are asked for; most services have no more at all.
-const LATEST_MAX: usize = 16;
+const LATEST_ROWS_MAX: usize = 16;
 
 /// Works out who lacks what; clones share all.
 #[derive(Clone)]
@@ -28,11 +28,11 @@
     counters: Counters,
     logger: Logger,
     /// Told when something about the own service changed.
-    changed: Arc<Notify>,
+    own_service_changed: Arc<Notify>,
     /// Services of which the latest changes weren't enough.
     wants_all: Arc<Mutex<HashSet<ServiceName>>>,
     /// How often callers of the own service may ask.
-    pace: Arc<Mutex<ExchangeInterval>>,
+    exchange_interval: Arc<Mutex<ExchangeInterval>>,
 }
 
 impl Reconciler {
@@ -41,14 +41,21 @@
         directory: Directory,
         counters: Counters,
         logger: Logger,
-        changed: Arc<Notify>,
+        own_service_changed: Arc<Notify>,
     ) -> Self {
-        let pace = Arc::new(Mutex::new(ExchangeInterval::new(Instant::now())));
-        Self { directory, counters, logger, changed, wants_all: Arc::default(), pace }
+        let exchange_interval = Arc::new(Mutex::new(ExchangeInterval::new(Instant::now())));
+        Self {
+            directory,
+            counters,
+            logger,
+            own_service_changed,
+            wants_all: Arc::default(),
+            exchange_interval,
+        }
     }
 
     /// What is known here of `service`, for another daemon to compare with.
-    pub fn question(&self, service: &str) -> SyncRequest {
+    pub fn sync_request(&self, service: &str) -> SyncRequest {
         let directory = &self.directory;
         let wants_all = self.wants_all.lock().remove(service);
         SyncRequest {
@@ -61,51 +68,51 @@
     }
 
     /// Takes news in; says whether they were any.
-    pub fn take(&self, news: ServiceUpdate) -> bool {
+    pub fn apply(&self, update: ServiceUpdate) -> bool {
         let directory = &self.directory;
-        let is_own = directory.own_service().as_ref() == Some(&news.service);
-        let changed = directory.merge_members(&news.service, news.members.clone());
-        if news.has_all_members && !is_own {
+        let is_own = directory.own_service().as_ref() == Some(&update.service);
+        let merged = directory.merge_members(&update.service, update.members.clone());
+        if update.has_all_members && !is_own {
             // Members of a service know best who they are.
-            directory.drop_unlisted(&news.service, &news.members);
+            directory.drop_unlisted(&update.service, &update.members);
         }
-        let has_rules = news
+        let has_rules = update
             .rules
             .as_ref()
-            .is_some_and(|row| directory.merge_rules(&news.service, news.rules_revision, row));
+            .is_some_and(|row| directory.merge_rules(&update.service, update.rules_revision, row));
         if has_rules {
             self.counters.add("rules.from_peer");
-            info!(self.logger, "rules in force"; "service" => &news.service,
-                "revision" => news.rules_revision, "from" => "peer");
+            info!(self.logger, "rules in force"; "service" => &update.service,
+                "revision" => update.rules_revision, "from" => "peer");
         }
-        if news.has_all_members {
-            directory.complete_lookup(&news.service);
-        } else if directory.members_digest(&news.service) != news.members_digest {
-            self.wants_all.lock().insert(news.service.clone());
+        if update.has_all_members {
+            directory.complete_lookup(&update.service);
+        } else if directory.members_digest(&update.service) != update.members_digest {
+            self.wants_all.lock().insert(update.service.clone());
         }
-        let is_news = has_rules || !changed.is_empty();
-        if is_news && is_own {
-            self.changed.notify_one();
+        let has_changes = has_rules || !merged.is_empty();
+        if has_changes && is_own {
+            self.own_service_changed.notify_one();
         }
-        is_news
+        has_changes
     }
 
     /// What another daemon lacks, which asked with `question`; none when nothing is known here.
-    pub fn news_for(&self, question: &SyncRequest) -> Option<ServiceUpdate> {
+    pub fn update_for(&self, request: &SyncRequest) -> Option<ServiceUpdate> {
         let directory = &self.directory;
-        let view = directory.peek(&question.service)?;
+        let view = directory.peek(&request.service)?;
         if view.rules_revision == 0 && view.members.is_empty() {
             return None;
         }
         let members_digest = directory.members_digest(&view.name);
-        let differs = members_digest != question.members_digest;
-        let sends_all = question.wants_all || (differs && view.members.len() <= LATEST_MAX);
+        let differs = members_digest != request.members_digest;
+        let sends_all = request.wants_all || (differs && view.members.len() <= LATEST_ROWS_MAX);
         let members = match (sends_all, differs) {
             (true, _) => directory.member_rows(&view.name),
-            (false, true) => directory.latest_rows(&view.name, LATEST_MAX),
+            (false, true) => directory.latest_rows(&view.name, LATEST_ROWS_MAX),
             (false, false) => Vec::new(),
         };
-        let is_behind = question.rules_revision < view.rules_revision;
+        let is_behind = request.rules_revision < view.rules_revision;
         let rules = if is_behind { directory.rules_row(&view.name) } else { None };
         Some(ServiceUpdate {
             service: view.name.clone(),
@@ -114,27 +121,27 @@
             members_digest,
             members,
             has_all_members: sends_all,
-            pace_ms: self.pace_ms(question),
+            pace_ms: self.exchange_interval_ms(request),
         })
     }
 
     /// What the sender of `news` lacks.
-    pub fn lacking(&self, news: &ServiceUpdate) -> Option<ServiceUpdate> {
+    pub fn update_lacked_by(&self, update: &ServiceUpdate) -> Option<ServiceUpdate> {
         let directory = &self.directory;
-        let rules = directory.rules_row(&news.service);
-        let rules = rules.filter(|(revision, _)| *revision > news.rules_revision);
-        let is_own = directory.own_service().as_ref() == Some(&news.service);
-        let digest = directory.members_digest(&news.service);
-        let members = match is_own && digest != news.members_digest {
-            true => self.members_lacking(news),
+        let rules = directory.rules_row(&update.service);
+        let rules = rules.filter(|(revision, _)| *revision > update.rules_revision);
+        let is_own = directory.own_service().as_ref() == Some(&update.service);
+        let digest = directory.members_digest(&update.service);
+        let members = match is_own && digest != update.members_digest {
+            true => self.members_lacked_by(update),
             false => Vec::new(),
         };
         if rules.is_none() && members.is_empty() {
             return None;
         }
         let (rules_revision, rules) = rules.map_or((0, None), |(number, row)| (number, Some(row)));
-        let members_digest = directory.members_digest(&news.service);
-        let service = news.service.clone();
+        let members_digest = directory.members_digest(&update.service);
+        let service = update.service.clone();
         Some(ServiceUpdate {
             service,
             rules_revision,
@@ -146,26 +153,26 @@
         })
     }
 
-    fn pace_ms(&self, question: &SyncRequest) -> u32 {
-        let is_own = self.directory.own_service().as_ref() == Some(&question.service);
-        let pace = match is_own && !question.is_member {
-            true => self.pace.lock().record_request(Instant::now()),
+    fn exchange_interval_ms(&self, request: &SyncRequest) -> u32 {
+        let is_own = self.directory.own_service().as_ref() == Some(&request.service);
+        let exchange_interval = match is_own && !request.is_member {
+            true => self.exchange_interval.lock().record_request(Instant::now()),
             false => EXCHANGE_INTERVAL_MIN,
         };
-        u32::try_from(pace.as_millis()).unwrap_or(u32::MAX)
+        u32::try_from(exchange_interval.as_millis()).unwrap_or(u32::MAX)
     }
 
-    fn members_lacking(&self, news: &ServiceUpdate) -> Vec<MemberRow> {
+    fn members_lacked_by(&self, update: &ServiceUpdate) -> Vec<MemberRow> {
         let directory = &self.directory;
-        let rows = match news.has_all_members {
-            true => directory.member_rows(&news.service),
-            false => directory.latest_rows(&news.service, LATEST_MAX),
+        let rows = match update.has_all_members {
+            true => directory.member_rows(&update.service),
+            false => directory.latest_rows(&update.service, LATEST_ROWS_MAX),
         };
-        let theirs: HashMap<&str, &MemberRow> =
-            news.members.iter().map(|row| (row.instance.as_str(), row)).collect();
-        let is_lacking = |row: &MemberRow| {
-            theirs.get(row.instance.as_str()).is_none_or(|known| is_newer(row, known))
+        let known_rows: HashMap<&str, &MemberRow> =
+            update.members.iter().map(|row| (row.instance.as_str(), row)).collect();
+        let is_missing = |row: &MemberRow| {
+            known_rows.get(row.instance.as_str()).is_none_or(|known| is_newer(row, known))
         };
-        rows.into_iter().filter(is_lacking).collect()
+        rows.into_iter().filter(is_missing).collect()
     }
 }
--- a/crates/yuccarackd/src/coordination/rules_sync.rs
+++ b/crates/yuccarackd/src/coordination/rules_sync.rs
@@ -19,9 +19,9 @@
 
 use crate::{
     coordination::{
-        finding::find,
         gossip::Gossip,
         jitter::{generator, jittered},
+        service_finder::find_service,
         table::{Table, TableError},
     },
     state::{
@@ -35,13 +35,13 @@
 /// How many polls of the rules there are to one of the members.
 const MEMBERS_POLL_EVERY: u32 = 4;
 /// Interval at which the table is asked about a foreign service none of whose members answers.
-const LONELY_INTERVAL: Duration = Duration::from_secs(15);
+const UNREACHABLE_SERVICE_INTERVAL: Duration = Duration::from_secs(15);
 /// Most look-ups that are answered at once.
-const LOOKUPS_AT_ONCE: usize = 8;
+const CONCURRENT_LOOKUPS_MAX: usize = 8;
 /// Services that nobody has called for this long are forgotten.
-const SERVICE_KEPT: Duration = Duration::from_secs(300);
+const SERVICE_RETENTION: Duration = Duration::from_secs(300);
 /// Gone members are remembered for this long, so that old news can't bring them back.
-const GONE_KEPT: Duration = Duration::from_secs(600);
+const REMOVED_RETENTION: Duration = Duration::from_secs(600);
 /// When a service's rules are polled next, and the polls so far.
 struct Schedule {
     next: Instant,
@@ -58,9 +58,9 @@
     counters: Counters,
     logger: Logger,
     /// Asks for a poll at once.
-    hinted: Arc<Notify>,
+    hint_notify: Arc<Notify>,
     /// Told when the table brought news, so that peers hear of them.
-    changed: Arc<Notify>,
+    own_service_changed: Arc<Notify>,
 }
 
 /// What a [`RulesSync`] works with.
@@ -78,7 +78,7 @@
     /// Where changes of state are logged.
     pub logger: Logger,
     /// Told when the table brought news.
-    pub changed: Arc<Notify>,
+    pub own_service_changed: Arc<Notify>,
 }
 
 impl RulesSync {
@@ -91,35 +91,35 @@
             gossip: parts.gossip,
             counters: parts.counters,
             logger: parts.logger,
-            hinted: Arc::default(),
-            changed: parts.changed,
+            hint_notify: Arc::default(),
+            own_service_changed: parts.own_service_changed,
         }
     }
 
     /// Asks for a poll of all known services at once.
     pub fn hint(&self) {
         self.counters.add("rules.hints");
-        self.hinted.notify_one();
+        self.hint_notify.notify_one();
     }
 
     /// Answers the directory's look-ups until `stop`.
-    pub async fn answer_lookups(
+    pub async fn serve_lookups(
         self,
         mut lookups: mpsc::Receiver<Lookup>,
         tracker: TaskTracker,
         stop: CancellationToken,
     ) {
-        let free = Arc::new(Semaphore::new(LOOKUPS_AT_ONCE));
+        let permits = Arc::new(Semaphore::new(CONCURRENT_LOOKUPS_MAX));
         loop {
             let lookup = tokio::select! {
                 () = stop.cancelled() => return,
                 lookup = lookups.recv() => lookup,
             };
             let Some(lookup) = lookup else { return };
-            let Ok(permit) = Arc::clone(&free).acquire_owned().await else { return };
+            let Ok(permit) = Arc::clone(&permits).acquire_owned().await else { return };
             let this = self.clone();
             tracker.spawn(async move {
-                this.answer(lookup).await;
+                this.serve_lookup(lookup).await;
                 drop(permit);
             });
         }
@@ -131,13 +131,13 @@
         loop {
             tokio::select! {
                 () = stop.cancelled() => return,
-                () = self.hinted.notified() => self.poll_all().await,
+                () = self.hint_notify.notified() => self.poll_all().await,
                 () = sleep(CHECK_INTERVAL) => self.poll_due(&mut schedules).await,
             }
         }
     }
 
-    async fn answer(&self, lookup: Lookup) {
+    async fn serve_lookup(&self, lookup: Lookup) {
         self.counters.add("rules.lookups");
         let service = &lookup.service;
         if lookup.is_refresh {
@@ -163,7 +163,7 @@
     }
 
     async fn load_from_peers(&self, service: &str) {
-        if find(service, &self.settings, &self.directory, &self.gossip).await {
+        if find_service(service, &self.settings, &self.directory, &self.gossip).await {
             self.counters.add("rules.found_by_peers");
             self.directory.complete_lookup(service);
             return;
@@ -185,7 +185,7 @@
         }
         if is_own {
             // A peer may know of changes that could not be written yet.
-            self.changed.notify_one();
+            self.own_service_changed.notify_one();
         }
         Ok(true)
     }
@@ -197,30 +197,30 @@
     }
 
     async fn poll_due(&self, schedules: &mut HashMap<ServiceName, Schedule>) {
-        let forgotten = self.directory.forget_unused(SERVICE_KEPT);
+        let forgotten = self.directory.forget_unused(SERVICE_RETENTION);
         schedules.retain(|service, _| !forgotten.contains(service));
         let now = Instant::now();
         for view in self.directory.views() {
-            let new = || Schedule { next: self.first_poll(&view, now), polls: 0 };
+            let new = || Schedule { next: self.first_poll_at(&view, now), polls: 0 };
             let schedule = schedules.entry(view.name.clone()).or_insert_with(new);
             if now < schedule.next {
                 continue;
             }
-            schedule.next = now + self.interval_after(&view, schedule.polls);
+            schedule.next = now + self.next_interval(&view, schedule.polls);
             schedule.polls += 1;
             self.poll_one(&view, schedule.polls).await;
         }
     }
 
     /// The own service is loaded by its first poll, others are loaded by a look-up before.
-    fn first_poll(&self, view: &ServiceView, now: Instant) -> Instant {
+    fn first_poll_at(&self, view: &ServiceView, now: Instant) -> Instant {
         if self.is_own(&view.name) { now } else { now + self.interval(view) }
     }
 
     /// Daemons that started together loaded their service together; were they to wait a whole
     /// interval each, nobody would look for as long as that, 50 s in a service of 100. So the
     /// second poll comes at any time within the first interval.
-    fn interval_after(&self, view: &ServiceView, polls: u32) -> Duration {
+    fn next_interval(&self, view: &ServiceView, polls: u32) -> Duration {
         let interval = self.interval(view);
         if polls == 0 { interval.mul_f64(generator().random_range(0.0..1.0)) } else { interval }
     }
@@ -229,17 +229,17 @@
         if self.is_own(&view.name) {
             return store_poll::interval(view.members.len(), &mut generator());
         }
-        jittered(LONELY_INTERVAL)
+        jittered(UNREACHABLE_SERVICE_INTERVAL)
     }
 
     async fn poll_one(&self, view: &ServiceView, polls: u32) {
         let service = &view.name;
         let is_own = self.is_own(service);
         if is_own && !self.directory.is_loaded(service) {
-            self.answer(Lookup { service: service.clone(), is_refresh: false }).await;
+            self.serve_lookup(Lookup { service: service.clone(), is_refresh: false }).await;
             return;
         }
-        if !is_own && self.gossip.is_in_touch(service) {
+        if !is_own && self.gossip.has_recent_exchange(service) {
             // Its members poll, and tell.
             return;
         }
@@ -255,7 +255,7 @@
             self.counters.add("rules.from_table");
             info!(self.logger, "rules in force"; "service" => service, "revision" => revision,
                 "from" => "table");
-            self.changed.notify_one();
+            self.own_service_changed.notify_one();
         }
         self.directory.complete_lookup(service);
     }
@@ -265,25 +265,25 @@
         if !self.is_own(service) {
             self.directory.drop_unlisted(service, &listed);
         }
-        let news = self.directory.merge_members(service, listed.clone());
-        if !news.is_empty() {
-            self.changed.notify_one();
+        let merged = self.directory.merge_members(service, listed.clone());
+        if !merged.is_empty() {
+            self.own_service_changed.notify_one();
         }
-        for row in self.directory.forget_removed(service, GONE_KEPT) {
-            self.delete_gone(&row, &listed).await;
+        for row in self.directory.forget_removed(service, REMOVED_RETENTION) {
+            self.delete_removed_row(&row, &listed).await;
         }
     }
 
     /// Takes the row of a member away that has been gone for long, if it's still the same.
-    async fn delete_gone(&self, row: &MemberRow, listed: &[MemberRow]) {
+    async fn delete_removed_row(&self, row: &MemberRow, listed: &[MemberRow]) {
         if !self.is_own(&row.service) || !listed.contains(row) {
             return;
         }
-        let Ok(Some((revision, stands))) = self.table.member(&row.service, &row.instance).await
+        let Ok(Some((revision, stored))) = self.table.member(&row.service, &row.instance).await
         else {
             return;
         };
-        if stands != *row {
+        if stored != *row {
             return;
         }
         if self.table.delete_member(row, revision).await.is_ok() {
--- a/crates/yuccarackd/src/coordination/finding.rs
+++ b/crates/yuccarackd/src/coordination/service_finder.rs
@@ -8,37 +8,37 @@
 use yuccarack_config::settings::DaemonSettings;
 
 use crate::{
-    coordination::gossip::{Exchanged, Gossip},
+    coordination::gossip::{ExchangeOutcome, Gossip},
     state::directory::Directory,
 };
 
 /// Most daemons that are asked for one service.
-const ASKED_MAX: usize = 16;
+const QUERIED_MAX: usize = 16;
 
 /// Asks members of known services and the settings' seed peers, and those they name, until one knows `service`.
 ///
 /// Says whether one did. Guards against a daemon that starts while the store is away and would
 /// refuse all calls until its return: the others still know, and one of them is enough.
-pub async fn find(
+pub async fn find_service(
     service: &str,
     settings: &DaemonSettings,
     directory: &Directory,
     gossip: &Gossip,
 ) -> bool {
-    let mut waiting: VecDeque<SocketAddr> = known_addresses(service, directory).into();
-    waiting.extend(&settings.seed_peers);
-    let mut asked = HashSet::from([settings.control_address]);
-    while let Some(address) = waiting.pop_front() {
-        if asked.len() > ASKED_MAX {
+    let mut candidates: VecDeque<SocketAddr> = known_addresses(service, directory).into();
+    candidates.extend(&settings.seed_peers);
+    let mut queried = HashSet::from([settings.control_address]);
+    while let Some(address) = candidates.pop_front() {
+        if queried.len() > QUERIED_MAX {
             return false;
         }
-        if !asked.insert(address) {
+        if !queried.insert(address) {
             continue;
         }
         match gossip.exchange(service, address).await {
-            Ok(Exchanged::Known) if has_rules(service, directory) => return true,
-            Ok(Exchanged::Known) | Err(_) => {}
-            Ok(Exchanged::Elsewhere(peers)) => waiting.extend(peers),
+            Ok(ExchangeOutcome::Synced) if has_rules(service, directory) => return true,
+            Ok(ExchangeOutcome::Synced) | Err(_) => {}
+            Ok(ExchangeOutcome::Referred(peers)) => candidates.extend(peers),
         }
     }
     false
@@ -53,5 +53,5 @@
     let mut views = directory.views();
     views.sort_by_key(|view| view.name != service);
     let members = views.iter().flat_map(|view| view.members.iter());
-    members.map(|row| row.control_address).take(ASKED_MAX).collect()
+    members.map(|row| row.control_address).take(QUERIED_MAX).collect()
 }
--- a/crates/yuccarackd/src/coordination/table.rs
+++ b/crates/yuccarackd/src/coordination/table.rs
@@ -49,7 +49,7 @@
     }
 
     /// Whether the last question got no answer.
-    pub fn is_away(&self) -> bool {
+    pub fn is_unavailable(&self) -> bool {
         self.health.is_unavailable()
     }
 
@@ -72,7 +72,7 @@
     pub async fn members(&self, service: &str) -> Result<Vec<MemberRow>, TableError> {
         self.counters.add("store.reads");
         let result = self.client.rows(&member_prefix(service)).await;
-        self.note(&result);
+        self.record_result(&result);
         let mut members = Vec::new();
         for row in result?.rows {
             match read_value(row) {
@@ -105,11 +105,11 @@
     pub async fn put_member(
         &self,
         member: &MemberRow,
-        seen: Option<Revision>,
+        expected_revision: Option<Revision>,
     ) -> Result<CommitResponse, TableError> {
         let key = member_key(&member.service, &member.instance);
         let write = Write::put(key.clone(), to_value(member)?);
-        self.commit(key, write, seen).await
+        self.commit(key, write, expected_revision).await
     }
 
     /// Takes the row of one member away, if the row there is still that of `seen`.
@@ -120,37 +120,38 @@
     pub async fn delete_member(
         &self,
         member: &MemberRow,
-        seen: Revision,
+        expected_revision: Revision,
     ) -> Result<CommitResponse, TableError> {
         let key = member_key(&member.service, &member.instance);
         let write = Write::delete(key.clone());
-        self.commit(key, write, Some(seen)).await
+        self.commit(key, write, Some(expected_revision)).await
     }
 
     async fn commit(
         &self,
         key: String,
         write: Write,
-        seen: Option<Revision>,
+        expected_revision: Option<Revision>,
     ) -> Result<CommitResponse, TableError> {
-        let must = seen.map_or(Precondition::BeAbsent, Precondition::BeAt);
-        let commit = Commit { conditions: vec![Condition::new(key, must)], writes: vec![write] };
+        let precondition = expected_revision.map_or(Precondition::BeAbsent, Precondition::BeAt);
+        let commit =
+            Commit { conditions: vec![Condition::new(key, precondition)], writes: vec![write] };
         self.counters.add("store.writes");
         let result = self.client.commit(&commit).await;
-        self.note(&result);
+        self.record_result(&result);
         Ok(result?)
     }
 
     async fn read(&self, key: &str) -> Result<Option<Row>, TableError> {
         self.counters.add("store.reads");
         let result = self.client.row(key).await;
-        self.note(&result);
+        self.record_result(&result);
         Ok(result?)
     }
 
-    fn note<T>(&self, result: &Result<T, PlatformError>) {
+    fn record_result<T>(&self, result: &Result<T, PlatformError>) {
         if let Err(error) = result {
-            self.counters.add_reason("store.failed", reason(error));
+            self.counters.add_reason("store.failed", failure_reason(error));
         }
         if !self.health.record(result) {
             return;
@@ -162,7 +163,7 @@
     }
 }
 
-fn reason(error: &PlatformError) -> &'static str {
+fn failure_reason(error: &PlatformError) -> &'static str {
     match error {
         PlatformError::Conflict { .. } => "conflict",
         PlatformError::Refused { .. } => "refused",
--- a/crates/yuccarackd/src/daemon/assembly.rs
+++ b/crates/yuccarackd/src/daemon/assembly.rs
@@ -14,7 +14,7 @@
         control_plane::ControlPlane,
         entry::{Entry, EntryParts},
         gate::{Gate, GateParts, server::GateServer},
-        measuring::Measuring,
+        load_prober::LoadProber,
         suspects::SuspectTracker,
     },
     state::{call_log::CallLog, counters::Counters},
@@ -56,8 +56,8 @@
         }));
         let stop = &self.stops.background;
         self.tasks.background.spawn(Arc::clone(&gate).follow(stop.clone()));
-        let measuring = Measuring::new(Arc::clone(&gate), self.counters.clone());
-        self.tasks.background.spawn(measuring.run(stop.clone()));
+        let load_prober = LoadProber::new(Arc::clone(&gate), self.counters.clone());
+        self.tasks.background.spawn(load_prober.run(stop.clone()));
         gate
     }
 
@@ -107,13 +107,13 @@
 
     fn start_suspects(&self, control: &mut ControlPlane) -> SuspectTracker {
         // The control plane has just started, so nobody else has taken them.
-        let arrived = control.take_arrived().unwrap_or_else(|| mpsc::channel(1).1);
+        let urgent_receiver = control.take_urgent_receiver().unwrap_or_else(|| mpsc::channel(1).1);
         SuspectTracker::start(
             self.platform.clone(),
             self.settings.instance.clone(),
             self.counters.clone(),
-            control.urgent.clone(),
-            arrived,
+            control.urgent_sender.clone(),
+            urgent_receiver,
             &self.tasks.background,
             self.stops.background.clone(),
         )
--- a/crates/yuccarackd/tests/control/urgent.rs
+++ b/crates/yuccarackd/tests/control/urgent.rs
@@ -29,11 +29,11 @@
         event: SuspectEvent::TargetDied,
         instance: "hut-1".to_owned(),
     }]);
-    peers[0].control.urgent.send(suspect.clone()).await.unwrap();
+    peers[0].control.urgent_sender.send(suspect.clone()).await.unwrap();
     for peer in &mut peers[1..] {
-        let mut arrived = peer.control.take_arrived().unwrap();
-        let news = timeout(Duration::from_secs(20), arrived.recv()).await.unwrap();
-        assert_eq!(news, Some(suspect.clone()));
+        let mut receiver = peer.control.take_urgent_receiver().unwrap();
+        let update = timeout(Duration::from_secs(20), receiver.recv()).await.unwrap();
+        assert_eq!(update, Some(suspect.clone()));
     }
     stop_all(peers).await;
     platform.stop().await;
