--- a/crates/yuccarack_policy/src/admission/limit.rs
+++ b/crates/yuccarack_policy/src/admission/limit.rs
@@ -1,45 +1,45 @@
-//! How many requests a target runs at once without slowing down.
+//! Adaptive concurrency limit of a target.
 //!
-//! The pattern is a target that promises more slots than it can serve just now, since its hardware
-//! is shared: at its announced concurrency every answer is slow or shed. The limit follows what
-//! is seen, between 1 and the announced slots.
+//! A target may announce more slots than it can currently serve, since its hardware is shared; at
+//! its announced concurrency every response is then slow or shed. The limit follows the observed
+//! responses, between 1 and the announced slots.
 
 use std::time::{Duration, Instant};
 
-/// Factor when the target sheds or mostly fails.
+/// Factor on the limit when the target sheds a request or fails most of them.
 const DECREASE: f64 = 0.8;
 
-/// Factor while the busy target is slow.
+/// Factor on the limit while the busy target is slow.
 ///
-/// At one step in 50 ms a neighbour that stays for 300 ms costs a sixth of the limit, a target
-/// that promised too much is found within two seconds.
+/// At one step in 50 ms, other load that lasts 300 ms costs a sixth of the limit, and a target that
+/// announced too many slots is found within two seconds.
 const SLOWDOWN_DECREASE: f64 = 0.97;
 
-/// Shortest time between two decreases, so that one moment counts once.
+/// Shortest time between two decreases, so that one event isn't counted several times.
 const DECREASE_INTERVAL_MIN: Duration = Duration::from_millis(50);
 
 /// Weight of one outcome in the share of failures.
 const FAILURE_WEIGHT: f64 = 0.1;
 
-/// Share of failures above which the limit falls.
+/// Share of failures above which the limit is decreased.
 const FAILURE_SHARE_MAX: f64 = 0.5;
 
-/// Share of the limit below which the target counts as quiet.
+/// Share of the limit up to which the target counts as quiet.
 const QUIET_SHARE: f64 = 0.5;
 
-/// Weight of one answer in the slowdown of the busy target.
+/// Weight of one response in the slowdown of the busy target.
 const SLOWDOWN_WEIGHT: f64 = 0.05;
 
-/// Slowdown of the busy target above which its last slots bring nothing.
+/// Slowdown of the busy target above which its last slots add no throughput.
 ///
-/// Twice as many requests that each take twice as long are no more answers a second.
+/// Twice as many requests that each take twice as long give no more responses a second.
 const SLOWDOWN_MAX: f64 = 1.8;
 
-/// Share of the slots below which slowness alone doesn't push the limit: a noisy neighbour slows
-/// a target whatever its concurrency.
+/// Share of the slots below which slowness alone doesn't decrease the limit: other load on the
+/// machine slows a target down whatever its concurrency.
 const SLOW_LIMIT_MIN: f64 = 0.3;
 
-/// Limit between 1 and the announced slots.
+/// Adaptive limit between 1 and the announced slots.
 #[derive(Clone, Debug)]
 pub struct ConcurrencyLimit {
     slots: f64,
@@ -66,12 +66,12 @@
         self.limit as usize
     }
 
-    /// Whether most slots are free.
+    /// Returns whether at most [`QUIET_SHARE`] of the limit is in use.
     pub fn is_quiet(&self, in_flight: usize) -> bool {
         in_flight as f64 <= self.limit * QUIET_SHARE
     }
 
-    /// Notes an answer and how much longer it took than on the quiet target.
+    /// Records a response and its slowdown against the quiet target, if known.
     pub fn record_response(&mut self, now: Instant, slowdown: Option<f64>, in_flight: usize) {
         self.failure_share *= 1.0 - FAILURE_WEIGHT;
         if in_flight < self.get() {
@@ -86,7 +86,7 @@
         }
     }
 
-    pub fn record_failure(&mut self, now: Instant, _took: Duration) {
+    pub fn record_failure(&mut self, now: Instant, _service_time: Duration) {
         self.failure_share += (1.0 - self.failure_share) * FAILURE_WEIGHT;
         if self.failure_share > FAILURE_SHARE_MAX {
             self.decrease(now, self.limit, DECREASE);
@@ -98,8 +98,8 @@
     }
 
     fn decrease(&mut self, now: Instant, from: f64, factor: f64) {
-        let is_spaced = self.decreased_at.is_none_or(|at| now >= at + DECREASE_INTERVAL_MIN);
-        if is_spaced {
+        let may_decrease = self.decreased_at.is_none_or(|at| now >= at + DECREASE_INTERVAL_MIN);
+        if may_decrease {
             self.limit = (from * factor).max(1.0);
             self.decreased_at = Some(now);
         }
--- a/crates/yuccarack_policy/src/admission/mod.rs
+++ b/crates/yuccarack_policy/src/admission/mod.rs
@@ -1,11 +1,11 @@
-//! What a gate lets in, lets wait and turns away.
+//! Admission control of a gate: which requests run, wait or are rejected.
 //!
-//! The pattern is saturation: more work arrives than the target can do. Letting all in makes every
-//! answer late (the target works on requests whose callers have left); a long queue does the same
-//! one step earlier; first come first served lets a few callers or one slow route take everything.
-//! So the gate runs at most as many as the target answers well, lets wait only what can still be
-//! answered in time, serves callers in turn, keeps slots free from long routes, and refuses the
-//! rest at once with the time after which there is room.
+//! It is made for saturation, when more work arrives than the target can do. Admitting everything
+//! makes every response late, as the target works on requests whose callers have given up; a long
+//! queue does the same one step earlier; and in order of arrival a few callers or one slow route
+//! take everything. So the gate runs at most as many requests as the target answers well, queues
+//! only what can still be answered in time, serves callers in turn, keeps slots free from long
+//! routes, and rejects the rest at once with the time after which there is room.
 
 mod limit;
 mod offer;
@@ -36,7 +36,7 @@
 new_key_type! {
     /// Key of a running request; it must be released exactly once.
     pub struct RunKey;
-    /// Key of a waiting request; it is settled by `poll` or taken back by `cancel_wait`.
+    /// Key of a waiting request; its wait is ended by `poll` or `cancel_wait`.
     pub struct WaitKey;
 }
 
@@ -47,11 +47,11 @@
     alone: bool,
     started_at: Instant,
     was_quiet: bool,
-    /// Whether a long request or answer of it is on its way, so that no answer is due.
+    /// Whether a long request or response body is being transferred, so that no response is due.
     is_streaming: bool,
 }
 
-/// Decides at one gate.
+/// Admission control of one gate and its target.
 #[derive(Clone, Debug)]
 pub struct Admission {
     config: AdmissionConfig,
@@ -69,7 +69,7 @@
 }
 
 impl Admission {
-    /// Creates an idle gate.
+    /// Creates the admission control of an idle target.
     pub fn new(now: Instant, config: AdmissionConfig) -> Self {
         let mut admission = Self {
             limit: ConcurrencyLimit::new(now, config.slots),
@@ -89,7 +89,7 @@
         admission
     }
 
-    /// Puts changed rules or slots in force; running and waiting requests stay.
+    /// Applies changed rules or slots; running and waiting requests stay.
     pub fn configure(&mut self, now: Instant, config: AdmissionConfig) {
         let routes = config.routes.len().max(self.running_by_route.len());
         self.running_by_route.resize(routes, 0);
@@ -98,10 +98,10 @@
         self.start_waiting(now);
     }
 
-    /// Says whether other targets of the service take work.
+    /// Sets whether other targets of the service take requests.
     ///
-    /// Failure: the only target of a service is held up for a moment, its gate refuses what could
-    /// only be answered here, and the caller gets a refusal where a short wait would have done.
+    /// When the only target of a service stalls for a moment, its gate must not reject requests
+    /// that only it can serve; a short wait is enough.
     pub fn set_alternatives(&mut self, has_alternatives: bool) {
         self.has_alternatives = has_alternatives;
     }
@@ -131,15 +131,15 @@
         }
     }
 
-    /// Ends a run, which may let waiting requests run; `poll` tells which.
-    pub fn release(&mut self, now: Instant, key: RunKey, end: RunOutcome) {
+    /// Ends a run, which may start waiting requests; `poll` returns these.
+    pub fn release(&mut self, now: Instant, key: RunKey, outcome: RunOutcome) {
         let Some(run) = self.running.remove(key) else { return };
         let was_in_flight = self.running.len() + 1;
         self.remove_run(run);
-        if end != RunOutcome::Cancelled {
+        if outcome != RunOutcome::Cancelled {
             self.progress.record(now);
         }
-        match end {
+        match outcome {
             RunOutcome::Completed { service_time } => {
                 let slowdown =
                     self.service_times.record(now, run.route, service_time, run.was_quiet);
@@ -152,11 +152,11 @@
         self.start_waiting(now);
     }
 
-    /// Notes that a piece of a long request or answer has passed.
+    /// Records that a part of a long request or response body has been transferred.
     ///
-    /// Failure: a dozen long uploads run, no answer is due for seconds, and the gate takes their
-    /// target for stalled and refuses what comes. So a run that moves owes no answer, and what
-    /// moves shows that the target lives.
+    /// While a dozen long uploads run, no response is due for seconds, and the gate must not take
+    /// their target for stalled and reject new requests. So a streaming run owes no response, and
+    /// its progress shows that the target is alive.
     pub fn record_progress(&mut self, now: Instant, key: RunKey) {
         if let Some(run) = self.running.get_mut(key) {
             run.is_streaming = true;
@@ -164,14 +164,15 @@
         self.progress.record(now);
     }
 
-    /// Takes back a waiting request whose caller has left.
+    /// Withdraws a waiting request whose caller has disconnected.
     ///
-    /// The failure is a caller that leaves between the decision that its request runs and the
-    /// `poll` that tells it: nobody would know of the run, and its slot would be lost for good.
+    /// The caller may disconnect between the decision to run the request and the `poll` that
+    /// returns it. The run is then released here, since nobody else knows of it and its slot would
+    /// be lost for good.
     pub fn cancel_wait(&mut self, now: Instant, key: WaitKey) {
         self.queue.remove(key);
-        let settled = self.finished_waits.iter().position(|settled| settled.wait_key() == key);
-        if let Some(index) = settled
+        let position = self.finished_waits.iter().position(|result| result.wait_key() == key);
+        if let Some(index) = position
             && let WaitOutcome::Run(_, run) = self.finished_waits.remove(index)
         {
             self.release(now, run, RunOutcome::Cancelled);
@@ -180,25 +181,25 @@
         self.start_waiting(now);
     }
 
-    /// Settles what has become due; each waiting request is told once.
+    /// Updates the queue and returns the waits that have ended; each is returned once.
     pub fn poll(&mut self, now: Instant) -> Vec<WaitOutcome> {
         self.refuse_overdue(now);
         self.start_waiting(now);
         std::mem::take(&mut self.finished_waits)
     }
 
-    /// When `poll` must be called next, if nothing else happens before.
+    /// Returns when `poll` must be called next if nothing else happens before.
     pub fn next_wake(&self) -> Option<Instant> {
         self.queue.next_give_up()
     }
 
-    /// Refuses all that waits and all that comes from now on; what runs goes on.
+    /// Rejects all waiting and all new requests; running ones continue.
     pub fn drain(&mut self) {
         self.is_draining = true;
         self.refuse_waiting(RefusalReason::Draining);
     }
 
-    /// The gate's load, as it travels with answers.
+    /// Returns the gate's load, as reported with each response.
     pub fn load(&self) -> LoadReport {
         LoadReport {
             in_flight: saturate(self.running.len()),
@@ -208,7 +209,7 @@
         }
     }
 
-    /// Requests that run.
+    /// Returns the number of running requests.
     pub fn in_flight(&self) -> usize {
         self.running.len()
     }
@@ -229,17 +230,19 @@
             && usize::from(route_running) < self.route_slots(offer.route)
     }
 
-    /// How many answers the target owes, which tells whether it has stopped; none count while
-    /// there is no other target to go to.
+    /// Returns how many responses are missing, which tells whether the target has stalled. Returns
+    /// 0 while no other target could take the requests.
     ///
-    /// The failure is a target that freezes or slows tenfold: its slots still look free, and each
-    /// request handed over now is stuck with it. Refused, it did not run and goes elsewhere.
+    /// When a target freezes or becomes ten times slower, its slots still look free and each
+    /// request dispatched to it is stuck. A rejected request hasn't run and can go to another
+    /// target.
     fn missing_responses(&self, now: Instant) -> f64 {
         if !self.has_alternatives {
             return 0.0;
         }
-        let owing = self.running.values().filter(|run| !run.is_streaming);
-        let running = owing.map(|run| (run.started_at, self.service_times.usual(run.route)));
+        let awaiting_response = self.running.values().filter(|run| !run.is_streaming);
+        let running =
+            awaiting_response.map(|run| (run.started_at, self.service_times.usual(run.route)));
         self.progress.missing_responses(now, running)
     }
 
@@ -288,7 +291,8 @@
         }
     }
 
-    /// Callers with the fewest running go first, then whose turn has come.
+    /// Returns the waiting request to start next: callers with the fewest running requests go
+    /// first, then the earliest turn.
     fn next_to_start(&self) -> Option<WaitKey> {
         if let Some((key, waiting)) = self.queue.first_alone() {
             return self.can_start(&waiting.offer).then_some(key);
--- a/crates/yuccarack_policy/src/admission/offer.rs
+++ b/crates/yuccarack_policy/src/admission/offer.rs
@@ -1,4 +1,4 @@
-//! What is asked of a gate and what it answers.
+//! Requests offered to admission control and its decisions.
 
 use std::time::{Duration, Instant};
 
@@ -6,108 +6,108 @@
 
 use super::{RunKey, WaitKey};
 
-/// What the gate is set to.
+/// Configuration of admission control.
 #[derive(Clone, Debug)]
 pub struct AdmissionConfig {
     /// Slots that the target announced.
     pub slots: u16,
-    /// The operators' limits.
+    /// Limits set by the operators.
     pub limits: LimitRules,
-    /// Shares of the service's routes, in the order of its rules.
+    /// Slot shares of the service's routes, in the order of its rules.
     pub routes: Vec<RouteShare>,
 }
 
-/// Share of the slots that a route may fill.
+/// Share of the slots that a route may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RouteShare {
     /// Share of the slots, in percent.
     pub slot_share_percent: u8,
 }
 
-/// A request that asks to be let in.
+/// A request offered for admission.
 #[derive(Clone, Copy, Debug)]
 pub struct Offer {
     /// Hash of the caller's name.
     pub caller: u64,
-    /// Number of the route in the service's rules.
+    /// Index of the route in the service's rules.
     pub route: usize,
     /// When the caller gives up.
     pub deadline: Instant,
-    /// Whether it may only run with nothing else in flight on the target.
+    /// Whether the request may run only with nothing else in flight on the target.
     pub alone: bool,
 }
 
-/// Answer to an offer.
+/// Decision on an offered request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionDecision {
-    /// It runs now.
+    /// The request runs now.
     Run(RunKey),
-    /// It waits; `poll` tells how it goes on.
+    /// The request waits until `poll` returns its [`WaitOutcome`].
     Wait(WaitKey),
-    /// It was turned away and did not run.
+    /// The request is rejected and has not run.
     Refused(Refusal),
 }
 
-/// A refusal and when to come again.
+/// A rejection with its reason and the time after which a retry makes sense.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Reason of the rejection.
     pub reason: RefusalReason,
-    /// Time after which there should be room, from the rate at which the queue drains.
+    /// Time after which a slot is expected to be free, from the rate at which the queue drains.
     pub retry_after: Duration,
 }
 
-/// Why a gate turned a request away.
+/// Why a gate rejects a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RefusalReason {
-    /// The target is leaving.
+    /// The target is draining.
     Draining,
-    /// The caller's deadline has passed already.
+    /// The caller's deadline has already passed.
     DeadlinePassed,
-    /// It would have waited past its deadline.
+    /// The request would wait past its deadline.
     DeadlineClose,
-    /// It would have waited longer than the rules allow.
+    /// The request would wait longer than the rules allow.
     WaitTooLong,
     /// The queue is full.
     QueueFull,
-    /// The caller has its share of the queue.
+    /// The caller has used its share of the queue.
     CallerShare,
-    /// The route has its share of the queue.
+    /// The route has used its share of the queue.
     RouteShare,
-    /// The target has stopped answering what it runs.
+    /// The target has stopped responding to the requests that it runs.
     Stalled,
 }
 
-/// How a run ended.
+/// Outcome of a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunOutcome {
-    /// The target answered.
+    /// The target responded.
     Completed {
-        /// Time from hand-over to the answer's end.
+        /// Time from dispatch to the end of the response.
         service_time: Duration,
     },
     /// The target failed.
     Failed {
-        /// Time from hand-over to the failure.
+        /// Time from dispatch to the failure.
         service_time: Duration,
     },
-    /// The target shed it without running it.
+    /// The target shed the request without running it.
     Shed,
-    /// The caller gave it up.
+    /// The caller gave up.
     Cancelled,
 }
 
-/// How a waiting request goes on.
+/// Outcome of a wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WaitOutcome {
-    /// It runs now.
+    /// The request runs now.
     Run(WaitKey, RunKey),
-    /// It was turned away and did not run.
+    /// The request is rejected and has not run.
     Refused(WaitKey, Refusal),
 }
 
 impl WaitOutcome {
-    /// The waiting request that is settled.
+    /// Returns the key of the waiting request.
     pub fn wait_key(self) -> WaitKey {
         match self {
             Self::Run(key, _) | Self::Refused(key, _) => key,
@@ -116,7 +116,7 @@
 }
 
 impl RefusalReason {
-    /// The reason's name in counters and headers.
+    /// Returns the reason's name in counters and headers.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Draining => "draining",
--- a/crates/yuccarack_policy/src/admission/queue.rs
+++ b/crates/yuccarack_policy/src/admission/queue.rs
@@ -1,4 +1,4 @@
-//! The requests that wait at a gate, in order of arrival.
+//! Queue of the requests that wait at a gate.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -9,7 +9,7 @@
 
 use super::{Offer, WaitKey};
 
-/// A request that waits.
+/// A request in the queue.
 #[derive(Clone, Copy, Debug)]
 pub struct Waiting {
     pub offer: Offer,
@@ -20,23 +20,23 @@
 #[derive(Clone, Copy, Debug)]
 struct QueueEntry {
     waiting: Waiting,
-    /// When its turn comes.
+    /// Position of the request in the round of callers, as a time.
     turn_at: Instant,
 }
 
-/// Waiting requests in order of arrival, counted by caller and route.
+/// Waiting requests in order of arrival, with counts by caller.
 #[derive(Clone, Debug)]
 pub struct Queue {
     waiting: SlotMap<WaitKey, QueueEntry>,
     order: VecDeque<WaitKey>,
     by_caller: HashMap<u64, CallerQueue>,
     nonempty_since: Option<Instant>,
-    /// No request is given up before this time; the next one may be later.
+    /// Earliest time at which a request may have to be rejected; the actual one may be later.
     earliest_give_up: Option<Instant>,
     alone: usize,
 }
 
-/// What a caller has waiting, and when the turn of its latest request comes.
+/// Number of a caller's waiting requests, and the turn of its latest one.
 #[derive(Clone, Copy, Debug)]
 struct CallerQueue {
     count: usize,
@@ -59,15 +59,15 @@
         self.order.len()
     }
 
-    /// Whether something has waited at any time since `after` ago.
+    /// Returns whether the queue has not been empty for at least `after`.
     pub fn is_standing(&self, now: Instant, after: Duration) -> bool {
         self.nonempty_since.is_some_and(|at| now.saturating_duration_since(at) >= after)
     }
 
-    /// Lets a request wait; those of one caller come up no closer together than `turn`.
+    /// Queues a request; the turns of one caller's requests are at least `turn` apart.
     ///
-    /// With the arrival alone as turn, a caller that sends many at once would be served to its
-    /// end first. With turns counted from 0 for each newcomer, new callers would forever go
+    /// Ordered by arrival alone, a caller that sends many requests at once would be served until it
+    /// has none left. With turns counted from 0 for each new caller, new callers would always go
     /// before one that was served once.
     pub fn push(&mut self, now: Instant, waiting: Waiting, turn: Duration) -> WaitKey {
         if self.order.is_empty() {
@@ -105,12 +105,12 @@
         Some(waiting)
     }
 
-    /// When the turn of a waiting request comes.
+    /// Returns the turn of a waiting request.
     pub fn turn_at(&self, key: WaitKey) -> Instant {
         self.waiting[key].turn_at
     }
 
-    /// Callers that have something waiting.
+    /// Returns the number of callers with waiting requests.
     pub fn callers(&self) -> usize {
         self.by_caller.len()
     }
@@ -138,13 +138,13 @@
         self.iter().filter(|(_, waiting)| waiting.offer.route == route).count()
     }
 
-    /// The caller with most requests waiting, and how many.
+    /// Returns the caller with the most waiting requests, and their number.
     pub fn longest_caller(&self) -> Option<(u64, usize)> {
         let longest = self.by_caller.iter().max_by_key(|(name, caller)| (caller.count, **name));
         longest.map(|(&name, caller)| (name, caller.count))
     }
 
-    /// Requests served before a newcomer of `caller` when callers take turns.
+    /// Returns how many requests are served before a new one of `caller` when callers take turns.
     pub fn requests_ahead_of(&self, caller: u64) -> usize {
         let turns = self.caller_len(caller) + 1;
         self.by_caller.values().map(|caller| caller.count.min(turns)).sum()
@@ -155,8 +155,8 @@
         self.remove(key).map(|waiting| (key, waiting))
     }
 
-    /// When the next request may have to be given up; at the latest then, `take_overdue` must be
-    /// called.
+    /// Returns when the next request may have to be rejected; `take_overdue` must be called by
+    /// then.
     pub fn next_give_up(&self) -> Option<Instant> {
         self.earliest_give_up
     }
--- a/crates/yuccarack_policy/src/admission/service_time.rs
+++ b/crates/yuccarack_policy/src/admission/service_time.rs
@@ -1,23 +1,23 @@
-//! How long requests of each route usually take on the target.
+//! Usual service times by route.
 
 use std::time::{Duration, Instant};
 
-/// Time assumed before the first answer.
+/// Service time assumed before the first response.
 const DEFAULT_SERVICE_TIME: Duration = Duration::from_millis(10);
 
-/// Least weight of one answer in the usual time.
+/// Smallest weight of one response in the usual service time.
 const SAMPLE_WEIGHT_MIN: f64 = 0.1;
 
-/// Time without answers after which the next one counts half.
+/// Time without responses after which the next one has a weight of one half.
 ///
-/// A target that was slow gets few requests. Each counted for a tenth, it would be called slow
+/// A target that was slow gets few requests. With a weight of a tenth each, it would count as slow
 /// for ten more after it has recovered.
 pub const HALF_LIFE: Duration = Duration::from_millis(50);
 
-/// Weight of one answer in the routes' shares of all requests.
+/// Weight of one response in the routes' shares of all requests.
 const SHARE_WEIGHT: f64 = 0.01;
 
-/// Smoothed times of each route, and the routes' shares of all requests.
+/// Smoothed service times of the routes and their shares of all requests.
 #[derive(Clone, Debug)]
 pub struct ServiceTimes {
     routes: Vec<RouteTime>,
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct RouteTime {
     usual_s: Option<f64>,
-    /// Usual time of those that started while most slots were free.
+    /// Usual service time of requests that started while most slots were free.
     quiet_s: Option<f64>,
     answered_at: Option<Instant>,
     share: f64,
@@ -37,43 +37,44 @@
         Self { routes: Vec::new() }
     }
 
-    /// Notes an answer to a request that started while the target was quiet or not; returns how
-    /// many times longer it took than its route takes on the quiet target, if that is known.
+    /// Records a response, given whether the target was quiet when its request started. Returns the
+    /// slowdown against the route's service time on the quiet target, if that is known.
     pub fn record(
         &mut self,
         now: Instant,
         route: usize,
-        took: Duration,
+        service_time: Duration,
         was_quiet: bool,
     ) -> Option<f64> {
         if self.routes.len() <= route {
             self.routes.resize(route + 1, RouteTime::default());
         }
         self.routes.iter_mut().for_each(|other| other.share *= 1.0 - SHARE_WEIGHT);
-        let took_s = took.as_secs_f64();
+        let service_time_s = service_time.as_secs_f64();
         let time = &mut self.routes[route];
         time.share += SHARE_WEIGHT;
-        time.usual_s = Some(smooth(time.usual_s, took_s, time.weight(now)));
+        time.usual_s = Some(smooth(time.usual_s, service_time_s, time.weight(now)));
         time.answered_at = Some(now);
         if was_quiet {
-            time.quiet_s = Some(smooth(time.quiet_s, took_s, SAMPLE_WEIGHT_MIN));
+            time.quiet_s = Some(smooth(time.quiet_s, service_time_s, SAMPLE_WEIGHT_MIN));
         }
-        time.quiet_s.filter(|quiet_s| *quiet_s > 0.0).map(|quiet_s| took_s / quiet_s)
+        time.quiet_s.filter(|quiet_s| *quiet_s > 0.0).map(|quiet_s| service_time_s / quiet_s)
     }
 
-    /// Usual time over all routes, each with its share.
+    /// Returns the usual service time over all routes, weighted by their shares.
     ///
-    /// Smoothing all answers in one would make a target look slow whenever a long request has
-    /// just ended there, and send entries after the mix of requests in place of the load.
+    /// One smoothed value over all responses would make a target look slow whenever a long request
+    /// has just completed there, so that entries would follow the mix of requests rather than the
+    /// load.
     pub fn mean(&self) -> Duration {
-        let known = self.routes.iter().filter_map(|r| Some((r.usual_s?, r.share)));
+        let known = self.routes.iter().filter_map(|route| Some((route.usual_s?, route.share)));
         let (sum_s, shares) = known.fold((0.0, 0.0), |(sum_s, shares), (usual_s, share)| {
             (sum_s + usual_s * share, shares + share)
         });
         if shares > 0.0 { Duration::from_secs_f64(sum_s / shares) } else { DEFAULT_SERVICE_TIME }
     }
 
-    /// Usual time of one route.
+    /// Returns the usual service time of a route.
     pub fn usual(&self, route: usize) -> Duration {
         let known = self.routes.get(route).and_then(|route| route.usual_s);
         known.map_or_else(|| self.mean(), Duration::from_secs_f64)
@@ -81,11 +82,11 @@
 }
 
 impl RouteTime {
-    /// Weight of an answer that comes now.
+    /// Returns the weight of a response received now.
     fn weight(&self, now: Instant) -> f64 {
         let gap = self.answered_at.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
-        let faded = 1.0 - (-gap.as_secs_f64() / HALF_LIFE.as_secs_f64()).exp2();
-        faded.max(SAMPLE_WEIGHT_MIN)
+        let weight = 1.0 - (-gap.as_secs_f64() / HALF_LIFE.as_secs_f64()).exp2();
+        weight.max(SAMPLE_WEIGHT_MIN)
     }
 }
 
--- a/crates/yuccarack_policy/src/admission/stall.rs
+++ b/crates/yuccarack_policy/src/admission/stall.rs
@@ -1,42 +1,43 @@
-//! Whether a target has stopped answering what it runs.
+//! Detection of a target that has stopped responding to the requests that it runs.
 //!
-//! The pattern is a target that freezes for some tens of milliseconds. A gate sees all of its
-//! work, so with several requests running it notices the missing answers several times sooner
-//! than one entry that has a single request there.
+//! It is made for targets that freeze for some tens of milliseconds. A gate sees all of its
+//! target's requests, so with several of them running it notices missing responses several times
+//! sooner than an entry with a single request there.
 
 use std::time::{Duration, Instant};
 
-/// Answers that must be missing before a target counts as stalled.
+/// Number of missing responses from which a target counts as stalled.
 ///
-/// Answers of independent requests come like a Poisson stream, so that a healthy target misses
-/// six in a row with a chance of e^-6, about 0.25 %.
+/// Responses to independent requests arrive like a Poisson process, so a healthy target misses six
+/// in a row with a probability of e^-6, about 0.25 %.
 pub const MISSING_RESPONSES_MAX: f64 = 6.0;
 
-/// Answers that must be missing before what waits is sent elsewhere too.
+/// Number of missing responses from which waiting requests are rejected too, to go elsewhere.
 ///
-/// That gives up places in the queue, so it wants surer evidence: e^-12 is once in 160,000.
+/// They lose their places in the queue, so this takes stronger evidence: e^-12 is once in 160,000.
 /// As one request counts for at most three, four must be overdue together.
 pub const MISSING_RESPONSES_TO_EVICT: f64 = 12.0;
 
-/// Share of its usual time after which a request may be answered any moment.
+/// Share of its usual service time after which a response may arrive at any moment.
 const EARLIEST_RESPONSE_SHARE: f64 = 0.5;
 
-/// Answers that one request may count as missing.
+/// Most responses that one request may count as missing.
 ///
-/// One request that takes long, an invoice run among look-ups, is no stall of the target. With
-/// half of [`MISSING_MAX`] each it takes three requests that are overdue together.
+/// A single long request, such as an invoice run among look-ups, is no stall of the target. With
+/// half of [`MISSING_RESPONSES_MAX`] each, it takes three requests that are overdue together.
 const MISSING_PER_REQUEST_MAX: f64 = MISSING_RESPONSES_MAX / 2.0;
 
 /// Silence below which nothing counts as a stall.
 ///
-/// A target that answers within 0.2 ms is off its processor for some milliseconds now and then.
-/// Going elsewhere costs about 1 ms for the further hop, so that shorter stalls are best sat out.
+/// A target that responds within 0.2 ms is now and then off its processor for some milliseconds.
+/// Another target costs about 1 ms for the further hop, so it is better to wait for the end of
+/// shorter stalls.
 pub const SILENCE_MIN: Duration = Duration::from_millis(5);
 
-/// Running requests that are looked at, which bounds the cost of a decision.
+/// Most running requests that are checked, which bounds the cost of a decision.
 const REQUESTS_CHECKED_MAX: usize = 16;
 
-/// When the target was last seen to end a request.
+/// Time of the latest sign of progress of the target.
 #[derive(Clone, Debug)]
 pub struct Progress {
     last_progress_at: Instant,
@@ -51,8 +52,8 @@
         self.last_progress_at = now;
     }
 
-    /// How many answers are missing, given when each request started and what it usually
-    /// takes.
+    /// Returns how many responses are missing, given the start and the usual service time of each
+    /// running request.
     pub fn missing_responses(
         &self,
         now: Instant,
--- a/crates/yuccarack_policy/src/admission/waiting.rs
+++ b/crates/yuccarack_policy/src/admission/waiting.rs
@@ -1,19 +1,20 @@
-//! Who may wait at a gate, for how long, and what is told to those who may not.
+//! Rules for waiting at a gate: which requests may wait, for how long, and when the others may
+//! retry.
 
 use std::time::{Duration, Instant};
 
 use super::{Admission, Offer, Refusal, RefusalReason, WaitKey, WaitOutcome, queue::Waiting};
 
-/// Longest pause told to a refused caller.
+/// Longest time after which a rejected caller is asked to retry.
 pub const RETRY_AFTER_MAX: Duration = Duration::from_secs(30);
 
 /// Time after which a queue that was never empty counts as standing.
 pub const STANDING_AFTER: Duration = Duration::from_millis(250);
 
-/// Longest wait in a standing queue, in times of service.
+/// Longest wait in a standing queue, in mean service times.
 pub const STANDING_WAIT_SERVICES: u32 = 3;
 
-/// When a waiting request is refused at the latest, and why.
+/// Latest time at which a waiting request is rejected, and why.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct GiveUp {
     at: Instant,
@@ -21,7 +22,7 @@
 }
 
 impl Admission {
-    /// Refuses what has waited as long as it may.
+    /// Rejects the requests that have waited as long as they may.
     pub(super) fn refuse_overdue(&mut self, now: Instant) {
         for (key, waiting) in self.queue.take_overdue(now) {
             let is_deadline = waiting.gives_up_for_deadline;
@@ -34,7 +35,7 @@
         }
     }
 
-    /// Lets a request wait.
+    /// Queues a request.
     pub(super) fn enqueue(&mut self, now: Instant, offer: Offer, give_up: GiveUp) -> WaitKey {
         if self.queue.len() >= usize::from(self.config.limits.queue_length_max) {
             self.evict_latest();
@@ -49,7 +50,7 @@
         self.queue.push(now, waiting, turn)
     }
 
-    /// Whether a request may wait, and until when.
+    /// Returns until when a request may wait, or why it may not.
     pub(super) fn give_up_at(&self, now: Instant, offer: &Offer) -> Result<GiveUp, RefusalReason> {
         self.check_queue_shares(offer)?;
         let service = self.service_times.usual(offer.route);
@@ -65,10 +66,10 @@
         Ok(GiveUp { at: now + left.min(wait_max), is_for_deadline: left < wait_max })
     }
 
-    /// Longest wait: what the rules allow while a burst passes, little once the queue stands.
+    /// Returns the longest wait: what the rules allow during a burst, little once the queue stands.
     ///
-    /// A queue that absorbs a burst is empty again soon. One that stays is a sign of more load
-    /// than the target can do, and a longer queue then only makes every answer later.
+    /// A queue that absorbs a burst is soon empty again. One that stays shows that more load
+    /// arrives than the target can do, and a longer queue then only makes every response later.
     fn wait_max(&self, now: Instant) -> Duration {
         let rules_max = Duration::from_millis(u64::from(self.config.limits.queue_wait_max_ms));
         if self.queue.is_standing(now, STANDING_AFTER) {
@@ -101,10 +102,11 @@
         Ok(())
     }
 
-    /// Makes room in a full queue: the caller with most waiting loses its latest request.
+    /// Makes room in a full queue by rejecting the latest request of the caller with the most
+    /// waiting.
     ///
-    /// The failure is a caller that fills the queue first; everyone else would be refused for as
-    /// long as it goes on.
+    /// Otherwise a caller that fills the queue first would have everyone else rejected for as long
+    /// as it keeps sending.
     fn evict_latest(&mut self) {
         let Some((caller, _)) = self.queue.longest_caller() else { return };
         let Some((key, waiting)) = self.queue.take_latest_of(caller) else { return };
@@ -112,7 +114,8 @@
         self.finished_waits.push(WaitOutcome::Refused(key, refusal));
     }
 
-    /// Time until a newcomer would run: what is served before it, at the rate of the slots.
+    /// Returns the time until a new request would run, from the requests served before it and the
+    /// rate at which slots become free.
     fn expected_wait(&self, offer: &Offer) -> Duration {
         let ahead = self.queue.requests_ahead_of(offer.caller);
         let limit = self.limit.get().max(1);
@@ -142,7 +145,7 @@
     }
 }
 
-/// A share of a whole, rounded up and at least one.
+/// Returns a share of `whole` in percent, rounded up and at least one.
 fn share_of(whole: usize, percent: u8) -> usize {
     (whole * usize::from(percent)).div_ceil(100).max(1)
 }
--- a/crates/yuccarack_policy/src/choice/explain.rs
+++ b/crates/yuccarack_policy/src/choice/explain.rs
@@ -1,4 +1,4 @@
-//! What a chooser knows of one candidate, for operators.
+//! Views of the candidates of a chooser, for operators and logs.
 
 use std::time::{Duration, Instant};
 
@@ -9,30 +9,30 @@
     target::{ServiceMeans, Target},
 };
 
-/// What is known of one candidate and how old it is.
+/// What is known of a candidate, and how old that is.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CandidateView {
     /// The target's key at this chooser.
     pub key: TargetKey,
     /// The target's instance.
     pub instance: InstanceId,
-    /// Whether it is in the entry's own failure domain.
+    /// Whether the target is in the entry's own failure domain.
     pub is_local: bool,
-    /// Where it is in its life.
+    /// Lifecycle state of the target.
     pub state: MemberState,
-    /// Tries that this entry has out there.
+    /// Attempts of this entry that are in flight there.
     pub outstanding: u32,
     /// The latest load report.
     pub report: Option<LoadReport>,
     /// Age of the latest load report.
     pub report_age: Option<Duration>,
-    /// Time in which it is expected to answer a request sent now, link included.
+    /// Expected response time of a request sent now, network included.
     pub expected: Duration,
-    /// Failures since the last answer.
+    /// Failures since the last successful response.
     pub failures_in_row: u8,
-    /// Time until an ejected target is tried again; `None` when it isn't ejected.
+    /// Time until an ejected target is probed; `None` when it isn't ejected.
     pub ejected_for: Option<Duration>,
-    /// How far its slow start has come, in percent.
+    /// Progress of its slow start, in percent.
     pub warm_percent: u8,
 }
 
@@ -42,9 +42,9 @@
         key: TargetKey,
         target: &Target,
         mean: &ServiceMeans,
-        away_penalty: Duration,
+        remote_penalty: Duration,
     ) -> Self {
-        let link = if target.is_local { Duration::ZERO } else { away_penalty };
+        let link = if target.is_local { Duration::ZERO } else { remote_penalty };
         let expected = Duration::from_micros(target.expected_us(now, mean) as u64) + link;
         Self {
             key,
@@ -67,7 +67,7 @@
 pub struct ComparedCandidateView {
     /// Its instance.
     pub instance: InstanceId,
-    /// Time in which it was expected to answer, link left out.
+    /// Expected response time at the choice, without the network.
     pub expected: Duration,
     /// Age of the latest load report about it.
     pub report_age: Option<Duration>,
--- a/crates/yuccarack_policy/src/choice/member.rs
+++ b/crates/yuccarack_policy/src/choice/member.rs
@@ -1,4 +1,4 @@
-//! The targets of a service and how tries at them end, as told to a chooser.
+//! Members of a service and outcomes of attempts, as given to a chooser.
 
 use std::time::Duration;
 
@@ -7,69 +7,70 @@
     rules::EjectionRules,
 };
 
-/// What the chooser is set to.
+/// Configuration of a chooser.
 #[derive(Clone, Copy, Debug)]
 pub struct ChooserConfig {
     /// Share of the ready targets that may be ejected at once, in percent.
     pub ejected_max_percent: u8,
-    /// Failures in a row that eject a target.
+    /// Failures in a row after which a target is ejected.
     pub failures_in_row: u8,
-    /// What a call to another failure domain costs more than one in the own.
+    /// Additional time of a call to another failure domain.
     pub remote_penalty: Duration,
 }
 
-/// Where a member is in its life.
+/// Lifecycle state of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberState {
-    /// It runs but takes no work yet.
+    /// It runs but takes no requests yet.
     Starting,
-    /// It takes work.
+    /// It takes requests.
     Ready,
-    /// It finishes what it has and takes no more.
+    /// It completes its requests and takes no more.
     Draining,
 }
 
-/// One target of the service, as the membership knows it.
+/// A target of the service as known from the membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     /// Its instance.
     pub instance: InstanceId,
-    /// The instance's life; a later one starts as unknown.
+    /// The instance's incarnation; what is known of an earlier one is discarded.
     pub incarnation: Incarnation,
     /// Its failure domain.
     pub failure_domain: DomainName,
     /// Requests that it runs at once.
     pub slots: u16,
-    /// Where it is in its life.
+    /// Its lifecycle state.
     pub state: MemberState,
 }
 
-/// How a try at a target ended.
+/// Outcome of an attempt at a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetAttemptOutcome {
-    /// The target answered.
+    /// The target responded.
     Answered {
-        /// Time from the start of the try to the answer's head.
+        /// Time from the start of the attempt to the head of the response.
         response_time: Duration,
     },
-    /// The target answered that it failed.
+    /// The target responded with a failure.
     TargetFailed {
-        /// Time from the start of the try to the answer's head.
+        /// Time from the start of the attempt to the head of the response.
         response_time: Duration,
     },
-    /// The gate refused.
+    /// The gate rejected the request.
     Refused,
-    /// The link broke or timed out.
+    /// The connection broke or timed out.
     Broken,
-    /// The entry gave the try up, which says nothing of the target.
+    /// The entry cancelled the attempt, which says nothing about the target.
     Cancelled,
 }
 
 impl ChooserConfig {
-    /// Extra time of a call to another failure domain: a round trip between the farthest two.
+    /// Additional time of a call to another failure domain: a round trip between the two farthest
+    /// apart.
     pub const REMOTE_PENALTY: Duration = Duration::from_millis(3);
 
-    /// Creates the config from the operators' rules.
+    /// Creates the configuration from the operators' rules.
     pub fn new(rules: &EjectionRules) -> Self {
         Self {
             ejected_max_percent: rules.share_max_percent.min(100),
--- a/crates/yuccarack_policy/src/choice/mod.rs
+++ b/crates/yuccarack_policy/src/choice/mod.rs
@@ -1,10 +1,11 @@
-//! Which target a request goes to.
+//! Choice of the target that a request is sent to.
 //!
-//! The pattern is load that shifts within milliseconds, seen through news that is already old.
-//! Following the best news sends every entry to the same target, which is then the worst (a herd);
-//! ignoring news keeps feeding a straggler. So a few random candidates are compared by the time
-//! until they would answer, with news that fades toward the mean as it ages, and with what this
-//! entry sees itself (requests it has out, answers that don't come, failures) before any report.
+//! Load shifts within milliseconds, and reports of it are already old when they arrive. Following
+//! the latest report sends every entry to the same target, which is then the worst one (a herd);
+//! ignoring reports keeps sending to a straggler. So a few random candidates are compared by their
+//! expected response time. It is based on reports that fade toward the mean as they age, and on
+//! what the entry itself observes before any report: its requests in flight, missing responses and
+//! failures.
 
 mod draw;
 mod explain;
@@ -33,7 +34,7 @@
 };
 
 new_key_type! {
-    /// Key of a target at one chooser; a key of a target that has left stays unused.
+    /// Key of a target at one chooser; the key of a removed target isn't used again.
     pub struct TargetKey;
 }
 
@@ -48,7 +49,7 @@
     ready_remote: Vec<TargetKey>,
     ejected: Vec<TargetKey>,
     mean: ServiceMeans,
-    /// Candidates of the latest choice; kept between choices so that none allocates.
+    /// Candidates of the latest choice; the buffer is reused so that no choice allocates.
     compared: Vec<Candidate>,
 }
 
@@ -75,15 +76,15 @@
         }
     }
 
-    /// Puts changed rules in force; what is known of targets stays.
+    /// Applies changed rules; what is known of the targets stays.
     pub fn configure(&mut self, config: ChooserConfig) {
         self.config = config;
     }
 
-    /// Replaces the members; what is known of those that stay in the same life is kept.
+    /// Replaces the members; what is known of members with the same incarnation is kept.
     ///
-    /// The first members count as warm: that this entry has just started says nothing about how
-    /// long its targets have run. Those that join later start slowly.
+    /// The first members count as warm, since the start of this entry says nothing about how long
+    /// its targets have run. Those that join later start slowly.
     pub fn set_members(&mut self, now: Instant, members: &[Member]) {
         let are_first = self.targets.is_empty();
         let mut keys = HashMap::with_capacity(members.len());
@@ -102,19 +103,19 @@
     ///
     /// # Errors
     ///
-    /// Says why no target can be chosen; the request was not handed to anyone.
+    /// Returns why no target can be chosen; the request was not sent to any target.
     pub fn choose(
         &mut self,
         now: Instant,
         rng: &mut impl Rng,
         excluded: &[TargetKey],
     ) -> Result<TargetKey, ChoiceRefusal> {
-        let mut weighed = std::mem::take(&mut self.compared);
-        weighed.clear();
+        let mut compared = std::mem::take(&mut self.compared);
+        compared.clear();
         let best = self
             .probe_ejected(now, rng, excluded)
-            .or_else(|| self.best_candidate(now, rng, excluded, &mut weighed));
-        self.compared = weighed;
+            .or_else(|| self.best_candidate(now, rng, excluded, &mut compared));
+        self.compared = compared;
         if let Some(key) = best {
             return Ok(key);
         }
@@ -123,19 +124,19 @@
         ready.find(|key| !excluded.contains(key)).copied().ok_or_else(|| self.refusal())
     }
 
-    /// Notes that a try was sent to the target.
+    /// Records that an attempt was sent to the target.
     pub fn record_attempt(&mut self, now: Instant, key: TargetKey) {
         if let Some(target) = self.targets.get_mut(key) {
             target.record_attempt(now);
         }
     }
 
-    /// Notes how a try ended, with the load that came with the answer.
+    /// Records the outcome of an attempt and the load report that came with the response.
     pub fn record_outcome(
         &mut self,
         now: Instant,
         key: TargetKey,
-        end: TargetAttemptOutcome,
+        outcome: TargetAttemptOutcome,
         report: Option<LoadReport>,
     ) {
         let Some(target) = self.targets.get_mut(key) else { return };
@@ -143,7 +144,7 @@
         if let Some(report) = report {
             target.record_report(now, report, &mut self.mean);
         }
-        match end {
+        match outcome {
             TargetAttemptOutcome::Answered { response_time } => {
                 target.record_response(response_time, &mut self.mean);
                 if target.has_recovered() {
@@ -160,39 +161,40 @@
         self.eject_if_failing(now, key);
     }
 
-    /// Takes a load report that came by another way than an answer.
+    /// Records a load report that didn't come with a response.
     pub fn record_report(&mut self, now: Instant, key: TargetKey, report: LoadReport) {
         if let Some(target) = self.targets.get_mut(key) {
             target.record_report(now, report, &mut self.mean);
         }
     }
 
-    /// The key of an instance, while it is a member.
+    /// Returns the key of an instance while it is a member.
     pub fn key_of(&self, instance: &str) -> Option<TargetKey> {
         self.keys.get(instance).copied()
     }
 
-    /// The instance behind a key, while it is a member.
+    /// Returns the instance of a key while it is a member.
     pub fn instance_of(&self, key: TargetKey) -> Option<&InstanceId> {
         self.targets.get(key).map(|target| &target.instance)
     }
 
-    /// Age of the latest load report of a target.
+    /// Returns the age of the latest load report of a target.
     pub fn report_age(&self, now: Instant, key: TargetKey) -> Option<Duration> {
         let reported_at = self.targets.get(key)?.reported_at?;
         Some(now.saturating_duration_since(reported_at))
     }
 
-    /// The candidates that the latest choice compared; none when a trickle went out.
+    /// Returns the candidates that the latest choice compared; none when it probed an ejected
+    /// target.
     pub fn compared(&self, now: Instant) -> Vec<ComparedCandidateView> {
-        let known = self.compared.iter().filter_map(|weighed| {
-            let target = self.targets.get(weighed.key)?;
-            Some(ComparedCandidateView::new(now, target, weighed.expected_us))
+        let known = self.compared.iter().filter_map(|candidate| {
+            let target = self.targets.get(candidate.key)?;
+            Some(ComparedCandidateView::new(now, target, candidate.expected_us))
         });
         known.collect()
     }
 
-    /// What is known of each member, in the order of their names.
+    /// Returns what is known of each member, sorted by instance.
     pub fn explain(&self, now: Instant) -> Vec<CandidateView> {
         let mut views: Vec<_> = self
             .targets
@@ -250,7 +252,8 @@
         if !self.ready_local.is_empty() || !self.ready_remote.is_empty() {
             return ChoiceRefusal::AllExcluded;
         }
-        let any_starting = self.targets.values().any(|t| t.state == MemberState::Starting);
+        let any_starting =
+            self.targets.values().any(|target| target.state == MemberState::Starting);
         if any_starting { ChoiceRefusal::AllStarting } else { ChoiceRefusal::AllDraining }
     }
 }
--- a/crates/yuccarack_policy/src/choice/refusal.rs
+++ b/crates/yuccarack_policy/src/choice/refusal.rs
@@ -1,14 +1,14 @@
-//! Why no target could be chosen.
+//! Reasons for which no target could be chosen.
 
 use thiserror::Error;
 
-/// Why no target could be chosen; the request was handed to nobody.
+/// Why no target could be chosen; the request was not sent to any target.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq, Hash)]
 pub enum ChoiceRefusal {
     /// No target of the service is known.
     #[error("no target of the service is known")]
     NoMembers,
-    /// Every ready target is excluded, as it was tried already.
+    /// Every ready target is excluded because it has been tried already.
     #[error("every ready target was tried")]
     AllExcluded,
     /// No target is ready and some are starting.
@@ -20,7 +20,7 @@
 }
 
 impl ChoiceRefusal {
-    /// The reason's name in counters and headers.
+    /// Returns the reason's name in counters and headers.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NoMembers => "no_members",
--- a/crates/yuccarack_policy/src/choice/target.rs
+++ b/crates/yuccarack_policy/src/choice/target.rs
@@ -1,4 +1,4 @@
-//! What one entry knows of one target, and the answer time it expects of it.
+//! State of one target as known to an entry, and its expected response time.
 
 use std::time::{Duration, Instant};
 
@@ -18,63 +18,63 @@
 /// Weight of one new sample in a smoothed value.
 const SAMPLE_WEIGHT: f32 = 0.1;
 
-/// Weight of one own answer in the smoothed time of own answers.
+/// Weight of one response in the smoothed response time.
 const RESPONSE_TIME_WEIGHT: f32 = 0.3;
 
-/// Smallest share of the time of own answers that a report may claim as time of service.
+/// Smallest share of the entry's own response times that a report may claim as service time.
 ///
-/// Half leaves room for the link and for a queue as long as the service itself.
+/// Half leaves room for the network and for a queueing time as long as the service time.
 const CREDIBLE_SERVICE_SHARE: f32 = 0.5;
 
 /// Weight of one outcome in the share of failures.
 const FAILURE_WEIGHT: f32 = 0.2;
 
-/// What a failure costs its caller, in times of service.
+/// Cost of a failure for its caller, in service times.
 pub const FAILURE_COST: f32 = 5.0;
 
 /// Time in which failures lose half their weight.
 pub const FAILURE_HALF_LIFE: Duration = Duration::from_secs(2);
 
-/// Share of failures above which other failure domains are looked at.
+/// Share of failures above which other failure domains are considered.
 const OVERLOAD_FAILURE_SHARE: f32 = 0.1;
 
-/// Share of answers that always counts as left, so that an expectation stays finite.
+/// Smallest share of successful responses assumed, which keeps the expected time finite.
 const SUCCESS_SHARE_MIN: f32 = 0.02;
 
-/// Service time assumed before anything was seen, in µs.
+/// Service time assumed before any sample, in µs.
 const DEFAULT_SERVICE_US: f32 = 10_000.0;
 
-/// How much a filled target costs more than an empty one, in shares of its service time.
+/// Additional cost of a full target over an empty one, in service times.
 const FILL_COST: f32 = 0.3;
 
-/// Fill above which other failure domains are looked at.
+/// Fill above which other failure domains are considered.
 pub const OVERLOAD_FILL: f32 = 0.9;
 
 /// Multiple of the mean service time above which a target counts as slow.
 pub const OVERLOAD_SLOWDOWN: f32 = 2.0;
 
-/// Multiple of its service time for which a target with work may stay silent.
+/// Multiple of its service time for which a target with requests may stay silent.
 pub const SILENCE_FACTOR: f32 = 2.0;
 
-/// Time after which a target counts as warm whatever it answered.
+/// Time after which a target counts as warm whatever its number of responses.
 pub const SLOW_START: Duration = Duration::from_secs(10);
 
-/// Answers after which a target counts as warm.
+/// Number of responses after which a target counts as warm.
 pub const SLOW_START_RESPONSES: f32 = 32.0;
 
-/// Share of its slots that a cold target is given at once.
+/// Share of its slots that a cold target is given at first.
 const WARMTH_MIN: f32 = 0.1;
 
-/// First ejection; each further one in a row is twice as long.
+/// Duration of the first ejection; each further one in a row is twice as long.
 pub const EJECTION_FIRST: Duration = Duration::from_secs(1);
 
 /// Longest ejection.
 pub const EJECTION_MAX: Duration = Duration::from_secs(30);
 
-/// Answers in a row by which an ejected target proves itself.
+/// Responses in a row after which an ejected target counts as recovered.
 pub const RECOVERY_RESPONSES: u8 = 3;
 
-/// Means over all targets of the service, toward which old news fades.
+/// Means over all targets of the service, toward which old reports fade.
 #[derive(Clone, Copy, Debug)]
 pub struct ServiceMeans {
     fill: f32,
@@ -93,10 +93,10 @@
     pub report: LoadReport,
     pub reported_at: Option<Instant>,
     outstanding_at_report: u32,
-    /// Last sign of life while work is out there.
+    /// Time of the last end of an attempt, or of the first one sent to an idle target.
     last_activity_at: Instant,
     service_us: f32,
-    /// Smoothed time of this entry's own answers, queue and link included; 0 before the first.
+    /// Smoothed time of this entry's own responses, queue and network included; 0 before the first.
     response_time_us: f32,
     failure_share: f32,
     failed_at: Instant,
@@ -161,23 +161,23 @@
         self.last_activity_at = now;
     }
 
-    pub fn record_response(&mut self, took: Duration, mean: &mut ServiceMeans) {
+    pub fn record_response(&mut self, response_time: Duration, mean: &mut ServiceMeans) {
         self.failure_share *= 1.0 - FAILURE_WEIGHT;
         self.failures_in_row = 0;
         self.responses_in_row = self.responses_in_row.saturating_add(1);
         self.responses += 1.0;
-        let took_us = took.as_micros() as f32;
+        let response_time_us = response_time.as_micros() as f32;
         if self.response_time_us == 0.0 {
-            self.response_time_us = took_us;
+            self.response_time_us = response_time_us;
         }
-        self.response_time_us += (took_us - self.response_time_us) * RESPONSE_TIME_WEIGHT;
+        self.response_time_us += (response_time_us - self.response_time_us) * RESPONSE_TIME_WEIGHT;
         if self.reported_at.is_none() {
-            self.record_service_time(took_us, mean);
+            self.record_service_time(response_time_us, mean);
         }
     }
 
-    /// Notes a failure; how fast it came never counts, or a target that fails at once would look
-    /// like the quickest of all.
+    /// Records a failure. Its time never counts, or a target that fails at once would look like the
+    /// fastest of all.
     pub fn record_failure(&mut self, now: Instant) {
         let share = self.failure_share(now);
         self.failure_share = share + (1.0 - share) * FAILURE_WEIGHT;
@@ -186,7 +186,7 @@
         self.responses_in_row = 0;
     }
 
-    /// Notes a refusal: whatever was reported before, the target is full now.
+    /// Records a rejection: whatever was reported before, the target is full now.
     pub fn record_refusal(&mut self, now: Instant) {
         let limit = self.limit() as u16;
         self.report.in_flight = self.report.in_flight.max(limit);
@@ -207,19 +207,20 @@
         }
     }
 
-    /// Time in which a request sent now is expected to be answered, in µs, without the link.
+    /// Returns the expected response time of a request sent now, in µs, without the network.
     pub fn expected_us(&self, now: Instant, mean: &ServiceMeans) -> f32 {
         let service_us = self.service_us(now, mean);
         let fill = self.fill(now, mean);
         let waiting = (fill - 1.0).max(0.0);
         let usual_us = service_us * (1.0 + FILL_COST * fill.min(1.0) + waiting);
         let failure_share = self.failure_share(now);
-        let answered = (1.0 - failure_share).max(SUCCESS_SHARE_MIN);
+        let success_share = (1.0 - failure_share).max(SUCCESS_SHARE_MIN);
         let failures_us = service_us * FAILURE_COST * failure_share;
-        (usual_us + failures_us + self.silence_us(now, service_us)) / answered
+        (usual_us + failures_us + self.silence_us(now, service_us)) / success_share
     }
 
-    /// Whether the target is full or slow, so that other failure domains are worth a look.
+    /// Returns whether the target is full, slow, silent or failing, so that other failure domains
+    /// are considered.
     pub fn is_overloaded(&self, now: Instant, mean: &ServiceMeans) -> bool {
         let service_us = self.service_us(now, mean);
         self.fill(now, mean) > OVERLOAD_FILL
@@ -238,8 +239,8 @@
     }
 
     pub fn eject(&mut self, now: Instant) {
-        let lasts = EJECTION_FIRST.saturating_mul(1 << self.ejections_in_row.min(5));
-        self.ejected_until = Some(now + lasts.min(EJECTION_MAX));
+        let duration = EJECTION_FIRST.saturating_mul(1 << self.ejections_in_row.min(5));
+        self.ejected_until = Some(now + duration.min(EJECTION_MAX));
         self.ejections_in_row = self.ejections_in_row.saturating_add(1);
         self.responses_in_row = 0;
     }
@@ -254,7 +255,7 @@
         self.start_slowly(now);
     }
 
-    /// Share of its slots that the target is trusted with, from [`COLDEST`] to 1.
+    /// Returns the share of its slots that the target is given, from [`WARMTH_MIN`] to 1.
     pub fn warmth(&self, now: Instant) -> f32 {
         let age = now.saturating_duration_since(self.ready_since).as_secs_f32();
         let by_time = age / SLOW_START.as_secs_f32();
@@ -266,10 +267,10 @@
         self.responses = 0.0;
     }
 
-    /// Takes over a time of service.
+    /// Records a service time.
     ///
-    /// The failure is a report that lies: its target claims to be quick and draws all load while
-    /// its answers are slow. What this entry measured itself outranks it.
+    /// A target may report a service time that is too short and so attract all load while its
+    /// responses are slow. The entry's own response times limit what a report can claim.
     fn record_service_time(&mut self, service_us: f32, mean: &mut ServiceMeans) {
         let service_us = service_us.max(self.response_time_us * CREDIBLE_SERVICE_SHARE);
         self.service_us = service_us;
@@ -287,12 +288,12 @@
         f32::from(self.report.in_flight) + f32::from(self.report.queued)
     }
 
-    /// Requests ahead of one sent now, itself included, as a share of what runs at once.
+    /// Returns the requests ahead of one sent now, itself included, as a share of the concurrency.
     fn fill(&self, now: Instant, mean: &ServiceMeans) -> f32 {
         let own = self.outstanding as f32;
-        let own_since = own - self.outstanding_at_report as f32;
+        let sent_since_report = own - self.outstanding_at_report as f32;
         let weight = self.report_weight(now, LOAD_HALF_LIFE);
-        let reported = (self.reported_load() + own_since).max(own);
+        let reported = (self.reported_load() + sent_since_report).max(own);
         let assumed = (mean.fill * self.limit()).max(own);
         let load = weight * reported + (1.0 - weight) * assumed;
         (load + 1.0) / (self.limit() * self.warmth(now))
@@ -302,17 +303,17 @@
         if self.service_us == 0.0 {
             return mean.service_us;
         }
-        // With work out there an answer is on its way, so the last one counts until it comes; one
-        // try at a time finds out whether a slow target has recovered.
+        // With requests in flight a response will come, so the last sample counts until then. One
+        // attempt at a time finds out whether a slow target has recovered.
         let weight =
             if self.outstanding > 0 { 1.0 } else { self.report_weight(now, SERVICE_HALF_LIFE) };
         weight * self.service_us + (1.0 - weight) * mean.service_us
     }
 
-    /// Time for which the target has owed an answer, in µs; 0 while that is still usual.
+    /// Returns for how long the target has owed a response, in µs; 0 while that is still usual.
     ///
-    /// The failure is a target that stalls: its last report still looks fine, and no newer one
-    /// comes because nothing is answered. Silence is the only sign of it.
+    /// When a target stalls, its last report still looks good and no newer one comes, as nothing is
+    /// answered. Silence is the only sign of it.
     fn silence_us(&self, now: Instant, service_us: f32) -> f32 {
         if self.outstanding == 0 {
             return 0.0;
@@ -321,8 +322,8 @@
         if silent_us > service_us * SILENCE_FACTOR { silent_us } else { 0.0 }
     }
 
-    /// Share of failures, which fades: a target that failed a few times and was then passed over
-    /// would otherwise never be asked again.
+    /// Returns the share of failures, which fades: otherwise a target that failed a few times and
+    /// was then avoided would never be tried again.
     fn failure_share(&self, now: Instant) -> f32 {
         if self.failure_share == 0.0 {
             return 0.0;
--- a/crates/yuccarack_policy/src/placement/gate.rs
+++ b/crates/yuccarack_policy/src/placement/gate.rs
@@ -1,74 +1,74 @@
-//! One gate as an entry sees it.
+//! State of one gate as known to an entry.
 
 use std::time::{Duration, Instant};
 
 use crate::slowdown::SlowdownEstimate;
 
-/// What a gate tells with each answer.
+/// Load that a gate reports with each response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GateLoad {
-    /// Requests that run at its target.
+    /// Requests running at its target.
     pub running: u16,
-    /// Requests that wait there.
+    /// Requests waiting at the gate.
     pub waiting: u16,
-    /// Requests that it lets run at once.
+    /// Largest number of requests that the gate runs at once.
     pub limit: u16,
-    /// Mean time that a request takes at the usual pace.
+    /// Mean service time of a request without slowdown.
     pub mean_service_time: Duration,
-    /// How much longer than usual work takes there now.
+    /// Current slowdown; 1.0 is the usual service time.
     pub slowdown: f64,
 }
 
-/// How a try ended, as far as the gate or its target is to blame.
+/// Outcome of an attempt at a gate, as far as the gate or its target is responsible.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GateAttemptOutcome {
-    /// The target answered.
+    /// The target responded.
     Answered,
-    /// The target answered that it failed, or its answer was broken.
+    /// The target responded with a failure, or its response was cut off.
     Failed,
-    /// The gate turned the request away for now.
+    /// The gate rejected the request for now.
     Refused,
-    /// The gate says that its target takes no work: it leaves or has gone.
+    /// The gate reports that its target takes no work: it is draining or has exited.
     Unavailable,
     /// No connection to the gate could be made.
     Unreachable,
-    /// The caller left or gave up.
+    /// The caller disconnected or gave up.
     Cancelled,
 }
 
-/// Time in which what was told of the load is half forgotten; a request takes about as long.
+/// Half-life of a load report, about as long as a request takes.
 const LOAD_HALF_LIFE: Duration = Duration::from_millis(200);
 
-/// Age up to which word of the load is taken as it is; a slot gets free every 20 to 30 ms.
+/// Age up to which a load report is taken as current; a slot becomes free every 20 to 30 ms.
 const LOAD_FRESH_MAX_AGE: Duration = Duration::from_millis(30);
 
-/// Weight of a new end in the share of failures: some twenty ends make it up.
+/// Weight of a new outcome in the share of failures, which covers about twenty outcomes.
 const FAILURE_WEIGHT: f64 = 0.08;
 
-/// Requests that a gate is taken to run at once that has told nothing yet, as today's do.
+/// Concurrency assumed for a gate that has reported nothing yet; it is that of the fleet's targets.
 const DEFAULT_LIMIT: u16 = 6;
 
-/// First time for which a gate that is away gets nothing.
+/// First time for which an unavailable gate gets no requests.
 const UNAVAILABLE_BACKOFF_MIN: Duration = Duration::from_millis(250);
 
-/// Longest such time; a daemon that has come back is in the table by then.
+/// Longest such time; a daemon that is reachable again is in the table by then.
 const UNAVAILABLE_BACKOFF_MAX: Duration = Duration::from_secs(2);
 
-/// One gate with what is known of it.
+/// A gate and what is known of it.
 #[derive(Clone, Debug)]
 pub struct Gate {
-    /// Whether it is in the entry's own failure domain.
+    /// Whether the gate is in the entry's own failure domain.
     pub is_local: bool,
-    /// Requests of this entry that it has now.
+    /// Requests of this entry that the gate currently has.
     pub outstanding: u16,
     load: Option<(GateLoad, Instant)>,
     slowdown: SlowdownEstimate,
-    /// Requests sent since the last word of its load.
+    /// Requests sent since the latest load report.
     sent_since_report: u16,
     failure_share: f64,
     unavailable_until: Option<Instant>,
     unavailable_in_row: u32,
-    /// Whether nothing is sent there until a connection could be made again.
+    /// Whether nothing is sent to the gate until a connection could be made again.
     pub is_unreachable: bool,
 }
 
@@ -98,13 +98,13 @@
         self.sent_since_report = self.sent_since_report.saturating_add(1);
     }
 
-    pub fn record_outcome(&mut self, now: Instant, end: GateAttemptOutcome) {
+    pub fn record_outcome(&mut self, now: Instant, outcome: GateAttemptOutcome) {
         self.outstanding = self.outstanding.saturating_sub(1);
-        if matches!(end, GateAttemptOutcome::Unavailable | GateAttemptOutcome::Unreachable) {
-            // Nothing of it is there, and no word of the load came that would say so.
+        if matches!(outcome, GateAttemptOutcome::Unavailable | GateAttemptOutcome::Unreachable) {
+            // The gate holds nothing of this request, and no load report came to say so.
             self.sent_since_report = self.sent_since_report.saturating_sub(1);
         }
-        match end {
+        match outcome {
             GateAttemptOutcome::Answered => {
                 self.failure_share -= FAILURE_WEIGHT * self.failure_share;
                 self.mark_reachable();
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Forgets that it was away: its daemon has told of itself anew.
+    /// Clears the unavailable state, since the gate's daemon has published itself again.
     pub fn mark_reachable(&mut self) {
         self.unavailable_until = None;
         self.unavailable_in_row = 0;
@@ -130,48 +130,49 @@
         self.is_unreachable || self.unavailable_until.is_some_and(|until| until > now)
     }
 
-    /// Share of its answers that are failures, lately.
+    /// Returns the smoothed share of its responses that are failures.
     pub fn failure_share(&self) -> f64 {
         self.failure_share
     }
 
-    /// Whether word of its load is fresh enough to say that it is full.
+    /// Returns whether the load report is recent enough to show that the gate is full.
     pub fn is_load_fresh(&self, now: Instant) -> bool {
         let age = |at: Instant| now.saturating_duration_since(at);
         self.load.is_some_and(|(_, at)| age(at) < LOAD_FRESH_MAX_AGE)
     }
 
-    /// Requests that are there beyond what it lets run, as far as is known.
+    /// Returns by how many requests the estimated load exceeds the limit with one more request.
     pub fn excess(&self, now: Instant) -> f64 {
         self.estimated_load(now) + 1.0 - self.limit()
     }
 
-    /// Time until the answer of a request that is sent now.
-    pub fn expected_response_time(&self, now: Instant, mean_work: Duration) -> Duration {
-        let work = self.load.map_or(mean_work, |(load, _)| load.mean_service_time);
-        let run_time = self.slowdown.service_time(now, work);
-        let turns = (self.excess(now).max(0.0)) / self.limit();
-        run_time + run_time.mul_f64(turns)
+    /// Returns the expected time until the response to a request that is sent now.
+    pub fn expected_response_time(&self, now: Instant, mean_service_time: Duration) -> Duration {
+        let unloaded_time = self.load.map_or(mean_service_time, |(load, _)| load.mean_service_time);
+        let service_time = self.slowdown.service_time(now, unloaded_time);
+        let rounds = (self.excess(now).max(0.0)) / self.limit();
+        service_time + service_time.mul_f64(rounds)
     }
 
     fn limit(&self) -> f64 {
         f64::from(self.load.map_or(DEFAULT_LIMIT, |(load, _)| load.limit).max(1))
     }
 
-    /// Requests there: those that were told of, as far as they aren't over by now, and those that
-    /// were sent since; at least those of this entry.
+    /// Estimates the requests at the gate: those reported, as far as they haven't completed by now,
+    /// plus those sent since, and at least those of this entry.
     fn estimated_load(&self, now: Instant) -> f64 {
-        let told = self.load.map_or(0.0, |(load, at)| {
+        let reported = self.load.map_or(0.0, |(load, at)| {
             let age = now.saturating_duration_since(at).as_secs_f64();
-            let left = (-age / LOAD_HALF_LIFE.as_secs_f64()).exp2();
-            f64::from(load.running + load.waiting) * left
+            let remaining_share = (-age / LOAD_HALF_LIFE.as_secs_f64()).exp2();
+            f64::from(load.running + load.waiting) * remaining_share
         });
-        (told + f64::from(self.sent_since_report)).max(f64::from(self.outstanding))
+        (reported + f64::from(self.sent_since_report)).max(f64::from(self.outstanding))
     }
 
     fn mark_unavailable(&mut self, now: Instant) {
-        let time = UNAVAILABLE_BACKOFF_MIN * 2_u32.saturating_pow(self.unavailable_in_row.min(4));
-        self.unavailable_until = Some(now + time.min(UNAVAILABLE_BACKOFF_MAX));
+        let backoff =
+            UNAVAILABLE_BACKOFF_MIN * 2_u32.saturating_pow(self.unavailable_in_row.min(4));
+        self.unavailable_until = Some(now + backoff.min(UNAVAILABLE_BACKOFF_MAX));
         self.unavailable_in_row += 1;
     }
 }
--- a/crates/yuccarack_policy/src/placement/mod.rs
+++ b/crates/yuccarack_policy/src/placement/mod.rs
@@ -1,11 +1,11 @@
-//! To which of a service's gates a request goes.
+//! Choice of the gate that a request is sent to.
 //!
-//! The pattern is load that shifts in milliseconds while news of it is a request old: everybody who
-//! sends to the gate that looked best fills it, and a target that its neighbours slow down looks
-//! idle until its answers are late. So an entry compares a few gates drawn at random by the time in
-//! which they should answer, with what it sent itself counted in, and asks the first ones for a slot
-//! at once only: a gate that has none says so within a network round trip, with its load, and the
-//! request goes on. Only the last one asked may let it wait.
+//! Load shifts within milliseconds, while a report of it is as old as a request. If every entry
+//! sent to the gate that last looked best, that gate would fill up, and a target slowed down by
+//! other load on its machine looks idle until its responses are late. So an entry compares a few
+//! gates drawn at random by their expected response time, including what it sent itself. The first
+//! attempts ask for a free slot only: a gate without one says so within a network round trip,
+//! together with its load, and the request moves on. Only the last gate may queue it.
 
 mod gate;
 
@@ -19,69 +19,69 @@
 pub use self::gate::{GateAttemptOutcome, GateLoad};
 
 new_key_type! {
-    /// A gate at one entry.
+    /// Key of a gate at one entry.
     pub struct GateKey;
 }
 
-/// Gates that are compared for one try; a few are enough to miss the slow ones, and with all of
-/// them every entry would pick the same one.
+/// Gates compared for one attempt. A few are enough to avoid the slow ones; with all of them every
+/// entry would choose the same gate.
 pub const CANDIDATES_COMPARED: usize = 4;
 
-/// Tries that ask for a slot at once only, before one may wait.
+/// Attempts that ask for a free slot only, before a gate may queue the request.
 pub const ATTEMPTS_WITHOUT_WAIT: usize = 2;
 
-/// Most gates that one request is offered to: each costs a round trip, and after as many the whole
-/// service is full or away.
+/// Most gates that one request is offered to. Each costs a round trip, and after as many the whole
+/// service is full or unavailable.
 pub const ATTEMPTS_MAX: usize = 4;
 
-/// What a gate of another failure domain has to gain, in ms of time until its answer.
+/// Response time by which a gate in another failure domain must be better than a local one.
 ///
-/// A round trip between domains takes 1 to 3 ms, and bytes between them are paid for: 5 kB cost as
-/// much as 6 % of an answer in time. The table in docs/POLICY.md has the values that were tried.
+/// A round trip between failure domains takes 1 to 3 ms, and traffic between them is paid for: 5 kB
+/// cost as much as 6 % of a response in time.
 pub const REMOTE_DOMAIN_COST: Duration = Duration::from_millis(150);
 
-/// How much longer a gate counts as taking that fails always; one in ten costs as much as a work
-/// time of a fifth.
+/// Factor on the share of failures in a gate's cost; one failure in ten counts as much as a fifth
+/// of a service time.
 const FAILURE_COST: f64 = 2.0;
 
-/// What a gate said to a request.
+/// A gate's reply to a request that it doesn't answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GateReply {
-    /// It has no slot at once.
+    /// No slot is free.
     NoFreeSlot,
-    /// It has no place to wait either.
+    /// No slot is free, and the request can't be queued either.
     NoQueueSpace,
-    /// It takes no work, or its target failed.
+    /// The gate takes no requests, or its target failed.
     Unavailable,
 }
 
-/// Gates that one request was offered to.
+/// Gates that one request has been offered to.
 #[derive(Clone, Debug, Default)]
 pub struct AttemptHistory {
     attempted: Vec<GateKey>,
-    /// Those that need not be asked again.
+    /// Gates that need not be tried again.
     exhausted: Vec<GateKey>,
-    /// Whether one of them takes work, though not this request now.
+    /// Whether one of the gates takes requests, though not this one now.
     has_serving_gate: bool,
-    /// Those that may not get the request, however free they are.
+    /// Gates that must not get the request, whatever their load.
     excluded: Vec<GateKey>,
 }
 
 impl AttemptHistory {
-    /// Gates that were asked, each as often as it was.
+    /// Returns the number of attempts; a gate counts as often as it was tried.
     pub fn count(&self) -> usize {
         self.attempted.len()
     }
 
-    /// Names those that may not get the request, in place of those named before.
-    pub fn set_excluded(&mut self, barred: Vec<GateKey>) {
-        self.excluded = barred;
+    /// Replaces the set of gates that must not get the request.
+    pub fn set_excluded(&mut self, excluded: Vec<GateKey>) {
+        self.excluded = excluded;
     }
 
-    /// Notes what a gate said.
-    pub fn record(&mut self, gate: GateKey, said: GateReply) {
+    /// Records a gate's reply.
+    pub fn record(&mut self, gate: GateKey, reply: GateReply) {
         self.attempted.push(gate);
-        match said {
+        match reply {
             GateReply::NoFreeSlot => self.has_serving_gate = true,
             GateReply::NoQueueSpace => {
                 self.has_serving_gate = true;
@@ -92,20 +92,20 @@
     }
 }
 
-/// Part by which gates may differ and count as alike, so that a hundred entries that know the same
-/// of two gates don't all take the first.
+/// Share by which costs may differ and still count as equal, so that a hundred entries with the
+/// same information on two gates don't all choose the first.
 const COST_JITTER: f64 = 0.1;
 
-/// Where a request goes.
+/// Gate chosen for an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlacementChoice {
     /// The gate.
     pub gate: GateKey,
-    /// Whether it may wait there.
+    /// Whether the gate may queue the request.
     pub may_wait: bool,
 }
 
-/// Chooses for one service at one entry.
+/// Chooses gates for the requests to one service at one entry.
 #[derive(Clone, Debug, Default)]
 pub struct Placement {
     gates: SlotMap<GateKey, Gate>,
@@ -113,124 +113,126 @@
 }
 
 impl Placement {
-    /// Starts without gates.
+    /// Creates a placement without gates.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Decides by these.
+    /// Sets which of the optional decisions are in use.
     pub fn with_decisions(mut self, decisions: Decisions) -> Self {
         self.decisions = decisions;
         self
     }
 
-    /// Takes a gate in.
+    /// Adds a gate; `is_local` tells whether it is in the entry's own failure domain.
     pub fn add(&mut self, is_local: bool) -> GateKey {
         self.gates.insert(Gate::new(is_local))
     }
 
-    /// Leaves a gate out for good.
+    /// Removes a gate for good.
     pub fn remove(&mut self, key: GateKey) {
         self.gates.remove(key);
     }
 
-    /// Forgets that a gate was away.
+    /// Clears the unavailable state of a gate that has published itself again.
     pub fn mark_reachable(&mut self, key: GateKey) {
         if let Some(gate) = self.gates.get_mut(key) {
             gate.mark_reachable();
         }
     }
 
-    /// Chooses a gate for a request that was `asked` for elsewhere before; none when there is no
-    /// other one.
+    /// Chooses a gate for the next attempt of a request, given its `history`. Returns `None` when
+    /// no other gate is worth an attempt.
     pub fn choose(
         &self,
         now: Instant,
         rng: &mut impl Rng,
-        asked: &AttemptHistory,
-        mean_work: Duration,
+        history: &AttemptHistory,
+        mean_service_time: Duration,
     ) -> Option<PlacementChoice> {
-        let allowed = || self.gates.iter().filter(|(key, _)| !asked.excluded.contains(key));
-        let here = || allowed().filter(|(_, gate)| !gate.is_unavailable(now));
-        let unasked = || here().filter(|(key, _)| !asked.attempted.contains(key));
-        if asked.attempted.len() < ATTEMPTS_WITHOUT_WAIT
-            && let Some(gate) = self.best_candidate(now, unasked(), rng, mean_work)
+        let allowed = || self.gates.iter().filter(|(key, _)| !history.excluded.contains(key));
+        let available = || allowed().filter(|(_, gate)| !gate.is_unavailable(now));
+        let untried = || available().filter(|(key, _)| !history.attempted.contains(key));
+        if history.attempted.len() < ATTEMPTS_WITHOUT_WAIT
+            && let Some(gate) = self.best_candidate(now, untried(), rng, mean_service_time)
         {
-            let may_wait = here().count() == 1 || self.is_known_full(now, gate);
+            let may_wait = available().count() == 1 || self.is_known_full(now, gate);
             return Some(PlacementChoice { gate, may_wait });
         }
-        if asked.attempted.len() >= ATTEMPTS_MAX {
+        if history.attempted.len() >= ATTEMPTS_MAX {
             return None;
         }
-        let unwaited = here().filter(|(key, _)| !asked.exhausted.contains(key));
-        if let Some(gate) = self.best_candidate(now, unwaited, rng, mean_work) {
+        let unexhausted = available().filter(|(key, _)| !history.exhausted.contains(key));
+        if let Some(gate) = self.best_candidate(now, unexhausted, rng, mean_service_time) {
             return Some(PlacementChoice { gate, may_wait: true });
         }
-        if asked.has_serving_gate {
-            // Those that are away would cost time, and what is known is final.
+        if history.has_serving_gate {
+            // Unavailable gates would cost time, and the replies of the others won't change.
             return None;
         }
-        // All that is left may be away; asking one of them is how it is found out, those that can
-        // be reached first.
-        let away = allowed()
-            .filter(|(key, gate)| gate.is_unavailable(now) && !asked.attempted.contains(key));
-        let reached = away.clone().filter(|(_, gate)| !gate.is_unreachable);
-        let gate = self.best_candidate(now, reached, rng, mean_work);
-        let gate = gate.or_else(|| self.best_candidate(now, away, rng, mean_work))?;
+        // All remaining gates may be unavailable, which only an attempt can show. Those that could
+        // be connected to go first.
+        let unavailable = allowed()
+            .filter(|(key, gate)| gate.is_unavailable(now) && !history.attempted.contains(key));
+        let reachable = unavailable.clone().filter(|(_, gate)| !gate.is_unreachable);
+        let gate = self.best_candidate(now, reachable, rng, mean_service_time);
+        let gate =
+            gate.or_else(|| self.best_candidate(now, unavailable, rng, mean_service_time))?;
         Some(PlacementChoice { gate, may_wait: true })
     }
 
-    /// The best of a few gates drawn from `candidates`.
+    /// Returns the gate of least cost among a few drawn from `candidates`.
     fn best_candidate<'a>(
         &self,
         now: Instant,
         candidates: impl Iterator<Item = (GateKey, &'a Gate)>,
         rng: &mut impl Rng,
-        mean_work: Duration,
+        mean_service_time: Duration,
     ) -> Option<GateKey> {
         let drawn = candidates.choose_multiple(rng, CANDIDATES_COMPARED);
-        let mut blurred = |gate: &Gate| {
-            self.cost(gate, now, mean_work).mul_f64(rng.random_range(1.0..1.0 + COST_JITTER))
+        let mut jittered_cost = |gate: &Gate| {
+            self.cost(gate, now, mean_service_time)
+                .mul_f64(rng.random_range(1.0..1.0 + COST_JITTER))
         };
-        let costs = drawn.into_iter().map(|(key, gate)| (blurred(gate), key));
+        let costs = drawn.into_iter().map(|(key, gate)| (jittered_cost(gate), key));
         costs.min_by_key(|(cost, _)| *cost).map(|(_, key)| key)
     }
 
-    /// Gates to which no connection could be made.
+    /// Returns the gates to which no connection could be made.
     pub fn unreachable_gates(&self) -> impl Iterator<Item = GateKey> {
         self.gates.iter().filter(|(_, gate)| gate.is_unreachable).map(|(key, _)| key)
     }
 
-    /// Notes that a request goes out.
+    /// Records that a request is sent to a gate.
     pub fn record_attempt(&mut self, key: GateKey) {
         if let Some(gate) = self.gates.get_mut(key) {
             gate.record_attempt();
         }
     }
 
-    /// Notes how a try ended, once for each [`Placement::sent`].
-    pub fn record_outcome(&mut self, now: Instant, key: GateKey, end: GateAttemptOutcome) {
+    /// Records the outcome of an attempt, once for each [`Placement::record_attempt`].
+    pub fn record_outcome(&mut self, now: Instant, key: GateKey, outcome: GateAttemptOutcome) {
         if let Some(gate) = self.gates.get_mut(key) {
-            gate.record_outcome(now, end);
+            gate.record_outcome(now, outcome);
         }
     }
 
-    /// Notes what a gate tells of its load.
+    /// Records a gate's load report.
     pub fn record_load(&mut self, now: Instant, key: GateKey, load: GateLoad) {
         if let Some(gate) = self.gates.get_mut(key) {
             gate.record_load(now, load);
         }
     }
 
-    /// Whether the best gate is known to have no slot: then none has, and asking without leave to
-    /// wait would cost a round trip for nothing.
+    /// Returns whether the best gate is known to have no free slot. Then none has, and an attempt
+    /// that may not wait would cost a round trip without result.
     fn is_known_full(&self, now: Instant, key: GateKey) -> bool {
         self.gates.get(key).is_some_and(|gate| gate.is_load_fresh(now) && gate.excess(now) > 0.0)
     }
 
-    fn cost(&self, gate: &Gate, now: Instant, mean_work: Duration) -> Duration {
+    fn cost(&self, gate: &Gate, now: Instant, mean_service_time: Duration) -> Duration {
         let expected = gate
-            .expected_response_time(now, mean_work)
+            .expected_response_time(now, mean_service_time)
             .mul_f64(1.0 + FAILURE_COST * gate.failure_share());
         if gate.is_local || !self.decisions.home_first {
             expected
--- a/crates/yuccarack_policy/src/work_queue/mod.rs
+++ b/crates/yuccarack_policy/src/work_queue/mod.rs
@@ -51,7 +51,7 @@
 /// Slowdown from which a request that could go to another target is passed on.
 ///
 /// Targets slow down fourfold at worst; at threefold another attempt costs less than the slow run.
-pub const SLOWDOWN_MAX: f64 = 3.0;
+pub const PASS_ON_SLOWDOWN: f64 = 3.0;
 
 /// Longest time after which a caller is asked to retry; a burst is over by then.
 pub const RETRY_AFTER_MAX: Duration = Duration::from_secs(2);
@@ -186,7 +186,7 @@
         let has_slot = self.running.len() < self.limit();
         let has_room = has_slot && self.cold_rate.next_dispatch_at(now).is_none();
         let may_pass_on = self.decisions.slow_passed_over && !request.may_wait;
-        if has_room && may_pass_on && self.slowdown.at(now) >= SLOWDOWN_MAX {
+        if has_room && may_pass_on && self.slowdown.at(now) >= PASS_ON_SLOWDOWN {
             return self.refused(now, QueueRefusalReason::Slow);
         }
         if has_room {
