--- a/crates/yuccarackd/tests/routed/answers.rs
+++ b/crates/yuccarackd/tests/routed/answers.rs
@@ -276,8 +276,8 @@
 
 /// Guards against reads that are admitted at a slow target: a target with few requests becomes four
 /// times slower while one of them runs, and no response reports this for 600 ms. A health check
-/// must report it to the gate, so that reads run on another target in 5 ms. An idle target gets no
-/// health checks.
+/// must report it to the gate, so that reads go to another target, which serves them in 5 ms. An
+/// idle target gets no health checks.
 #[tokio::test]
 async fn a_target_that_slows_down_between_responses_is_avoided() {
     let deployment = deployed("slowspell", &["board", "board"]).await;
