--- a/crates/yuccarack_policy/benches/decisions.rs
+++ b/crates/yuccarack_policy/benches/decisions.rs
@@ -1,4 +1,4 @@
-//! What one choice and one admission cost, in time.
+//! Benchmarks of the time that one choice and one admission take.
 
 use std::{
     hint::black_box,
@@ -14,7 +14,7 @@
 };
 
 const SIZES: [usize; 3] = [6, 100, 2_500];
-const TOOK: Duration = Duration::from_millis(10);
+const SERVICE_TIME: Duration = Duration::from_millis(10);
 
 fn members(count: usize) -> Vec<Member> {
     let member = |number: usize| Member {
@@ -27,7 +27,7 @@
     (0..count).map(member).collect()
 }
 
-/// A chooser that knows a load of every target.
+/// Returns a chooser that has a load report of every target.
 fn chooser(now: Instant, count: usize) -> Chooser {
     let mut chooser = Chooser::new(ChooserConfig::default(), "domain-0".into());
     chooser.set_members(now, &members(count));
@@ -54,14 +54,14 @@
             bencher.iter(|| {
                 let Ok(key) = chooser.choose(now, &mut rng, &[]) else { return };
                 chooser.record_attempt(now, key);
-                let end = TargetAttemptOutcome::Answered { response_time: TOOK };
+                let end = TargetAttemptOutcome::Answered { response_time: SERVICE_TIME };
                 chooser.record_outcome(now, key, end, Some(report));
             });
         });
     }
 }
 
-/// Admissions with as many callers as there are targets, since each daemon is a caller.
+/// Measures admissions with as many callers as there are targets, since each daemon is a caller.
 fn admissions(criterion: &mut Criterion) {
     let now = Instant::now();
     let deadline = now + Duration::from_secs(3_600);
@@ -78,7 +78,7 @@
         group.bench_function(BenchmarkId::new("free", callers), |bencher| {
             bencher.iter(|| {
                 let AdmissionDecision::Run(key) = gate.offer(now, offer()) else { return };
-                gate.release(now, key, RunOutcome::Completed { service_time: TOOK });
+                gate.release(now, key, RunOutcome::Completed { service_time: SERVICE_TIME });
             });
         });
         let mut gate = Admission::new(now, config);
--- a/crates/yuccarack_policy/benches/heap.rs
+++ b/crates/yuccarack_policy/benches/heap.rs
@@ -1,4 +1,4 @@
-//! What a chooser keeps on the heap for each target, in bytes.
+//! Prints the heap size of a chooser for each target, in bytes.
 
 use std::time::Instant;
 
--- a/crates/yuccarack_policy/src/adaptive_throttle.rs
+++ b/crates/yuccarack_policy/src/adaptive_throttle.rs
@@ -1,47 +1,47 @@
-//! Which share of a kind of request is let in while its runs fail for want of another service.
+//! Adaptive throttling of requests whose runs fail because another service is overloaded.
 //!
-//! The pattern is a small service that many runs of another one call. When it is short, a run whose
-//! call is turned away fails after it has held a slot, its other calls have taken room for nothing,
-//! and its caller comes back at once: most of what both services do is then done in vain. So an entry
-//! lets in fewer of that kind for each run that fails while some other service turns requests away,
-//! and more for each that ends well. What isn't let in has not run, and its caller is told when to
-//! come back.
+//! A small service may be called by many runs of another one. When it is overloaded, a run whose
+//! call is rejected fails after it has held a slot, its other calls have used capacity for nothing,
+//! and its caller retries at once, so most of the work of both services is wasted. So an entry
+//! admits a smaller share of such requests after each run that fails while some other service
+//! rejects requests, and a larger one after each run that succeeds. A request that isn't admitted
+//! has not run, and its caller is told when to retry.
 
 use std::time::{Duration, Instant};
 
 use rand::Rng;
 use yuccarack_config::ids::ServiceName;
 
-/// Part of the share that a failed run takes.
+/// Part of the admitted share that a failed run removes.
 const DECREASE_SHARE: f64 = 0.1;
 
-/// What a good run adds to the share.
+/// Amount that a successful run adds to the admitted share.
 const INCREASE_STEP: f64 = 0.01;
 
-/// Weight of a run in the shares of failures; some twenty runs make them up.
+/// Weight of a run in the shares of failures, which cover about twenty runs.
 const FAILURE_WEIGHT: f64 = 0.05;
 
-/// By how much more runs have to fail while another service is short.
+/// How much larger the share of failures must be during a shortage of another service.
 ///
-/// Failure: a target fails part of its requests by itself, some other service is short at that time,
-/// and the requests of all targets are turned away for it.
+/// A target may fail some of its requests by itself while another service happens to be overloaded;
+/// the requests to all targets must not be rejected for that.
 const EXCESS_FAILURE_SHARE: f64 = 0.15;
 
-/// Least share that is let in, by which it is seen that there is room again.
+/// Smallest admitted share, which shows when there is capacity again.
 const SHARE_MIN: f64 = 0.1;
 
-/// Time for which one refusal means that a service is short.
+/// Time for which a rejection counts as a shortage of the service.
 const SHORTAGE_DURATION: Duration = Duration::from_millis(500);
 
-/// Which services have turned requests away just now; the two latest are enough to tell whether
-/// another one than a given one has, however many services there are.
+/// Services that have recently rejected requests. The two latest are enough to tell whether any
+/// other than a given service has, however many services there are.
 #[derive(Clone, Debug, Default)]
 pub struct Shortages {
     latest: Option<Shortage>,
     previous: Option<Shortage>,
 }
 
-/// The latest refusal of one service.
+/// The latest rejection by one service.
 #[derive(Clone, Debug)]
 struct Shortage {
     service: ServiceName,
@@ -49,65 +49,66 @@
 }
 
 impl Shortages {
-    /// Starts without a refusal.
+    /// Creates a record without rejections.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes that `service` turned a request away for want of room.
+    /// Records that `service` rejected a request for lack of capacity.
     pub fn record_refusal(&mut self, now: Instant, service: &str) {
         match &mut self.latest {
             Some(latest) if latest.service == service => latest.refused_at = now,
             _ => {
-                let newest = Shortage { service: service.to_owned(), refused_at: now };
-                self.previous = self.latest.replace(newest);
+                let shortage = Shortage { service: service.to_owned(), refused_at: now };
+                self.previous = self.latest.replace(shortage);
             }
         }
     }
 
-    /// Whether another service than `own` is short.
+    /// Returns whether a service other than `own` is short of capacity.
     pub fn is_other_service_short(&self, now: Instant, own: &str) -> bool {
-        let is_fresh = |at: Instant| now.saturating_duration_since(at) < SHORTAGE_DURATION;
-        let is_other = |one: &Shortage| one.service != own && is_fresh(one.refused_at);
+        let is_recent = |at: Instant| now.saturating_duration_since(at) < SHORTAGE_DURATION;
+        let is_other =
+            |shortage: &Shortage| shortage.service != own && is_recent(shortage.refused_at);
         self.latest.iter().chain(&self.previous).any(is_other)
     }
 }
 
-/// How the run of a request ended.
+/// Result of the run of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunResult {
-    /// Its target answered well.
+    /// The target responded successfully.
     Succeeded,
-    /// Its target answered that it failed.
+    /// The target responded with a failure.
     Failed,
 }
 
-/// The share of one kind of request that is let in.
+/// Share of one kind of request that is admitted.
 #[derive(Clone, Copy, Debug)]
 pub struct AdaptiveThrottle {
     admitted_share: f64,
-    /// Share of runs that fail while no other service is short, and while one is.
+    /// Shares of failed runs, while no other service is short of capacity and while one is.
     baseline_failure_share: f64,
     shortage_failure_share: f64,
 }
 
 impl AdaptiveThrottle {
-    /// Starts with letting all in.
+    /// Creates a throttle that admits everything.
     pub fn new() -> Self {
         Self { admitted_share: 1.0, baseline_failure_share: 0.0, shortage_failure_share: 0.0 }
     }
 
-    /// The share that is let in.
+    /// Returns the admitted share, from [`SHARE_MIN`] to 1.
     pub fn admitted_share(&self) -> f64 {
         self.admitted_share
     }
 
-    /// Whether a request that comes now is let in.
+    /// Decides whether a request that arrives now is admitted.
     pub fn admits(&self, rng: &mut impl Rng) -> bool {
         self.admitted_share >= 1.0 || rng.random::<f64>() < self.admitted_share
     }
 
-    /// Notes how a run ended while another service `is_short` or not.
+    /// Records the result of a run; `is_short` tells whether another service is short of capacity.
     pub fn record_run(&mut self, result: RunResult, is_short: bool) {
         let failures = if is_short {
             &mut self.shortage_failure_share
--- a/crates/yuccarack_policy/src/budget.rs
+++ b/crates/yuccarack_policy/src/budget.rs
@@ -1,14 +1,14 @@
-//! Budget that is earned by first tries and spent on extra ones.
+//! Budget that is earned by first attempts and spent on extra ones.
 //!
-//! Answers the pattern of a storm: when everything fails at once, extra tries must stay a fixed
-//! share of the work that callers really asked for, whatever the number of failures.
+//! It bounds retry storms: when everything fails at once, extra attempts stay a fixed share of the
+//! requests that callers made, whatever the number of failures.
 
-/// Cost of one extra try, in hundredths.
+/// Cost of one extra attempt, in hundredths.
 const COST_HUNDREDTHS: u32 = 100;
 
-/// Extra tries bought by first tries, with a small reserve.
+/// Budget of extra attempts, earned by first attempts, with a small reserve.
 ///
-/// Over any window the number spent is at most the reserve plus the share of the first tries
+/// Over any window the number spent is at most the reserve plus the share of the first attempts
 /// made in that window.
 #[derive(Clone, Debug)]
 pub struct EarnedBudget {
@@ -18,8 +18,8 @@
 }
 
 impl EarnedBudget {
-    /// Creates a full budget that earns `percent` hundredths a first try and keeps at most
-    /// `reserve` extra tries.
+    /// Creates a full budget that earns `percent` hundredths of an extra attempt for each first
+    /// attempt and holds at most `reserve` extra attempts.
     pub fn new(percent: u8, reserve: u16) -> Self {
         let level_max_hundredths = match percent {
             0 => 0,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Keeps at most `reserve` extra tries from now on.
+    /// Sets the most extra attempts that the budget holds.
     pub fn set_reserve(&mut self, reserve: u16) {
         if !self.is_off() {
             self.level_max_hundredths = u32::from(reserve) * COST_HUNDREDTHS;
@@ -40,28 +40,28 @@
         }
     }
 
-    /// Earns the share of one first try.
+    /// Earns the share of one first attempt.
     pub fn earn(&mut self) {
         let level = self.level_hundredths + self.earned_per_attempt_percent;
         self.level_hundredths = level.min(self.level_max_hundredths);
     }
 
-    /// Whether one extra try could be paid for.
+    /// Returns whether the budget covers one extra attempt.
     pub fn can_spend(&self) -> bool {
         self.level_hundredths >= COST_HUNDREDTHS
     }
 
-    /// Whether the budget never pays for anything.
+    /// Returns whether the budget never covers an extra attempt.
     pub fn is_off(&self) -> bool {
         self.level_max_hundredths == 0
     }
 
-    /// How full the budget is, from 0 to 1.
+    /// Returns how full the budget is, from 0 to 1.
     pub fn level(&self) -> f64 {
         f64::from(self.level_hundredths) / f64::from(self.level_max_hundredths.max(1))
     }
 
-    /// Pays for one extra try; `false` when the budget doesn't suffice.
+    /// Spends one extra attempt; returns `false` if the budget doesn't cover it.
     pub fn spend(&mut self) -> bool {
         if !self.can_spend() {
             return false;
--- a/crates/yuccarack_policy/src/crash_counts.rs
+++ b/crates/yuccarack_policy/src/crash_counts.rs
@@ -1,9 +1,9 @@
-//! Which requests are no longer handed to targets, since targets died of them.
+//! Requests that are no longer dispatched because targets crashed while running them.
 //!
-//! The pattern is one request that crashes each target that begins to run it, and that its caller
-//! sends again and again, at any daemon: target after target is down for seconds, with all that ran
-//! beside it. A request that was running at three deaths is held to be the cause; one that was there
-//! by chance is cleared by its first good end.
+//! A single request may crash each target that starts to run it, while its caller sends it again
+//! and again, at any daemon. Target after target is then down for seconds, together with all that
+//! ran beside it. A request that was running at three crashes is taken for the cause; one that was
+//! there by chance is cleared by its first successful run.
 
 use std::{
     collections::HashMap,
@@ -12,17 +12,17 @@
 
 use yuccarack_config::ids::Fingerprint;
 
-/// Deaths after which a request isn't handed over any more. Two happen by chance to requests that
+/// Crashes after which a request is no longer dispatched. Two happen by chance to requests that
 /// many callers send; operators expect the third to be the last.
 pub const CRASHES_MAX: u8 = 3;
 
-/// Time for which a death is remembered; callers of such requests come back within seconds.
+/// Time for which a crash counts; callers of such requests retry within seconds.
 pub const RETENTION: Duration = Duration::from_secs(60);
 
-/// Most requests that are remembered: some hundred deaths with all slots in use.
+/// Most requests that are counted: those of about a hundred crashes with all slots in use.
 const FINGERPRINTS_MAX: usize = 1_024;
 
-/// Deaths by request, as one gate knows them.
+/// Number of crashes by request, as known to one gate.
 #[derive(Clone, Debug, Default)]
 pub struct CrashCounts {
     counts: HashMap<Fingerprint, CrashCount>,
@@ -31,40 +31,40 @@
 #[derive(Clone, Copy, Debug)]
 struct CrashCount {
     crashes: u8,
-    forget_at: Instant,
+    expires_at: Instant,
 }
 
 impl CrashCounts {
-    /// Starts with none.
+    /// Creates empty counts.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes that a target died with the request on it.
+    /// Records that a target crashed while it ran the request.
     pub fn record_crash(&mut self, now: Instant, request: Fingerprint) {
         if self.counts.len() >= FINGERPRINTS_MAX {
-            self.counts.retain(|_, count| count.forget_at > now);
+            self.counts.retain(|_, count| count.expires_at > now);
         }
         if self.counts.len() >= FINGERPRINTS_MAX && !self.counts.contains_key(&request) {
             return;
         }
-        let forget_at = now + RETENTION;
-        let count = self.counts.entry(request).or_insert(CrashCount { crashes: 0, forget_at });
-        if count.forget_at <= now {
+        let expires_at = now + RETENTION;
+        let count = self.counts.entry(request).or_insert(CrashCount { crashes: 0, expires_at });
+        if count.expires_at <= now {
             count.crashes = 0;
         }
         count.crashes = count.crashes.saturating_add(1);
-        count.forget_at = forget_at;
+        count.expires_at = expires_at;
     }
 
-    /// Notes that the request was answered.
+    /// Clears the count of a request that was answered.
     pub fn clear(&mut self, request: Fingerprint) {
         self.counts.remove(&request);
     }
 
-    /// Whether the request isn't handed over any more.
+    /// Returns whether the request is no longer dispatched.
     pub fn is_blocked(&self, now: Instant, request: Fingerprint) -> bool {
         let count = self.counts.get(&request);
-        count.is_some_and(|count| count.crashes >= CRASHES_MAX && count.forget_at > now)
+        count.is_some_and(|count| count.crashes >= CRASHES_MAX && count.expires_at > now)
     }
 }
--- a/crates/yuccarack_policy/src/extra_attempts.rs
+++ b/crates/yuccarack_policy/src/extra_attempts.rs
@@ -1,69 +1,70 @@
-//! Whether a routed request that got no good answer goes to another gate.
+//! Decides whether a routed request without a successful response is sent to another gate.
 //!
-//! The pattern is a service of which a part fails: each failure that is tried again adds load to
-//! the targets that are left, and with every daemon of a fleet doing so the second wave is as large
-//! as the first. So all daemons share one allowance: each earns a share of its own requests and keeps
-//! a small part of the common reserve. A gate's refusal never reached a target and costs nothing.
+//! When a part of a service fails, each repeated request adds load to the remaining targets, and
+//! with all daemons of a fleet repeating theirs the second wave is as large as the first. So all
+//! daemons share one allowance: each earns a share of its own requests and holds a small part of
+//! the common reserve. A request rejected by a gate never reached a target and costs nothing.
 
 use std::time::Duration;
 
 use crate::budget::EarnedBudget;
 
-/// Part of the operators' share that is spent, in percent.
+/// Part of the operators' share that is used, in percent.
 ///
-/// The rest is left for what a daemon can't see: the calls that a request makes when it runs again
-/// are extra arrivals too, at the services that it calls.
+/// The rest is left for what a daemon can't see: when a request runs again, the calls that it makes
+/// are extra requests too, at the services that it calls.
 const USABLE_PERCENT: u32 = 60;
 
-/// Share of tries that end badly after they may have run, above which none of those is made again.
+/// Share of failed attempts that may have run above which no such request is repeated.
 ///
-/// A few failures are mended by another target. Many have a cause that another target shares, such
-/// as a service that they all call: each request that runs again calls it again, and 150 of them
-/// put 214 extra arrivals on a service that was failing already (counted over 10 s).
+/// A few failures don't occur at another target. Many have a cause that the targets share, such as
+/// a service that they all call: each repeated request calls it again, and 150 of them add 214
+/// requests to a service that is already failing.
 const FAILURE_SHARE_MAX: f64 = 0.1;
 
-/// Weight of one try in that share; fifty tries make it up.
+/// Weight of one attempt in that share, which covers about fifty attempts.
 const FAILURE_WEIGHT: f64 = 0.02;
 
-/// Shortest time left in which a further try is of use: two network round trips between domains.
+/// Shortest remaining time in which another attempt is of use: two network round trips between
+/// failure domains.
 const TIME_LEFT_MIN: Duration = Duration::from_millis(5);
 
-/// How a try ended that brought no good answer.
+/// How an attempt at a gate failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum GateAttemptFailure {
-    /// A gate turned it away; no target saw it.
+    /// A gate rejected the request; no target received it.
     Refused,
-    /// The target turned it away; it did not run.
+    /// The target shed the request without running it.
     Shed,
-    /// It may have run, and its answer is lost.
+    /// The request may have run; its response is lost.
     Unknown,
-    /// The target answered that it failed.
+    /// The target responded with a failure.
     Failed,
 }
 
-/// A try that brought no good answer.
+/// An attempt without a successful response.
 #[derive(Clone, Copy, Debug)]
 pub struct FailedGateAttempt {
-    /// How it ended.
+    /// How the attempt failed.
     pub kind: GateAttemptFailure,
     /// Whether the request may run more than once.
     pub is_repeatable: bool,
-    /// Targets that may have run it so far.
+    /// Number of targets that may have run the request so far.
     pub targets_run: u8,
-    /// Most targets that may run it.
+    /// Most targets that may run the request.
     pub targets_max: u8,
-    /// Time that its caller still waits.
+    /// Time for which the caller still waits.
     pub time_left: Duration,
 }
 
-/// Why no further try is made.
+/// Why no extra attempt is made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum NoExtraAttemptReason {
-    /// It may have run and must not run twice.
+    /// The request may have run and must not run twice.
     NotRepeatable,
-    /// It has been on as many targets as it may.
+    /// The request has run on as many targets as it may.
     TargetsUsedUp,
-    /// Too many end badly for another target to help.
+    /// Too many attempts fail for another target to help.
     TooManyFail,
     /// The deadline is too close.
     DeadlineClose,
@@ -72,7 +73,7 @@
 }
 
 impl NoExtraAttemptReason {
-    /// The reason's name in logs and counters.
+    /// Returns the reason's name in logs and counters.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotRepeatable => "not_repeatable",
@@ -84,7 +85,7 @@
     }
 }
 
-/// The allowance of one service at one entry.
+/// Allowance of extra attempts for one service at one entry.
 #[derive(Clone, Debug)]
 pub struct ExtraAttempts {
     allowance: EarnedBudget,
@@ -93,62 +94,62 @@
 }
 
 impl ExtraAttempts {
-    /// An allowance of `percent` of the requests and this entry's part of `reserve`, which
-    /// `entries` share.
+    /// Creates an allowance of `percent` of the requests, with this entry's part of the `reserve`
+    /// that `entries` share.
     pub fn new(percent: u8, reserve: u32, entries: usize) -> Self {
-        let spent = u32::from(percent) * USABLE_PERCENT / 100;
-        let spent = u8::try_from(spent).unwrap_or(100);
-        let allowance = EarnedBudget::new(spent, entry_reserve(reserve, entries));
+        let percent = u32::from(percent) * USABLE_PERCENT / 100;
+        let percent = u8::try_from(percent).unwrap_or(100);
+        let allowance = EarnedBudget::new(percent, entry_reserve(reserve, entries));
         Self { allowance, reserve, failure_share: 0.0 }
     }
 
-    /// Takes this entry's part anew, now that `entries` share the reserve.
+    /// Recomputes this entry's part of the reserve, which `entries` now share.
     ///
-    /// Failure: an entry starts when it knows few others, keeps a large part for good, and all of
-    /// them together send several times the further tries that operators allow.
+    /// An entry that starts while it knows few others must not keep its large part for good, or all
+    /// entries together would make several times the extra attempts that operators allow.
     pub fn set_entry_count(&mut self, entries: usize) {
         self.allowance.set_reserve(entry_reserve(self.reserve, entries));
     }
 
-    /// Notes a request, which earns its share.
+    /// Earns the share of one request.
     pub fn earn(&mut self) {
         self.allowance.earn();
     }
 
-    /// Notes a try that brought a good answer.
+    /// Records an attempt with a successful response.
     pub fn record_success(&mut self) {
         self.failure_share -= FAILURE_WEIGHT * self.failure_share;
     }
 
-    /// Pays for one arrival at a target beyond the first.
+    /// Spends one extra request to a target; returns `false` if the allowance doesn't cover it.
     pub fn spend(&mut self) -> bool {
         self.allowance.spend()
     }
 
-    /// Decides on a further try, and pays for it.
+    /// Decides on another attempt and spends it from the allowance.
     ///
     /// # Errors
     ///
-    /// Why none is made.
-    pub fn decide(&mut self, bad: FailedGateAttempt) -> Result<(), NoExtraAttemptReason> {
+    /// Returns why no attempt is made.
+    pub fn decide(&mut self, failed: FailedGateAttempt) -> Result<(), NoExtraAttemptReason> {
         let may_have_run =
-            matches!(bad.kind, GateAttemptFailure::Unknown | GateAttemptFailure::Failed);
+            matches!(failed.kind, GateAttemptFailure::Unknown | GateAttemptFailure::Failed);
         if may_have_run {
             self.failure_share += FAILURE_WEIGHT * (1.0 - self.failure_share);
         }
-        if may_have_run && !bad.is_repeatable {
+        if may_have_run && !failed.is_repeatable {
             return Err(NoExtraAttemptReason::NotRepeatable);
         }
-        if may_have_run && bad.targets_run >= bad.targets_max {
+        if may_have_run && failed.targets_run >= failed.targets_max {
             return Err(NoExtraAttemptReason::TargetsUsedUp);
         }
         if may_have_run && self.failure_share > FAILURE_SHARE_MAX {
             return Err(NoExtraAttemptReason::TooManyFail);
         }
-        if bad.time_left < TIME_LEFT_MIN {
+        if failed.time_left < TIME_LEFT_MIN {
             return Err(NoExtraAttemptReason::DeadlineClose);
         }
-        let is_free = bad.kind == GateAttemptFailure::Refused;
+        let is_free = failed.kind == GateAttemptFailure::Refused;
         if !is_free && !self.spend() {
             return Err(NoExtraAttemptReason::AllowanceUsedUp);
         }
@@ -156,7 +157,7 @@
     }
 }
 
-/// One entry's part of the reserve, in tries; each may make one now and then.
+/// Returns one entry's part of the reserve, in attempts; it is at least one.
 fn entry_reserve(reserve: u32, entries: usize) -> u16 {
     let entries = u32::try_from(entries).unwrap_or(u32::MAX).max(1);
     let part = reserve * USABLE_PERCENT / 100 / entries;
--- a/crates/yuccarack_policy/src/hedge.rs
+++ b/crates/yuccarack_policy/src/hedge.rs
@@ -1,9 +1,9 @@
-//! Whether and when a second target is asked before the first has answered.
+//! Hedged requests: whether and when a second target is tried before the first has responded.
 //!
-//! The pattern is a straggler: one target slows for some milliseconds while the others are quick,
-//! and the requests already handed to it make the tail. A second try after the usual tail bounds
-//! it. Without a budget and without evidence of saturation, hedges would double the load exactly
-//! when every target is slow.
+//! A straggler is a target that is slow for some milliseconds while the others are fast; the
+//! requests already dispatched to it make up the tail of the response times. A second attempt after
+//! the usual tail bounds it. Without a budget and a check for saturation, hedges would double the
+//! load exactly when every target is slow.
 
 use std::time::{Duration, Instant};
 
@@ -11,30 +11,30 @@
 
 use crate::budget::EarnedBudget;
 
-/// Hedges that a quiet entry may send at once.
+/// Hedges that an idle entry may send at once.
 pub const RESERVE: u16 = 20;
 
-/// How much longer a hedge waits when the budget is nearly spent, in shares of the tail.
+/// Additional delay of a hedge when the budget is nearly spent, in multiples of the tail.
 pub const SCARCITY_FACTOR: f64 = 3.0;
 
-/// Answers seen before the tail is believed.
+/// Responses needed before the tail is known.
 ///
-/// Below twenty the 95th percentile is just the slowest answer.
+/// With fewer than twenty the 95th percentile is just the slowest response.
 pub const RESPONSES_MIN: u32 = 20;
 
-/// Answers after which old ones count half, so that the tail follows a shift.
+/// Responses after which the old ones count half, so that the tail follows changes.
 pub const RESPONSES_KEPT: u32 = 1_000;
 
-/// Share of refused first tries above which hedges stop, in percent.
+/// Share of rejected first attempts above which no hedges are sent, in percent.
 pub const REFUSED_MAX_PERCENT: f64 = 5.0;
 
 /// Time in which evidence of saturation loses half its weight.
 pub const EVIDENCE_HALF_LIFE: Duration = Duration::from_millis(500);
 
-/// Steps of the histogram for each doubling of the answer time.
+/// Buckets of the histogram for each doubling of the response time.
 const BUCKETS_PER_DOUBLING: u32 = 8;
 
-/// Steps in all: 32 doublings of 1 µs are over an hour.
+/// Number of buckets: 32 doublings of 1 µs are more than an hour.
 const BUCKETS: usize = 256;
 
 /// Decides on hedges for one service at one entry.
@@ -61,23 +61,23 @@
         }
     }
 
-    /// Notes a first try, which earns the budget's share.
+    /// Records a first attempt, which earns its share of the budget.
     pub fn record_first_attempt(&mut self, now: Instant) {
         self.budget.earn();
         self.attempts.add(now);
     }
 
-    /// Notes the time a try took until its answer.
-    pub fn record_response(&mut self, _now: Instant, took: Duration) {
-        self.response_times.add(took);
+    /// Records the time from the start of an attempt to its response.
+    pub fn record_response(&mut self, _now: Instant, response_time: Duration) {
+        self.response_times.add(response_time);
     }
 
-    /// Notes a refusal by a gate, which is evidence of saturation.
+    /// Records a rejection by a gate, which is evidence of saturation.
     pub fn record_refusal(&mut self, now: Instant) {
         self.refusals.add(now);
     }
 
-    /// Time after hand-over at which a hedge is worth sending; `None` while hedging is off.
+    /// Returns the time after dispatch at which a hedge is sent; `None` while hedging is off.
     pub fn delay(&self, now: Instant) -> Option<Duration> {
         if self.budget.is_off()
             || self.response_times.count < RESPONSES_MIN
@@ -89,7 +89,7 @@
         Some(tail.mul_f64(1.0 + SCARCITY_FACTOR * (1.0 - self.budget.level())))
     }
 
-    /// Pays for one hedge just before it is sent; `false` means that it isn't to be sent.
+    /// Spends one hedge just before it is sent; `false` means that it must not be sent.
     pub fn spend(&mut self, now: Instant) -> bool {
         !self.is_saturated(now) && self.budget.spend()
     }
@@ -120,7 +120,7 @@
     }
 }
 
-/// Answer times in steps of about 9 %.
+/// Histogram of response times, in buckets of about 9 %.
 #[derive(Clone, Debug)]
 struct Histogram {
     counts: Box<[u16; BUCKETS]>,
@@ -132,10 +132,10 @@
         Self { counts: Box::new([0; BUCKETS]), count: 0 }
     }
 
-    fn add(&mut self, took: Duration) {
-        let took_us = took.as_micros().max(1) as f64;
-        let step = (took_us.log2() * f64::from(BUCKETS_PER_DOUBLING)) as usize;
-        self.counts[step.min(BUCKETS - 1)] += 1;
+    fn add(&mut self, response_time: Duration) {
+        let response_time_us = response_time.as_micros().max(1) as f64;
+        let bucket = (response_time_us.log2() * f64::from(BUCKETS_PER_DOUBLING)) as usize;
+        self.counts[bucket.min(BUCKETS - 1)] += 1;
         self.count += 1;
         if self.count >= RESPONSES_KEPT {
             self.halve();
@@ -148,19 +148,19 @@
     }
 
     fn percentile(&self, percentile: u8) -> Duration {
-        let wanted = (u64::from(self.count) * u64::from(percentile)).div_ceil(100);
-        let mut seen = 0;
-        for (step, &count) in self.counts.iter().enumerate() {
-            seen += u64::from(count);
-            if seen >= wanted {
-                return upper_edge(step);
+        let rank = (u64::from(self.count) * u64::from(percentile)).div_ceil(100);
+        let mut cumulative = 0;
+        for (bucket, &count) in self.counts.iter().enumerate() {
+            cumulative += u64::from(count);
+            if cumulative >= rank {
+                return upper_edge(bucket);
             }
         }
         upper_edge(BUCKETS - 1)
     }
 }
 
-fn upper_edge(step: usize) -> Duration {
-    let doublings = (step + 1) as f64 / f64::from(BUCKETS_PER_DOUBLING);
+fn upper_edge(bucket: usize) -> Duration {
+    let doublings = (bucket + 1) as f64 / f64::from(BUCKETS_PER_DOUBLING);
     Duration::from_micros(doublings.exp2() as u64)
 }
--- a/crates/yuccarack_policy/src/hidden_load.rs
+++ b/crates/yuccarack_policy/src/hidden_load.rs
@@ -1,47 +1,47 @@
-//! How many of its announced slots a target really has for its gate.
+//! Estimate of the slots of a target that are in use without its gate's knowledge.
 //!
-//! The pattern is a neighbour on shared hardware, or work of the target's own, that fills slots
-//! which the gate believes are free: requests handed over then wait inside the target, where they
-//! can't be refused any more. The target's load report shows such work as the difference between
-//! what it says and what the gate has handed over.
+//! Other load on shared hardware, or work of the target's own, may use slots that the gate believes
+//! are free. Requests dispatched then wait inside the target, where they can no longer be rejected.
+//! Such load is the difference between the target's load report and what the gate has dispatched.
 //!
-//! Reports are late and may lie, so they only ever lower the slots, never below half of what was
-//! announced, and only by what several looks in a row agree on.
+//! Reports are late and may be wrong, so they only ever lower the number of slots, never below half
+//! of the announced ones, and only by what several reports in a row agree on.
 
 use std::collections::VecDeque;
 
-/// Looks that have to agree.
+/// Number of reports in a row that have to agree.
 ///
-/// A report that lags shows requests that have just ended as hidden load; three looks a second
-/// apart don't meet three such moments but under a load that really stands.
+/// A report that lags shows requests that have just completed as hidden load. Three reports a
+/// second apart all meet such a moment only under a load that persists.
 pub const AGREEING_REPORTS: usize = 3;
 
-/// The load of a target that its gate didn't hand over.
+/// Load of a target that its gate did not dispatch.
 #[derive(Clone, Debug, Default)]
 pub struct HiddenLoad {
     samples: VecDeque<u16>,
 }
 
 impl HiddenLoad {
-    /// Starts without a look.
+    /// Creates an estimate without reports.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes a look: what the target said, and the most that the gate had handed over meanwhile.
-    pub fn record(&mut self, reported: u16, handed_over: u16) {
+    /// Records a load report and the most requests that the gate had dispatched meanwhile.
+    pub fn record(&mut self, reported: u16, dispatched: u16) {
         if self.samples.len() == AGREEING_REPORTS {
             self.samples.pop_front();
         }
-        self.samples.push_back(reported.saturating_sub(handed_over));
+        self.samples.push_back(reported.saturating_sub(dispatched));
     }
 
-    /// Forgets all looks, as after one that failed: old news may not lower the slots for good.
+    /// Discards all reports, as after a failed measurement: old reports must not lower the slots
+    /// for good.
     pub fn clear(&mut self) {
         self.samples.clear();
     }
 
-    /// The slots that are left of `slots`.
+    /// Returns how many of `slots` are usable.
     pub fn usable_slots(&self, slots: u16) -> u16 {
         if self.samples.len() < AGREEING_REPORTS {
             return slots;
--- a/crates/yuccarack_policy/src/measuring.rs
+++ b/crates/yuccarack_policy/src/measuring.rs
@@ -1,10 +1,9 @@
-//! What asking a target for its load may cost.
+//! Budget for load measurements at a target.
 //!
-//! The pattern is a noisy shared server: the load endpoint answers slowly or not at all, and a
-//! fixed polling interval then keeps asking, so measuring costs most where the target has least
-//! to give. Here every look is paid from bytes, requests and time in flight, charged for the
-//! worst case while it is open, so that the budget holds in any window of a second even when
-//! answers stop.
+//! On a busy shared server the load endpoint responds slowly or not at all. With a fixed polling
+//! interval, measuring would cost most where the target has least capacity. So each measurement is
+//! charged by bytes, requests and time in flight, for the worst case while it is open, and the
+//! budget holds in any window of a second even when responses stop.
 
 use std::{
     collections::VecDeque,
@@ -16,41 +15,41 @@
 /// Window over which bytes and time are limited.
 pub const WINDOW: Duration = Duration::from_secs(1);
 
-/// Fewest bytes for which asking is worth it: status line, a few headers and two numbers.
+/// Smallest number of bytes for a measurement: status line, a few headers and two numbers.
 pub const BYTES_MIN: u32 = 128;
 
-/// Shortest time for which asking is worth it.
+/// Shortest time for a measurement.
 pub const TIME_MIN: Duration = Duration::from_millis(1);
 
-/// Longest pause after looks that got no answer.
+/// Longest pause after measurements without a response.
 ///
-/// Each look without an answer doubles the pause; half a minute still notices a repaired
-/// endpoint while it costs a thirtieth of the budget.
+/// Each one doubles the pause. Half a minute still notices a repaired endpoint while it costs a
+/// thirtieth of the budget.
 pub const PAUSE_MAX: Duration = Duration::from_secs(30);
 
-/// Leave to ask the target once.
+/// Permission for one measurement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MeasurementPermit {
     /// Most bytes to read; the connection is closed at the next one.
     pub bytes_max: u32,
-    /// When to stop waiting for the answer.
+    /// When to stop waiting for the response.
     pub give_up_at: Instant,
 }
 
-/// What measuring has cost since the start.
+/// Cost of all measurements since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MeasuringCost {
-    /// Load reports asked for.
+    /// Number of requested load reports.
     pub requests: u64,
     /// Bytes read.
     pub bytes: u64,
-    /// Time that looks were in flight, in µs.
+    /// Time that measurements were in flight, in µs.
     pub time_us: u64,
-    /// Looks that ended at their give-up time.
+    /// Measurements that timed out.
     pub timeouts: u64,
 }
 
-/// Budget for looks at one target.
+/// Budget for the measurements at one target.
 #[derive(Clone, Debug)]
 pub struct MeasuringBudget {
     bytes_max: u32,
@@ -92,7 +91,7 @@
         }
     }
 
-    /// Starts a look if the budget allows one; at most one is open at a time.
+    /// Starts a measurement if the budget allows one; at most one is open at a time.
     pub fn try_start(&mut self, now: Instant) -> Option<MeasurementPermit> {
         let spacing = self.spacing?;
         self.close_overdue(now);
@@ -111,18 +110,18 @@
         Some(permit)
     }
 
-    /// Notes the end of the open look, answered or not, with the bytes that were read.
+    /// Records the end of the open measurement, with or without a response, and the bytes read.
     pub fn record_end(&mut self, now: Instant, bytes: u32) {
         let Some(open) = self.open.take() else { return };
         self.charge(open, now, bytes);
     }
 
-    /// What has been spent since the start.
+    /// Returns the cost of all measurements since the start.
     pub fn total_cost(&self) -> MeasuringCost {
         self.total_cost
     }
 
-    /// Earliest time at which a look could start, as far as is known now.
+    /// Returns the earliest time at which a measurement could start, as far as is known now.
     pub fn next_at(&self, now: Instant) -> Instant {
         if self.spacing.is_none() || self.bytes_max < BYTES_MIN || self.time_max < TIME_MIN {
             return now + PAUSE_MAX;
@@ -130,21 +129,21 @@
         let after_open = self.open.map_or(now, |open| open.permit.give_up_at);
         let earliest = self.next_start_at.unwrap_or(now).max(after_open).max(now);
         let (mut bytes, mut time) = (0, Duration::ZERO);
-        for look in self.finished.iter().rev() {
-            bytes += look.bytes;
-            time += look.time;
-            let short_of_bytes = bytes + BYTES_MIN > self.bytes_max;
-            if short_of_bytes || time + TIME_MIN > self.time_max {
-                return earliest.max(look.ended_at + WINDOW);
+        for measurement in self.finished.iter().rev() {
+            bytes += measurement.bytes;
+            time += measurement.time;
+            let is_short_of_bytes = bytes + BYTES_MIN > self.bytes_max;
+            if is_short_of_bytes || time + TIME_MIN > self.time_max {
+                return earliest.max(measurement.ended_at + WINDOW);
             }
         }
         earliest
     }
 
-    /// Ends a look whose owner never told its end.
+    /// Ends a measurement whose end was never recorded.
     ///
-    /// The failure is a lost answer: without this the one open look would stop all later ones.
-    /// It is charged in full, so the budget holds whatever became of it.
+    /// Otherwise the one open measurement would prevent all later ones after a lost response. It is
+    /// charged in full, so that the budget holds in any case.
     fn close_overdue(&mut self, now: Instant) {
         let Some(open) = self.open.take_if(|open| now > open.permit.give_up_at) else { return };
         self.charge(open, open.permit.give_up_at, open.permit.bytes_max);
@@ -166,14 +165,15 @@
     }
 
     fn drop_expired(&mut self, now: Instant) {
-        while self.finished.front().is_some_and(|look| look.ended_at + WINDOW <= now) {
+        while self.finished.front().is_some_and(|measurement| measurement.ended_at + WINDOW <= now)
+        {
             self.finished.pop_front();
         }
     }
 
     fn remaining(&self) -> (u32, Duration) {
-        let bytes: u32 = self.finished.iter().map(|look| look.bytes).sum();
-        let time: Duration = self.finished.iter().map(|look| look.time).sum();
+        let bytes: u32 = self.finished.iter().map(|measurement| measurement.bytes).sum();
+        let time: Duration = self.finished.iter().map(|measurement| measurement.time).sum();
         (self.bytes_max.saturating_sub(bytes), self.time_max.saturating_sub(time))
     }
 }
--- a/crates/yuccarack_policy/src/prior_wait.rs
+++ b/crates/yuccarack_policy/src/prior_wait.rs
@@ -1,30 +1,30 @@
-//! How long a caller has waited already when a request of its comes.
+//! Estimate of how long a caller has already waited when its request arrives.
 //!
-//! The pattern is an overload: callers are refused and come back, each time as a new request. Taken
-//! for new, they go before those that come for the first time, though their answers are late in any
-//! case, and then the others are late too. A caller says how long it will still wait, and that is
-//! less each time it comes back; so what callers of a route say while nobody is refused tells how
-//! long one that says less has waited before.
+//! In an overload callers are rejected and retry, each time with a new request. Treated as new,
+//! these would go before requests that come for the first time; their responses are late in any
+//! case, and then the others' are late too. A caller states how long it will still wait, which is
+//! less with each retry. So the times stated on a route while nobody is rejected show how long a
+//! caller that states less has waited before.
 
 use std::time::{Duration, Instant};
 
-/// Time without a refusal after which all that come are taken to come for the first time; callers
-/// that were refused are back or have given up by then.
+/// Time without a rejection after which all requests count as first attempts; rejected callers have
+/// retried or given up by then.
 const QUIET_AFTER: Duration = Duration::from_secs(5);
 
-/// Weight of a caller that says less than usual.
+/// Weight of a caller that states less than the usual time.
 ///
-/// Against [`MORE_WEIGHT`] it lets a few that come back after a failure pass, and follows callers
-/// of little patience once there are more of them.
+/// Compared with [`LONGER_WEIGHT`] it is large enough to follow callers with short timeouts once
+/// there are more of them, and small enough to ignore a few that retry after a failure.
 const SHORTER_WEIGHT: f64 = 0.1;
 
-/// Weight of a caller that says as much as usual or more.
+/// Weight of a caller that states the usual time or more.
 const LONGER_WEIGHT: f64 = 0.02;
 
-/// Share of the usual time by which what callers say may differ without meaning anything.
+/// Share of the usual time by which a stated time may differ without being taken for a retry.
 const TOLERANCE_SHARE: f64 = 0.05;
 
-/// What is known of the patience of one route's callers.
+/// Estimates the prior wait of one route's callers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PriorWaitEstimator {
     usual_timeout: Option<Duration>,
@@ -32,34 +32,34 @@
 }
 
 impl PriorWaitEstimator {
-    /// Starts without knowing anything.
+    /// Creates an estimator without any knowledge.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Notes that a request was refused.
+    /// Records that a request was rejected.
     pub fn record_refusal(&mut self, now: Instant) {
         self.refused_at = Some(now);
     }
 
-    /// Time for which the caller of a request that comes `now`, and who will wait for `left`, has
-    /// waited before.
-    pub fn estimate(&mut self, now: Instant, left: Duration) -> Duration {
-        let usual = self.usual_timeout.unwrap_or(left);
+    /// Returns how long the caller of a request that arrives `now` has waited before, if it will
+    /// wait for another `time_left`.
+    pub fn estimate(&mut self, now: Instant, time_left: Duration) -> Duration {
+        let usual = self.usual_timeout.unwrap_or(time_left);
         if self.is_quiet(now) {
-            self.usual_timeout = Some(smooth(usual, left));
+            self.usual_timeout = Some(smooth(usual, time_left));
         }
-        let waited = usual.saturating_sub(left);
-        if waited <= usual.mul_f64(TOLERANCE_SHARE) { Duration::ZERO } else { waited }
+        let prior_wait = usual.saturating_sub(time_left);
+        if prior_wait <= usual.mul_f64(TOLERANCE_SHARE) { Duration::ZERO } else { prior_wait }
     }
 
     fn is_quiet(&self, now: Instant) -> bool {
-        let since = |at: Instant| now.saturating_duration_since(at);
-        self.refused_at.is_none_or(|at| since(at) > QUIET_AFTER)
+        let age = |at: Instant| now.saturating_duration_since(at);
+        self.refused_at.is_none_or(|at| age(at) > QUIET_AFTER)
     }
 }
 
-fn smooth(usual: Duration, left: Duration) -> Duration {
-    let weight = if left < usual { SHORTER_WEIGHT } else { LONGER_WEIGHT };
-    usual.mul_f64(1.0 - weight) + left.mul_f64(weight)
+fn smooth(usual: Duration, time_left: Duration) -> Duration {
+    let weight = if time_left < usual { SHORTER_WEIGHT } else { LONGER_WEIGHT };
+    usual.mul_f64(1.0 - weight) + time_left.mul_f64(weight)
 }
--- a/crates/yuccarack_policy/src/retry.rs
+++ b/crates/yuccarack_policy/src/retry.rs
@@ -1,14 +1,14 @@
-//! Whether a request that got no answer is tried again.
+//! Decides whether a request without a response is retried.
 //!
-//! The pattern is a retry storm: a service that fails for a moment gets its failed load again on
-//! top of the new one, and each layer of callers multiplies it, up to 9 deep. Without a bound the
-//! second wave keeps the service down after its cause is gone.
+//! In a retry storm a service that fails for a moment gets its failed load again on top of the new
+//! one, multiplied by each layer of callers, up to 9 deep. Without a bound the second wave keeps
+//! the service down after the cause is gone.
 //!
-//! Two budgets hold it. A refusal at a gate ran nothing, so trying elsewhere costs one message
-//! and is allowed at any depth; a failure after hand-over has cost a target's time and perhaps a
-//! whole chain below it, so only the outermost entry repeats it. With that rule a chain of any
-//! depth runs at most `1 + budget_percent / 100` times as often as it was asked for, not that
-//! number to the power of its depth.
+//! Two budgets bound it. A request rejected at a gate ran nothing, so another attempt costs one
+//! message and is allowed at any depth. A failure after dispatch has cost a target's time and
+//! perhaps a whole chain below it, so only the outermost entry repeats it. With that rule a chain
+//! of any depth runs at most `1 + budget_percent / 100` times as often as it was requested, rather
+//! than that number to the power of its depth.
 
 use std::time::{Duration, Instant};
 
@@ -16,97 +16,97 @@
 
 use crate::budget::EarnedBudget;
 
-/// Retries after hand-over that a quiet entry may make at once.
+/// Retries after dispatch that an idle entry may make at once.
 ///
-/// Small services send a call every few seconds; without a reserve their first failure would
-/// always reach the caller. Ten is below one target's slots, so a reserve can't flood it.
+/// Small services send a call every few seconds; without a reserve their first failure would always
+/// reach the caller. Ten is below one target's number of slots, so the reserve can't flood it.
 pub const FAILURE_RESERVE: u16 = 10;
 
-/// Retries after refusals that a quiet entry may make at once.
+/// Retries after rejections that an idle entry may make at once.
 pub const REFUSAL_RESERVE: u16 = 20;
 
-/// How much more often a refused request may go elsewhere than a failed one.
+/// How many times more often a rejected request may be retried than a failed one.
 ///
-/// At 10 % for failures half of all requests may be refused once and still find room elsewhere;
-/// a service that refuses more than that has no room to find.
+/// At 10 % for failures, half of all requests may be rejected once and still be served elsewhere; a
+/// service that rejects more than that has no capacity left.
 pub const REFUSAL_FACTOR: u8 = 5;
 
-/// Outermost depth: the call of a caller that is no target itself.
+/// Depth of a call whose caller is not a target itself.
 const OUTERMOST_DEPTH: u8 = 1;
 
-/// Shortest time left in which a further try is of use.
+/// Shortest remaining time in which another attempt is of use.
 const TIME_LEFT_MIN: Duration = Duration::from_millis(2);
 
-/// What became of a try.
+/// How an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptFailure {
-    /// A gate refused it; it did not run.
+    /// A gate rejected the request; it did not run.
     RefusedNotRun,
-    /// The link broke before a byte was handed to a target; it did not run.
+    /// The connection broke before a byte was sent to a target; the request did not run.
     BrokenNotRun,
-    /// The link broke after hand-over; it may have run.
+    /// The connection broke after dispatch; the request may have run.
     BrokenUnknown,
-    /// The target answered that it failed.
+    /// The target responded with a failure.
     TargetError,
 }
 
-/// A try that ended without a usable answer.
+/// A request whose attempt ended without a usable response.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryCandidate {
-    /// Number of the try, the first is 1.
+    /// Number of the attempt; the first is 1.
     pub number: u8,
     /// When the caller gives up.
     pub deadline: Instant,
-    /// How the try ended.
+    /// How the attempt failed.
     pub failure: AttemptFailure,
     /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// How many services the call has come through, the first call is 1.
+    /// Number of services that the call has passed through; 1 for the first call.
     pub depth: u8,
 }
 
-/// Whether to try again.
+/// Decision on a retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Try again, at another target.
+    /// The request is sent to another target.
     Again {
-        /// Why it is worth it.
+        /// Why a retry makes sense.
         reason: RetryReason,
     },
-    /// The try's end is the request's end.
+    /// The outcome of the attempt is that of the request.
     GiveUp {
-        /// Why no further try is made.
+        /// Why no further attempt is made.
         reason: GiveUpReason,
     },
 }
 
-/// Why a request is tried again.
+/// Why a request is retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RetryReason {
-    /// A gate refused it.
+    /// A gate rejected it.
     RefusedNotRun,
-    /// The link broke before hand-over.
+    /// The connection broke before dispatch.
     BrokenNotRun,
-    /// The link broke after hand-over and the request is repeatable.
+    /// The connection broke after dispatch and the request is repeatable.
     BrokenUnknown,
     /// The target failed and the request is repeatable.
     TargetError,
 }
 
-/// Why a request is not tried again.
+/// Why a request is not retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum GiveUpReason {
-    /// It may have run and must not run twice.
+    /// The request may have run and must not run twice.
     NotRepeatable,
-    /// It had all the tries that the rules allow.
+    /// The request has had all the attempts that the rules allow.
     AttemptsUsedUp,
     /// The deadline is too close.
     DeadlineClose,
-    /// The budget for retries after hand-over is spent.
+    /// The budget for retries after dispatch is spent.
     FailureBudgetSpent,
-    /// The budget for retries after refusals is spent.
+    /// The budget for retries after rejections is spent.
     RefusalBudgetSpent,
-    /// Only the outermost entry repeats work that has run.
+    /// Only the outermost entry repeats a request that has run.
     NotOutermost,
 }
 
@@ -129,15 +129,16 @@
         }
     }
 
-    /// Notes a first try, which earns the budgets' shares.
+    /// Records a first attempt, which earns its share of both budgets.
     pub fn record_first_attempt(&mut self, _now: Instant) {
         self.failure_budget.earn();
         self.refusal_budget.earn();
     }
 
-    /// Decides on a try that ended without a usable answer, and pays if it is made again.
-    pub fn decide(&mut self, now: Instant, ended: RetryCandidate) -> RetryDecision {
-        match self.evaluate(now, &ended) {
+    /// Decides on an attempt that ended without a usable response, and spends the budget of a
+    /// retry.
+    pub fn decide(&mut self, now: Instant, candidate: RetryCandidate) -> RetryDecision {
+        match self.evaluate(now, &candidate) {
             Ok(reason) => RetryDecision::Again { reason },
             Err(reason) => RetryDecision::GiveUp { reason },
         }
@@ -146,21 +147,21 @@
     fn evaluate(
         &mut self,
         now: Instant,
-        ended: &RetryCandidate,
+        candidate: &RetryCandidate,
     ) -> Result<RetryReason, GiveUpReason> {
-        if ended.failure.may_have_run() && !ended.repeatable {
+        if candidate.failure.may_have_run() && !candidate.repeatable {
             return Err(GiveUpReason::NotRepeatable);
         }
-        if ended.failure.may_have_run() && ended.depth > OUTERMOST_DEPTH {
+        if candidate.failure.may_have_run() && candidate.depth > OUTERMOST_DEPTH {
             return Err(GiveUpReason::NotOutermost);
         }
-        if ended.number >= self.attempts_max {
+        if candidate.number >= self.attempts_max {
             return Err(GiveUpReason::AttemptsUsedUp);
         }
-        if ended.deadline.saturating_duration_since(now) < TIME_LEFT_MIN {
+        if candidate.deadline.saturating_duration_since(now) < TIME_LEFT_MIN {
             return Err(GiveUpReason::DeadlineClose);
         }
-        self.charge(ended.failure)
+        self.charge(candidate.failure)
     }
 
     fn charge(&mut self, failure: AttemptFailure) -> Result<RetryReason, GiveUpReason> {
@@ -175,7 +176,7 @@
 }
 
 impl AttemptFailure {
-    /// Whether a target may have worked on the request.
+    /// Returns whether a target may have worked on the request.
     pub fn may_have_run(self) -> bool {
         match self {
             Self::RefusedNotRun | Self::BrokenNotRun => false,
@@ -194,7 +195,7 @@
 }
 
 impl RetryReason {
-    /// The reason's name in counters and headers.
+    /// Returns the reason's name in counters and headers.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::RefusedNotRun => "refused_not_run",
@@ -206,7 +207,7 @@
 }
 
 impl GiveUpReason {
-    /// The reason's name in counters and headers.
+    /// Returns the reason's name in counters and headers.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotRepeatable => "not_repeatable",
--- a/crates/yuccarack_policy/src/split.rs
+++ b/crates/yuccarack_policy/src/split.rs
@@ -1,22 +1,22 @@
-//! Which service of a split route takes the next request.
+//! Weighted split of a route's requests over several services.
 //!
-//! The pattern is a route whose requests are shared out by weight over many entries, each of which
-//! sees a few a second: drawn at random, a share of two hundred requests is off by several in a
-//! hundred. Each entry deals its requests out in turn instead, starting anywhere, so that all
-//! entries together are off by less than one request each.
+//! The requests of a route are split by weight at many entries, each of which sees a few a second.
+//! If drawn at random, a share of two hundred requests would be off by several percent. So each
+//! entry assigns its requests by weighted round robin from a random start, and all entries together
+//! are off by less than one request each.
 
 use rand::Rng;
 
-/// Deals the requests of one route at one entry out.
+/// Assigns the requests of one route at one entry by smooth weighted round robin.
 #[derive(Clone, Debug)]
 pub struct WeightedRoundRobin {
     weights: Vec<u32>,
-    /// What each part is owed, in weights.
+    /// Current credit of each part, in units of weight.
     credits: Vec<i64>,
 }
 
 impl WeightedRoundRobin {
-    /// Deals by `weights`, starting at a random place.
+    /// Creates a round robin by `weights` with a random start.
     pub fn new(weights: Vec<u32>, rng: &mut impl Rng) -> Self {
         let total: i64 = weights.iter().map(|&weight| i64::from(weight)).sum();
         let mut start = || if total == 0 { 0 } else { rng.random_range(0..total) };
@@ -24,12 +24,12 @@
         Self { weights, credits }
     }
 
-    /// Whether it deals by `weights`.
+    /// Returns whether the weights are `weights`.
     pub fn has_weights(&self, weights: &[u32]) -> bool {
         self.weights == weights
     }
 
-    /// The part that takes the next request; none when no part has a weight.
+    /// Returns the part that gets the next request; `None` when no part has a weight.
     pub fn next_part(&mut self) -> Option<usize> {
         let total: i64 = self.weights.iter().map(|&weight| i64::from(weight)).sum();
         for (owed, weight) in self.credits.iter_mut().zip(&self.weights) {
--- a/crates/yuccarack_policy/src/suspects.rs
+++ b/crates/yuccarack_policy/src/suspects.rs
@@ -1,11 +1,11 @@
-//! Requests that may crash the targets that run them.
+//! Requests suspected of crashing the targets that run them.
 //!
-//! The pattern is a single request that crashes each target that runs it, whose caller sends it
-//! again: without a memory of what was in flight, one request takes down a service of six
-//! targets within six resends. Every request in flight at a death becomes a suspect. A suspect
-//! runs alone, on one target at a time; if that target dies too, the request is quarantined.
-//! Bystanders are cleared by their first run that ends well, so being in flight at the wrong
-//! time costs one careful run and no more.
+//! A single request may crash each target that runs it while its caller sends it again: without a
+//! record of what was in flight, one request takes down a service of six targets within six
+//! retries. Every request in flight at a crash becomes a suspect. A suspect runs alone, on one
+//! target at a time; if that target crashes too, the request is quarantined. Requests that were
+//! there by chance are cleared by their first successful run, so they cost one isolated run and no
+//! more.
 
 use std::{
     collections::HashMap,
@@ -14,45 +14,45 @@
 
 use yuccarack_config::ids::Fingerprint;
 
-/// Times and sizes of the memory of suspects.
+/// Durations and size limit of the record of suspects.
 #[derive(Clone, Copy, Debug)]
 pub struct SuspectsConfig {
     /// How long a suspect is remembered after its last crash.
     pub suspected_for: Duration,
-    /// Longest trial; a trial that is neither ended nor crashed by then is forgotten.
+    /// Longest trial; without a result by then, the request is a suspect again.
     pub trial_max: Duration,
-    /// How long a request is refused after it crashed a target while alone.
+    /// How long a request is rejected after it crashed a target while running alone.
     pub quarantined_for: Duration,
-    /// Pause told to a caller whose request is on trial elsewhere.
+    /// Time after which a caller may retry whose request is on trial at another target.
     pub trial_retry_after: Duration,
-    /// Most fingerprints remembered; the oldest suspects make room.
+    /// Most fingerprints remembered; beyond that the least severe and oldest suspects are removed.
     pub remembered_max: usize,
 }
 
-/// What is thought of a request.
+/// State of a suspected request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum SuspectPhase {
-    /// It was in flight when a target died.
+    /// The request was in flight when a target crashed.
     Suspected,
-    /// It runs alone on one target.
+    /// The request runs alone on one target.
     OnTrial,
-    /// It crashed a target while alone.
+    /// The request crashed a target while running alone.
     Quarantined,
 }
 
 /// How a request may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Nothing is known against it.
+    /// Nothing is known against the request.
     Clear,
-    /// It may run with nothing else in flight on its target.
+    /// The request may run with nothing else in flight on its target.
     Alone,
-    /// It is on trial on another target.
+    /// The request is on trial on another target.
     OnTrialElsewhere {
-        /// When the caller may ask again.
+        /// Time after which the caller may retry.
         retry_after: Duration,
     },
-    /// It is refused.
+    /// The request is rejected.
     Quarantined {
         /// End of the quarantine.
         until: Instant,
@@ -65,7 +65,7 @@
     until: Instant,
 }
 
-/// Memory of suspects, bounded in size.
+/// Record of suspects, bounded in size.
 #[derive(Clone, Debug)]
 pub struct Suspects {
     config: SuspectsConfig,
@@ -85,12 +85,12 @@
 }
 
 impl Suspects {
-    /// Creates an empty memory.
+    /// Creates an empty record.
     pub fn new(config: SuspectsConfig) -> Self {
         Self { config, known: HashMap::new() }
     }
 
-    /// How the request may run now.
+    /// Returns how the request may run now.
     pub fn verdict(&mut self, now: Instant, fingerprint: Fingerprint) -> Verdict {
         self.expire(now, fingerprint);
         let Some(suspect) = self.known.get(&fingerprint) else { return Verdict::Clear };
@@ -103,10 +103,10 @@
         }
     }
 
-    /// Notes a death with these requests in flight; returns what is thought of each from now on.
+    /// Records a crash with these requests in flight and returns the new phase of each.
     ///
-    /// Only a request that ran alone while already suspected is quarantined: one in company may
-    /// be a bystander, however often it was there.
+    /// Only a request that ran alone while already suspected is quarantined: one that ran beside
+    /// others may have been there by chance, however often it happened.
     pub fn record_crash(
         &mut self,
         now: Instant,
@@ -123,40 +123,40 @@
         phases
     }
 
-    /// Notes that a suspect started to run alone.
+    /// Records that a suspect started to run alone.
     pub fn trial_started(&mut self, now: Instant, fingerprint: Fingerprint) {
         self.raise_phase(now, fingerprint, SuspectPhase::OnTrial);
     }
 
-    /// Notes that a suspect ran alone and its target lives; clears it.
+    /// Records that a suspect ran alone without a crash, and clears it.
     pub fn trial_succeeded(&mut self, fingerprint: Fingerprint) {
         self.known.remove(&fingerprint);
     }
 
-    /// Notes that a trial ended before the request was handed over, so nothing was learned.
+    /// Records that a trial ended before the request was dispatched, so that it showed nothing.
     pub fn trial_abandoned(&mut self, now: Instant, fingerprint: Fingerprint) {
         if self.known.get(&fingerprint).is_some_and(|known| known.phase == SuspectPhase::OnTrial) {
             self.insert(now, fingerprint, SuspectPhase::Suspected);
         }
     }
 
-    /// Takes over what a peer or the table says; never lowers what is known already.
+    /// Merges a phase known to a peer or the table; never lowers the known phase.
     pub fn merge(&mut self, now: Instant, fingerprint: Fingerprint, phase: SuspectPhase) {
         self.expire(now, fingerprint);
         self.raise_phase(now, fingerprint, phase);
     }
 
-    /// Forgets a request by an operator's order or a peer's finished trial.
+    /// Removes a request after an operator's order or a peer's completed trial.
     pub fn clear(&mut self, fingerprint: Fingerprint) {
         self.known.remove(&fingerprint);
     }
 
-    /// How many requests are remembered.
+    /// Returns the number of remembered requests.
     pub fn len(&self) -> usize {
         self.known.len()
     }
 
-    /// Whether none is remembered.
+    /// Returns whether no request is remembered.
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Lets go of the suspect with the lightest phase that would end first.
+    /// Removes the suspect with the lowest phase that would expire first.
     fn evict_least(&mut self) {
         let least = self.known.iter().min_by_key(|(_, known)| (known.phase, known.until));
         if let Some((&fingerprint, _)) = least {
@@ -200,8 +200,8 @@
         }
     }
 
-    /// Steps one phase down when its time is over: a trial or quarantine leaves a suspect, which
-    /// is tried alone once more, and a suspect is forgotten.
+    /// Lowers the phase by one step when its time is over: after a trial or quarantine the request
+    /// is a suspect again and is tried alone once more; a suspect is removed.
     fn expire(&mut self, now: Instant, fingerprint: Fingerprint) {
         let Some(known) = self.known.get(&fingerprint) else { return };
         if now < known.until {
