--- a/crates/yuccarackd/src/coordination/gate/dispatch.rs
+++ b/crates/yuccarackd/src/coordination/gate/dispatch.rs
@@ -227,7 +227,7 @@
 }
 
 fn is_connection_refused(error: &SendError) -> bool {
-    matches!(error, SendError::Unreachable { refused: true, .. })
+    matches!(error, SendError::Unreachable { is_refused: true, .. })
 }
 
 fn target_response(
--- a/crates/yuccarackd/src/daemon/assembly.rs
+++ b/crates/yuccarackd/src/daemon/assembly.rs
@@ -1,4 +1,4 @@
-//! How a daemon's parts are put together.
+//! Builds and starts the components of a daemon.
 
 use std::sync::Arc;
 
@@ -21,21 +21,21 @@
     transport::{call_server::CallServer, upstream::Upstream},
 };
 
-/// What the parts share.
+/// Dependencies that the components of a daemon share.
 pub struct Assembly {
-    /// The settings, with the ports that the kernel gave.
+    /// Settings, with the ports that the kernel assigned.
     pub settings: Arc<DaemonSettings>,
-    /// Log of state changes.
+    /// Log for state changes.
     pub logger: Logger,
-    /// Counters.
+    /// Counters of all components.
     pub counters: Counters,
-    /// The platform.
+    /// Client of the platform's store.
     pub platform: PlatformClient,
-    /// Connections to gates and to the target.
+    /// Connection pool for gates and the target.
     pub upstream: Upstream,
-    /// Parents of what is spawned.
+    /// Trackers of the spawned tasks.
     pub tasks: Tasks,
-    /// Words that end it.
+    /// Tokens that stop the spawned tasks.
     pub stops: StopTokens,
 }
 
@@ -61,7 +61,7 @@
         gate
     }
 
-    /// Makes the entry beside `gate`.
+    /// Creates the entry, which shares the daemon with `gate`.
     pub fn new_entry(&self, control: &ControlPlane, gate: Arc<Gate>, call_log: CallLog) -> Entry {
         Entry::new(EntryParts {
             instance: self.settings.instance.clone(),
@@ -76,14 +76,14 @@
         })
     }
 
-    /// Serves callers.
+    /// Starts the server for calls.
     pub fn serve_calls(&self, listener: TcpListener, entry: Entry) {
         let server = self.server(listener, "entry");
         let (tasks, stop) = (self.tasks.calls.clone(), self.stops.calls.clone());
         self.tasks.background.spawn(server.run(Arc::new(entry), tasks, stop));
     }
 
-    /// Serves other daemons.
+    /// Starts the server for requests of other daemons.
     pub fn serve_daemons(&self, listener: TcpListener, gate: Arc<Gate>) {
         let server = self.server(listener, "gate");
         let (tasks, stop) = (self.tasks.gate.clone(), self.stops.gate.clone());
@@ -106,7 +106,7 @@
     }
 
     fn start_suspects(&self, control: &mut ControlPlane) -> SuspectTracker {
-        // The control plane has just started, so nobody else has taken them.
+        // The control plane has just started, so the receiver hasn't been taken yet.
         let urgent_receiver = control.take_urgent_receiver().unwrap_or_else(|| mpsc::channel(1).1);
         SuspectTracker::start(
             self.platform.clone(),
--- a/crates/yuccarackd/src/daemon/errors.rs
+++ b/crates/yuccarackd/src/daemon/errors.rs
@@ -1,4 +1,4 @@
-//! Why a daemon could not run or stop well.
+//! Errors that end a daemon.
 
 use std::{io, net::SocketAddr};
 
@@ -6,31 +6,31 @@
 
 use crate::coordination::control_plane::ControlError;
 
-/// Why a daemon could not run or stop well.
+/// Why a daemon failed to start, to run or to stop without cutting off calls.
 #[derive(Debug, Error)]
 pub enum DaemonError {
-    /// The runtime could not be made.
-    #[error("no runtime for tasks can be had")]
+    /// The Tokio runtime could not be built.
+    #[error("can't build the async runtime")]
     Runtime(#[source] io::Error),
-    /// An address can't be listened on.
-    #[error("{address} can't be listened on: {cause}")]
+    /// A listener could not be bound.
+    #[error("can't listen on {address}: {cause}")]
     Listen {
-        /// The address.
+        /// Address from the settings.
         address: SocketAddr,
-        /// The operating system's word.
+        /// I/O error of the operating system.
         #[source]
         cause: io::Error,
     },
-    /// Counters can't be sent.
-    #[error("no socket for counters can be had")]
+    /// The socket to the statsd collector could not be opened.
+    #[error("can't open the socket for sending counters")]
     Counters(#[source] io::Error),
-    /// Signals can't be watched.
-    #[error("signals can't be watched")]
+    /// A signal handler could not be installed.
+    #[error("can't install a signal handler")]
     Signal(#[source] io::Error),
-    /// The control plane could not start or stop.
+    /// The control plane failed to start or to stop.
     #[error(transparent)]
     Control(#[from] ControlError),
-    /// Calls were still in flight when the time for stopping was over.
-    #[error("calls were still in flight after drain_max_ms")]
+    /// Tasks were still running when the time for stopping was over.
+    #[error("calls or tasks still ran at the stop deadline (drain_max_ms or stop_max_ms)")]
     DrainTimeout,
 }
--- a/crates/yuccarackd/src/daemon/lifetimes.rs
+++ b/crates/yuccarackd/src/daemon/lifetimes.rs
@@ -1,29 +1,29 @@
-//! What runs in a daemon, and the words that end it.
+//! Trackers of a daemon's tasks and the tokens that stop them.
 
 use tokio_util::{sync::CancellationToken, task::TaskTracker};
 
-/// Parents of all that a daemon spawns, joined in this order.
+/// Trackers of all tasks that a daemon spawns; a stop waits for them in this order.
 #[derive(Clone, Default)]
 pub struct Tasks {
     /// Connections of callers.
     pub calls: TaskTracker,
     /// Connections of other daemons, and claimed requests that outlive them.
     pub gate: TaskTracker,
-    /// Everything else.
+    /// All other tasks.
     pub background: TaskTracker,
 }
 
-/// Words that end parts of a daemon, said in this order.
+/// Tokens that stop parts of a daemon; a stop cancels them in this order.
 #[derive(Clone, Default)]
 pub struct StopTokens {
-    /// Callers are to take their next call elsewhere.
+    /// Callers should send their next call elsewhere: responses close their connections.
     pub leaving: CancellationToken,
-    /// Other daemons are to send their next request elsewhere.
+    /// Other daemons should send their next request elsewhere: the gate refuses them.
     pub gate_leaving: CancellationToken,
-    /// No call is taken any more.
+    /// No call is accepted any more.
     pub calls: CancellationToken,
-    /// No request of another daemon is taken any more.
+    /// No request of another daemon is accepted any more.
     pub gate: CancellationToken,
-    /// The rest ends.
+    /// All other tasks end.
     pub background: CancellationToken,
 }
--- a/crates/yuccarackd/src/daemon/mod.rs
+++ b/crates/yuccarackd/src/daemon/mod.rs
@@ -1,4 +1,4 @@
-//! One daemon: its parts, how they start, and how they stop without cutting off a call.
+//! Start and graceful stop of a daemon.
 
 mod assembly;
 mod errors;
@@ -27,11 +27,11 @@
     transport::upstream::Upstream,
 };
 
-/// Longest wait for what is left once calls have ended or were cut off: outcomes of claims that are
-/// still to be written, and connections that close.
+/// Longest wait for background tasks once calls have ended or were cut off: outcomes of claims that
+/// are still to be written, and connections that are closing.
 const BACKGROUND_STOP_MAX: Duration = Duration::from_secs(10);
 
-/// A running daemon.
+/// Running daemon that serves calls by service.
 pub struct Daemon {
     assembly: Assembly,
     control: ControlPlane,
@@ -39,11 +39,11 @@
 }
 
 impl Daemon {
-    /// Starts all parts.
+    /// Starts all components.
     ///
     /// # Errors
     ///
-    /// [`DaemonError`] when an address or a socket can't be had.
+    /// [`DaemonError`] if a listener or socket can't be opened.
     pub async fn start(mut settings: DaemonSettings, logger: Logger) -> Result<Self, DaemonError> {
         let call_listener = listen(&mut settings.call_address).await?;
         let gate_listener = listen(&mut settings.gate_address).await?;
@@ -67,7 +67,7 @@
         Ok(Self { assembly, control, gate })
     }
 
-    /// One JSON line with the addresses that are served, for whoever started this process.
+    /// Returns a JSON line with the addresses that are served, for the parent process.
     pub fn ready_line(&self) -> String {
         let settings = &self.assembly.settings;
         serde_json::json!({
@@ -82,14 +82,14 @@
 
     /// Stops without cutting off a call.
     ///
-    /// Peers are told first, and until they have heard of it the gate refuses with proof, so
-    /// that entries go elsewhere. Callers are told to close their connections while the entry
-    /// still takes calls, since a caller may send its next call on a connection that we are
-    /// closing and could not tell whether it ran.
+    /// Peers are notified first. Until they know, the gate refuses requests and confirms that they
+    /// did not run, so that entries send them elsewhere. Responses ask callers to close their
+    /// connections while the entry still accepts calls: a caller that sends its next call on a
+    /// connection that is being closed could not tell whether it ran.
     ///
     /// # Errors
     ///
-    /// [`DaemonError::DrainTimeout`] when calls were cut off at last.
+    /// [`DaemonError::DrainTimeout`] if calls had to be cut off.
     pub async fn stop(self) -> Result<(), DaemonError> {
         let Assembly { settings, logger, upstream, tasks, stops, .. } = self.assembly;
         info!(logger, "stopping"; "in_flight" => self.gate.in_flight());
@@ -106,11 +106,11 @@
         upstream.close_idle();
         stops.background.cancel();
         self.control.stop().await?;
-        // Also after a cut: the outcomes of claims that have ended are still to be written.
+        // Also if calls were cut off: outcomes of claims that have ended are still to be written.
         let background_ended =
             join_until(&tasks.background, Instant::now() + BACKGROUND_STOP_MAX).await;
         if !(calls_ended && gate_ended && background_ended) {
-            warn!(logger, "calls were cut off");
+            warn!(logger, "stop timed out; remaining tasks and calls were cut off");
             return Err(DaemonError::DrainTimeout);
         }
         info!(logger, "stopped");
@@ -132,7 +132,7 @@
     })
 }
 
-/// Binds `address` and puts the port there that the kernel gave.
+/// Binds `address` and stores the port that the kernel assigned in it.
 async fn listen(address: &mut SocketAddr) -> Result<TcpListener, DaemonError> {
     let requested = *address;
     let listen_error = |cause| DaemonError::Listen { address: requested, cause };
--- a/crates/yuccarackd/src/daemon/routed.rs
+++ b/crates/yuccarackd/src/daemon/routed.rs
@@ -1,4 +1,4 @@
-//! A daemon for routed calls: its parts, how they start, and how they stop without losing a call.
+//! Start and graceful stop of a daemon for routed calls.
 
 mod wiring;
 
@@ -37,24 +37,25 @@
     transport::upstream::Upstream,
 };
 
-/// Time for which a stopping daemon goes on as before, but for saying that it isn't ready: callers
-/// of the instance are told within two questions for readiness, a second apart. Its target is
-/// reached by nobody else, so refusing other daemons any sooner would only idle it.
+/// Time for which a stopping daemon keeps serving while it reports that it isn't ready. Callers of
+/// the instance notice within two readiness checks, a second apart. Its target is reached through
+/// this daemon only, so refusing other daemons earlier would only leave the target idle.
 const READINESS_NOTICE: Duration = Duration::from_millis(2_300);
 
-/// Time for which a stopping gate turns requests away before it closes its connections.
+/// Time for which a stopping gate refuses requests before it closes its connections.
 ///
-/// Failure: other daemons hear that it goes by its refusals only. Closed at once, its connections are
-/// reset with requests on them that nobody read, and their callers are told that orders may have run:
-/// some thirty at each planned stop under load. Within this time each daemon has asked once more, is
-/// refused with proof and goes elsewhere; a daemon that was starved of its processor catches up.
+/// Other daemons learn only from its refusals that the gate is stopping. If it closed immediately,
+/// its connections would be reset with unread requests on them, and callers would be told that
+/// requests may have run: about thirty at each planned stop under load. Within this time each
+/// daemon sends one more request, gets a refusal that confirms that it did not run, and uses
+/// another gate. The time also suffices for a daemon that is starved of CPU time.
 const GATE_NOTICE: Duration = Duration::from_millis(300);
 
-/// Time before the hard end of a stop at which what still runs is cut off, so that connections and
-/// the log can be closed in order; on a tenth of a core that took up to half a second.
+/// Time before the deadline of a stop at which remaining calls are cut off, so that connections and
+/// the log can be closed in order. That takes up to half a second on a tenth of a core.
 const CLOSE_RESERVE: Duration = Duration::from_millis(800);
 
-/// A running daemon for routed calls.
+/// Running daemon for routed calls.
 pub struct RoutedDaemon {
     settings: LiveSettings,
     routing: RoutingState,
@@ -66,7 +67,7 @@
     stops: StopTokens,
 }
 
-/// Listeners of one daemon.
+/// Listeners of one daemon, bound before any component starts.
 struct Listeners {
     calls: TcpListener,
     gate: TcpListener,
@@ -76,11 +77,11 @@
 }
 
 impl RoutedDaemon {
-    /// Starts all parts.
+    /// Starts all components.
     ///
     /// # Errors
     ///
-    /// [`DaemonError`] when an address can't be had.
+    /// [`DaemonError::Listen`] if an address can't be bound.
     pub async fn start(mut settings: RoutedSettings, logger: Logger) -> Result<Self, DaemonError> {
         let listeners = Listeners {
             calls: listen(&mut settings.call_address).await?,
@@ -125,7 +126,7 @@
         Ok(daemon)
     }
 
-    /// Reads the settings anew.
+    /// Reloads the settings and the routing file; faults are logged and change nothing.
     pub fn reload(&self, file: &Path) {
         match self.settings.reload(file) {
             Ok(reloaded) => {
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Puts the table of the routing file in force, if the settings name one and it is newer.
+    /// Puts the table of the routing file in force if the settings name one and it is newer.
     fn apply_routing_file(&self) {
         match self.settings.current().routing() {
             Ok(Some(table)) => {
@@ -154,13 +155,14 @@
 
     /// Stops without cutting off a call.
     ///
-    /// Callers of this instance go on sending until they are told that it isn't ready, so calls are
-    /// taken for that long, each with the word to close its connection. Then the gate refuses with
-    /// proof, so that other daemons go elsewhere, and what runs ends.
+    /// Callers of this instance keep sending until they learn that it isn't ready. Calls are
+    /// accepted until then, and each response asks the caller to close its connection. Then the
+    /// gate refuses requests and confirms that they did not run, so that other daemons send them
+    /// elsewhere, and requests in flight finish.
     ///
     /// # Errors
     ///
-    /// [`DaemonError::DrainTimeout`] when calls were cut off at last.
+    /// [`DaemonError::DrainTimeout`] if calls had to be cut off.
     pub async fn stop(self) -> Result<(), DaemonError> {
         let Self { settings, events, gate, publisher, upstream, tasks, stops, .. } = self;
         events.write(|| Stopping { running: gate.running() });
--- a/crates/yuccarackd/src/daemon/routed/wiring.rs
+++ b/crates/yuccarackd/src/daemon/routed/wiring.rs
@@ -1,4 +1,4 @@
-//! Puts the parts of a daemon for routed calls together.
+//! Builds and starts the components of a daemon for routed calls.
 
 use std::{sync::Arc, time::Duration};
 
@@ -40,13 +40,14 @@
     transport::{call_server::CallServer, upstream::Upstream},
 };
 
-/// Largest request head that is read; operators accept 16 kB.
+/// Largest accepted request head, in bytes; operators accept 16 kB.
 const HEAD_MAX_BYTES: usize = 32 * 1024;
 
-/// Time after which the rows of a fleet that starts for the first time stand.
+/// Delay of the first read of the members when the whole fleet starts for the first time; by then
+/// all instances have written their rows.
 const FIRST_ROWS_DELAY: Duration = Duration::from_millis(2_500);
 
-/// What the parts share while they are put together.
+/// Dependencies that the components share while they are built.
 pub(super) struct Wiring {
     pub(super) settings: LiveSettings,
     pub(super) events: EventLog,
@@ -88,12 +89,12 @@
         gate
     }
 
-    /// Starts what brings news in and out: store and peers.
+    /// Starts the exchange of state with the store and with peers.
     pub(super) fn start_sync(&self) -> (Peers, RowPublisher) {
         let platform = PlatformClient::new(self.settings.current().store_address, RESPONSE_TIMEOUT);
         let store = StoreClient::new(platform, self.counters.clone());
         let (sync_state, transfers) = (SyncState::new(), Transfers::new());
-        // Who is told by a relay is known with the members.
+        // Whether a relay provides updates is known once the members are loaded.
         sync_state.set_queries_store(false);
         let settings = self.settings.current();
         let peers = Peers::new(PeersParts {
@@ -138,7 +139,7 @@
         (peers, publisher)
     }
 
-    /// Tells with the metrics what is known and how old it is.
+    /// Registers gauges for the known state and its age.
     fn register_state_gauges(&self, follower: &StoreFollower) {
         let (metrics, routing, in_force) =
             (&self.metrics, self.routing.clone(), self.routing.clone());
@@ -205,10 +206,10 @@
         });
     }
 
-    /// Spawns what may be dropped wherever it stands when the rest ends.
+    /// Spawns a background task that may be cancelled at any await point when the daemon stops.
     ///
-    /// Failure: a stopping daemon waits for answers of peers that are gone, one after the other,
-    /// until it is killed.
+    /// A stopping daemon would otherwise wait for responses of unreachable peers, one after the
+    /// other, until it is killed.
     fn spawn_until_stop(&self, task: impl Future<Output = ()> + Send + 'static) {
         let stop = self.stops.background.clone();
         self.tasks.background.spawn(async move {
@@ -308,7 +309,7 @@
     }
 }
 
-/// A number for a gauge.
+/// Converts a count to the value of a gauge.
 fn gauge_value(number: usize) -> i64 {
     i64::try_from(number).unwrap_or(i64::MAX)
 }
--- a/crates/yuccarackd/src/lib.rs
+++ b/crates/yuccarackd/src/lib.rs
@@ -1,8 +1,8 @@
-//! The daemon beside each target: entry for calls, gate of its target, member of its service.
+//! Sidecar daemon of a target: entry for calls, gate of its target, member of its service.
 //!
-//! Layers, each knows only those below it: `coordination` (what is done), `transport` (sockets),
-//! `state` (what is known), `protocol` (messages and headers). The decisions under load stand in
-//! their own crate, `yuccarack_policy`.
+//! The layers depend only on those below them: `coordination` (use cases), `transport` (network
+//! I/O), `state` (shared state), `protocol` (messages and headers). Load-dependent decisions are in
+//! a separate crate, `yuccarack_policy`.
 
 pub mod coordination;
 pub mod daemon;
--- a/crates/yuccarackd/src/logging.rs
+++ b/crates/yuccarackd/src/logging.rs
@@ -1,13 +1,13 @@
-//! Structured logs: JSON or for a terminal, only on changes of state.
+//! Loggers for structured logs of state changes, as JSON or for a terminal.
 
 use slog::{Drain, Level, Logger, o};
 use yuccarack_config::settings::{LogFormat, LogLevel, LogSettings};
 
-/// Lines that wait to be written; more are dropped and counted, so that a reader of the lines who
-/// is slow never holds up a call.
+/// Most log lines that are queued for writing. Further lines are dropped and counted, so that a
+/// slow reader of the log never delays a call.
 const QUEUED_LINES_MAX: usize = 1_024;
 
-/// Makes the logger of a daemon for routed calls; lines go to the standard output.
+/// Creates the logger of a daemon for routed calls, which writes JSON lines to standard output.
 pub fn routed_logger(settings: &LogSettings, instance: &str) -> Logger {
     let json =
         slog_json::Json::new(std::io::stdout()).add_default_keys().set_flush(true).build().fuse();
@@ -20,7 +20,7 @@
     Logger::root(lines, o!("instance" => instance.to_owned()))
 }
 
-/// Makes the logger that the settings ask for; lines go to the standard error stream.
+/// Creates the logger of a daemon in the format of the settings; it writes to standard error.
 pub fn logger(settings: &LogSettings, instance: &str) -> Logger {
     let level = level(settings.level);
     let drain = match settings.format {
--- a/crates/yuccarackd/src/main.rs
+++ b/crates/yuccarackd/src/main.rs
@@ -1,4 +1,4 @@
-//! Starts the daemon.
+//! Entry point of the daemon: checks settings or serves until a stop signal.
 
 use std::{path::Path, process::ExitCode};
 
@@ -12,7 +12,7 @@
     stop_signal,
 };
 
-/// Exit code for settings that don't hold; nothing was started.
+/// Exit code for invalid settings; nothing was started.
 const EXIT_INVALID_SETTINGS: u8 = 2;
 
 fn main() -> ExitCode {
@@ -71,8 +71,8 @@
     })
 }
 
-/// One thread does all: a daemon for routed calls has a fifth of a core, and handing work from one
-/// thread to another costs more than it brings there.
+/// Runs a daemon for routed calls on a single thread: it has a fifth of a core, where passing work
+/// between threads costs more than it gains.
 fn run_routed(settings: RoutedSettings, file: &Path) -> Result<(), DaemonError> {
     let logger = logging::routed_logger(&settings.log, &settings.instance);
     let runtime = tokio::runtime::Builder::new_current_thread()
--- a/crates/yuccarackd/src/options.rs
+++ b/crates/yuccarackd/src/options.rs
@@ -1,4 +1,4 @@
-//! The daemon's command line.
+//! Command-line options of the daemon.
 
 use std::path::PathBuf;
 
@@ -20,13 +20,13 @@
         #[bpaf(long("routed-settings"), env("YUCCARACK_ROUTED_SETTINGS"), argument("FILE"))]
         routed_settings: PathBuf,
     },
-    /// Only checks a settings file of a daemon for routed calls.
+    /// Checks a settings file of a daemon for routed calls and exits.
     CheckRouted {
         /// Checks the settings in FILE and starts nothing.
         #[bpaf(long, argument("FILE"))]
         check_routed: PathBuf,
     },
-    /// Only checks a settings file.
+    /// Checks a settings file and exits.
     Check {
         /// Checks the settings in FILE and starts nothing.
         #[bpaf(long, argument("FILE"))]
--- a/crates/yuccarackd/src/stop_signal.rs
+++ b/crates/yuccarackd/src/stop_signal.rs
@@ -1,4 +1,4 @@
-//! The operating system's words to stop and to read the settings anew.
+//! Signals of the operating system to stop and to reload the settings.
 
 use std::io;
 
@@ -8,7 +8,7 @@
 ///
 /// # Errors
 ///
-/// The operating system's, when signals can't be watched.
+/// I/O error if a signal handler can't be installed.
 pub async fn wait() -> io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
@@ -19,11 +19,11 @@
     Ok(())
 }
 
-/// Tells of each SIGHUP.
+/// Returns a stream that yields once for each SIGHUP.
 ///
 /// # Errors
 ///
-/// The operating system's, when signals can't be watched.
+/// I/O error if a signal handler can't be installed.
 pub fn reload_signals() -> io::Result<Signal> {
     signal(SignalKind::hangup())
 }
--- a/crates/yuccarackd/src/transport/admin_server.rs
+++ b/crates/yuccarackd/src/transport/admin_server.rs
@@ -1,4 +1,4 @@
-//! The admin endpoint: announcements of the target, questions of operators.
+//! HTTP endpoint for announcements of the target and for requests of operators.
 
 use std::{
     io,
@@ -35,34 +35,34 @@
     },
 };
 
-/// Where targets announce themselves.
+/// Path to which targets post their announcements.
 const ANNOUNCE_PATH: &str = "/announce";
-/// Start of the paths under which requests are explained.
+/// Prefix of the paths that explain a request; the request id follows.
 const EXPLAIN_PATH: &str = "/explain/";
-/// Largest announcement that is read, in bytes.
+/// Largest accepted announcement, in bytes.
 const ANNOUNCEMENT_MAX_BYTES: usize = 16 * 1024;
 
-/// Finds out what happened to a request; none when it isn't remembered.
+/// Returns what happened to the request with an id; none if it is no longer in the call log.
 pub type Explain = Arc<dyn Fn(&str) -> Option<Value> + Send + Sync>;
 
-/// What the admin endpoint shows and changes.
+/// State that the admin endpoint reads and changes.
 #[derive(Clone)]
 pub struct AdminState {
-    /// Settings of the daemon.
+    /// Settings of the daemon, with the addresses that may announce and administer.
     pub settings: Arc<DaemonSettings>,
-    /// Counters.
+    /// Counters that `/counters` returns.
     pub counters: Counters,
-    /// What is known of services.
+    /// Rules and members of the services that the daemon has loaded.
     pub directory: Directory,
-    /// The own target.
+    /// Target of this instance, which announcements update.
     pub own_target: OwnTarget,
-    /// Whether the store answers.
+    /// Tracks whether the store responds.
     pub store_health: StoreHealth,
-    /// Whether this daemon is stopping.
+    /// True while this daemon is stopping.
     pub draining: tokio::sync::watch::Receiver<bool>,
-    /// Finds out what happened to a request.
+    /// Looks a request up in the call log.
     pub explain: Explain,
-    /// Has the table looked at at once.
+    /// Triggers an immediate poll of the store for all known services.
     pub hint: Arc<dyn Fn() + Send + Sync>,
 }
 
@@ -74,11 +74,11 @@
 }
 
 impl AdminServer {
-    /// Serves `listener` on a thread of its own.
+    /// Serves `listener` on a dedicated thread.
     ///
     /// # Errors
     ///
-    /// The operating system's, when the listener can't be used or no thread can be had.
+    /// I/O error of the operating system if the listener can't be used or the thread can't start.
     pub fn start(state: AdminState, listener: TcpListener) -> io::Result<Self> {
         let address = listener.local_addr()?;
         let mut server = App::new()
@@ -99,14 +99,14 @@
         let handle = server.handle()?;
         let thread =
             std::thread::Builder::new().name("admin".to_owned()).spawn(move || server.wait())?;
-        // Failure: a target keeps its announcing connection open, and the server's graceful stop
-        // waits 30 s for it, which shows as a daemon that takes half a minute to leave. All calls
-        // have ended by now and the answers here are small, so idle connections are just closed.
+        // A target keeps its announcing connection open, and a graceful stop of the server would
+        // wait 30 s for it, so that the daemon takes half a minute to exit. All calls have ended by
+        // then and the responses here are small, so the stop closes connections immediately.
         let request_stop = Box::new(move || handle.stop(false));
         Ok(Self { address, request_stop, thread })
     }
 
-    /// Address that it listens on.
+    /// Returns the address that the endpoint listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -115,19 +115,19 @@
     ///
     /// # Errors
     ///
-    /// What the server ended with.
+    /// Error that the server ended with, or one that says that its thread panicked.
     pub fn stop(self) -> io::Result<()> {
         (self.request_stop)();
-        self.thread.join().unwrap_or_else(|_| Err(io::Error::other("the admin thread panicked")))
+        self.thread.join().unwrap_or_else(|_| Err(io::Error::other("admin server panicked")))
     }
 }
 
 type Context<'a> = WebContext<'a, AdminState>;
 
-/// Refuses calls from addresses that the settings don't name.
+/// Refuses requests from addresses that the settings don't list.
 ///
-/// Guards against anybody on the network who poses as the target, or drains and reads as an
-/// operator would: both show as calls from unnamed addresses, and TCP proves the address.
+/// Guards against other hosts on the network that pose as the target or act as an operator. Such
+/// requests come from unlisted addresses, and TCP's handshake verifies the address.
 async fn check_address<S>(next: &S, ctx: Context<'_>) -> Result<WebResponse, Error>
 where
     S: for<'r> Service<Context<'r>, Response = WebResponse, Error = Error>,
--- a/crates/yuccarackd/src/transport/call_server.rs
+++ b/crates/yuccarackd/src/transport/call_server.rs
@@ -1,4 +1,4 @@
-//! Takes calls over HTTP/1.1 and drops a call whose caller hangs up.
+//! HTTP/1.1 server that cancels a request when its client disconnects.
 
 use std::{
     future::Future,
@@ -23,43 +23,47 @@
 };
 use crate::{protocol::body::CallBody, state::counters::Counters};
 
-/// Longest wait for a whole request head; a caller that trickles it must not hold a connection.
+/// Longest wait for a complete request head, so that a slow sender can't occupy a connection.
 ///
-/// The wait runs on idle connections too. Failure: it is shorter than the time for which callers
-/// keep theirs, the connection is closed just as a call comes on it, and the call is lost. So it is
-/// longer than most clients keep an idle connection, and than the 4 s of our own.
+/// The timeout also applies to idle connections. If it were shorter than the idle timeout of
+/// callers, a connection could be closed just as a call arrives on it, and the call would be lost.
+/// It is longer than the idle timeout of most clients and than the 4 s of [`Upstream`].
+///
+/// [`Upstream`]: super::upstream::Upstream
 const HEAD_TIMEOUT: Duration = Duration::from_secs(75);
 
-/// Wait before accepting again after the system refused, as it does when descriptors run out.
+/// Delay after a failed accept, which the kernel reports when file descriptors run out.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// Time for which the connections of a stopping server still take a request.
+/// Time for which the connections of a stopping server still accept a request.
 ///
-/// Failure: a request is on its way when its connection is closed, nobody reads it, and its sender
-/// can't tell whether it ran. A way takes some 3 ms at most; the rest is for a starved processor.
+/// If a connection closes while a request is in transit, the request is never read and its sender
+/// can't tell whether it ran. Transit takes at most about 3 ms; the rest allows for a process that
+/// is starved of CPU time.
 const STOP_LINGER: Duration = Duration::from_millis(100);
 
-/// Whom a call comes from, and since when it waits.
+/// Sender of a request and the time of its arrival.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
-    /// The caller's address.
+    /// Address of the client.
     pub peer: SocketAddr,
-    /// When its head had come, though others on its connection went first.
+    /// Time at which the complete head had arrived, even if earlier requests on the connection
+    /// were still to be processed.
     pub received_at: Instant,
 }
 
-/// What answers calls.
+/// Handler of the requests that a [`CallServer`] accepts.
 pub trait CallHandler: Send + Sync + 'static {
-    /// Whether callers send requests before their earlier ones are answered.
+    /// Whether the server reads ahead of a request in progress, as clients pipeline requests.
     const ACCEPTS_PIPELINING: bool = false;
 
-    /// Whether the read with this head may run before its turn on its connection, though an answer
-    /// before it may close that and its caller then sends it again.
+    /// Returns whether the read with this head may run before its turn on the connection. An
+    /// earlier response may close the connection, and the caller then sends the read again.
     fn may_start_early(&self, _head: &Parts) -> bool {
         false
     }
 
-    /// Answers one call; dropped when the caller hangs up.
+    /// Processes one request; the future is dropped when the client disconnects.
     fn handle(
         self: Arc<Self>,
         arrival: Arrival,
@@ -67,21 +71,22 @@
     ) -> impl Future<Output = Response<CallBody>> + Send;
 }
 
-/// A listener with the calls on its connections.
+/// HTTP/1.1 server for one listener.
 ///
-/// Served by hyper's server and not by xitca-web: a caller's hang-up has to cancel its call, else
-/// the call goes on holding a slot of the target, and xitca-web's server runs a handler to its end.
+/// Uses hyper's server rather than xitca-web's, which runs each handler to its end. A disconnect of
+/// the caller has to cancel its call, which would otherwise keep holding a slot of the target.
 #[derive(Debug)]
 pub struct CallServer {
     listener: TcpListener,
     connections: Connections,
 }
 
-/// What the connections of a listener share.
+/// State shared by the connections of a listener.
 ///
-/// The listener isn't part of it. Failure: connections that end slowly keep the port of a stopping
-/// process open with nobody behind it; callers connect, wait, and are cut off when it ends, none the
-/// wiser whether their requests ran. Closed at once, the port refuses them, which is proof.
+/// It doesn't include the listener. Otherwise connections that end slowly would keep the port of a
+/// stopping process open: callers would connect, wait, and be disconnected at its exit without
+/// knowing whether their requests ran. A closed port refuses them, which confirms that they did
+/// not.
 #[derive(Debug)]
 struct Connections {
     head_max_bytes: usize,
@@ -90,7 +95,7 @@
 }
 
 impl CallServer {
-    /// Makes a server that counts refused heads under `counter_group`.
+    /// Creates a server that counts connection errors under `counter_group`.
     pub fn new(
         listener: TcpListener,
         head_max_bytes: usize,
@@ -100,8 +105,8 @@
         Self { listener, connections: Connections { head_max_bytes, counters, counter_group } }
     }
 
-    /// Serves until `stop`, then closes the port and lets calls in flight finish; connections run
-    /// under `tracker`. The handler says with its last answers that connections close.
+    /// Serves until `stop`, then closes the port and lets requests in flight finish. Connections
+    /// run under `tracker`. The handler announces the close in its last responses.
     pub async fn run<H: CallHandler>(
         self,
         handler: Arc<H>,
@@ -130,7 +135,7 @@
                 }
             }
         }
-        // Those that the kernel has taken for this port would be cut off with it.
+        // Connections in the kernel's accept queue would be reset when the port closes.
         while let Some(Ok(accepted)) = listener.accept().now_or_never() {
             serve(accepted);
         }
@@ -146,7 +151,7 @@
         tracker: TaskTracker,
         stop: CancellationToken,
     ) {
-        // An answer must not wait for the caller's acknowledgement of the one before.
+        // Nagle's algorithm would delay a response until the previous one is acknowledged.
         let _ = stream.set_nodelay(true);
         let pipeline = Arc::new(Pipeline::new());
         let service = {
@@ -188,7 +193,8 @@
         }
     }
 
-    /// hyper has answered a bad head with 400 or 431 by itself and closed the connection.
+    /// Counts a connection error. hyper has already responded to an invalid head with 400 or 431
+    /// and closed the connection.
     fn count_error(&self, error: &hyper::Error) {
         let reason = if error.is_parse_too_large() {
             "head_too_large"
@@ -203,14 +209,14 @@
     }
 }
 
-/// The time for which a stopping server's connection goes on: closed earlier, it would cut off reads
-/// that run already.
+/// Waits until a connection of a stopping server may close: after [`STOP_LINGER`] and the end of
+/// all early reads, which an earlier close would abort.
 async fn linger(pipeline: &Pipeline) {
     tokio::time::sleep(STOP_LINGER).await;
     pipeline.wait_none_early().await;
 }
 
-/// One call whose turn has come.
+/// Request whose turn on its connection has come.
 struct Call<H> {
     handler: Arc<H>,
     pipeline: Arc<Pipeline>,
@@ -256,14 +262,15 @@
             }
         };
         if pipeline.has_early() {
-            // The connection stays until what runs on it already is answered.
+            // The connection stays open until the early reads on it have been responded to.
             response.headers_mut().remove(header::CONNECTION);
         }
         response.map(|body| guard.hold_until_sent(body).boxed_unsync())
     }
 }
 
-/// Whether others may run beside this one, as HTTP allows for requests that only read.
+/// Returns whether other reads may run concurrently with this request, which HTTP allows for safe
+/// methods.
 fn is_pipelinable_read<H: CallHandler>(handler: &H, head: &Parts, body: &CallBody) -> bool {
     let is_read_method = matches!(head.method, Method::GET | Method::HEAD);
     H::ACCEPTS_PIPELINING && is_read_method && body.is_end_stream() && handler.may_start_early(head)
--- a/crates/yuccarackd/src/transport/connection.rs
+++ b/crates/yuccarackd/src/transport/connection.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1.1 connection to a gate or a target, with one request at a time on it.
+//! HTTP/1.1 connection to a gate or a target that carries one request at a time.
 
 use std::{
     future::poll_fn,
@@ -21,72 +21,73 @@
 use super::counted_stream::{CountedStream, SentBytes};
 use crate::protocol::body::CallBody;
 
-/// Longest wait for a connection; an instance that takes longer is as good as away.
+/// Longest time for a TCP connect; a peer that takes longer counts as unreachable.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Longest time for which bytes may stay unacknowledged before the connection counts as dead.
 ///
-/// Failure: a connection dies without a reset, and what is sent on it waits until its caller gives
-/// up. A lost packet is sent again within 0.3 s, so that alone doesn't end it.
+/// Without it, a request on a connection that died without a reset waits until its caller gives up.
+/// A lost packet is retransmitted within 0.3 s, so packet loss alone doesn't end a connection.
 const UNACKNOWLEDGED_MAX: Duration = Duration::from_millis(500);
 
-/// The same where a long body is sent.
+/// The same limit for a connection that carries a long body.
 ///
-/// Failure: a peer that is busy reads nothing for a second, its window closes, and the system counts
-/// that as unacknowledged too: 2 of 12 uploads of 16 MiB were cut on a busy machine.
+/// A busy peer may read nothing for a second. Its receive window then closes, and the kernel counts
+/// the waiting bytes as unacknowledged: the short limit cut 2 of 12 uploads of 16 MiB on a busy
+/// machine.
 const UNACKNOWLEDGED_MAX_LONG: Duration = Duration::from_secs(30);
 
-/// What a connection is opened for.
+/// Length class of a request's body, which decides the timeouts of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyLength {
-    /// Requests that fit into the system's buffers.
+    /// The body fits into the kernel's socket buffers.
     Short,
-    /// A request with a long body, for which its peer may take its time.
+    /// The body is longer or of unknown length; the peer may read it slowly.
     Long,
 }
 
-/// Silence after which the peer's system is asked whether the connection still stands; an answer
-/// that is waited for usually comes sooner, so this costs next to nothing.
+/// Idle time before the first TCP keepalive probe. Most responses arrive sooner, so few probes are
+/// sent.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
 
-/// Time between two such questions.
+/// Time between two TCP keepalive probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Questions without an answer after which the connection is dead.
+/// Unanswered TCP keepalive probes after which the connection counts as dead.
 const KEEPALIVE_RETRIES: u32 = 1;
 
-/// Why a request got no answer.
+/// Why a request got no response.
 #[derive(Debug, Error)]
 pub enum SendError {
-    /// No connection could be made; nothing was handed over.
-    #[error("no connection to {address} could be made")]
+    /// The connection could not be established; nothing of the request was sent.
+    #[error("can't connect to {address}")]
     Unreachable {
-        /// Who was to be reached.
+        /// Address of the peer.
         address: SocketAddr,
-        /// Whether the peer's system refused: nothing listens there.
-        refused: bool,
+        /// Whether the peer's kernel refused the connection because nothing listens there.
+        is_refused: bool,
     },
-    /// The connection broke before a byte of the request was handed over.
-    #[error("the connection broke before anything was handed over")]
+    /// The connection failed before a byte of the request was sent.
+    #[error("connection failed before any byte of the request was sent")]
     NothingSent,
-    /// The connection broke after some of the request was handed over.
-    #[error("the connection broke after something was handed over")]
+    /// The connection failed after at least a part of the request was sent.
+    #[error("connection failed after at least a part of the request was sent")]
     Broken(#[source] hyper::Error),
 }
 
 impl SendError {
-    /// Whether it is proved that nothing of the request was handed over.
+    /// Returns whether it is certain that nothing of the request was sent.
     pub fn is_not_sent(&self) -> bool {
         matches!(self, Self::Unreachable { .. } | Self::NothingSent)
     }
 
-    /// Whether no connection could be made at all.
+    /// Returns whether the connection could not be established.
     pub fn is_unreachable(&self) -> bool {
         matches!(self, Self::Unreachable { .. })
     }
 }
 
-/// An open connection.
+/// Open client connection with its byte count and the time since which it is idle.
 #[derive(Debug)]
 pub struct Connection {
     sender: SendRequest<CallBody>,
@@ -99,7 +100,7 @@
     ///
     /// # Errors
     ///
-    /// [`SendError::Unreachable`] when none could be made in time.
+    /// [`SendError::Unreachable`] if it can't be established in time.
     pub async fn open(
         address: SocketAddr,
         body_length: BodyLength,
@@ -108,28 +109,27 @@
         let stream = match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => stream,
             Ok(Err(error)) => {
-                let refused = error.kind() == std::io::ErrorKind::ConnectionRefused;
-                return Err(SendError::Unreachable { address, refused });
+                let is_refused = error.kind() == std::io::ErrorKind::ConnectionRefused;
+                return Err(SendError::Unreachable { address, is_refused });
             }
-            Err(_) => return Err(SendError::Unreachable { address, refused: false }),
+            Err(_) => return Err(SendError::Unreachable { address, is_refused: false }),
         };
-        // Small requests must not wait for the peer's acknowledgement of the one before.
+        // Nagle's algorithm would delay a small request until the previous one is acknowledged.
         let _ = stream.set_nodelay(true);
         set_dead_peer_timeouts(&stream, body_length);
         let stream = CountedStream::new(stream);
         let sent_bytes = stream.sent_bytes();
         let (sender, driver) = http1::handshake(TokioIo::new(stream))
             .await
-            .map_err(|_| SendError::Unreachable { address, refused: false })?;
+            .map_err(|_| SendError::Unreachable { address, is_refused: false })?;
         tracker.spawn(async move {
-            // The driver's failure is the request's failure and is told there.
+            // A failure of the driver is reported by the request that it fails.
             let _ = driver.await;
         });
         Ok(Self { sender, sent_bytes, idle_since: Instant::now() })
     }
 
-    /// Whether the connection can take a request now, and has not been idle since before
-    /// `oldest`.
+    /// Returns whether the connection can carry a request now and became idle at `oldest` or later.
     pub async fn is_usable(&mut self, oldest: Instant) -> bool {
         if self.idle_since < oldest || self.sender.is_closed() {
             return false;
@@ -141,13 +141,14 @@
         .await
     }
 
-    /// Sends one request and waits for the head of its answer.
+    /// Sends one request and waits for the head of its response.
     ///
-    /// Dropping the future abandons the request; the connection must then be dropped too.
+    /// Dropping the future abandons the request; the connection must then be dropped as well.
     ///
     /// # Errors
     ///
-    /// [`SendError::NothingSent`] only while the count of handed-over bytes stood still.
+    /// [`SendError::NothingSent`] only if the count of sent bytes didn't change; otherwise
+    /// [`SendError::Broken`].
     pub async fn send(
         &mut self,
         request: Request<CallBody>,
@@ -163,16 +164,16 @@
         })
     }
 
-    /// Marks the connection as idle from `now` on.
+    /// Marks the connection as idle since `now`.
     pub fn mark_idle(&mut self, now: Instant) {
         self.idle_since = now;
     }
 }
 
-/// Lets the system end a connection whose peer has fallen silent.
+/// Lets the kernel close a connection whose peer no longer responds.
 ///
-/// Without these options a dead connection is noticed by its requests' deadlines only, so their
-/// failure is left at that.
+/// Errors are ignored: without these options a dead connection is still noticed by the deadlines of
+/// its requests.
 fn set_dead_peer_timeouts(stream: &TcpStream, body_length: BodyLength) {
     let unacknowledged_max = match body_length {
         BodyLength::Short => UNACKNOWLEDGED_MAX,
--- a/crates/yuccarackd/src/transport/control_channel.rs
+++ b/crates/yuccarackd/src/transport/control_channel.rs
@@ -1,4 +1,4 @@
-//! Questions and answers between daemons over nng's request/reply protocol.
+//! Requests and responses between daemons over nng's request/reply protocol.
 
 use std::{
     ffi::CString,
@@ -22,43 +22,43 @@
 
 use crate::state::byte_budget::ByteBudget;
 
-/// Bytes that nng and TCP/IP add to each message: length and request id, one segment's headers and
-/// its acknowledgement.
+/// Bytes that nng and TCP/IP add to each message: length and request id, the headers of one segment
+/// and of its acknowledgement.
 const OVERHEAD_BYTES: usize = 8 + 4 + 52 + 52;
-/// Questions that are answered at the same time.
+/// Requests that are processed concurrently.
 const RESPONDERS: usize = 4;
-/// Connections to other daemons that are kept.
+/// Largest number of pooled connections to other daemons.
 const POOLED_CONNECTIONS_MAX: usize = 32;
-/// Pause after the listener failed, so that a lasting fault doesn't spin.
+/// Delay after a failed receive, so that a persistent error doesn't cause a busy loop.
 const ERROR_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Why a question got no answer.
+/// Why a request got no response.
 #[derive(Debug, Error)]
 pub enum ChannelError {
-    /// The address can't be written as one of nng's.
-    #[error("the address has a form that nng doesn't take")]
+    /// The address can't be expressed as an nng URL.
+    #[error("peer address can't be expressed as an nng URL")]
     Address,
-    /// No connection could be had.
-    #[error("no connection")]
+    /// The connection could not be established.
+    #[error("can't connect to the peer")]
     Connect(#[source] io::Error),
-    /// The connection failed.
-    #[error("the connection failed")]
+    /// The connection failed during the exchange.
+    #[error("connection to the peer failed during the exchange")]
     Transfer(#[source] AioError),
-    /// No answer came before the deadline.
-    #[error("no answer came before the deadline")]
+    /// No response arrived before the deadline.
+    #[error("no response from the peer before the deadline")]
     DeadlinePassed,
 }
 
-/// Threads in each of nng's pools.
+/// Threads in each of nng's thread pools.
 const POOL_THREADS: NonZeroI16 = match NonZeroI16::new(1) {
     Some(threads) => threads,
     None => unreachable!(),
 };
 
-/// Holds nng to one thread for each of its pools.
+/// Limits nng to one thread in each of its pools.
 ///
-/// By itself it starts one or more for each of the machine's cores, in each of hundreds of
-/// daemons; docs/TRANSPORT.md has the count. Only the first call in a process changes anything.
+/// By default it starts one or more threads per core of the machine, in each of hundreds of
+/// daemons; docs/TRANSPORT.md has the count. Only the first call in a process has an effect.
 fn limit_threads() {
     let pool = ThreadPoolConfig::new(POOL_THREADS, ThreadLimit::Limit(POOL_THREADS));
     let mut config = NngConfig::new();
@@ -66,11 +66,11 @@
     config.expire_threads = Some(pool);
     config.poller_threads = Some(pool);
     config.num_resolver_threads = Some(POOL_THREADS);
-    // The only failure left is that nng runs already, as when a test starts a second daemon.
+    // Fails only if nng is already initialized, as when a test starts a second daemon.
     let _ = init_nng(Some(config));
 }
 
-/// Answers the questions of other daemons.
+/// Receives requests of other daemons and sends the responses.
 pub struct ControlServer {
     socket: Arc<Socket<Rep0>>,
     address: SocketAddr,
@@ -82,7 +82,7 @@
     ///
     /// # Errors
     ///
-    /// The operating system's, when the address can't be had.
+    /// I/O error of the operating system if the address can't be bound.
     pub async fn listen(address: SocketAddr, budget: ByteBudget) -> io::Result<Self> {
         limit_threads();
         let socket = Rep0::socket()?;
@@ -90,12 +90,12 @@
         Ok(Self { socket: Arc::new(socket), address, budget })
     }
 
-    /// Address that it listens on.
+    /// Returns the address that the server listens on, with the port that the kernel assigned.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Starts tasks that give each question to `handler`, until `stop`.
+    /// Starts tasks that pass each request to `handler`, until `stop`.
     pub fn serve<F, A>(self, handler: F, tracker: &TaskTracker, stop: &CancellationToken)
     where
         F: Fn(Vec<u8>) -> A + Clone + Send + Sync + 'static,
@@ -128,19 +128,19 @@
         budget.record_received(request.len() + OVERHEAD_BYTES);
         let bytes = handler(request.as_slice().to_vec()).await;
         budget.record_sent(bytes.len() + OVERHEAD_BYTES);
-        // An asker that has gone needs no answer.
+        // The response isn't needed if the requester has disconnected.
         let _ = responder.reply(Message::from(bytes.as_slice())).await;
     }
 }
 
-/// One kept connection and when it was last used.
+/// Pooled connection with the time of its last use.
 struct PooledConnection {
     address: SocketAddr,
     socket: Arc<Socket<Req0>>,
     used_at: Instant,
 }
 
-/// Asks other daemons; clones share their connections.
+/// Sends requests to other daemons; clones share their connections.
 #[derive(Clone)]
 pub struct ControlClient {
     pooled: Arc<Mutex<Vec<PooledConnection>>>,
@@ -148,20 +148,20 @@
 }
 
 impl ControlClient {
-    /// Starts without connections.
+    /// Creates a client without connections.
     pub fn new(budget: ByteBudget) -> Self {
         limit_threads();
         Self { pooled: Arc::default(), budget }
     }
 
-    /// Sends `question` to `address` and waits for the answer.
+    /// Sends `request` to `address` and waits for the response.
     ///
-    /// Questions may arrive twice, since nng repeats them on a new connection; they are all
+    /// Requests may arrive twice, since nng repeats them on a new connection; all of them are
     /// idempotent.
     ///
     /// # Errors
     ///
-    /// Any [`ChannelError`]; the connection isn't used again then.
+    /// Any [`ChannelError`]; the connection is then removed from the pool.
     pub async fn send_request(
         &self,
         address: SocketAddr,
--- a/crates/yuccarackd/src/transport/counted_stream.rs
+++ b/crates/yuccarackd/src/transport/counted_stream.rs
@@ -1,4 +1,4 @@
-//! A TCP stream that counts what was handed to the peer.
+//! TCP stream that counts the bytes sent to the peer.
 
 use std::{
     io::{self, IoSlice},
@@ -15,12 +15,12 @@
     net::TcpStream,
 };
 
-/// Bytes handed to the peer so far; clones share it.
+/// Count of bytes that were sent to the peer; clones share it.
 #[derive(Clone, Debug, Default)]
 pub struct SentBytes(Arc<AtomicU64>);
 
 impl SentBytes {
-    /// The bytes so far.
+    /// Returns the number of bytes sent so far.
     pub fn total(&self) -> u64 {
         self.0.load(Ordering::Acquire)
     }
@@ -32,10 +32,10 @@
     }
 }
 
-/// Counts each byte that the operating system took for the peer.
+/// TCP stream that counts each byte that the kernel accepted for the peer.
 ///
-/// A request that failed while this count stood still was never handed over, whatever the HTTP
-/// library says of the failure; one more byte and its fate is unknown.
+/// A request that failed without a change of this count was never sent, whatever error the HTTP
+/// library reports. After a single byte its outcome is unknown.
 #[derive(Debug)]
 pub struct CountedStream {
     stream: TcpStream,
@@ -43,12 +43,12 @@
 }
 
 impl CountedStream {
-    /// Wraps a fresh connection.
+    /// Wraps a new connection with a count of zero.
     pub fn new(stream: TcpStream) -> Self {
         Self { stream, sent_bytes: SentBytes::default() }
     }
 
-    /// The count, to be read while the stream is in use.
+    /// Returns a handle to the count that can be read while the stream is in use.
     pub fn sent_bytes(&self) -> SentBytes {
         self.sent_bytes.clone()
     }
--- a/crates/yuccarackd/src/transport/drained_body.rs
+++ b/crates/yuccarackd/src/transport/drained_body.rs
@@ -1,4 +1,4 @@
-//! A request's body that is read to its end even when nobody wants it any more.
+//! Request body whose unread rest is drained when its consumer drops it.
 
 use std::{
     pin::Pin,
@@ -15,33 +15,34 @@
 
 use crate::protocol::body::BodyError;
 
-/// Longest time for which an unwanted body is read.
+/// Longest time for which a dropped body is drained.
 const DRAIN_MAX: Duration = Duration::from_secs(5);
 
-/// Most bytes of an unwanted body that are read.
+/// Most bytes of a dropped body that are drained.
 const DRAIN_MAX_BYTES: usize = 64 * 1024 * 1024;
 
-/// A body that goes on being read, and thrown away, when it is dropped before its end.
+/// Request body whose rest is read and discarded when it is dropped before its end.
 ///
-/// Failure: a gate refuses an upload whose body is still on its way. The server closes a connection
-/// that has unread bytes, the system then resets it, and the reset overtakes the refusal: its
-/// entry sees a broken link and has to say `unknown` of a request that did not run. Read to its end,
-/// nothing is unread when the connection closes.
+/// When a gate refuses an upload whose body is still arriving, the server closes a connection with
+/// unread bytes. The kernel then resets it, and the reset overtakes the refusal: the entry sees a
+/// broken connection and has to report `unknown` for a request that did not run. Draining the body
+/// leaves nothing unread when the connection closes.
 #[derive(Debug)]
 pub struct DrainedBody {
     body: Option<Incoming>,
-    /// Whether its sender waits for a word before it sends any of it; reading asks for it.
+    /// Whether the sender waits for `100 Continue`, which hyper sends on the first read.
     expects_continue: bool,
     tracker: TaskTracker,
 }
 
 impl DrainedBody {
-    /// Wraps `body`; an unwanted rest is read under `tracker`.
+    /// Wraps `body`; a dropped rest is drained in a task under `tracker`.
     pub fn new(body: Incoming, tracker: TaskTracker) -> Self {
         Self { body: Some(body), expects_continue: false, tracker }
     }
 
-    /// Leaves it unread where nobody has begun to read it, if its sender holds it back until then.
+    /// Sets whether the sender waits for `100 Continue`. Such a body isn't drained if it was never
+    /// read, because its sender hasn't begun to send it.
     pub fn with_expect_continue(mut self, expects_continue: bool) -> Self {
         self.expects_continue = expects_continue;
         self
@@ -76,7 +77,7 @@
     fn drop(&mut self) {
         let expects_continue = self.expects_continue;
         let unread = self.body.take().filter(|body| !body.is_end_stream() && !expects_continue);
-        // Without a runtime the process is ending and its connections with it.
+        // Without a runtime the process is exiting, and its connections close with it.
         if let (Some(body), Ok(runtime)) = (unread, Handle::try_current()) {
             self.tracker.spawn_on(drain(body), &runtime);
         }
@@ -84,7 +85,8 @@
 }
 
 async fn drain(body: Incoming) {
-    // Over time: the sender is slow on purpose or gone, and a reset is all that is left.
+    // After the timeout the sender is deliberately slow or has vanished, and the connection may be
+    // reset.
     let _ = timeout(DRAIN_MAX, discard(body)).await;
 }
 
--- a/crates/yuccarackd/src/transport/load_probe.rs
+++ b/crates/yuccarackd/src/transport/load_probe.rs
@@ -1,4 +1,4 @@
-//! One look at the target's load endpoint, hard-bounded in bytes and time.
+//! Queries the target's load endpoint within hard limits on bytes and time.
 
 use std::{
     io,
@@ -24,31 +24,31 @@
     time::timeout_at,
 };
 
-/// Receive buffer of a look's socket; what a noisy endpoint pushes into it has left the target
-/// though nobody reads it.
+/// Receive buffer of a probe's socket, in bytes. It is small because the target has already paid
+/// for whatever an oversized response puts into it, even if it is never read.
 const RECEIVE_BUFFER_BYTES: u32 = 4 * 1024;
 
-/// What a target says of its load.
+/// Load that a target reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 pub struct TargetLoad {
-    /// Requests inside the target.
+    /// Requests that the target is processing.
     pub in_flight: u16,
 }
 
-/// The end of a look.
+/// Result and cost of one load probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadProbe {
-    /// What the target said, unless it said nothing that makes sense within the bounds.
+    /// Load that the target reported; none without a valid response within the limits.
     pub load: Option<TargetLoad>,
-    /// Bytes that were read.
+    /// Bytes read from the socket.
     pub bytes: u32,
 }
 
-/// Asks for the load at `path`, reads `bytes_max` bytes at most and gives up at `give_up_at`.
+/// Requests the load at `path`, reads at most `bytes_max` bytes and gives up at `give_up_at`.
 ///
-/// Failure: an endpoint answers with megabytes of noise, or trickles or hangs, and measuring costs
-/// a busy target more than its work. The socket itself refuses to read on past the budget, so no
-/// layer above it can.
+/// An endpoint that responds with megabytes, trickles its response or hangs would make measuring
+/// cost a busy target more than its own work. The limit is enforced at the socket, so that no layer
+/// above it can read more.
 pub async fn probe_load(
     address: SocketAddr,
     path: &str,
@@ -64,16 +64,16 @@
     LoadProbe { load, bytes: bytes_max - budget.load(Ordering::Acquire) }
 }
 
-/// Why a look gave no load; only its count matters.
+/// Why a probe returned no load; callers only see that there is none.
 #[derive(Debug, thiserror::Error)]
 enum LoadProbeError {
-    #[error("the load endpoint can't be reached")]
+    #[error("can't connect to the load endpoint")]
     Connection(#[from] io::Error),
-    #[error("the load endpoint's answer broke")]
+    #[error("HTTP exchange with the load endpoint failed")]
     Http(#[from] hyper::Error),
-    #[error("the load endpoint's path is no path")]
+    #[error("path of the load endpoint is not valid in a request")]
     Path(#[from] http::Error),
-    #[error("the load endpoint's answer makes no sense")]
+    #[error("response of the load endpoint is not valid JSON of the load")]
     Response(#[from] serde_json::Error),
 }
 
@@ -95,12 +95,12 @@
         let body = response.into_body().collect().await?;
         Ok(serde_json::from_slice(&body.to_bytes())?)
     };
-    // Both in this future, so that dropping it at the deadline closes the socket.
+    // Both run in this future, so that dropping it at the deadline closes the socket.
     let (response, _) = tokio::join!(response, connection);
     response
 }
 
-/// A stream that reads no more than its budget.
+/// TCP stream that fails reads once its budget of bytes is used up.
 struct BoundedStream {
     stream: TcpStream,
     budget: Arc<AtomicU32>,
--- a/crates/yuccarackd/src/transport/mod.rs
+++ b/crates/yuccarackd/src/transport/mod.rs
@@ -1,4 +1,4 @@
-//! Sockets: servers, clients and the control channel.
+//! Network I/O: servers, clients, probes and the control channel.
 
 pub mod admin_server;
 pub mod call_server;
--- a/crates/yuccarackd/src/transport/pipelining/early_calls.rs
+++ b/crates/yuccarackd/src/transport/pipelining/early_calls.rs
@@ -1,4 +1,4 @@
-//! Reads that run before their turn on the connection has come.
+//! Reads that are started before their turn on the connection.
 
 use std::{net::SocketAddr, sync::Arc, time::Instant};
 
@@ -11,13 +11,13 @@
     transport::call_server::{Arrival, CallHandler},
 };
 
-/// Most reads of one connection that run, or wait answered, before their turn.
+/// Most early reads of one connection, whether running or completed and waiting for their turn.
 ///
-/// One caller could take all slots of a target by sending ahead, and make a daemon hold an answer
-/// for each of them; what comes behind these waits for its turn.
+/// Without a limit, one caller could occupy all slots of a target by pipelining and make the daemon
+/// buffer a response for each read. Reads beyond the limit wait for their turn.
 const EARLY_MAX: usize = 8;
 
-/// Starts reads of one connection early.
+/// Starts reads of one connection before their turn.
 pub struct EarlyCalls<H> {
     handler: Arc<H>,
     peer: SocketAddr,
@@ -26,7 +26,7 @@
     pipeline: Arc<Pipeline>,
 }
 
-/// A read that was started early; dropped, its call is cancelled.
+/// Read that was started early; dropping it cancels the call.
 pub struct EarlyCall {
     head: Parts,
     call: AbortOnDropHandle<Response<CallBody>>,
@@ -34,7 +34,7 @@
 }
 
 impl<H: CallHandler> EarlyCalls<H> {
-    /// Starts reads for `peer` under `tracker`, none after `stop`.
+    /// Creates a starter for reads of `peer`, which run under `tracker`; none starts after `stop`.
     pub fn new(
         handler: Arc<H>,
         peer: SocketAddr,
@@ -45,12 +45,12 @@
         Self { handler, peer, tracker, stop, pipeline }
     }
 
-    /// Whether another one may start.
+    /// Returns whether another read may start.
     pub(super) fn has_room(&self) -> bool {
         self.pipeline.early_count() < EARLY_MAX && !self.stop.is_cancelled()
     }
 
-    /// Starts the read with this head, if its handler lets it run before its turn.
+    /// Starts the read with this head if the handler allows it before its turn.
     pub(super) fn start(&self, head: Parts, received_at: Instant) -> Option<EarlyCall> {
         if !self.handler.may_start_early(&head) {
             return None;
@@ -64,7 +64,7 @@
 }
 
 impl EarlyCall {
-    /// Whether this is the request that hyper has read by now.
+    /// Returns whether `head`, as read by hyper, is the head of this request.
     pub fn matches(&self, head: &Parts) -> bool {
         self.head.method == head.method
             && self.head.uri == head.uri
@@ -72,7 +72,8 @@
             && self.head.headers == head.headers
     }
 
-    /// Its answer; none when its task has failed, which has told why by itself, and it has to run anew.
+    /// Waits for the response; none if the task panicked, which the panic hook has reported. The
+    /// call then has to run again.
     pub async fn response(self) -> Option<Response<CallBody>> {
         self.call.await.ok()
     }
--- a/crates/yuccarackd/src/transport/pipelining/framing.rs
+++ b/crates/yuccarackd/src/transport/pipelining/framing.rs
@@ -1,35 +1,36 @@
-//! Where the next request of a connection ends.
+//! Finds where the next request of a connection ends.
 
 use http::{HeaderName, HeaderValue, Method, Request, Uri, request::Parts};
 use httparse::{Header, Status};
 
-/// Most headers of a head, as hyper's server takes them.
+/// Most headers of a head, equal to the limit of hyper's server.
 const HEADERS_MAX: usize = 100;
 
-/// A request whose end is known.
+/// Lengths of a request whose end is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestExtent {
-    /// Bytes of its head, the blank line included.
+    /// Bytes of the head, including the blank line.
     pub head_bytes: usize,
-    /// Bytes of its body.
+    /// Bytes of the body, which may not have arrived yet.
     pub body_bytes: u64,
 }
 
-/// What the start of some bytes is.
+/// Result of [`frame`]: what a byte sequence begins with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// A head whose end has not come yet.
+    /// An incomplete head.
     Partial,
-    /// A request.
+    /// A complete head that determines the end of its request.
     Complete(RequestExtent),
-    /// Something that may end otherwise than its head tells, or after which no request may follow.
+    /// A request whose end the head doesn't determine, or after which no other may follow.
     Ambiguous,
 }
 
 /// Finds the end of the request that `bytes` begin with.
 ///
-/// Whatever two readers could understand differently is unclear: two lengths, a length beside
-/// chunks, an older protocol, a change of protocol. Only the server itself decides on those.
+/// Whatever two parsers could interpret differently is ambiguous: two lengths, a length with a
+/// chunked body, an older protocol version, a protocol upgrade. Only hyper interprets those, which
+/// rules out request smuggling between the two parsers.
 pub fn frame(bytes: &[u8]) -> Framing {
     let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
     let mut head = httparse::Request::new(&mut headers);
@@ -40,7 +41,8 @@
     }
 }
 
-/// The head of a read without a body, for a head that [`frame`] found whole.
+/// Parses the head of a `GET` or `HEAD` request that [`frame`] found complete; none for other
+/// methods.
 pub fn parse_read_head(bytes: &[u8]) -> Option<Parts> {
     let mut headers = [httparse::EMPTY_HEADER; HEADERS_MAX];
     let mut head = httparse::Request::new(&mut headers);
@@ -74,7 +76,7 @@
     Framing::Complete(RequestExtent { head_bytes, body_bytes: length.unwrap_or(0) })
 }
 
-/// What a header says of a request's end.
+/// Effect of a header on the end of its request.
 enum HeaderFraming {
     Irrelevant,
     Length(u64),
--- a/crates/yuccarackd/src/transport/pipelining/mod.rs
+++ b/crates/yuccarackd/src/transport/pipelining/mod.rs
@@ -1,11 +1,11 @@
-//! Requests that a caller sends on a connection before its earlier ones are answered.
+//! HTTP/1.1 pipelining: concurrent processing of reads that a caller sends without waiting.
 //!
-//! hyper's server hands over one request of a connection at a time, and while bytes of a further one
-//! are unread it doesn't look whether the connection has ended. Failure: reads sent behind each other
-//! wait for each other's whole run, and the runs of a caller that has left go on. So a
-//! [`PipelinedStream`] stands between the socket and hyper. It gives hyper the bytes of one request
-//! at a time, goes on reading while that one is answered, starts reads that follow, and tells hyper
-//! at once that the connection has ended. Framing, order and close stay hyper's.
+//! hyper's server processes one request of a connection at a time, and doesn't detect the end of a
+//! connection while bytes of a further request are unread. Pipelined reads would run one after the
+//! other, and those of a caller that has disconnected would run on. A [`PipelinedStream`] between
+//! the socket and hyper therefore passes the bytes of one request at a time to hyper, reads ahead
+//! while that request is in progress, starts the reads that follow it, and reports the end of the
+//! connection to hyper immediately. Framing, response order and close remain with hyper.
 
 mod early_calls;
 mod framing;
--- a/crates/yuccarackd/src/transport/pipelining/pipeline.rs
+++ b/crates/yuccarackd/src/transport/pipelining/pipeline.rs
@@ -1,4 +1,4 @@
-//! What the stream of a connection and the service behind hyper know of each other.
+//! State that the stream of a connection shares with the service behind hyper.
 
 use std::{
     pin::Pin,
@@ -15,7 +15,7 @@
 use super::early_calls::EarlyCall;
 use crate::protocol::body::{BodyError, CallBody};
 
-/// One connection, as its stream and its service share it.
+/// Request state of one connection, shared by its stream and its service.
 #[derive(Default)]
 pub struct Pipeline {
     state: Mutex<State>,
@@ -24,48 +24,49 @@
 
 #[derive(Default)]
 struct State {
-    /// Whether a request is being answered.
+    /// Whether a request is in progress, until its response is sent.
     is_responding: bool,
-    /// Whether that one is a read, so that others may run beside it.
+    /// Whether that request is a read, so that other reads may run concurrently.
     is_read: bool,
-    /// Who waits for the end of that answer.
+    /// Waker of the stream, which waits for the end of that response.
     stream_waker: Option<Waker>,
-    /// The request that the stream has given to hyper.
+    /// Request that the stream has passed to hyper and the service hasn't received yet.
     passed: Option<PassedRequest>,
     early_count: usize,
 }
 
-/// A request that the stream gives to hyper.
+/// Request that the stream passes to hyper.
 pub(super) struct PassedRequest {
-    /// When it came.
+    /// Time at which its complete head had arrived.
     pub received_at: Instant,
-    /// Its call, if it was started early.
+    /// Running call, if it was started early.
     pub early: Option<EarlyCall>,
 }
 
-/// A request whose turn has come.
+/// Request whose turn on the connection has come.
 pub struct Turn {
-    /// When it came.
+    /// Time at which its complete head had arrived.
     pub received_at: Instant,
-    /// Its call, if it was started early.
+    /// Running call, if it was started early.
     pub early: Option<EarlyCall>,
-    /// Kept until it is answered.
+    /// Held until the response is sent.
     pub guard: ResponseGuard,
 }
 
-/// Held while a request is answered.
+/// Marks a request as in progress until it is dropped, and then wakes the stream.
 pub struct ResponseGuard(Arc<Pipeline>);
 
-/// Held while a read runs, or waits answered, before its turn.
+/// Counts an early read until it is dropped.
 pub(super) struct EarlyGuard(Arc<Pipeline>);
 
 impl Pipeline {
-    /// Starts without a request.
+    /// Creates the state of a new connection, without a request.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes the request that hyper hands over; reads may run beside it if `is_read`.
+    /// Begins the turn of the request that hyper dispatches; reads may run concurrently with it if
+    /// `is_read`.
     pub fn take_turn(self: &Arc<Self>, is_read: bool) -> Turn {
         let mut state = self.state.lock();
         state.is_responding = true;
@@ -79,12 +80,12 @@
         Turn { received_at, early, guard: ResponseGuard(Arc::clone(self)) }
     }
 
-    /// Whether reads run, or wait answered, before their turn.
+    /// Returns whether there are early reads, running or completed.
     pub fn has_early(&self) -> bool {
         self.early_count() > 0
     }
 
-    /// Waits until no read runs, or waits answered, before its turn.
+    /// Waits until there are no early reads, running or completed.
     pub async fn wait_none_early(&self) {
         loop {
             let finished = self.early_finished.notified();
@@ -104,12 +105,12 @@
         EarlyGuard(Arc::clone(self))
     }
 
-    /// Notes what hyper reads next.
+    /// Stores the request that hyper reads next.
     pub(super) fn pass(&self, request: PassedRequest) {
         self.state.lock().passed = Some(request);
     }
 
-    /// Whether a request is being answered; if so, `cx` is woken at its end.
+    /// Returns whether a request is in progress; if so, `cx` is woken at the end of its response.
     pub(super) fn is_responding(&self, cx: &Context<'_>) -> bool {
         let mut state = self.state.lock();
         if !state.is_responding {
@@ -122,7 +123,7 @@
         true
     }
 
-    /// Whether the request that is being answered is a read.
+    /// Returns whether a request is in progress that is a read.
     pub(super) fn is_responding_to_read(&self) -> bool {
         let state = self.state.lock();
         state.is_responding && state.is_read
@@ -148,14 +149,14 @@
     }
 }
 
-/// An answer's body; the next request's turn comes when hyper has taken it whole or dropped it.
+/// Response body that holds its turn; the next one begins when hyper has sent or dropped it.
 pub struct TurnBody {
     body: CallBody,
     _guard: ResponseGuard,
 }
 
 impl ResponseGuard {
-    /// Holds the turn until `body` has been sent.
+    /// Attaches the turn to `body`, so that it lasts until the body has been sent.
     pub fn hold_until_sent(self, body: CallBody) -> TurnBody {
         TurnBody { body, _guard: self }
     }
--- a/crates/yuccarackd/src/transport/pipelining/stream.rs
+++ b/crates/yuccarackd/src/transport/pipelining/stream.rs
@@ -1,4 +1,4 @@
-//! The stream that hyper reads of: one request at a time, while further ones are looked at.
+//! Stream between a socket and hyper that passes on one request at a time and reads ahead.
 
 use std::{
     collections::VecDeque,
@@ -23,32 +23,32 @@
 };
 use crate::transport::call_server::CallHandler;
 
-/// Room made for one read of the socket; most heads fit.
+/// Buffer space reserved for one read of the socket; most heads fit.
 const READ_BYTES: usize = 4 * 1024;
 
-/// Most bytes that are read ahead; a sender of more is held up by flow control.
+/// Most bytes that are read ahead; TCP flow control stops a client that sends more.
 const READ_AHEAD_MAX_BYTES: usize = 64 * 1024;
 
-/// A connection of a caller, between its socket and hyper.
+/// Connection of a caller, between its socket and hyper.
 pub struct PipelinedStream<H> {
     stream: TcpStream,
-    /// Read of the socket and not yet given to hyper.
+    /// Bytes read from the socket and not yet passed to hyper.
     unread: BytesMut,
-    /// Bytes of `unread` that belong to the head that hyper reads.
+    /// Bytes at the start of `unread` that belong to the head that hyper is reading.
     head_remaining_bytes: usize,
-    /// Bytes of the body that hyper reads which are still to come.
+    /// Bytes of the body that hyper is reading which aren't passed on yet.
     body_remaining_bytes: u64,
-    /// Requests at the start of `unread`, of which hyper has nothing yet.
+    /// Requests at the start of `unread` of which nothing is passed on yet.
     queued: VecDeque<QueuedRequest>,
     is_eof: bool,
-    /// Whether all bytes pass as they come, since the end of a request isn't known.
+    /// Whether all bytes are passed on as they arrive, since the end of a request isn't known.
     is_passthrough: bool,
     head_max_bytes: usize,
     pipeline: Arc<Pipeline>,
     early_calls: EarlyCalls<H>,
 }
 
-/// A request that waits for its turn.
+/// Complete request that waits for its turn.
 struct QueuedRequest {
     extent: RequestExtent,
     received_at: Instant,
@@ -63,7 +63,7 @@
 }
 
 impl<H: CallHandler> PipelinedStream<H> {
-    /// Wraps a fresh connection; heads above `head_max_bytes` are left to hyper.
+    /// Wraps a new connection; heads above `head_max_bytes` are left to hyper, which rejects them.
     pub fn new(
         stream: TcpStream,
         head_max_bytes: usize,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Reads of the socket what is there; `Ready` once, also at its end.
+    /// Reads available bytes from the socket into `unread`; `Ready` after one read, also at EOF.
     fn fill(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         // An idle connection holds no buffer.
         ready!(self.stream.poll_read_ready(cx))?;
@@ -94,7 +94,7 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Gives hyper up to `most` of what was read.
+    /// Passes up to `max_bytes` of `unread` to hyper and returns their number.
     fn pass_bytes(&mut self, max_bytes: usize, buf: &mut ReadBuf<'_>) -> usize {
         let passed = max_bytes.min(self.unread.len()).min(buf.remaining());
         buf.put_slice(&self.unread[..passed]);
@@ -126,7 +126,7 @@
             return Poll::Ready(Ok(()));
         }
         if max_bytes < buf.remaining() {
-            // What follows the body isn't for hyper yet.
+            // Bytes after the body must not reach hyper yet.
             ready!(self.fill(cx))?;
             self.body_remaining_bytes -= self.pass_bytes(max_bytes, buf) as u64;
             return Poll::Ready(Ok(()));
@@ -137,7 +137,7 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Finds the next request; `Ready` when hyper may read on.
+    /// Begins the next request; `Ready` when hyper may read again.
     fn pass_next(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         loop {
             if let Some(next) = self.queued.pop_front() {
@@ -158,7 +158,7 @@
                 Framing::Partial if self.unread.len() <= self.head_max_bytes && !self.is_eof => {
                     ready!(self.fill(cx))?;
                 }
-                // Refused by hyper, or for hyper alone to understand.
+                // hyper rejects it or has to interpret it alone.
                 Framing::Partial | Framing::Ambiguous => {
                     self.is_passthrough = true;
                     return Poll::Ready(Ok(()));
@@ -173,8 +173,8 @@
         self.pipeline.pass(request);
     }
 
-    /// Reads on while a request is answered; `Ready` only at the end of the connection, of which
-    /// hyper then cancels all calls.
+    /// Reads ahead while a request is in progress. `Ready` only at the end of the connection, where
+    /// hyper then cancels all of its calls.
     fn read_ahead(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         while !self.is_eof && self.unread.len() < READ_AHEAD_MAX_BYTES {
             match self.fill(cx) {
@@ -192,7 +192,8 @@
         Poll::Pending
     }
 
-    /// Notes when each request that follows came, however long it has to wait for its turn.
+    /// Queues each complete request that was read ahead with its time of arrival, so that the wait
+    /// for its turn counts.
     fn find_queued(&mut self) {
         let mut offset: usize = self.queued.iter().map(QueuedRequest::bytes).sum();
         while offset < self.unread.len() {
@@ -207,7 +208,8 @@
         }
     }
 
-    /// Starts reads as long as only reads are before them: what follows an order may depend on it.
+    /// Starts queued reads as long as only reads precede them. A request after one that changes
+    /// state may depend on its effect.
     fn start_early(&mut self) {
         if !self.pipeline.is_responding_to_read() {
             return;
--- a/crates/yuccarackd/src/transport/tcp_probe.rs
+++ b/crates/yuccarackd/src/transport/tcp_probe.rs
@@ -1,12 +1,12 @@
-//! Looks whether somebody listens at an address.
+//! Checks whether a process listens on an address.
 
 use std::{net::SocketAddr, time::Duration};
 
 use tokio::{net::TcpStream, time::timeout};
 
-/// Whether a connection to `address` is taken within `connect_timeout`; it is closed at once.
+/// Returns whether a connection to `address` is accepted within `connect_timeout`, and closes it.
 ///
-/// A process that is suspended still listens: its system takes connections for it.
+/// A suspended process still counts as listening: its kernel completes connections for it.
 pub async fn is_listening(address: SocketAddr, connect_timeout: Duration) -> bool {
     matches!(timeout(connect_timeout, TcpStream::connect(address)).await, Ok(Ok(_)))
 }
--- a/crates/yuccarackd/src/transport/upstream.rs
+++ b/crates/yuccarackd/src/transport/upstream.rs
@@ -1,4 +1,4 @@
-//! Connections kept to gates and to the target, and answers that give them back.
+//! Connection pool for requests to gates and to the target.
 
 use std::{
     collections::HashMap,
@@ -23,29 +23,30 @@
 use super::connection::{BodyLength, Connection, SendError};
 use crate::protocol::body::{BodyError, CallBody};
 
-/// Idle connections kept to one address.
+/// Most idle connections that are pooled for one address.
 const IDLE_MAX: usize = 32;
 
-/// Idle time after which a connection isn't trusted any more: many servers close theirs after 5 s,
-/// and a request that meets the closing one has an unknown fate.
+/// Longest idle time of a pooled connection. Many servers close idle connections after 5 s, and a
+/// request that is sent while the peer closes has an unknown outcome.
 const IDLE_TIME_MAX: Duration = Duration::from_secs(4);
 
-/// Longest body of a request that goes over kept connections; the system's buffers take as much.
+/// Longest request body that is sent over pooled connections; it fits into the kernel's socket
+/// buffers.
 const SHORT_BODY_MAX_BYTES: u64 = 64 * 1024;
 
 /// Which connections a request may go over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// Any that is idle; a request that may run twice is sent again if the peer closed it.
+    /// Any idle connection; a request that may run twice is resent if the peer closed it.
     Pooled,
-    /// Any that has not been idle for longer.
+    /// An idle connection that has been idle for at most this time.
     PooledWithin(Duration),
-    /// A new one: the peer can't have closed it for idleness while the request was on its way, so
-    /// a request that must not repeat isn't left unknown for so small a thing. Costs one connect.
+    /// A new connection. The peer can't close it as idle while the request is in transit, so a
+    /// request that must not be repeated doesn't end as unknown for that reason. Costs one connect.
     New,
 }
 
-/// Sends requests, one at a time on each connection; clones share their connections.
+/// Sends requests, one at a time per connection; clones share the pool.
 #[derive(Clone, Debug)]
 pub struct Upstream {
     idle: Arc<Mutex<HashMap<SocketAddr, Vec<Connection>>>>,
@@ -53,19 +54,21 @@
 }
 
 impl Upstream {
-    /// Makes an upstream whose connection drivers run under `tracker`.
+    /// Creates an upstream whose connection drivers run under `tracker`.
     pub fn new(tracker: TaskTracker) -> Self {
         Self { idle: Arc::default(), tracker }
     }
 
-    /// Sends `request` to `address`; the answer's body gives the connection back at its end.
+    /// Sends `request` to `address`; the connection returns to the pool when the response's body
+    /// ends.
     ///
-    /// A connection whose answer was abandoned, late or cut is closed and never used again, so
-    /// that an answer can't reach another request: it would show as somebody else's logbook page.
+    /// A connection whose response was abandoned, late or truncated is closed and never reused.
+    /// Otherwise its response could be delivered to another request, and a caller would get data
+    /// that belongs to someone else.
     ///
     /// # Errors
     ///
-    /// [`SendError`] tells whether anything was handed over.
+    /// [`SendError`], which says whether anything was sent.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -87,7 +90,7 @@
         Ok(response.map(|body| LeasedBody::new(body, lease).boxed_unsync()))
     }
 
-    /// Closes all idle connections.
+    /// Closes all idle connections; those in use aren't affected.
     pub fn close_idle(&self) {
         self.idle.lock().clear();
     }
@@ -125,20 +128,21 @@
     }
 }
 
-/// A connection in use, given back when its answer has been read whole.
+/// Connection in use, which returns to the pool when its response has been read to the end.
 #[derive(Debug)]
 struct Lease {
     address: SocketAddr,
     connection: Connection,
     sent_fully: Arc<AtomicBool>,
-    /// Whether it may carry another request: one that was opened for a long body is slow to tell
-    /// that its peer is dead.
+    /// Whether it may carry another request. One that was opened for a long body is slow to detect
+    /// a dead peer.
     is_reusable: bool,
     upstream: Upstream,
 }
 
 impl Lease {
-    /// An answer may end before its request does; such a connection still has a request on it.
+    /// Returns the connection to the pool if its request was sent to the end as well. A response
+    /// may end before its request does, and the connection then still carries the request.
     fn release(self) {
         if self.is_reusable && self.sent_fully.load(Ordering::Acquire) {
             self.upstream.return_to_pool(self.address, self.connection);
@@ -146,7 +150,7 @@
     }
 }
 
-/// An answer's body that holds its connection.
+/// Response body that holds its connection until the end.
 #[derive(Debug)]
 struct LeasedBody {
     body: Incoming,
@@ -205,7 +209,7 @@
     }
 }
 
-/// A request's body that remembers whether it was read to its end.
+/// Request body that records whether it was read to its end.
 struct TrackedBody {
     body: CallBody,
     sent_fully: Arc<AtomicBool>,
--- a/crates/yuccarackd/tests/pipelining.rs
+++ b/crates/yuccarackd/tests/pipelining.rs
@@ -1,4 +1,4 @@
-//! Requests sent ahead are understood as a server without look-ahead understands them.
+//! Pipelined requests are interpreted as by a server without pipelining.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -18,14 +18,14 @@
     transport::call_server::{Arrival, CallHandler, CallServer},
 };
 
-/// Longest head that the server takes.
+/// Largest request head that the server accepts, in bytes.
 const HEAD_MAX_BYTES: usize = 16 * 1024;
 
-/// Silence after which no further answer is waited for; a run takes 1 ms.
-const SILENCE: Duration = Duration::from_millis(60);
+/// Time without a byte after which no further response is expected; a request runs for 1 ms.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// Requests and what looks like them; some end the connection, some hide others.
-const PIECES: [&str; 31] = [
+/// Valid, ambiguous and invalid requests; some end the connection, some contain another request.
+const FRAGMENTS: [&str; 31] = [
     "GET /a HTTP/1.1\r\nHost: h\r\n\r\n",
     "GET /b?x=1 HTTP/1.1\r\nHost: h\r\nX-A: 1\r\nX-A: 2\r\n\r\n",
     "HEAD /c HTTP/1.1\r\nHost: h\r\n\r\n",
@@ -59,20 +59,20 @@
     "GET /half HTTP/1.1\r\nHo",
 ];
 
-/// What a caller writes, and after how many bytes it pauses.
+/// Bytes that a caller writes, and the offsets at which it pauses.
 #[derive(Clone, Debug)]
-struct Written {
+struct ByteSequence {
     bytes: Vec<u8>,
     pauses: Vec<usize>,
 }
 
-impl Arbitrary for Written {
+impl Arbitrary for ByteSequence {
     fn arbitrary(g: &mut Gen) -> Self {
         let mut bytes = Vec::new();
         for _ in 0..1 + usize::arbitrary(g) % 7 {
-            // Plain reads are what most callers send.
-            let piece = if u8::arbitrary(g) % 2 == 0 { 0 } else { usize::arbitrary(g) };
-            bytes.extend_from_slice(PIECES[piece % PIECES.len()].as_bytes());
+            // At least half of the fragments are plain reads, as most callers send.
+            let fragment = if u8::arbitrary(g) % 2 == 0 { 0 } else { usize::arbitrary(g) };
+            bytes.extend_from_slice(FRAGMENTS[fragment % FRAGMENTS.len()].as_bytes());
         }
         if u8::arbitrary(g) % 6 == 0 {
             let at = usize::arbitrary(g) % bytes.len();
@@ -85,17 +85,17 @@
     }
 }
 
-/// Notes all requests; `AHEAD` says whether reads may start early.
+/// Records all requests; `PIPELINING` is whether reads may start early.
 #[derive(Default)]
-struct Noting<const AHEAD: bool> {
-    seen: Mutex<Vec<String>>,
+struct RecordingHandler<const PIPELINING: bool> {
+    requests: Mutex<Vec<String>>,
 }
 
-impl<const AHEAD: bool> CallHandler for Noting<AHEAD> {
-    const ACCEPTS_PIPELINING: bool = AHEAD;
+impl<const PIPELINING: bool> CallHandler for RecordingHandler<PIPELINING> {
+    const ACCEPTS_PIPELINING: bool = PIPELINING;
 
     fn may_start_early(&self, _head: &Parts) -> bool {
-        AHEAD
+        PIPELINING
     }
 
     async fn handle(
@@ -105,115 +105,116 @@
     ) -> Response<CallBody> {
         let (head, body) = request.into_parts();
         let body = body.collect().await.map(|body| body.to_bytes());
-        let whole = body.is_ok();
+        let is_complete = body.is_ok();
         let text = format!(
-            "{} {} {:?} {:?} {whole}",
+            "{} {} {:?} {:?} {is_complete}",
             head.method,
             head.uri,
             head.headers,
             body.unwrap_or_default()
         );
-        self.seen.lock().push(text.clone());
+        self.requests.lock().push(text.clone());
         tokio::time::sleep(Duration::from_millis(1)).await;
         Response::new(full(text.into()))
     }
 }
 
-/// What a caller got and what ran.
+/// Text of the responses that a caller received, and the requests that ran.
 #[derive(Debug)]
-struct Played {
-    told: String,
-    /// Whether the connection ended by a reset, which takes answers away that are on their way.
+struct Exchange {
+    text: String,
+    /// Whether the connection ended by a reset, which discards responses in transit.
     was_reset: bool,
-    seen: Vec<String>,
+    requests: Vec<String>,
 }
 
-impl Played {
-    /// Whether this, with look-ahead, is the same as `plain` without it.
-    fn is_alike(&self, plain: &Self) -> bool {
-        let is_told_alike = match self.was_reset || plain.was_reset {
-            true => self.told.starts_with(&plain.told) || plain.told.starts_with(&self.told),
-            // hyper looks at the rest of a head that comes in parts only when its end has come, so
-            // that it may refuse later what is wrong before that.
-            false => self.told.strip_prefix(&plain.told).is_some_and(|more| {
-                more.is_empty() || more.trim_start().starts_with("HTTP/1.1 400 Bad Request")
+impl Exchange {
+    /// Whether this exchange, with pipelining, is equivalent to `plain` without it.
+    fn is_equivalent(&self, plain: &Self) -> bool {
+        let is_text_equivalent = match self.was_reset || plain.was_reset {
+            true => self.text.starts_with(&plain.text) || plain.text.starts_with(&self.text),
+            // hyper parses the rest of a head that arrives in parts only once its end has arrived,
+            // so it may reject an error in that head later.
+            false => self.text.strip_prefix(&plain.text).is_some_and(|rest| {
+                rest.is_empty() || rest.trim_start().starts_with("HTTP/1.1 400 Bad Request")
             }),
         };
-        is_told_alike && self.seen == plain.seen
+        is_text_equivalent && self.requests == plain.requests
     }
 }
 
-async fn play<const AHEAD: bool>(written: &Written) -> Played {
+async fn run_exchange<const PIPELINING: bool>(input: &ByteSequence) -> Exchange {
     let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).await.expect("a port");
     let address = listener.local_addr().expect("an address");
-    let handler = Arc::new(Noting::<AHEAD>::default());
+    let handler = Arc::new(RecordingHandler::<PIPELINING>::default());
     let (tracker, stop) = (TaskTracker::new(), CancellationToken::new());
     let server = CallServer::new(listener, HEAD_MAX_BYTES, Counters::new(), "test");
-    let serving = tokio::spawn(server.run(Arc::clone(&handler), tracker.clone(), stop.clone()));
-    let (told, was_reset) = converse(address, written).await;
+    let server_task = tokio::spawn(server.run(Arc::clone(&handler), tracker.clone(), stop.clone()));
+    let (received, was_reset) = write_and_read(address, input).await;
     stop.cancel();
-    serving.await.expect("a server");
+    server_task.await.expect("a server");
     tracker.close();
     tracker.wait().await;
-    let mut seen = handler.seen.lock().clone();
-    seen.sort();
-    Played { told: without_dates(&told), was_reset, seen }
+    let mut requests = handler.requests.lock().clone();
+    requests.sort();
+    Exchange { text: strip_dates(&received), was_reset, requests }
 }
 
-async fn converse(address: SocketAddr, written: &Written) -> (Vec<u8>, bool) {
+async fn write_and_read(address: SocketAddr, input: &ByteSequence) -> (Vec<u8>, bool) {
     let mut stream = TcpStream::connect(address).await.expect("a connection");
     stream.set_nodelay(true).expect("an option");
     let mut at = 0;
-    for &pause in written.pauses.iter().chain([&written.bytes.len()]) {
-        if stream.write_all(&written.bytes[at..pause]).await.is_err() {
+    for &pause in input.pauses.iter().chain([&input.bytes.len()]) {
+        if stream.write_all(&input.bytes[at..pause]).await.is_err() {
             break;
         }
         at = pause;
         tokio::time::sleep(Duration::from_micros(400)).await;
     }
-    let mut told = Vec::new();
+    let mut received = Vec::new();
     loop {
-        match timeout(SILENCE, stream.read_buf(&mut told)).await {
-            Ok(Ok(0)) | Err(_) => return (told, false),
+        match timeout(RESPONSE_TIMEOUT, stream.read_buf(&mut received)).await {
+            Ok(Ok(0)) | Err(_) => return (received, false),
             Ok(Ok(_)) => {}
-            Ok(Err(_)) => return (told, true),
+            Ok(Err(_)) => return (received, true),
         }
     }
 }
 
-fn without_dates(told: &[u8]) -> String {
-    let text = String::from_utf8_lossy(told);
+fn strip_dates(received: &[u8]) -> String {
+    let text = String::from_utf8_lossy(received);
     text.lines().filter(|line| !line.starts_with("date:")).collect::<Vec<_>>().join("\n")
 }
 
-/// Story: a request hides in another one, or two readers disagree on where one ends. What is started
-/// early would then be a request that no caller sent. Whatever the bytes and however they come, the
-/// same requests run and the same answers go out with look-ahead as without.
+/// Guards against request smuggling: a request hidden in another one, or two parsers that disagree
+/// on where a request ends, would start a request that no caller sent. For any bytes in any
+/// segments, the same requests run and the same responses are sent with pipelining as without.
 #[test]
-fn the_same_bytes_are_the_same_requests_with_and_without_look_ahead() {
-    fn is_same(written: Written) -> bool {
+fn pipelining_runs_the_same_requests_as_a_plain_server() {
+    fn is_equivalent_exchange(input: ByteSequence) -> bool {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
         runtime.expect("a runtime").block_on(async {
-            let (ahead, plain) = tokio::join!(play::<true>(&written), play::<false>(&written));
-            let is_alike = ahead.is_alike(&plain);
-            if !is_alike {
-                let text = String::from_utf8_lossy(&written.bytes);
-                println!("{text:?}, pauses {:?}", written.pauses);
-                println!("with: {ahead:#?}\nwithout: {plain:#?}");
+            let (pipelined, plain) =
+                tokio::join!(run_exchange::<true>(&input), run_exchange::<false>(&input));
+            let is_equivalent = pipelined.is_equivalent(&plain);
+            if !is_equivalent {
+                let text = String::from_utf8_lossy(&input.bytes);
+                println!("{text:?}, pauses {:?}", input.pauses);
+                println!("with: {pipelined:#?}\nwithout: {plain:#?}");
             }
-            is_alike
+            is_equivalent
         })
     }
-    QuickCheck::new().tests(250).quickcheck(is_same as fn(Written) -> bool);
+    QuickCheck::new().tests(250).quickcheck(is_equivalent_exchange as fn(ByteSequence) -> bool);
 }
 
-/// A caller trickles a head that never ends. It is held in part only up to the longest head, then
-/// refused as by a server without look-ahead.
+/// Guards against unbounded buffering of a head that never ends. It is buffered up to the largest
+/// accepted head and then refused as by a server without pipelining.
 #[tokio::test]
-async fn a_head_without_end_is_refused() {
+async fn endless_head_is_refused() {
     let bytes = format!("GET /a HTTP/1.1\r\nHost: h\r\nX-Long: {}", "x".repeat(HEAD_MAX_BYTES * 2));
-    let written = Written { bytes: bytes.into_bytes(), pauses: vec![10, 9_000] };
-    let played = play::<true>(&written).await;
-    assert!(played.told.starts_with("HTTP/1.1 431"), "{played:?}");
-    assert!(played.seen.is_empty());
+    let input = ByteSequence { bytes: bytes.into_bytes(), pauses: vec![10, 9_000] };
+    let exchange = run_exchange::<true>(&input).await;
+    assert!(exchange.text.starts_with("HTTP/1.1 431"), "{exchange:?}");
+    assert!(exchange.requests.is_empty());
 }
--- a/crates/yuccarackd/tests/settings_file.rs
+++ b/crates/yuccarackd/tests/settings_file.rs
@@ -1,4 +1,4 @@
-//! The daemon as an operator starts it: with right settings, with faulty ones, only to check.
+//! Exit code and output of the daemon's binary for valid and invalid settings files.
 
 use std::{
     fs,
@@ -9,17 +9,20 @@
 use serde_json::{Value, json};
 use yuccarack_config::routed_settings::RoutedSettings;
 
-fn daemon(args: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_yuccarackd")).args(args).output().expect("a built daemon")
+fn run_daemon(args: &[&str]) -> Output {
+    Command::new(env!("CARGO_BIN_EXE_yuccarackd"))
+        .args(args)
+        .output()
+        .expect("the daemon's binary runs")
 }
 
-fn file(name: &str, settings: &Value) -> String {
+fn write_settings(name: &str, settings: &Value) -> String {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
-    fs::write(&path, settings.to_string()).expect("a writable target folder");
+    fs::write(&path, settings.to_string()).expect("the target folder is writable");
     path.display().to_string()
 }
 
-fn faulty() -> Value {
+fn invalid_settings() -> Value {
     json!({
         "instance": "sapporo 1",
         "failure_domain": "sapporo",
@@ -32,15 +35,16 @@
     })
 }
 
-// An operator ships settings with three faults. Each is on a line of its own with its path, so one
-// look mends them all; the daemon has opened no socket and the old one goes on undisturbed.
+// Guards against settings faults that are reported one at a time. All three faults are printed,
+// each on its own line with its path. The daemon exits before it opens a socket, so that a running
+// one isn't disturbed.
 #[test]
-fn faulty_settings_end_the_daemon_with_every_fault_on_a_line() {
-    let file = file("faulty.json", &faulty());
+fn invalid_settings_are_reported_with_one_line_per_fault() {
+    let file = write_settings("faulty.json", &invalid_settings());
     for option in ["--check", "--settings"] {
-        let output = daemon(&[option, &file]);
+        let output = run_daemon(&[option, &file]);
         assert_eq!(output.status.code(), Some(2), "{option}");
-        assert!(output.stdout.is_empty(), "{option}: it says that it serves");
+        assert!(output.stdout.is_empty(), "{option}: the daemon printed its ready line");
         let text = String::from_utf8(output.stderr).unwrap();
         let paths: Vec<_> = text.lines().filter_map(|line| line.split(':').next()).collect();
         assert_eq!(paths, ["instance", "gate_address", "budgets.drain_max_s"], "{text}");
@@ -48,24 +52,24 @@
 }
 
 #[test]
-fn a_file_that_is_not_there_is_named() {
-    let output = daemon(&["--check", "/nowhere/settings.json"]);
+fn missing_settings_file_is_named() {
+    let output = run_daemon(&["--check", "/nowhere/settings.json"]);
     assert_eq!(output.status.code(), Some(2));
     assert!(String::from_utf8(output.stderr).unwrap().starts_with("/nowhere/settings.json: "));
 }
 
 #[test]
-fn the_examples_pass_the_check() {
+fn examples_pass_the_check() {
     let examples = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples");
     for example in ["hokkaido/settings-sapporo-1.json", "kemiaplus/settings-turku-1.json"] {
         let path = examples.join(example).display().to_string();
-        let output = daemon(&["--check", &path]);
+        let output = run_daemon(&["--check", &path]);
         assert_eq!(output.status.code(), Some(0), "{example}");
         assert!(output.stderr.is_empty(), "{example}");
     }
 }
 
-/// Guards against a fleet that doesn't start where bounds that operators derive have a fraction.
+/// Guards against daemons that don't start because bounds that operators computed have a fraction.
 #[test]
 fn bounds_with_a_fraction_are_rounded_down() {
     let settings = r#"{
@@ -78,7 +82,7 @@
             "extra_tries_percent": 0.2e2, "extra_tries": 30.714285714285715
         }
     }"#;
-    let bounds = RoutedSettings::parse(settings.as_bytes()).expect("settings").bounds;
+    let bounds = RoutedSettings::parse(settings.as_bytes()).expect("valid settings").bounds;
     assert_eq!((bounds.heartbeat_ms, bounds.stop_max_ms), (1_500, 2_500));
     assert_eq!((bounds.extra_tries_percent, bounds.extra_tries), (20, 30));
 }
