--- a/crates/yuccarackd/src/daemon/assembly.rs
+++ b/crates/yuccarackd/src/daemon/assembly.rs
@@ -40,7 +40,7 @@
 }
 
 impl Assembly {
-    /// Starts the gate with its keepers of claims and suspects, and the looks at its target.
+    /// Starts the gate with its trackers of claims and suspects, and the load probes of its target.
     pub fn start_gate(&self, control: &mut ControlPlane) -> Arc<Gate> {
         let gate = Arc::new(Gate::new(GateParts {
             instance: self.settings.instance.clone(),
--- a/crates/yuccarackd/src/transport/admin_server.rs
+++ b/crates/yuccarackd/src/transport/admin_server.rs
@@ -66,7 +66,7 @@
     pub hint: Arc<dyn Fn() + Send + Sync>,
 }
 
-/// The running admin endpoint.
+/// Running admin endpoint; [`AdminServer::stop`] ends it.
 pub struct AdminServer {
     address: SocketAddr,
     request_stop: Box<dyn FnOnce() + Send>,
--- a/crates/yuccarackd/src/transport/call_server.rs
+++ b/crates/yuccarackd/src/transport/call_server.rs
@@ -54,7 +54,7 @@
 
 /// Handler of the requests that a [`CallServer`] accepts.
 pub trait CallHandler: Send + Sync + 'static {
-    /// Whether the server reads ahead of a request in progress, as clients pipeline requests.
+    /// Whether clients may pipeline requests, so that the server reads ahead.
     const ACCEPTS_PIPELINING: bool = false;
 
     /// Returns whether the read with this head may run before its turn on the connection. An
--- a/crates/yuccarackd/tests/settings_file.rs
+++ b/crates/yuccarackd/tests/settings_file.rs
@@ -82,7 +82,7 @@
             "extra_tries_percent": 0.2e2, "extra_tries": 30.714285714285715
         }
     }"#;
-    let bounds = RoutedSettings::parse(settings.as_bytes()).expect("valid settings").bounds;
+    let bounds = RoutedSettings::parse(settings.as_bytes()).expect("settings").bounds;
     assert_eq!((bounds.heartbeat_ms, bounds.stop_max_ms), (1_500, 2_500));
     assert_eq!((bounds.extra_tries_percent, bounds.extra_tries), (20, 30));
 }
