--- a/crates/yuccarackd/src/coordination/claims/batch.rs
+++ b/crates/yuccarackd/src/coordination/claims/batch.rs
@@ -1,4 +1,4 @@
-//! What the writer puts into one transaction.
+//! Claims and changes of claims that the writer commits in one transaction.
 
 use std::{collections::HashSet, time::Instant};
 
@@ -13,68 +13,68 @@
 
 use super::claim::Claim;
 
-/// What the writer tells a call that wants a claim.
+/// Reply of the writer to a call that requested a claim.
 #[derive(Debug)]
 pub enum ClaimReply {
     /// The row is written.
     Granted(Claim),
-    /// There is a row already.
+    /// The table already has a row of this key.
     Taken,
-    /// The store is away; it is proved that no row stays.
+    /// The store is unavailable. The claim isn't granted; a row that turns up later is released.
     StoreUnavailable,
 }
 
-/// A claim that waits for its row.
+/// A claim whose row isn't written yet.
 #[derive(Debug)]
 pub struct PendingClaim {
     /// The row's key.
     pub row_key: String,
-    /// The row to be.
+    /// The row to write.
     pub row: Box<ClaimRow>,
-    /// Instant from which on the request isn't handed over any more.
+    /// Time after which the request isn't dispatched any more.
     pub dispatch_deadline: Instant,
-    /// The call that waits; unset once it has its answer.
+    /// Sender to the waiting call; unset once the reply is sent.
     reply_sender: Option<oneshot::Sender<ClaimReply>>,
 }
 
-/// A change of a claim that this gate holds; it may be sent twice or land late.
+/// A change of a claim that this gate holds. Its write is idempotent.
 ///
-/// Failure: the answer to such a write is lost and it is sent again, or it lands after the key
-/// was claimed anew. Each asks for the revision that this gate's own claim gave the row, which no
-/// later row ever has, so a second or late one changes nothing.
+/// The response to such a write may be lost, so that it is sent again, or the write may take effect
+/// after the key was claimed anew. Each write requires the revision that this gate's own claim gave
+/// the row. No later row has that revision, so a repeated or late write changes nothing.
 #[derive(Debug)]
 pub enum ClaimChange {
-    /// Takes the row away.
+    /// Deletes the row.
     Release {
         /// The row's key.
         row_key: String,
         /// Revision of the claim.
         revision: Revision,
-        /// Who waits for the key to be free.
+        /// Sender to the call that waits until the key is free.
         waiter: Option<oneshot::Sender<()>>,
     },
-    /// Puts the outcome into the row.
+    /// Records the outcome in the row.
     Record {
         /// The row's key.
         row_key: String,
         /// Revision of the claim.
         revision: Revision,
-        /// The row to be.
+        /// The row to write.
         row: Box<ClaimRow>,
     },
 }
 
-/// One transaction's worth of claims and upkeep, at most one of each key.
+/// Contents of one transaction, with at most one claim or change of each key.
 #[derive(Debug, Default)]
 pub struct Batch {
-    /// Claims.
+    /// Claims to write, each on condition that the key has no row.
     pub claims: Vec<PendingClaim>,
-    /// Upkeep.
+    /// Changes to write, each on condition that the row is still at the claim's revision.
     pub changes: Vec<ClaimChange>,
 }
 
 impl PendingClaim {
-    /// Makes a claim whose answer goes to `reply`.
+    /// Creates a claim whose reply goes to `reply_sender`.
     pub fn new(
         row_key: String,
         row: ClaimRow,
@@ -84,29 +84,29 @@
         Self { row_key, row: Box::new(row), dispatch_deadline, reply_sender: Some(reply_sender) }
     }
 
-    /// Whether a call waits for it.
+    /// Returns whether a call still waits for the reply.
     pub fn is_awaited(&self) -> bool {
         self.reply_sender.as_ref().is_some_and(|sender| !sender.is_closed())
     }
 
-    /// Tells the call; an answer that nobody waits for is dropped.
+    /// Sends the reply to the call; drops it if the call no longer waits.
     pub fn send_reply(&mut self, reply: ClaimReply) {
         if let Some(sender) = self.reply_sender.take() {
-            // The call may have gone meanwhile, which is the same.
+            // The call may have been cancelled; its receiver is gone then.
             let _ = sender.send(reply);
         }
     }
 }
 
 impl ClaimChange {
-    /// Key of the row.
+    /// Returns the key of the row.
     pub fn row_key(&self) -> &str {
         match self {
             Self::Release { row_key, .. } | Self::Record { row_key, .. } => row_key,
         }
     }
 
-    /// Counter of its success.
+    /// Returns the counter that is incremented when the change is written.
     pub fn success_counter(&self) -> &'static str {
         match self {
             Self::Release { .. } => "claims.released",
@@ -114,15 +114,15 @@
         }
     }
 
-    /// Whether somebody waits for it.
+    /// Returns whether a call waits for the change.
     pub fn is_awaited(&self) -> bool {
         matches!(self, Self::Release { waiter: Some(_), .. })
     }
 
-    /// Tells who waits that the row isn't this claim's any more.
+    /// Notifies the waiting call that the row no longer belongs to this claim.
     pub fn notify_waiter(self) {
         if let Self::Release { waiter: Some(waiter), .. } = self {
-            // Who waited may have gone.
+            // The call may have stopped waiting.
             let _ = waiter.send(());
         }
     }
@@ -141,16 +141,16 @@
 }
 
 impl Batch {
-    /// Whether there is nothing in it.
+    /// Returns whether there is neither a claim nor a change.
     pub fn is_empty(&self) -> bool {
         self.claims.is_empty() && self.changes.is_empty()
     }
 
-    /// Its transaction, which takes effect only while the fence is at `fence`.
+    /// Builds the transaction, which takes effect only while the fence row is at revision `fence`.
     ///
     /// # Errors
     ///
-    /// [`PlatformError::Unserializable`] for a row that has no form in JSON.
+    /// Returns [`PlatformError::Unserializable`] if a row can't be serialized to JSON.
     pub fn commit(&self, fence_key: &str, fence: Revision) -> Result<Commit, PlatformError> {
         let mut commit = Commit::default();
         commit.conditions.push(Condition::new(fence_key, Precondition::BeAt(fence)));
@@ -164,7 +164,7 @@
         Ok(commit)
     }
 
-    /// Takes out what `failed` names.
+    /// Removes and returns the claims and changes whose keys are in `failed`.
     pub fn split_off(&mut self, failed: &[FailedCondition]) -> Batch {
         let names: HashSet<&str> = failed.iter().map(|failed| failed.key.as_str()).collect();
         let fails = |key: &str| names.contains(key);
--- a/crates/yuccarackd/src/coordination/claims/breaker.rs
+++ b/crates/yuccarackd/src/coordination/claims/breaker.rs
@@ -1,18 +1,18 @@
-//! Whether the store answers, so that claims are refused at once while it is away.
+//! Circuit breaker that rejects claims without a wait while the store is unavailable.
 
 use std::time::{Duration, Instant};
 
-/// Wait before the first look at a store that failed.
+/// Delay before the first probe of a store that failed.
 const BACKOFF_MIN: Duration = Duration::from_millis(100);
-/// Longest wait between two looks. With 2,500 gates that all lost the store this is about 800
-/// looks a second, under the 2,000 reads that it carries.
+/// Longest delay between two probes. With 2,500 gates that all lost the store this makes about 800
+/// probes a second, which is below the 2,000 reads a second that the store can serve.
 const BACKOFF_MAX: Duration = Duration::from_secs(4);
 
-/// A circuit breaker whose only probe is the writer's own.
+/// Circuit breaker that only the writer probes.
 ///
-/// Failure: the store hangs, every claim waits for a timeout, and calls that hold a slot
-/// meanwhile starve those that need no claim. It shows as a full queue at each gate. Since no
-/// claim is let in between a failure and the next success, at most one timeout is waited for.
+/// When the store hangs and each claim waits for a timeout, calls that hold a slot meanwhile starve
+/// those that need no claim, and the queue of each gate fills up. The breaker admits no claim
+/// between a failure and the next success, so at most one timeout is waited for.
 #[derive(Debug, Default)]
 pub struct Breaker {
     outage: Option<Outage>,
@@ -25,24 +25,24 @@
 }
 
 impl Breaker {
-    /// Makes a breaker that takes the store for well.
+    /// Creates a closed breaker, which takes the store for available.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// When the store will be looked at next; `None` while it is well.
+    /// Returns the time of the next probe; `None` while the store is available.
     pub fn next_probe_at(&self) -> Option<Instant> {
         self.outage.map(|outage| outage.next_probe_at)
     }
 
-    /// Notes an answer of the store; says whether that is news.
+    /// Records a response of the store. Returns whether this ends an outage.
     pub fn record_success(&mut self) -> bool {
         self.outage.take().is_some()
     }
 
-    /// Notes a failure of the store; says whether that is news.
+    /// Records a failure of the store. Returns whether this begins an outage.
     ///
-    /// `jitter` in 0.0..1.0 spreads the looks of gates that lost the store together.
+    /// `jitter` in 0.0..1.0 spreads the probes of gates that lost the store at the same time.
     pub fn record_failure(&mut self, now: Instant, jitter: f64) -> bool {
         let backoff = match self.outage {
             Some(outage) => (outage.backoff * 2).min(BACKOFF_MAX),
--- a/crates/yuccarackd/src/coordination/claims/claim.rs
+++ b/crates/yuccarackd/src/coordination/claims/claim.rs
@@ -1,4 +1,4 @@
-//! A claim in the hand of the gate that holds it.
+//! Claims that a gate holds, before and after their requests are dispatched.
 
 use std::time::{Duration, Instant};
 
@@ -11,31 +11,32 @@
 
 use super::batch::ClaimChange;
 
-/// Largest body that is kept for resends, in bytes.
+/// Largest response body that is recorded for resends, in bytes.
 const RECORDED_BODY_MAX_BYTES: usize = 4 * 1024;
 
-/// Longest time that a refusal waits for its key to be free; a healthy store takes some ms.
+/// Longest time that a refusal waits until its key is free. An available store needs a few ms.
 const RELEASE_WAIT_MAX: Duration = Duration::from_millis(100);
 
-/// Right to hand one request over; as long as it is held, not a byte has been handed over.
+/// Right to dispatch one request, of which no byte has been sent yet. Dropping it releases the
+/// claim.
 ///
-/// Failure: a caller hangs up between the claim and the hand-over, the call's future is dropped,
-/// and the key stays claimed for good although nothing ran. Dropping this therefore releases the
-/// claim, and only [`Claim::begin_dispatch`] leads to the kind that stays open when dropped.
+/// When a caller disconnects between the claim and the dispatch, the call's future is dropped.
+/// Without the release on drop the key would stay claimed for good although nothing ran. Only
+/// [`Claim::begin_dispatch`] leads to a claim that stays open when it is dropped.
 #[derive(Debug)]
 pub struct Claim {
     held_row: Option<HeldRow>,
     dispatch_deadline: Instant,
 }
 
-/// A claim whose request may have reached the target; dropping it leaves the outcome unknown.
+/// A claim whose request may have reached the target. Dropping it leaves the outcome unknown.
 #[derive(Debug)]
-#[must_use = "a claim that isn't told how its request ended stays unknown for good"]
+#[must_use = "the outcome of a claim that is dropped stays unknown for good"]
 pub struct RunningClaim {
     held_row: HeldRow,
 }
 
-/// The claim's row in the table, and the way to change it.
+/// The claim's row in the table, and the sender of its changes.
 #[derive(Debug)]
 pub(super) struct HeldRow {
     pub row_key: String,
@@ -49,12 +50,11 @@
         Self { held_row: Some(held_row), dispatch_deadline }
     }
 
-    /// Goes over to running; to be called before the first byte is handed over.
+    /// Turns the claim into a running one. Must be called before the first byte is sent.
     ///
-    /// Failure: a gate is frozen with the claim in its hand, the caller and the operator give the
-    /// request up, the operator releases the key, a resend runs, and the gate wakes up and runs
-    /// it too. So after the attempt's deadline nothing is handed over: `None`, and the claim is
-    /// released.
+    /// Returns `None` and releases the claim if the dispatch deadline has passed. Otherwise a gate
+    /// that is frozen while it holds the claim could run the request a second time: the caller
+    /// gives up, an operator releases the key, a resend runs, and then the gate resumes.
     pub fn begin_dispatch(mut self) -> Option<RunningClaim> {
         if Instant::now() >= self.dispatch_deadline {
             return None;
@@ -62,14 +62,14 @@
         self.held_row.take().map(|held_row| RunningClaim { held_row })
     }
 
-    /// Gives the claim back; the row is removed in the background.
+    /// Releases the claim; the row is deleted in the background.
     pub fn release(self) {}
 
-    /// Gives the claim back and waits, for a short time at most, until the key is free.
+    /// Releases the claim and waits up to `RELEASE_WAIT_MAX` until the key is free.
     ///
-    /// Failure: a gate refuses a request after claiming it, its entry tries the next gate at once,
-    /// and that one finds the claim and says that the request is in progress, although it never
-    /// ran and nobody runs it.
+    /// Without the wait an entry whose request this gate refuses would try the next gate at once.
+    /// That gate would find the claim and respond that the request is in progress, although it
+    /// never ran and no gate runs it.
     pub async fn release_and_wait(mut self) {
         if let Some(held_row) = self.held_row.take() {
             held_row.release_and_wait().await;
@@ -86,27 +86,29 @@
 }
 
 impl RunningClaim {
-    /// Records how the request ended, in the background; resends get this outcome.
+    /// Records the outcome of the request in the background; resends get this outcome.
     ///
-    /// A body over 4 KiB is left out.
+    /// A body of more than 4 KiB isn't recorded.
     pub fn record_outcome(mut self, mut outcome: RecordedOutcome) {
         outcome.body = outcome.body.filter(|body| body.len() <= RECORDED_BODY_MAX_BYTES);
         self.held_row.row.state = ClaimState::Done;
         self.held_row.row.outcome = Some(outcome);
         let HeldRow { row_key, row, revision, change_sender, .. } = self.held_row;
-        // The writer outlives all claims; after its end the row stays open, which is safe.
+        // The writer ends after all claims. If it has ended all the same, the row stays open, which
+        // is safe.
         let _ = change_sender.send(ClaimChange::Record { row_key, revision, row });
     }
 
-    /// Gives the claim back, in the background.
+    /// Releases the claim in the background.
     ///
-    /// Only for a proof that nothing ran: no byte went out after all, or the target itself shed
-    /// the request in the way that its contract calls not run.
+    /// Only for a request that is confirmed not to have run: no byte was sent, or the target shed
+    /// the request with the response that its contract defines as not run.
     pub fn release_not_run(self) {
         self.held_row.release();
     }
 
-    /// The same, and waits as [`Claim::release_and_wait`] does.
+    /// Releases the claim of a request that is confirmed not to have run, and waits as
+    /// [`Claim::release_and_wait`] does.
     pub async fn release_not_run_and_wait(self) {
         self.held_row.release_and_wait().await;
     }
@@ -120,13 +122,13 @@
     async fn release_and_wait(self) {
         let (waiter, free) = oneshot::channel();
         self.send_release(Some(waiter));
-        // Without word in time the caller hears its refusal all the same.
+        // After a timeout the caller gets its refusal all the same.
         let _ = timeout(RELEASE_WAIT_MAX, free).await;
     }
 
     fn send_release(self, waiter: Option<oneshot::Sender<()>>) {
         let HeldRow { row_key, revision, change_sender, .. } = self;
-        // See `done` on a writer that has ended.
+        // See `record_outcome` on a writer that has ended.
         let _ = change_sender.send(ClaimChange::Release { row_key, revision, waiter });
     }
 }
--- a/crates/yuccarackd/src/coordination/claims/mod.rs
+++ b/crates/yuccarackd/src/coordination/claims/mod.rs
@@ -1,6 +1,7 @@
-//! At most once: the keeper of claims, by which a gate runs a request only if nobody else may.
+//! At-most-once execution: a gate claims the idempotency key of a request before it runs it.
 //!
-//! The table decides, always: nothing here answers from a cache. See docs/AT_MOST_ONCE.md.
+//! Each decision is a conditional write to the table; no claim is granted or denied from a cache.
+//! See docs/AT_MOST_ONCE.md.
 
 mod batch;
 mod breaker;
--- a/crates/yuccarackd/src/coordination/claims/table.rs
+++ b/crates/yuccarackd/src/coordination/claims/table.rs
@@ -1,4 +1,4 @@
-//! Transactions of one gate's claims, and what became of those whose answers were lost.
+//! Transactions of one gate's claims, and the outcome of those whose responses were lost.
 
 use std::collections::HashMap;
 
@@ -13,14 +13,14 @@
 use super::{batch::Batch, tracker::unix_ms};
 use crate::state::counters::Counters;
 
-/// The table as one gate writes it, behind the gate's fence.
+/// Table access of one gate, guarded by the gate's fence row.
 ///
-/// Failure: a transaction's answer is lost, the writer reads that its rows are absent, says "not
-/// run", and the transaction takes effect after that. It shows as a key that is open for good
-/// although no gate holds it. So each transaction asks that the gate's fence row is at the
-/// revision last seen, and before absence counts as proof the fence row is written anew: from
-/// then on the lost transaction can't take effect any more. One row a gate is enough, and none
-/// is left over, where a tombstone for each lost claim would have to be kept for good.
+/// A transaction whose response is lost may take effect after the writer has read that its rows are
+/// absent and has replied that the request doesn't run. The key would then stay open for good
+/// although no gate holds it. So each transaction requires the last known revision of the gate's
+/// fence row, and the fence row is written anew before absence counts as confirmed: from then on
+/// the lost transaction can't take effect. One row for each gate is enough and no rows are left
+/// over, whereas a tombstone for each lost claim would have to stay for good.
 pub struct ClaimTable {
     platform: PlatformClient,
     fence_key: String,
@@ -29,16 +29,17 @@
 }
 
 impl ClaimTable {
-    /// Makes the table as the gate of `instance` writes it.
+    /// Creates the table access of the gate of `instance`.
     pub fn new(platform: PlatformClient, instance: &str, counters: Counters) -> Self {
         Self { platform, fence_key: claim_fence_key(instance), fence: None, counters }
     }
 
-    /// Writes `batch`; says the revision that its rows have.
+    /// Writes `batch` and returns the revision of its rows.
     ///
     /// # Errors
     ///
-    /// [`PlatformError::is_not_written`] tells whether nothing of it was written for certain.
+    /// Returns the error of the platform; [`PlatformError::is_not_written`] says whether it is
+    /// certain that nothing was written.
     pub async fn commit(&mut self, batch: &Batch) -> Result<Revision, PlatformError> {
         let fence = match self.fence {
             Some(fence) => fence,
@@ -50,7 +51,8 @@
         Ok(self.platform.commit(&commit).await?.revision)
     }
 
-    /// Takes over where the fence stands, if it is among `failed`; says whether it is.
+    /// Adopts the current revision of the fence row if its condition is among `failed`. Returns
+    /// whether it is.
     pub fn note_fence(&mut self, failed: &[FailedCondition]) -> bool {
         let fence = failed.iter().find(|condition| condition.key == self.fence_key);
         if let Some(fence) = fence {
@@ -59,40 +61,41 @@
         fence.is_some()
     }
 
-    /// Revisions of the batch's own claims in the table, at a time when its transaction has taken
-    /// effect or never will.
+    /// Returns the revisions of the batch's own claims in the table, once the transaction has taken
+    /// effect or can't any more.
     ///
     /// # Errors
     ///
-    /// Any [`PlatformError`]; then nothing is known yet.
+    /// Returns any [`PlatformError`]; the outcome is still unknown then.
     pub async fn resolve_outcome(
         &mut self,
         batch: &Batch,
     ) -> Result<HashMap<String, Revision>, PlatformError> {
         let rows = self.read_own(batch).await?;
         if !rows.is_empty() {
-            // All or nothing: one row of it proves the transaction.
+            // Transactions are atomic: one row confirms that all were written.
             return Ok(rows);
         }
         self.raise_fence().await?;
         self.read_own(batch).await
     }
 
-    /// Asks for a sign of life.
+    /// Checks whether the store responds, by reading the fence row.
     ///
     /// # Errors
     ///
-    /// Any [`PlatformError`].
+    /// Returns any [`PlatformError`].
     pub async fn probe(&self) -> Result<(), PlatformError> {
         self.platform.row(&self.fence_key).await.map(drop)
     }
 
-    /// Writes the fence row; no transaction that asked for an earlier one takes effect after.
+    /// Writes the fence row. Transactions that require an earlier revision of it can't take effect
+    /// afterwards.
     async fn raise_fence(&mut self) -> Result<Revision, PlatformError> {
         let row = ClaimFenceRow { raised_at_unix_ms: unix_ms() };
         let value = serde_json::to_value(row).map_err(PlatformError::Unserializable)?;
-        // It asks for nothing: one that lands late only makes the next transaction fail once,
-        // whose answer then names the revision to go on with.
+        // The write has no conditions. If it takes effect late, only the next transaction fails
+        // once, and its response contains the revision to use from then on.
         let commit =
             Commit { conditions: Vec::new(), writes: vec![Write::put(&self.fence_key, value)] };
         let revision = self.platform.commit(&commit).await?.revision;
@@ -108,7 +111,8 @@
         for (claim, row) in batch.claims.iter().zip(rows) {
             let Some(row) = row else { continue };
             let Ok(value) = serde_json::from_value::<ClaimRow>(row.value) else { continue };
-            // All of it: the same attempt may have reached two gates, and only one of them wrote.
+            // Compares the complete row: the same attempt may have reached two gates, of which only
+            // one wrote it.
             if value == *claim.row {
                 own.insert(claim.row_key.clone(), row.revision);
             }
@@ -117,7 +121,8 @@
     }
 }
 
-/// Whatever became of the fence, nothing of the batch was sent yet.
+/// Converts an error of the fence write: whether or not that write took effect, nothing of the
+/// batch was sent yet.
 fn as_not_written(error: PlatformError) -> PlatformError {
     match error {
         error if error.is_not_written() => error,
--- a/crates/yuccarackd/src/coordination/claims/tracker.rs
+++ b/crates/yuccarackd/src/coordination/claims/tracker.rs
@@ -1,4 +1,4 @@
-//! The gate's side: asks for a claim and says what the table holds.
+//! Claims idempotency keys for the gate and evaluates rows that other gates wrote.
 
 use std::{
     sync::Arc,
@@ -25,12 +25,13 @@
 };
 use crate::state::counters::Counters;
 
-/// Claims that wait for the writer; a gate has some ten slots, so more only come in a flood.
+/// Most claims that wait for the writer. A gate has about ten slots, so the queue only fills up
+/// under overload.
 const CLAIM_QUEUE_MAX: usize = 1024;
-/// Said to callers when the store's next look isn't known.
+/// Shortest delay that callers are told to wait while the store is unavailable.
 const RETRY_AFTER_MIN: Duration = Duration::from_secs(1);
 
-/// Claims keys for one gate; clones share one writer.
+/// Claims idempotency keys for one gate. Clones share one writer.
 #[derive(Clone)]
 pub struct ClaimTracker {
     platform: PlatformClient,
@@ -41,10 +42,10 @@
 }
 
 impl ClaimTracker {
-    /// Makes a keeper and starts its writer on `tasks`.
+    /// Creates a tracker and spawns its writer on `tasks`.
     ///
-    /// `stop` is to be cancelled after the gate's last call has ended; the writer then writes
-    /// what it has, for at most some seconds, and ends.
+    /// `stop` must be cancelled only after the gate's last call has ended. The writer then writes
+    /// what is pending, for a few seconds at most, and ends.
     pub fn start(
         platform: PlatformClient,
         instance: InstanceId,
@@ -62,12 +63,13 @@
 
     /// Claims the key of `request` for its attempt.
     ///
-    /// May be cancelled at any time; a claim that was granted meanwhile is released.
+    /// The future may be dropped at any time; a claim that was granted meanwhile is released.
     pub async fn claim(&self, request: ClaimRequest) -> ClaimVerdict {
         let dispatch_deadline = tokio::time::Instant::from_std(request.dispatch_deadline);
         let verdict = match timeout_at(dispatch_deadline, self.decide(&request)).await {
             Ok(verdict) => verdict,
-            // Whatever the writer still finds for this attempt it releases: nobody hears it.
+            // The writer releases a row that it still finds for this attempt, since no call waits
+            // for it any more.
             Err(_) => self.store_unavailable(),
         };
         self.counters.add_reason("claims", counter(&verdict));
@@ -87,7 +89,7 @@
             }
             match self.platform.row(&row_key).await {
                 Ok(Some(row)) => return self.evaluate_row(request, row.value),
-                // Released between our write and our read, so the key is free again.
+                // The row was deleted between the write and the read, so the key is free again.
                 Ok(None) => self.counters.add("claims.freed_meanwhile"),
                 Err(_) => return self.store_unavailable(),
             }
@@ -119,7 +121,9 @@
         }
     }
 
-    /// A row that can't be read is taken for an open claim: whatever it is, it isn't ours.
+    /// Returns the verdict on a row that another attempt wrote.
+    ///
+    /// A row that can't be parsed counts as an open claim, since it isn't this attempt's.
     fn evaluate_row(&self, request: &ClaimRequest, value: serde_json::Value) -> ClaimVerdict {
         let row: Result<ClaimRow, _> =
             serde_json::from_value(value).map_err(PlatformError::Malformed);
@@ -155,7 +159,8 @@
     }
 }
 
-/// For operators only: no decision hangs on the wall clock.
+/// Returns the wall-clock time in ms since 1970. Only shown to operators; no decision depends on
+/// it.
 pub(super) fn unix_ms() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX)
--- a/crates/yuccarackd/src/coordination/claims/verdict.rs
+++ b/crates/yuccarackd/src/coordination/claims/verdict.rs
@@ -1,4 +1,4 @@
-//! What a gate asks of the keeper of claims, and what it hears.
+//! Request of a gate for a claim, and the verdict.
 
 use std::time::{Duration, Instant};
 
@@ -7,35 +7,36 @@
 
 use super::claim::Claim;
 
-/// A gate's wish to run a request that must not repeat.
+/// Request of a gate to run a request that must not repeat.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimRequest {
     /// Service that the request is for.
     pub service: ServiceName,
-    /// The caller's key.
+    /// Idempotency key that the caller chose.
     pub key: IdempotencyKey,
-    /// This attempt; no two requests to a keeper may share one.
+    /// Id of this attempt; each claim request of a tracker needs its own.
     pub attempt: AttemptId,
-    /// Tells a resend from another request under the same key.
+    /// Fingerprint of the request, which distinguishes a resend from another request with the same
+    /// key.
     pub fingerprint: Fingerprint,
-    /// Instant from which on the request isn't handed over any more.
+    /// Time after which the request isn't dispatched any more.
     pub dispatch_deadline: Instant,
 }
 
-/// Whether the gate may run the request.
+/// Verdict whether the gate may run the request.
 #[derive(Debug)]
 pub enum ClaimVerdict {
-    /// This attempt alone may run.
+    /// Only this attempt may run.
     Granted(Claim),
-    /// An earlier attempt runs, or its outcome is unknown; the request isn't run again.
+    /// An earlier attempt is running or its outcome is unknown; the request isn't run again.
     InProgress,
-    /// An earlier attempt has run; this was its outcome.
+    /// An earlier attempt has run, with this outcome.
     Recorded(RecordedOutcome),
     /// The key was used for another request.
     KeyReused,
-    /// The store can't tell; it is proved that this attempt doesn't run.
+    /// The store is unavailable; this attempt is confirmed not to run.
     StoreUnavailable {
-        /// Time after which another try is worth it.
+        /// Time after which the caller should try again.
         retry_after: Duration,
     },
 }
--- a/crates/yuccarackd/src/coordination/claims/writer.rs
+++ b/crates/yuccarackd/src/coordination/claims/writer.rs
@@ -1,4 +1,4 @@
-//! The one task of a gate that writes claims, a group of them in each transaction.
+//! Task that writes the claims of one gate, several in each transaction.
 
 use std::{
     collections::{HashMap, HashSet, VecDeque},
@@ -26,12 +26,13 @@
 
 /// Most rows in one transaction.
 const BATCH_ROWS_MAX: usize = 64;
-/// Least time between the starts of two transactions. The first claim after a pause goes at
-/// once; a busy gate writes at most 200 times a second, whatever its rate of claims.
+/// Shortest time between the starts of two transactions. The first claim after an idle period is
+/// written at once; a busy gate writes at most 200 times a second, whatever its rate of claims.
 const COMMIT_SPACING: Duration = Duration::from_millis(5);
-/// Longest time that upkeep which nobody waits for waits for a claim to share a transaction with.
+/// Longest time that a change for which no call waits is delayed, to share a transaction with a
+/// claim.
 const CHANGE_LINGER: Duration = Duration::from_millis(10);
-/// Longest time that a stopping writer goes on trying.
+/// Longest time that a stopping writer retries its pending writes.
 const STOP_MAX: Duration = Duration::from_secs(5);
 
 /// Writes claims, their releases and their outcomes.
@@ -51,7 +52,7 @@
 }
 
 impl Writer {
-    /// Makes the writer of the gate of `instance`, which takes claims from `claims`.
+    /// Creates the writer of the gate of `instance`, which receives claims from `claims`.
     pub fn new(
         platform: PlatformClient,
         instance: &str,
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Writes until `stop` is cancelled and what is left is written or given up.
+    /// Writes until `stop` is cancelled and pending writes are done or `STOP_MAX` has passed.
     pub async fn run(mut self, stop: CancellationToken) {
         let mut stop_deadline = None;
         loop {
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Whether there is work; without, a stop was asked for.
+    /// Waits for something to write. Returns false if a stop was requested meanwhile.
     async fn wait_for_work(&mut self, stop: &CancellationToken) -> bool {
         if !self.pending_claims.is_empty() {
             return true;
@@ -150,7 +151,8 @@
         }
     }
 
-    /// Takes what fits into one transaction, each key once; later ones of a key keep their order.
+    /// Moves what fits into one transaction to a batch, each key at most once. Further entries of a
+    /// key stay queued in their order.
     fn next_batch(&mut self) -> Batch {
         let mut batch = Batch::default();
         let mut keys = HashSet::new();
@@ -197,9 +199,9 @@
                     return self.note_failure();
                 }
                 Err(_) if batch.claims.is_empty() => {
-                    // Upkeep may be sent twice, so it waits until a look finds the store well.
-                    // Taking it for resolved would close the breaker with nothing heard of the
-                    // store, and the next claim would wait for a timeout.
+                    // Changes are idempotent, so they stay queued until a probe succeeds. Taking
+                    // them for resolved would close the breaker without a response of the store,
+                    // and the next claim would wait for a timeout.
                     self.requeue_unwritten(batch);
                     return self.note_failure();
                 }
@@ -223,7 +225,7 @@
         }
     }
 
-    /// Grants `pending`; when nobody waits any more, the dropped claim releases itself.
+    /// Grants `pending`. If no call waits any more, the claim is dropped and so released.
     fn grant(&self, mut pending: PendingClaim, revision: Revision) {
         if !pending.is_awaited() {
             self.counters.add("claims.undelivered");
@@ -237,7 +239,8 @@
         pending.send_reply(ClaimReply::Granted(Claim::new(held_row, pending.dispatch_deadline)));
     }
 
-    /// Takes what failed out of `batch`; false when the answer named nothing of it.
+    /// Removes the claims and changes in `failed` from `batch`. Returns false if `failed` contains
+    /// neither any of them nor the fence row.
     fn remove_failed(&mut self, batch: &mut Batch, failed: &[FailedCondition]) -> bool {
         let is_fenced = self.table.note_fence(failed);
         let out = batch.split_off(failed);
@@ -245,14 +248,15 @@
         for mut claim in out.claims {
             claim.send_reply(ClaimReply::Taken);
         }
-        // The row is another than the one that this gate wrote: an operator released it, or an
-        // earlier write of this same upkeep took effect.
+        // The row is no longer the one that this gate wrote: an operator released it, or an earlier
+        // write of the same change took effect.
         self.counters.add_many("claims.upkeep_moot", out.changes.len() as u64);
         out.changes.into_iter().for_each(ClaimChange::notify_waiter);
         is_progress
     }
 
-    /// After a proof that nothing of `batch` was written: refuses claims, keeps upkeep.
+    /// Rejects the claims of a batch that is confirmed as not written, and queues its changes
+    /// again.
     fn requeue_unwritten(&mut self, batch: Batch) {
         for claim in batch.claims {
             reject(claim);
@@ -262,10 +266,10 @@
         }
     }
 
-    /// Finds out whether the unresolved transaction took effect.
+    /// Reads back whether the unresolved transaction took effect.
     ///
-    /// While that can't be found out its calls are refused: what nobody is granted nobody hands
-    /// over, whatever the table says, and a row that turns up is released.
+    /// While the store doesn't respond the calls of the batch are rejected. This is safe: a claim
+    /// that isn't granted is never dispatched, and a row that turns up later is released.
     async fn resolve(&mut self) {
         let Some(mut batch) = self.unresolved.take() else { return };
         match self.table.resolve_outcome(&batch).await {
@@ -288,7 +292,7 @@
         for claim in batch.claims.into_iter().rev() {
             match rows.get(&claim.row_key) {
                 Some(revision) => self.grant(claim, *revision),
-                // Proved absent, so the same attempt may go again.
+                // Confirmed absent, so the claim may be written again for the same attempt.
                 None => self.pending_claims.push_front(claim),
             }
         }
@@ -297,7 +301,7 @@
         }
     }
 
-    /// While the store is away: refuses claims at once, looks at the store at `probe_at`.
+    /// Rejects claims at once until `probe_at`, then probes the unavailable store.
     async fn recover(&mut self, probe_at: Instant) {
         loop {
             tokio::select! {
--- a/crates/yuccarackd/src/coordination/suspects/attempt.rs
+++ b/crates/yuccarackd/src/coordination/suspects/attempt.rs
@@ -1,4 +1,4 @@
-//! One try to get a trial: the conditional write that at most one gate wins.
+//! An attempt to get a trial by a conditional write, which succeeds for one gate at most.
 
 use std::time::{Duration, Instant};
 
@@ -18,12 +18,14 @@
 };
 use crate::protocol::suspect_update::SuspectEvent;
 
-/// Said to callers whose request is on trial or whose store is away.
+/// Delay that callers are told to wait while their request is on trial or the store unavailable.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Times that a trial is written: again when another gate was faster, or when an answer is lost.
+/// Most writes of one trial. A write is repeated after a conflict with another gate and after a
+/// lost response.
 const WRITES_MAX: u8 = 4;
 
-/// A try to get a trial; dropped with a write on its way, it has that write undone.
+/// An attempt to get a trial. If it is dropped while a write is in progress, it has that write
+/// undone.
 pub struct TrialAttempt {
     shared: Shared,
     parts: TrialParts,
@@ -39,7 +41,7 @@
 }
 
 impl TrialAttempt {
-    /// Makes a try for the trial of `parts`, whose end goes to `ended`.
+    /// Creates an attempt for the trial of `parts`, whose end is reported to `trial_end_sender`.
     pub fn new(
         shared: Shared,
         parts: TrialParts,
@@ -48,10 +50,11 @@
         Self { shared, parts, trial_end_sender, is_open: false }
     }
 
-    /// Asks the table.
+    /// Writes the trial to the table.
     ///
-    /// A write whose answer is lost is simply made again: both carry this trial's name and ask for
-    /// the same revision, so one of them at most takes effect, and reading finds whose it was.
+    /// A write whose response is lost is repeated. Both writes contain the id of this trial and
+    /// require the same revision, so at most one of them takes effect, and reading the row shows
+    /// whose it is.
     pub async fn run(mut self) -> TrialVerdict {
         for _ in 0..WRITES_MAX {
             match self.step().await {
@@ -89,7 +92,7 @@
         let Ok(value) = serde_json::to_value(row) else {
             return Step::Rejected(self.store_unavailable());
         };
-        // Before the write, so that a call that is dropped in its midst has it undone.
+        // Set before the write, so that a call that is dropped during the write has it undone.
         let was_open = std::mem::replace(&mut self.is_open, true);
         match self.shared.commit_over(stored, Write::put(key, value)).await {
             Ok(()) => Step::Written,
@@ -105,7 +108,7 @@
         }
     }
 
-    /// The row that is to be written; `None` when the deaths known here and there forbid it.
+    /// Returns the row to write; `None` if the crashes known here and in the table forbid a trial.
     fn row_to_write(&self, stored: &StoredSuspect) -> Option<SuspectRow> {
         let TrialParts { service, fingerprint, .. } = &self.parts;
         let now = unix_ms();
--- a/crates/yuccarackd/src/coordination/suspects/cache.rs
+++ b/crates/yuccarackd/src/coordination/suspects/cache.rs
@@ -1,4 +1,4 @@
-//! What one daemon knows of suspects without asking the table.
+//! Suspects as one daemon knows them without reading the table.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -10,13 +10,14 @@
 
 use crate::protocol::suspect_update::{SuspectEvent, SuspectUpdate};
 
-/// Deaths in whose course a request was in flight, after which it is quarantined.
+/// Target crashes with a request in flight after which the request is quarantined.
 pub(super) const CRASHES_MAX: usize = 2;
 
-/// Most suspects whose deaths are told apart; as many as the policy remembers.
+/// Most suspects whose crashes are recorded by instance; as many as the policy remembers.
 const CRASH_RECORDS_MAX: usize = 1_024;
 
-/// The policy's memory, with what only a daemon knows: where targets died, which trials are here.
+/// State of the policy, with the instances where targets crashed and the running trials of this
+/// gate.
 #[derive(Debug)]
 pub struct SuspectCache {
     suspects: Suspects,
@@ -25,27 +26,27 @@
 }
 
 impl SuspectCache {
-    /// Makes an empty memory.
+    /// Creates an empty cache.
     pub fn new() -> Self {
         let suspects = Suspects::new(SuspectsConfig::default());
         Self { suspects, crashes: HashMap::new(), trials: HashMap::new() }
     }
 
-    /// How a request may run.
+    /// Returns how a request may run.
     pub fn verdict(&mut self, now: Instant, fingerprint: Fingerprint) -> Verdict {
         let verdict = self.suspects.verdict(now, fingerprint);
         let crash_count = self.crashes.get(&fingerprint).map_or(0, HashSet::len);
         if verdict == Verdict::Alone && crash_count >= CRASHES_MAX {
-            // Its quarantine is over; what led to it must not lead to the next one too.
+            // The quarantine is over; the crashes that led to it must not count for the next one.
             self.crashes.remove(&fingerprint);
         }
         verdict
     }
 
-    /// Notes that the own target died; says what each request in flight is from now on.
+    /// Records that the own target crashed, and returns the event of each request in flight.
     ///
-    /// Trials of this gate count among them also when their caller has hung up: a caller that
-    /// hangs up just before each crash would otherwise never be found.
+    /// Running trials of this gate count as in flight even after their caller disconnected.
+    /// Otherwise a request whose caller disconnects just before each crash would never be found.
     pub fn record_own_target_crash(
         &mut self,
         now: Instant,
@@ -73,7 +74,7 @@
         events
     }
 
-    /// Takes over what a peer saw.
+    /// Applies an update of a peer.
     pub fn apply_update(&mut self, now: Instant, update: &SuspectUpdate) {
         let fingerprint = update.fingerprint;
         match update.event {
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Takes over what the table says.
+    /// Merges a suspect's phase and crashes from the table.
     pub fn merge(
         &mut self,
         now: Instant,
@@ -106,33 +107,34 @@
         }
     }
 
-    /// Forgets a request.
+    /// Removes all state of a request.
     fn clear(&mut self, fingerprint: Fingerprint) {
         self.suspects.clear(fingerprint);
         self.crashes.remove(&fingerprint);
     }
 
-    /// Where targets died with a request in flight, as far as it is known here.
+    /// Returns the instances whose target crashed with the request in flight, as far as known here.
     pub fn crashed_instances(&self, fingerprint: Fingerprint) -> Vec<InstanceId> {
         self.crashes.get(&fingerprint).into_iter().flatten().cloned().collect()
     }
 
-    /// Notes that a trial was granted to this gate.
+    /// Records that this gate was granted a trial.
     pub fn record_trial_start(&mut self, now: Instant, fingerprint: Fingerprint) {
         self.suspects.trial_started(now, fingerprint);
     }
 
-    /// Notes that a trial's request is being handed to the target.
+    /// Records that a trial's request is being dispatched to the target.
     pub fn record_trial_dispatch(&mut self, fingerprint: Fingerprint, trial: AttemptId) {
         self.trials.insert(fingerprint, trial);
     }
 
-    /// Ends a trial whose request was never handed over.
+    /// Ends a trial whose request was never dispatched.
     pub fn abandon_unstarted_trial(&mut self, now: Instant, fingerprint: Fingerprint) {
         self.suspects.trial_abandoned(now, fingerprint);
     }
 
-    /// Ends a trial of this gate well; false when the target has died of it meanwhile.
+    /// Ends a trial of this gate that succeeded, and clears the request. Returns false if the
+    /// target has crashed meanwhile.
     pub fn finish_trial(&mut self, fingerprint: Fingerprint, trial: AttemptId) -> bool {
         let is_open = self.end_trial(fingerprint, trial);
         if is_open {
@@ -141,7 +143,8 @@
         is_open
     }
 
-    /// Ends a trial of this gate that taught nothing; false when the target has died of it.
+    /// Ends a trial of this gate without a result. Returns false if the target has crashed
+    /// meanwhile.
     pub fn abandon_trial(
         &mut self,
         now: Instant,
@@ -163,8 +166,10 @@
         is_open
     }
 
-    /// Two targets that died with the same request in flight are proof enough, also when both had
-    /// company: else a caller that sends it to two daemons at once would get a third target.
+    /// Records a crash with the request in flight and returns whether the request is quarantined.
+    ///
+    /// Two crashed instances are enough even if other requests were in flight on both. Otherwise a
+    /// caller that sends the request to two daemons at once could crash a third target.
     fn add_crash(&mut self, now: Instant, fingerprint: Fingerprint, instance: &str) -> bool {
         if self.crashes.len() >= CRASH_RECORDS_MAX {
             let suspects = &mut self.suspects;
--- a/crates/yuccarackd/src/coordination/suspects/event_handler.rs
+++ b/crates/yuccarackd/src/coordination/suspects/event_handler.rs
@@ -1,4 +1,6 @@
-//! The task that hears peers and ends trials, apart from the table, which may hang.
+//! Task that applies updates of peers and ends of trials to the cache.
+//!
+//! It is separate from the recorder, so that a store that hangs doesn't delay it.
 
 use std::{
     collections::VecDeque,
@@ -18,20 +20,20 @@
 };
 use crate::protocol::{control::UrgentUpdate, suspect_update::SuspectEvent};
 
-/// How long a request whose caller hung up may still be laid to the target's death.
+/// Time for which a request whose caller disconnected still counts as a cause of a target crash.
 const DISCONNECTED_TRIAL_RETENTION: Duration = Duration::from_secs(10);
 
-/// Takes news and ends of trials into the memory.
+/// Applies updates and ends of trials to the cache.
 pub struct EventHandler {
     shared: Shared,
     updates: Receiver<UrgentUpdate>,
     trial_ends: UnboundedReceiver<TrialEnd>,
-    /// Trials that ended without a word, each with the end of its time.
+    /// Trials whose caller disconnected, each with the time when it is abandoned.
     disconnected: VecDeque<(Instant, TrialParts)>,
 }
 
 impl EventHandler {
-    /// Makes a listener.
+    /// Creates a handler of the `updates` of peers and of `trial_ends` of this gate.
     pub fn new(
         shared: Shared,
         updates: Receiver<UrgentUpdate>,
@@ -40,7 +42,7 @@
         Self { shared, updates, trial_ends, disconnected: VecDeque::new() }
     }
 
-    /// Listens until `stop`.
+    /// Handles events until `stop`, then the trial ends that are already queued.
     pub async fn run(mut self, stop: CancellationToken) {
         loop {
             let due = self.disconnected.front().map(|(at, _)| *at);
--- a/crates/yuccarackd/src/coordination/suspects/mod.rs
+++ b/crates/yuccarackd/src/coordination/suspects/mod.rs
@@ -1,8 +1,8 @@
-//! Requests that crash the targets that run them: known to all members of a service within
-//! milliseconds, run alone on one target at a time, refused after the second crash.
+//! Quarantine of requests that crash targets. A suspect is announced to all members of the service
+//! within milliseconds, runs alone on one target at a time, and is refused after the second crash.
 //!
-//! Between two deaths a request passes through the table: a trial is a conditional write on the
-//! suspect's row, so two gates can't both run it. See docs/AT_MOST_ONCE.md.
+//! A trial is a conditional write to the suspect's row in the table, so that two gates can't both
+//! run it. See docs/AT_MOST_ONCE.md.
 
 mod attempt;
 mod cache;
--- a/crates/yuccarackd/src/coordination/suspects/recorder.rs
+++ b/crates/yuccarackd/src/coordination/suspects/recorder.rs
@@ -1,4 +1,4 @@
-//! The task that writes suspects' rows and reads what other daemons wrote.
+//! Task that writes the rows of suspects and polls those that other daemons wrote.
 
 use std::{
     collections::VecDeque,
@@ -23,15 +23,16 @@
     shared::{PendingChange, Shared},
 };
 
-/// Wait after the store failed.
+/// Delay before the next access after the store failed.
 const STORE_RETRY_DELAY: Duration = Duration::from_secs(1);
-/// Time between two looks at all suspects of the service, for news that got lost and for a store
-/// that was away at start. At 2,500 daemons it makes 42 reads a second.
+/// Time between two reads of all suspects of the service, for updates that got lost and for a store
+/// that was unavailable at start. With 2,500 daemons this makes 42 reads a second.
 const POLL_INTERVAL: Duration = Duration::from_secs(60);
-/// Changes kept while the store is away; each stands for a request in flight at a death.
+/// Most changes that are queued while the store is unavailable; each belongs to a request that was
+/// in flight at a crash. Further changes are dropped and counted.
 const PENDING_CHANGES_MAX: usize = 1_024;
 
-/// Writes rows one after the other, each as a conditional change of what it has read.
+/// Writes rows one after the other, each on condition that the row is as it was read.
 pub struct Recorder {
     shared: Shared,
     changes: UnboundedReceiver<PendingChange>,
@@ -42,7 +43,7 @@
 }
 
 impl Recorder {
-    /// Makes a recorder of `changes` that looks at the suspects of `service`.
+    /// Creates a recorder of `changes` that polls the suspects of `service`.
     pub fn new(
         shared: Shared,
         changes: UnboundedReceiver<PendingChange>,
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Works until `stop`, then tries once more what is left.
+    /// Runs until `stop`, then tries to write the pending changes once more.
     pub async fn run(mut self, stop: CancellationToken) {
         loop {
             let due = self.next_due();
@@ -95,7 +96,8 @@
                 return;
             }
             if self.apply(&change).await.is_err() {
-                // To the back, so that a row which the store refuses holds up no other.
+                // Moved to the end of the queue, so that a row that the store rejects doesn't block
+                // others.
                 self.pending.push_back(change);
                 self.store_retry_at = Instant::now() + STORE_RETRY_DELAY;
             }
@@ -104,10 +106,10 @@
         self.poll().await;
     }
 
-    /// Whether a death was meant for a request that is cleared by now.
+    /// Returns whether a crash is pending for a request that has been cleared since.
     ///
-    /// Failure: the store is slow, a bystander is tried and cleared elsewhere before the death is
-    /// written here, and the row that is written then has it run alone once more.
+    /// With a slow store, another gate may try and clear a request that didn't cause the crash
+    /// before the crash is written here. The late row would make it run alone once more.
     fn is_outdated(&self, pending: &PendingChange) -> bool {
         let is_crash = matches!(pending.change, Change::Crashed { .. });
         let now = Instant::now();
@@ -123,10 +125,11 @@
         self.pending.push_back(change);
     }
 
-    /// Makes one change, again and again while others write the row between reading and writing.
+    /// Applies one change, and retries while others write the row between the read and the write.
     ///
-    /// A write whose answer is lost is made again after reading: a change that was made already
-    /// changes nothing, and a write that lands late finds another revision.
+    /// After a lost response the row is read and the change applied again. This is safe: a change
+    /// that has taken effect changes nothing, and a write that takes effect late fails on its
+    /// revision.
     async fn apply(&self, pending: &PendingChange) -> Result<(), PlatformError> {
         let PendingChange { service, fingerprint, change } = pending;
         let key = suspect_key(service, *fingerprint);
@@ -145,7 +148,7 @@
         }
     }
 
-    /// Takes all suspects of the service over from the table.
+    /// Merges all suspects of the service from the table into the cache.
     async fn poll(&mut self) {
         let service = self.service.borrow().clone();
         let Some(service) = service else {
--- a/crates/yuccarackd/src/coordination/suspects/row.rs
+++ b/crates/yuccarackd/src/coordination/suspects/row.rs
@@ -1,4 +1,4 @@
-//! Rows of suspects: how each event changes them.
+//! Rows of suspects in the table, and how each event changes them.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -8,88 +8,88 @@
 
 use super::{cache::CRASHES_MAX, trial::TrialParts};
 
-/// What stands in the table of one request, as far as it still counts.
+/// Status of a suspect's row at a given time.
 ///
-/// The wall clocks of two daemons differ. They only decide when something is forgotten, and what
-/// lies beyond its time is taken for the graver of its two readings, see [`RowStatus::TrialLost`].
+/// The wall clocks of two daemons differ. They only decide when a row expires, and an expired row
+/// is given the more severe of its two possible meanings, see [`RowStatus::TrialLost`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RowStatus {
-    /// Nothing, or nothing that counts.
+    /// There is no row, or it has expired.
     Clear,
-    /// It may be tried alone.
+    /// The request may run alone, on trial.
     Suspected,
-    /// It is on trial.
+    /// The request is on trial.
     OnTrial,
-    /// Its trial never ended: the gate that ran it is gone or frozen. It may have crashed the
-    /// whole instance, so it counts as the second crash.
+    /// The trial expired without an end: the gate that ran it exited or is frozen. The request may
+    /// have crashed the whole instance, so this counts as the second crash.
     TrialLost,
-    /// It isn't run for this long.
+    /// The request is quarantined.
     Quarantined {
-        /// Time left.
-        left: Duration,
+        /// Remaining time of the quarantine.
+        remaining: Duration,
     },
 }
 
 /// A change of one suspect's row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A target died.
+    /// A target crashed with the request in flight.
     Crashed {
-        /// Where targets died, as far as this daemon knows.
+        /// Instances whose target crashed, as far as this daemon knows.
         instances: Vec<InstanceId>,
-        /// Whether this daemon takes it for the second crash.
+        /// Whether this daemon counts it as the second crash.
         is_quarantined: bool,
     },
-    /// A trial ended before anything was learned.
+    /// A trial ended without a result.
     TrialAbandoned {
-        /// The trial.
+        /// Id of the trial.
         trial: AttemptId,
     },
-    /// A trial's write may or may not have taken effect, and nobody holds the trial.
+    /// A trial's write may or may not have taken effect, and no gate holds the trial.
     ///
-    /// Failure: the write lands after the row was found without it, and the request stays on a
-    /// trial that nobody runs. So the row is written anew in any case: the late write, which asks
-    /// for the revision before, then fails.
+    /// If the write takes effect after the row was read without it, the request stays on a trial
+    /// that no gate runs. So the row is written anew in any case: the late write, which requires
+    /// the earlier revision, then fails.
     TrialVoid {
-        /// The trial.
+        /// Id of the trial.
         trial: AttemptId,
     },
-    /// A trial ended well.
+    /// A trial succeeded.
     Cleared {
-        /// The trial.
+        /// Id of the trial.
         trial: AttemptId,
     },
 }
 
-/// What a change makes of a row.
+/// Result of applying a change to a row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeResult {
-    /// Nothing is to be written.
+    /// Nothing needs to be written.
     Unchanged,
-    /// This is written.
+    /// This row is written.
     Put(Box<SuspectRow>),
-    /// The row is taken away.
+    /// The row is deleted.
     Delete,
 }
 
-/// The row's standing at `now_unix_ms`.
+/// Returns the status of the row at `now_unix_ms`.
 pub fn row_status(row: Option<&SuspectRow>, now_unix_ms: u64) -> RowStatus {
     let Some(row) = row else { return RowStatus::Clear };
-    let left_ms = row.expires_at_unix_ms.saturating_sub(now_unix_ms);
-    match (row.state, left_ms) {
+    let remaining_ms = row.expires_at_unix_ms.saturating_sub(now_unix_ms);
+    match (row.state, remaining_ms) {
         (SuspectState::Suspected, 0) => RowStatus::Clear,
         (SuspectState::OnTrial, 0) => RowStatus::TrialLost,
-        // Once its time is over it is tried alone once more, as the policy does.
+        // After a quarantine the request is tried alone once more, as in the policy.
         (SuspectState::Quarantined, 0) | (SuspectState::Suspected, _) => RowStatus::Suspected,
         (SuspectState::OnTrial, _) => RowStatus::OnTrial,
         (SuspectState::Quarantined, _) => {
-            RowStatus::Quarantined { left: Duration::from_millis(left_ms) }
+            RowStatus::Quarantined { remaining: Duration::from_millis(remaining_ms) }
         }
     }
 }
 
 impl RowStatus {
-    /// The phase that the policy knows it by.
+    /// Returns the corresponding phase of the policy; `None` for no suspect.
     pub fn phase(&self) -> Option<SuspectPhase> {
         match self {
             Self::Clear => None,
@@ -101,7 +101,7 @@
 }
 
 impl Change {
-    /// What this change makes of `row`; the same again when it was made already.
+    /// Applies this change to `row`. Applying it twice has the same result as applying it once.
     pub fn apply(
         &self,
         row: Option<&SuspectRow>,
@@ -130,7 +130,7 @@
                 match row_status(Some(row), now_unix_ms) {
                     RowStatus::Clear | RowStatus::Suspected => {}
                     _ if row.trial == Some(*trial) => {}
-                    // Written since by another, so the late write fails already.
+                    // Another daemon has written the row since, so the late write fails anyway.
                     _ => return ChangeResult::Unchanged,
                 }
                 ChangeResult::Put(Box::new(suspected(row, now_unix_ms)))
@@ -176,14 +176,15 @@
     row
 }
 
-/// Deaths that led to a quarantine which is over don't count towards the next one.
+/// Clears the crashes that led to a quarantine which is over, so that they don't count for the next
+/// one.
 fn forget_served_quarantine(row: &mut SuspectRow) {
     if row.state == SuspectState::Quarantined {
         row.died.clear();
     }
 }
 
-/// The row of a trial; `None` when the deaths known together forbid it.
+/// Returns the row of a trial; `None` if the crashes in the row and in `instances` forbid it.
 pub fn trial_row(
     mut row: SuspectRow,
     parts: &TrialParts,
@@ -208,7 +209,7 @@
     }
 }
 
-/// A row of a request of which nothing is known yet.
+/// Returns a row for a request that isn't a suspect yet.
 pub fn new_row(service: &ServiceName, fingerprint: Fingerprint, now_unix_ms: u64) -> SuspectRow {
     let mut row = SuspectRow {
         service: service.clone(),
@@ -222,23 +223,23 @@
     row
 }
 
-/// Puts `row` into `state`, from which its time runs anew.
+/// Sets the state of `row` and restarts its expiry.
 fn set_state(row: &mut SuspectRow, state: SuspectState, now_unix_ms: u64) {
     let config = SuspectsConfig::default();
-    let lasts = match state {
+    let duration = match state {
         SuspectState::Suspected => config.suspected_for,
         SuspectState::OnTrial => config.trial_max,
         SuspectState::Quarantined => config.quarantined_for,
     };
     row.state = state;
-    row.expires_at_unix_ms = now_unix_ms.saturating_add(ms(lasts));
+    row.expires_at_unix_ms = now_unix_ms.saturating_add(duration_ms(duration));
 }
 
-/// The wall clock, in ms since 1970.
+/// Returns the wall-clock time in ms since 1970.
 pub fn unix_ms() -> u64 {
-    ms(SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default())
+    duration_ms(SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default())
 }
 
-fn ms(time: Duration) -> u64 {
+fn duration_ms(time: Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/yuccarackd/src/coordination/suspects/shared.rs
+++ b/crates/yuccarackd/src/coordination/suspects/shared.rs
@@ -1,4 +1,4 @@
-//! What all parts of the keeper of suspects share.
+//! State that the tasks of the suspect tracker share.
 
 use std::sync::Arc;
 
@@ -20,47 +20,49 @@
     state::counters::Counters,
 };
 
-/// Most events in one message; a death brings one for each slot.
+/// Most events in one message. A crash causes one event for each request in flight.
 const EVENTS_PER_MESSAGE_MAX: usize = 32;
 
-/// A change of one row that is still to be written.
+/// A change of one row that isn't written yet.
 #[derive(Clone, Debug)]
 pub struct PendingChange {
     /// Service that the request is for.
     pub service: ServiceName,
-    /// What the request is recognised by.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// What changes.
+    /// Change to apply to the row that is in the table then.
     pub change: Change,
 }
 
-/// What was read of one suspect.
+/// Row of one suspect as it was read from the table.
 #[derive(Debug, Default)]
 pub struct StoredSuspect {
-    /// The row's value; unset for no row and for one that can't be read, which is written over.
+    /// Value of the row; unset if there is no row or it can't be parsed, in which case it is
+    /// overwritten.
     pub value: Option<SuspectRow>,
     row: Option<Row>,
 }
 
-/// Ways to the table, to peers and to the memory.
+/// Access to the table, to the peers and to the cache.
 #[derive(Clone)]
 pub struct Shared {
-    /// The table.
+    /// Client of the platform, which holds the table.
     pub platform: PlatformClient,
-    /// This instance.
+    /// Id of this daemon's instance, which updates carry.
     pub instance: InstanceId,
-    /// Counters.
+    /// Counters of the daemon.
     pub counters: Counters,
-    /// What is known here.
+    /// Suspects that this daemon knows.
     pub cache: Arc<Mutex<SuspectCache>>,
-    /// News for all members of the service.
+    /// Queue of updates to all members of the service.
     pub update_sender: Sender<UrgentUpdate>,
-    /// Changes for the recorder.
+    /// Queue of changes to the recorder.
     pub changes: UnboundedSender<PendingChange>,
 }
 
 impl Shared {
-    /// Tells all members; without room the table's next reading tells them.
+    /// Queues updates to all members. If the queue is full the update is dropped and counted, and
+    /// the members learn of it at their next poll of the table.
     pub fn broadcast(&self, service: &str, events: &[(Fingerprint, SuspectEvent)]) {
         for events in events.chunks(EVENTS_PER_MESSAGE_MAX) {
             let updates = events.iter().map(|&(fingerprint, event)| SuspectUpdate {
@@ -75,29 +77,29 @@
         }
     }
 
-    /// Has a row changed in the background.
+    /// Queues a change of a row, which the recorder writes.
     pub fn queue_change(&self, service: &str, fingerprint: Fingerprint, change: Change) {
         let pending = PendingChange { service: service.to_owned(), fingerprint, change };
-        // The recorder has ended only when the daemon stops; peers have heard the news.
+        // The recorder ends only when the daemon stops, and the peers have got the update.
         let _ = self.changes.send(pending);
     }
 
-    /// Reads one suspect's row.
+    /// Reads the row of one suspect.
     ///
     /// # Errors
     ///
-    /// The platform's.
+    /// Returns the error of the platform.
     pub async fn read(&self, key: &str) -> Result<StoredSuspect, PlatformError> {
         let Some(row) = self.platform.row(key).await? else { return Ok(StoredSuspect::default()) };
         let value = serde_json::from_value(row.value.clone()).ok();
         Ok(StoredSuspect { value, row: Some(row) })
     }
 
-    /// Writes `write` over what was read.
+    /// Commits `write` on condition that the row is still as it was read.
     ///
     /// # Errors
     ///
-    /// The platform's; a conflict when the row was written since.
+    /// Returns the error of the platform; a conflict if the row was written since.
     pub async fn commit_over(
         &self,
         stored: &StoredSuspect,
--- a/crates/yuccarackd/src/coordination/suspects/tracker.rs
+++ b/crates/yuccarackd/src/coordination/suspects/tracker.rs
@@ -1,4 +1,4 @@
-//! The gate's side: may a request run, may it run alone, a target has died.
+//! Decides for the gate whether a request may run, and records crashes of its target.
 
 use std::{sync::Arc, time::Instant};
 
@@ -27,7 +27,7 @@
     state::counters::Counters,
 };
 
-/// Knows which requests may crash targets; clones share their tasks.
+/// Tracks which requests may crash targets. Clones share their tasks.
 #[derive(Clone)]
 pub struct SuspectTracker {
     shared: Shared,
@@ -37,10 +37,10 @@
 }
 
 impl SuspectTracker {
-    /// Makes a keeper and starts its tasks on `tasks`.
+    /// Creates a tracker and spawns its tasks on `tasks`.
     ///
-    /// What it puts into `news` is to reach all members of the service at once; what they say
-    /// comes by `heard`. `stop` is to be cancelled after the gate's last call has ended.
+    /// Updates for all members of the service are sent to `update_sender`; their updates arrive at
+    /// `update_receiver`. `stop` must be cancelled only after the gate's last call has ended.
     pub fn start(
         platform: PlatformClient,
         instance: InstanceId,
@@ -61,7 +61,7 @@
         tasks.spawn(recorder.run(recorder_stop.clone()));
         tasks.spawn(async move {
             event_handler.run(stop).await;
-            // Only now, so that what the listener's last trials ask for is written.
+            // Cancelled last, so that the changes of the handler's last trials are written.
             recorder_stop.cancel();
         });
         Self {
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Follows the suspects of `service`, the own target's, in the table from now on.
+    /// Polls the suspects of `service`, which the own target serves, from now on.
     pub fn watch_service(&self, service: ServiceName) {
         self.service.send_if_modified(|followed| {
             let is_new = followed.as_ref() != Some(&service);
@@ -81,7 +81,7 @@
         });
     }
 
-    /// How a request may run; asks nobody.
+    /// Returns how a request may run, from the cache only.
     pub async fn verdict(&self, _service: &str, fingerprint: Fingerprint) -> Verdict {
         let verdict = self.shared.cache.lock().verdict(Instant::now(), fingerprint);
         let counter = match verdict {
@@ -94,19 +94,20 @@
         verdict
     }
 
-    /// Asks for the right to run a suspect, which one gate of the service has at a time.
+    /// Requests the right to run a suspect, which one gate of the service has at a time.
     ///
-    /// May be cancelled at any time; a trial that was written meanwhile is given up.
+    /// The future may be dropped at any time; a trial that was written meanwhile is abandoned.
     pub async fn begin_trial(&self, service: &str, fingerprint: Fingerprint) -> TrialVerdict {
         let trial = self.trial_ids.lock().random::<AttemptId>();
         let parts = TrialParts { service: service.to_owned(), fingerprint, trial };
         TrialAttempt::new(self.shared.clone(), parts, self.trial_end_sender.clone()).run().await
     }
 
-    /// Notes that the own target died with these requests on it, each with whether it was alone.
+    /// Records that the own target crashed with these requests in flight, each with whether it ran
+    /// alone.
     ///
-    /// News are on their way when this returns, so before a caller can send its request again;
-    /// the rows follow in the background.
+    /// When this returns the update to the members is queued, hence before a caller can send its
+    /// request again. The rows are written in the background.
     pub async fn record_target_crash(&self, service: &str, in_flight: Vec<(Fingerprint, bool)>) {
         let mut cache = self.shared.cache.lock();
         let events =
--- a/crates/yuccarackd/src/coordination/suspects/trial.rs
+++ b/crates/yuccarackd/src/coordination/suspects/trial.rs
@@ -1,4 +1,4 @@
-//! A suspect's run, alone, on one target of the whole service.
+//! Trials: runs of a suspect alone on one target of the service.
 
 use std::{
     sync::Arc,
@@ -11,30 +11,30 @@
 
 use super::cache::SuspectCache;
 
-/// Whether a suspect may run here.
+/// Verdict whether a suspect may run here.
 #[derive(Debug)]
 pub enum TrialVerdict {
-    /// It may, here and nowhere else.
+    /// It may run here and on no other target.
     Granted(Trial),
-    /// It runs on another target.
+    /// It is on trial on another target.
     OnTrialElsewhere {
-        /// When the caller may ask again.
+        /// Time after which the caller should try again.
         retry_after: Duration,
     },
-    /// It crashed two targets.
+    /// It is quarantined after two crashes.
     Quarantined {
         /// End of the quarantine.
         until: Instant,
     },
-    /// The store can't tell whether it runs elsewhere; it is proved that it doesn't run here.
+    /// The store is unavailable, so it may run elsewhere; it is confirmed not to run here.
     StoreUnavailable {
-        /// Time after which another try is worth it.
+        /// Time after which the caller should try again.
         retry_after: Duration,
     },
 }
 
-/// The right to run one suspect; as long as it is held, nothing was handed over, and dropping it
-/// gives it back.
+/// Right to run one suspect, of which nothing has been dispatched yet. Dropping it abandons the
+/// trial.
 #[derive(Debug)]
 pub struct Trial {
     handle: TrialHandle,
@@ -43,8 +43,8 @@
 
 /// A trial whose request may have reached the target.
 ///
-/// Dropped without a word, as when its caller hangs up, it stays on trial for some seconds: the
-/// target may still die of it. Only then may it be tried again.
+/// If it is dropped unfinished, as when the caller disconnects, the request stays on trial for some
+/// seconds, since the target may still crash because of it. Only then may it be tried again.
 #[derive(Debug)]
 #[must_use = "a trial that isn't ended keeps its request from running"]
 pub struct RunningTrial {
@@ -58,27 +58,27 @@
     end_on_drop: fn(TrialParts) -> TrialEnd,
 }
 
-/// Which trial it is.
+/// Identification of a trial.
 #[derive(Clone, Debug)]
 pub struct TrialParts {
     /// Service that the request is for.
     pub service: ServiceName,
-    /// What the request is recognised by.
+    /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
-    /// Name of the trial.
+    /// Random id of the trial.
     pub trial: AttemptId,
 }
 
 /// How a trial ended.
 #[derive(Debug)]
 pub enum TrialEnd {
-    /// The target lives.
+    /// The response is complete and the target hasn't crashed.
     Succeeded(TrialParts),
-    /// It was given back before it began.
+    /// The trial was dropped before the dispatch began.
     NotStarted(TrialParts),
-    /// Nothing was handed over.
+    /// The request is confirmed not to have run.
     NotRun(TrialParts),
-    /// Its caller hung up; the request may still run.
+    /// The caller disconnected; the request may still be running.
     CallerDisconnected(TrialParts),
 }
 
@@ -93,10 +93,10 @@
         Self { handle, cache }
     }
 
-    /// Goes over to running; to be called before the first byte is handed over.
+    /// Turns the trial into a running one. Must be called before the first byte is sent.
     ///
-    /// Only from here on the target's death counts against it: one that waited for its slot when
-    /// another request took the target down has done nothing.
+    /// Only from here on a crash of the target counts against the request. One that still waits for
+    /// its slot when another request crashes the target can't be the cause.
     pub fn begin_dispatch(mut self) -> RunningTrial {
         let parts = self.handle.parts.take();
         if let Some(parts) = &parts {
@@ -114,12 +114,12 @@
 }
 
 impl RunningTrial {
-    /// Ends the trial: the whole answer came and the target lives.
+    /// Ends the trial as succeeded: the response is complete and the target hasn't crashed.
     pub fn finish(mut self) {
         self.handle.end(TrialEnd::Succeeded);
     }
 
-    /// Ends the trial with the proof that nothing of the request ran.
+    /// Ends the trial of a request that is confirmed not to have run.
     pub fn finish_not_run(mut self) {
         self.handle.end(TrialEnd::NotRun);
     }
@@ -128,7 +128,7 @@
 impl TrialHandle {
     fn end(&mut self, how: fn(TrialParts) -> TrialEnd) {
         if let Some(parts) = self.parts.take() {
-            // After the listener's end the row stays on trial until its time is over.
+            // If the event handler has ended, the row stays on trial until it expires.
             let _ = self.trial_end_sender.send(how(parts));
         }
     }
