--- a/crates/yuccarack_policy/tests/extra_tries.rs
+++ b/crates/yuccarack_policy/tests/extra_tries.rs
@@ -1,4 +1,5 @@
-//! Further tries of routed requests stay within what all daemons share.
+//! Tests that the extra attempts of routed requests stay within the allowance that all daemons
+//! share.
 
 use std::time::Duration;
 
@@ -6,107 +7,124 @@
     ExtraAttempts, FailedGateAttempt, GateAttemptFailure, NoExtraAttemptReason,
 };
 
-const LEFT: Duration = Duration::from_millis(400);
+const TIME_LEFT: Duration = Duration::from_millis(400);
 
-fn bad(kind: GateAttemptFailure) -> FailedGateAttempt {
-    FailedGateAttempt { kind, is_repeatable: true, targets_run: 1, targets_max: 2, time_left: LEFT }
+fn failed_attempt(kind: GateAttemptFailure) -> FailedGateAttempt {
+    FailedGateAttempt {
+        kind,
+        is_repeatable: true,
+        targets_run: 1,
+        targets_max: 2,
+        time_left: TIME_LEFT,
+    }
 }
 
 #[test]
-fn what_may_have_run_is_not_repeated_where_it_must_not() {
-    let mut tries = ExtraAttempts::new(20, 60, 1);
-    for ended in [GateAttemptFailure::Unknown, GateAttemptFailure::Failed] {
-        let order = FailedGateAttempt { is_repeatable: false, ..bad(ended) };
-        assert_eq!(tries.decide(order), Err(NoExtraAttemptReason::NotRepeatable));
+fn a_non_repeatable_request_that_may_have_run_is_not_repeated() {
+    let mut attempts = ExtraAttempts::new(20, 60, 1);
+    for kind in [GateAttemptFailure::Unknown, GateAttemptFailure::Failed] {
+        let non_repeatable = FailedGateAttempt { is_repeatable: false, ..failed_attempt(kind) };
+        assert_eq!(attempts.decide(non_repeatable), Err(NoExtraAttemptReason::NotRepeatable));
     }
-    for ended in [GateAttemptFailure::Refused, GateAttemptFailure::Shed] {
-        let order = FailedGateAttempt { is_repeatable: false, targets_run: 0, ..bad(ended) };
-        assert_eq!(tries.decide(order), Ok(()));
+    for kind in [GateAttemptFailure::Refused, GateAttemptFailure::Shed] {
+        let non_repeatable =
+            FailedGateAttempt { is_repeatable: false, targets_run: 0, ..failed_attempt(kind) };
+        assert_eq!(attempts.decide(non_repeatable), Ok(()));
     }
 }
 
 #[test]
-fn a_request_runs_on_no_more_targets_than_it_may() {
-    let mut tries = ExtraAttempts::new(20, 60, 1);
-    let used_up = FailedGateAttempt { targets_run: 2, ..bad(GateAttemptFailure::Unknown) };
-    assert_eq!(tries.decide(used_up), Err(NoExtraAttemptReason::TargetsUsedUp));
-    // A refusal ran nowhere, so it uses up no target.
+fn a_request_runs_on_at_most_the_allowed_number_of_targets() {
+    let mut attempts = ExtraAttempts::new(20, 60, 1);
+    let used_up =
+        FailedGateAttempt { targets_run: 2, ..failed_attempt(GateAttemptFailure::Unknown) };
+    assert_eq!(attempts.decide(used_up), Err(NoExtraAttemptReason::TargetsUsedUp));
+    // A rejected request has run on no target, so it uses up none.
     assert_eq!(
-        tries.decide(FailedGateAttempt { targets_run: 2, ..bad(GateAttemptFailure::Refused) }),
+        attempts.decide(FailedGateAttempt {
+            targets_run: 2,
+            ..failed_attempt(GateAttemptFailure::Refused)
+        }),
         Ok(())
     );
 }
 
-/// Story: all targets of a service turn away half of what arrives, at twelve daemons with 100
-/// requests each in ten seconds. Each turned away goes on to another target, and together they
-/// stay below a fifth of the requests and the reserve of sixty.
+/// All targets of a service shed half of the requests at twelve daemons with 100 requests each in
+/// ten seconds. Each shed request goes to another target, and all of them together must stay below
+/// a fifth of the requests plus the reserve of sixty.
 #[test]
 fn twelve_daemons_stay_within_the_shared_allowance() {
     let mut extra = 0;
     for _ in 0..12 {
-        let mut tries = ExtraAttempts::new(20, 60, 12);
+        let mut attempts = ExtraAttempts::new(20, 60, 12);
         for request in 0..100 {
-            tries.earn();
+            attempts.earn();
             let is_shed = request % 2 == 0;
-            extra += u32::from(is_shed && tries.decide(bad(GateAttemptFailure::Shed)).is_ok());
+            extra += u32::from(
+                is_shed && attempts.decide(failed_attempt(GateAttemptFailure::Shed)).is_ok(),
+            );
         }
     }
-    assert!(extra > 100, "only {extra} further tries");
-    assert!(f64::from(extra) < 0.2 * 1_200.0 + 60.0, "{extra} further tries");
+    assert!(extra > 100, "only {extra} extra attempts");
+    assert!(f64::from(extra) < 0.2 * 1_200.0 + 60.0, "{extra} extra attempts");
 }
 
-/// Story: all daemons start at once, and each knows two others when its first call comes. The others
-/// write their rows a moment later, and a service fails. Had each kept a third of the reserve, seventy
-/// of them would send 20 times as many further tries as operators allow.
+/// All daemons start at once, and each knows two others when its first call arrives; the others
+/// write their rows a moment later, and a service fails. If each daemon kept a third of the
+/// reserve, seventy of them would make 20 times as many extra attempts as operators allow.
 #[test]
-fn the_reserve_is_shared_anew_when_more_daemons_are_known() {
+fn the_reserve_is_divided_again_when_more_daemons_are_known() {
     let mut extra = 0;
     for _ in 0..70 {
-        let mut tries = ExtraAttempts::new(20, 60, 3);
-        tries.set_entry_count(70);
-        extra += (0..30).filter(|_| tries.decide(bad(GateAttemptFailure::Shed)).is_ok()).count();
+        let mut attempts = ExtraAttempts::new(20, 60, 3);
+        attempts.set_entry_count(70);
+        extra += (0..30)
+            .filter(|_| attempts.decide(failed_attempt(GateAttemptFailure::Shed)).is_ok())
+            .count();
     }
-    assert!(extra <= 70, "{extra} further tries");
+    assert!(extra <= 70, "{extra} extra attempts");
 }
 
-/// Story: a service that another one calls fails, so each of its callers' requests fails after it
-/// ran. Run again elsewhere it calls the failing service again, and what was a dent becomes a storm
-/// of calls there. After some fifty tries nothing that ran is tried again, until answers are good.
+/// A service called by another one fails, so each request of its callers fails after it ran.
+/// Repeated elsewhere, it would call the failing service again and multiply the calls there. After
+/// about fifty attempts no request that ran is repeated until responses are successful again.
 #[test]
-fn nothing_runs_again_while_many_fail() {
-    let mut tries = ExtraAttempts::new(100, 10_000, 1);
-    let failed = |tries: &mut ExtraAttempts| tries.decide(bad(GateAttemptFailure::Failed));
-    assert_eq!(failed(&mut tries), Ok(()));
-    let refused =
-        (0..100).filter(|_| failed(&mut tries) == Err(NoExtraAttemptReason::TooManyFail)).count();
-    assert!(refused > 90, "{refused} of 100 were not tried again");
-    // A refusal tells nothing of runs.
-    assert_eq!(tries.decide(bad(GateAttemptFailure::Refused)), Ok(()));
+fn no_request_is_repeated_while_many_fail() {
+    let mut attempts = ExtraAttempts::new(100, 10_000, 1);
+    let attempt_after_failure =
+        |attempts: &mut ExtraAttempts| attempts.decide(failed_attempt(GateAttemptFailure::Failed));
+    assert_eq!(attempt_after_failure(&mut attempts), Ok(()));
+    let refused = (0..100)
+        .filter(|_| attempt_after_failure(&mut attempts) == Err(NoExtraAttemptReason::TooManyFail))
+        .count();
+    assert!(refused > 90, "{refused} of 100 were not repeated");
+    // A rejection says nothing about runs.
+    assert_eq!(attempts.decide(failed_attempt(GateAttemptFailure::Refused)), Ok(()));
     for _ in 0..200 {
-        tries.record_success();
+        attempts.record_success();
     }
-    assert_eq!(failed(&mut tries), Ok(()));
+    assert_eq!(attempt_after_failure(&mut attempts), Ok(()));
 }
 
 #[test]
-fn no_try_is_made_that_could_not_be_answered() {
-    let mut tries = ExtraAttempts::new(20, 60, 1);
+fn no_attempt_is_made_without_time_for_a_response() {
+    let mut attempts = ExtraAttempts::new(20, 60, 1);
     let late = FailedGateAttempt {
         time_left: Duration::from_millis(2),
-        ..bad(GateAttemptFailure::Refused)
+        ..failed_attempt(GateAttemptFailure::Refused)
     };
-    assert_eq!(tries.decide(late), Err(NoExtraAttemptReason::DeadlineClose));
+    assert_eq!(attempts.decide(late), Err(NoExtraAttemptReason::DeadlineClose));
 }
 
-/// Requests and further tries of all daemons in a tenth of a second.
+/// Requests and extra attempts of all daemons in a tenth of a second.
 #[derive(Clone, Copy, Default)]
 struct Tenth {
     requests: u32,
     extra: u32,
 }
 
-/// Requests that each of 77 daemons gets in a tenth of a second: those of the first failure domain are
-/// busy and some of the others idle, until the callers move to the second domain.
+/// Returns the requests that each of 77 daemons gets in a tenth of a second. Those of one failure
+/// domain are busy and some of the others idle, until the callers move to the second domain.
 fn requests_at(daemon: usize, tenth: usize) -> u32 {
     let busy_domain = usize::from(tenth >= 100);
     match (daemon % 3 == busy_domain, daemon.is_multiple_of(5)) {
@@ -116,22 +134,22 @@
     }
 }
 
-/// Story: half of the daemons hardly have callers, whose allowances fill up, until the callers of one
-/// failure domain move to theirs; all targets turn everything away meanwhile. What the quiet daemons
-/// had saved must not come on top of what the busy ones have spent: over any ten seconds the further
-/// tries of all 77 stay below a fifth of the requests and the reserve of 194.
+/// Half of the daemons get hardly any requests, so their allowances fill up, until the callers of
+/// one failure domain move to theirs; meanwhile all targets shed everything. What the idle daemons
+/// saved must not come on top of what the busy ones spent: over any ten seconds the extra attempts
+/// of all 77 stay within a fifth of the requests plus the reserve of 194.
 #[test]
-fn uneven_and_moving_traffic_stays_within_the_shared_allowance() {
+fn uneven_and_shifting_traffic_stays_within_the_shared_allowance() {
     const DAEMONS: usize = 77;
     const WINDOW: usize = 100;
     let mut daemons: Vec<_> = (0..DAEMONS).map(|_| ExtraAttempts::new(20, 194, DAEMONS)).collect();
     let mut tenths = vec![Tenth::default(); 3 * WINDOW];
     for (at, tenth) in tenths.iter_mut().enumerate() {
-        for (number, tries) in daemons.iter_mut().enumerate() {
+        for (number, attempts) in daemons.iter_mut().enumerate() {
             for _ in 0..requests_at(number, at) {
-                tries.earn();
+                attempts.earn();
                 tenth.requests += 1;
-                while tries.decide(bad(GateAttemptFailure::Shed)).is_ok() {
+                while attempts.decide(failed_attempt(GateAttemptFailure::Shed)).is_ok() {
                     tenth.extra += 1;
                 }
             }
@@ -142,5 +160,5 @@
         let extra: u32 = window.iter().map(|tenth| tenth.extra).sum();
         assert!(f64::from(extra) <= 0.2 * f64::from(requests) + 194.0, "{extra} for {requests}");
     }
-    assert!(tenths.iter().map(|tenth| tenth.extra).sum::<u32>() > 194, "hardly any further try");
+    assert!(tenths.iter().map(|tenth| tenth.extra).sum::<u32>() > 194, "hardly any extra attempt");
 }
--- a/crates/yuccarack_policy/tests/hidden_load.rs
+++ b/crates/yuccarack_policy/tests/hidden_load.rs
@@ -1,12 +1,12 @@
-//! Slots that something else than the gate fills.
+//! Tests the detection of load that the gate did not dispatch.
 
 use quickcheck::quickcheck;
 use yuccarack_policy::hidden_load::{AGREEING_REPORTS, HiddenLoad};
 
-// A batch job on the target's instance takes four of its ten slots. The gate went on handing over
-// ten requests, of which four waited inside the target where nobody could refuse them any more.
+// A batch job on the target's instance uses four of its ten slots. If the gate kept dispatching ten
+// requests, four of them would wait inside the target, where they can no longer be rejected.
 #[test]
-fn work_that_the_gate_did_not_hand_over_lowers_the_slots() {
+fn load_that_the_gate_did_not_dispatch_lowers_the_slots() {
     let mut hidden = HiddenLoad::new();
     for _ in 0..AGREEING_REPORTS {
         assert_eq!(hidden.usable_slots(10), 10);
@@ -15,8 +15,8 @@
     assert_eq!(hidden.usable_slots(10), 6);
 }
 
-// A report lags by half a second: it shows a burst that has just ended. One such look must not
-// take slots away.
+// A report that lags by half a second shows a burst that has just ended. A single such report must
+// not lower the slots.
 #[test]
 fn one_late_report_changes_nothing() {
     let mut hidden = HiddenLoad::new();
@@ -27,11 +27,11 @@
 }
 
 quickcheck! {
-    /// Whatever a target says, half of its slots stay in use and none are added.
-    fn a_liar_takes_at_most_half(reports: Vec<(u16, u16)>, slots: u16) -> bool {
+    /// Whatever a target reports, half of its slots stay in use and none are added.
+    fn a_false_report_takes_at_most_half(reports: Vec<(u16, u16)>, slots: u16) -> bool {
         let mut hidden = HiddenLoad::new();
-        reports.iter().all(|(reported, handed_over)| {
-            hidden.record(*reported, *handed_over);
+        reports.iter().all(|(reported, dispatched)| {
+            hidden.record(*reported, *dispatched);
             let usable = hidden.usable_slots(slots);
             usable <= slots && usable >= slots - slots / 2
         })
--- a/crates/yuccarack_policy/tests/pace_looks.rs
+++ b/crates/yuccarack_policy/tests/pace_looks.rs
@@ -1,4 +1,4 @@
-//! When a gate asks for its target's pace.
+//! Tests when a gate asks its target for its slowdown.
 
 use std::time::{Duration, Instant};
 
@@ -7,32 +7,33 @@
     slowdown::SlowdownEstimate,
 };
 
-/// Mean work of a target with short work.
-const WORK: Duration = Duration::from_millis(60);
+/// Mean service time of a target with short requests.
+const SERVICE_TIME: Duration = Duration::from_millis(60);
 
-/// How long a pace lasts, and how often it changes to a slow one.
-const SPELL_MS: u64 = 300;
+/// Duration of a slow phase and interval between them, in ms.
+const SLOW_PHASE_MS: u64 = 300;
 
-/// Time by which a gate knows the slow pace of a target that answers each `answer_ms`, in a spell that
-/// starts at `from`.
-fn known_after(answer_ms: u64, with_looks: bool) -> Duration {
+/// Returns the time until a gate knows that a target with a response each `response_ms` has become
+/// slow.
+fn known_after(response_ms: u64, with_checks: bool) -> Duration {
     let start = Instant::now();
-    let (mut pace, mut looks) = (SlowdownEstimate::new(), HealthCheckSchedule::new());
-    pace.record(start, 1.0);
-    let slow_from = start + Duration::from_millis(SPELL_MS);
+    let (mut slowdown, mut schedule) = (SlowdownEstimate::new(), HealthCheckSchedule::new());
+    slowdown.record(start, 1.0);
+    let slow_from = start + Duration::from_millis(SLOW_PHASE_MS);
     let mut now = start;
     loop {
         now += Duration::from_millis(1);
         let is_slow = now >= slow_from;
-        let slowness = if is_slow { 4.0 } else { 1.0 };
+        let reported = if is_slow { 4.0 } else { 1.0 };
         let since_start = now.duration_since(start).as_millis() as u64;
-        let is_answer = since_start % answer_ms == answer_ms - 1;
-        let is_look = with_looks && looks.due_at(1, WORK, &pace).is_some_and(|at| at <= now);
-        if is_look {
-            looks.record(now, HealthCheckResult::SlowdownReported);
+        let is_response = since_start % response_ms == response_ms - 1;
+        let is_check =
+            with_checks && schedule.due_at(1, SERVICE_TIME, &slowdown).is_some_and(|at| at <= now);
+        if is_check {
+            schedule.record(now, HealthCheckResult::SlowdownReported);
         }
-        if is_answer || is_look {
-            pace.record(now, slowness);
+        if is_response || is_check {
+            slowdown.record(now, reported);
             if is_slow {
                 return now.duration_since(slow_from);
             }
@@ -40,64 +41,65 @@
     }
 }
 
-/// Story: a target with few requests turns slow for a third of a second. Its gate hears of that with
-/// the next answer, and until then lets in what another target would have answered in time.
+/// A target with few requests becomes slow for a third of a second. Its gate would learn of it with
+/// the next response, and until then admit requests that another target would have answered in
+/// time.
 #[test]
-fn a_slow_spell_of_a_target_with_few_requests_is_known_early() {
+fn a_slowdown_of_a_target_with_few_requests_is_known_early() {
     assert!(known_after(170, false) > Duration::from_millis(30));
-    for answer_ms in [90, 130, 170, 250] {
-        let known = known_after(answer_ms, true);
-        assert!(known <= REPORT_AGE_MIN, "{answer_ms}: {known:?}");
+    for response_ms in [90, 130, 170, 250] {
+        let known = known_after(response_ms, true);
+        assert!(known <= REPORT_AGE_MIN, "{response_ms}: {known:?}");
     }
 }
 
-/// Measuring must not cost where it tells nothing new: a busy target's answers do, an idle one has
-/// nobody to send elsewhere, and one that tells no pace never will.
+/// Health checks must not be sent where they report nothing new: responses of a busy target do, an
+/// idle target has no requests to send elsewhere, and one without slowdown reports never has any.
 #[test]
-fn only_a_target_that_works_and_is_not_heard_of_is_asked() {
+fn only_a_working_target_without_recent_reports_is_asked() {
     let now = Instant::now();
-    let (mut pace, looks) = (SlowdownEstimate::new(), HealthCheckSchedule::new());
-    assert_eq!(looks.due_at(3, WORK, &pace), None);
-    pace.record(now, 1.0);
-    assert_eq!(looks.due_at(0, WORK, &pace), None);
-    assert_eq!(looks.due_at(3, WORK, &pace), Some(now + REPORT_AGE_MIN));
+    let (mut slowdown, schedule) = (SlowdownEstimate::new(), HealthCheckSchedule::new());
+    assert_eq!(schedule.due_at(3, SERVICE_TIME, &slowdown), None);
+    slowdown.record(now, 1.0);
+    assert_eq!(schedule.due_at(0, SERVICE_TIME, &slowdown), None);
+    assert_eq!(schedule.due_at(3, SERVICE_TIME, &slowdown), Some(now + REPORT_AGE_MIN));
     for step in 1..100 {
-        pace.record(now + Duration::from_millis(20) * step, 1.0);
+        slowdown.record(now + Duration::from_millis(20) * step, 1.0);
         let at = now + Duration::from_millis(20) * (step + 1);
-        assert!(looks.due_at(3, WORK, &pace).is_some_and(|due_at| due_at > at));
+        assert!(schedule.due_at(3, SERVICE_TIME, &slowdown).is_some_and(|due_at| due_at > at));
     }
 }
 
-/// Long work sees several paces whatever it starts with, and a target that is asked for each of them
-/// is asked more often than it gets requests.
+/// Long requests see several slowdowns whatever the one at their start, and a target that is asked
+/// for each of them would be asked more often than it gets requests.
 #[test]
-fn a_target_of_long_work_is_asked_less_often() {
+fn a_target_with_long_requests_is_asked_less_often() {
     let now = Instant::now();
-    let (mut pace, looks) = (SlowdownEstimate::new(), HealthCheckSchedule::new());
-    pace.record(now, 1.0);
+    let (mut slowdown, schedule) = (SlowdownEstimate::new(), HealthCheckSchedule::new());
+    slowdown.record(now, 1.0);
     let long = Duration::from_millis(240);
-    assert_eq!(looks.due_at(2, long, &pace), Some(now + long / 2));
+    assert_eq!(schedule.due_at(2, long, &slowdown), Some(now + long / 2));
 }
 
-/// Story: a target hangs or has no such endpoint. It is asked less and less, and as before once it
-/// answers.
+/// A target hangs or has no such endpoint. It is asked less and less often, and as before once it
+/// responds.
 #[test]
-fn a_target_that_does_not_answer_is_asked_seldom() {
+fn a_target_that_does_not_respond_is_asked_rarely() {
     let start = Instant::now();
-    let (mut pace, mut looks) = (SlowdownEstimate::new(), HealthCheckSchedule::new());
-    pace.record(start, 1.0);
+    let (mut slowdown, mut schedule) = (SlowdownEstimate::new(), HealthCheckSchedule::new());
+    slowdown.record(start, 1.0);
     let (mut now, mut asked) = (start, 0);
     while now < start + Duration::from_secs(30) {
-        match looks.due_at(1, WORK, &pace) {
+        match schedule.due_at(1, SERVICE_TIME, &slowdown) {
             Some(at) if at <= now => {
                 asked += 1;
-                looks.record(now, HealthCheckResult::NoReport);
+                schedule.record(now, HealthCheckResult::NoReport);
             }
             _ => now += Duration::from_millis(1),
         }
     }
-    assert!(asked <= 16, "{asked} looks in half a minute");
-    looks.record(now, HealthCheckResult::SlowdownReported);
-    pace.record(now, 1.0);
-    assert_eq!(looks.due_at(1, WORK, &pace), Some(now + REPORT_AGE_MIN));
+    assert!(asked <= 16, "{asked} checks in half a minute");
+    schedule.record(now, HealthCheckResult::SlowdownReported);
+    slowdown.record(now, 1.0);
+    assert_eq!(schedule.due_at(1, SERVICE_TIME, &slowdown), Some(now + REPORT_AGE_MIN));
 }
--- a/crates/yuccarack_policy/tests/placement.rs
+++ b/crates/yuccarack_policy/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Where an entry sends requests.
+//! Tests to which gates an entry sends requests.
 
 use std::time::{Duration, Instant};
 
@@ -7,108 +7,116 @@
     AttemptHistory, GateAttemptOutcome, GateKey, GateLoad, GateReply, Placement,
 };
 
-const WORK: Duration = Duration::from_millis(100);
+const SERVICE_TIME: Duration = Duration::from_millis(100);
 
 fn load(running: u16, slowdown: f64) -> GateLoad {
-    GateLoad { running, waiting: 0, limit: 7, mean_service_time: WORK, slowdown }
+    GateLoad { running, waiting: 0, limit: 7, mean_service_time: SERVICE_TIME, slowdown }
 }
 
-/// How often `wanted` is chosen of a hundred times.
-fn chosen(placement: &Placement, now: Instant, wanted: GateKey) -> usize {
+/// Returns how many times `wanted` is chosen out of a hundred.
+fn times_chosen(placement: &Placement, now: Instant, wanted: GateKey) -> usize {
     let mut rng = SmallRng::seed_from_u64(7);
-    let choose =
-        |_| placement.choose(now, &mut rng, &AttemptHistory::default(), WORK).map(|at| at.gate);
+    let choose = |_| {
+        placement.choose(now, &mut rng, &AttemptHistory::default(), SERVICE_TIME).map(|at| at.gate)
+    };
     (0..100).map(choose).filter(|gate| *gate == Some(wanted)).count()
 }
 
-/// Story: of three targets one is slowed fourfold by its neighbours and one is full; what is told of
-/// that with answers steers the next requests to the third.
+/// One of three targets is slowed down fourfold by other load and one is full. The load reports of
+/// their responses must steer the next requests to the third.
 #[test]
-fn slow_and_full_gates_are_passed_over() {
+fn slow_and_full_gates_are_avoided() {
     let now = Instant::now();
     let mut placement = Placement::new();
     let [slow, full, good] = [(); 3].map(|()| placement.add(true));
     placement.record_load(now, slow, load(1, 4.0));
     placement.record_load(now, full, load(7, 1.0));
     placement.record_load(now, good, load(1, 1.0));
-    assert_eq!(chosen(&placement, now, good), 100);
+    assert_eq!(times_chosen(&placement, now, good), 100);
 }
 
-/// Story: a machine runs five times slower for seconds. Its target is left out while it says so, though
-/// the other one has a queue. That word goes stale when nobody asks it: two seconds later it is taken
-/// rather than the queue, and gets its share again once it says that it is as quick as the other.
+/// A machine is five times slower for seconds. Its target is left out while it reports so, though
+/// the other one has a queue. The report goes stale when no request refreshes it: two seconds later
+/// the target is preferred to the queue, and it gets its share again once it reports the usual
+/// speed.
 #[test]
-fn a_slow_gate_comes_back() {
+fn a_gate_that_was_slow_is_chosen_again() {
     let start = Instant::now();
     let mut placement = Placement::new();
     let [slow, other] = [(); 2].map(|()| placement.add(true));
     let queued = GateLoad { waiting: 3, ..load(7, 1.0) };
     placement.record_load(start, slow, load(1, 5.0));
     placement.record_load(start, other, queued);
-    assert_eq!(chosen(&placement, start, slow), 0);
+    assert_eq!(times_chosen(&placement, start, slow), 0);
     let later = start + Duration::from_secs(2);
     placement.record_load(later, other, queued);
-    assert_eq!(chosen(&placement, later, slow), 100, "left out on a word of two seconds ago");
+    assert_eq!(
+        times_chosen(&placement, later, slow),
+        100,
+        "left out by a report from two seconds ago"
+    );
     placement.record_load(later, slow, load(1, 1.0));
     placement.record_load(later, other, load(1, 1.0));
-    assert!((25..=75).contains(&chosen(&placement, later, slow)));
+    assert!((25..=75).contains(&times_chosen(&placement, later, slow)));
 }
 
-/// Story: two targets look alike, and one of them is in another failure domain, where each byte is
-/// paid for. It is worth going there only when the near one is much slower.
+/// Two targets have the same load, and one of them is in another failure domain, where traffic is
+/// paid for. It is chosen only when the local one is much slower.
 #[test]
-fn a_far_gate_has_to_be_much_better() {
+fn a_remote_gate_has_to_be_much_better() {
     let now = Instant::now();
     let mut placement = Placement::new();
-    let (near, far) = (placement.add(true), placement.add(false));
-    placement.record_load(now, near, load(1, 1.0));
-    placement.record_load(now, far, load(1, 1.0));
-    assert_eq!(chosen(&placement, now, near), 100);
-    placement.record_load(now, near, load(1, 4.0));
-    assert_eq!(chosen(&placement, now, far), 100);
+    let (local, remote) = (placement.add(true), placement.add(false));
+    placement.record_load(now, local, load(1, 1.0));
+    placement.record_load(now, remote, load(1, 1.0));
+    assert_eq!(times_chosen(&placement, now, local), 100);
+    placement.record_load(now, local, load(1, 4.0));
+    assert_eq!(times_chosen(&placement, now, remote), 100);
 }
 
-/// Story: an instance loses power. The first request that fails there tells, and the others go to
-/// the rest of the service until it may be back.
+/// An instance loses power. After the first request that fails there, the others go to the rest of
+/// the service until the instance may be available again.
 #[test]
-fn a_gate_that_is_away_gets_nothing_for_a_while() {
+fn an_unavailable_gate_gets_nothing_for_a_while() {
     let now = Instant::now();
     let mut placement = Placement::new();
-    let [gone, here, other] = [(); 3].map(|()| placement.add(true));
-    placement.record_attempt(gone);
-    placement.record_outcome(now, gone, GateAttemptOutcome::Unavailable);
-    assert_eq!(chosen(&placement, now, gone), 0);
-    assert!(chosen(&placement, now, here) > 0 && chosen(&placement, now, other) > 0);
-    assert!(chosen(&placement, now + Duration::from_secs(3), gone) > 0);
-    placement.mark_reachable(gone);
-    assert!(chosen(&placement, now, gone) > 0);
+    let [lost, available, other] = [(); 3].map(|()| placement.add(true));
+    placement.record_attempt(lost);
+    placement.record_outcome(now, lost, GateAttemptOutcome::Unavailable);
+    assert_eq!(times_chosen(&placement, now, lost), 0);
+    assert!(
+        times_chosen(&placement, now, available) > 0 && times_chosen(&placement, now, other) > 0
+    );
+    assert!(times_chosen(&placement, now + Duration::from_secs(3), lost) > 0);
+    placement.mark_reachable(lost);
+    assert!(times_chosen(&placement, now, lost) > 0);
 }
 
-/// Story: every gate of a service is full for a moment. A request that none may keep would be
-/// refused though a short wait would do, so after two refusals it may wait at one of them.
+/// Every gate of a service is full for a moment. A request that no gate may queue would be rejected
+/// although a short wait would do, so after two replies without a free slot it may wait.
 #[test]
-fn a_request_may_wait_once_others_had_no_room() {
+fn a_request_may_wait_after_replies_without_a_free_slot() {
     let now = Instant::now();
     let mut placement = Placement::new();
     let gates = [(); 3].map(|()| placement.add(true));
     let mut rng = SmallRng::seed_from_u64(1);
-    let mut asked = AttemptHistory::default();
+    let mut history = AttemptHistory::default();
     let mut may_wait = Vec::new();
-    while let Some(placed) = placement.choose(now, &mut rng, &asked, WORK) {
-        may_wait.push(placed.may_wait);
-        asked.record(
-            placed.gate,
-            if placed.may_wait { GateReply::NoQueueSpace } else { GateReply::NoFreeSlot },
+    while let Some(choice) = placement.choose(now, &mut rng, &history, SERVICE_TIME) {
+        may_wait.push(choice.may_wait);
+        history.record(
+            choice.gate,
+            if choice.may_wait { GateReply::NoQueueSpace } else { GateReply::NoFreeSlot },
         );
     }
     assert_eq!(&may_wait[..3], [false, false, true]);
-    assert!(may_wait.len() <= 4, "{} of {} gates were asked", may_wait.len(), gates.len());
+    assert!(may_wait.len() <= 4, "{} of {} gates were tried", may_wait.len(), gates.len());
 }
 
-/// Story: a target answers every request at once that it failed, and so looks like the quickest of
-/// all. Its failures make it dearer than a busy one.
+/// A target fails every request at once and so looks like the fastest of all. Its failures must
+/// make it cost more than a busy one.
 #[test]
-fn a_target_that_fails_quickly_does_not_draw_the_load() {
+fn a_target_that_fails_fast_does_not_attract_load() {
     let now = Instant::now();
     let mut placement = Placement::new();
     let (failing, busy) = (placement.add(true), placement.add(true));
@@ -118,30 +126,30 @@
         placement.record_attempt(failing);
         placement.record_outcome(now, failing, GateAttemptOutcome::Failed);
     }
-    assert_eq!(chosen(&placement, now, busy), 100);
+    assert_eq!(times_chosen(&placement, now, busy), 100);
 }
 
-/// Story: an instance is gone for good and its row stands. Only a connection that could be made
-/// says that it is back; no request is spent on finding out.
+/// An instance is lost for good while its row remains. Only a new connection shows that it is
+/// reachable again; no request is spent on finding out.
 #[test]
-fn a_gate_without_a_connection_gets_nothing_until_it_has_one() {
+fn an_unreachable_gate_gets_nothing_until_it_is_connected() {
     let now = Instant::now();
     let mut placement = Placement::new();
-    let [gone, here] = [(); 2].map(|()| placement.add(true));
-    placement.record_attempt(gone);
-    placement.record_outcome(now, gone, GateAttemptOutcome::Unreachable);
+    let [lost, available] = [(); 2].map(|()| placement.add(true));
+    placement.record_attempt(lost);
+    placement.record_outcome(now, lost, GateAttemptOutcome::Unreachable);
     let later = now + Duration::from_secs(600);
-    assert_eq!(chosen(&placement, later, gone), 0);
-    assert_eq!(chosen(&placement, later, here), 100);
-    assert_eq!(placement.unreachable_gates().collect::<Vec<_>>(), [gone]);
-    placement.mark_reachable(gone);
-    assert!(chosen(&placement, later, gone) > 0);
+    assert_eq!(times_chosen(&placement, later, lost), 0);
+    assert_eq!(times_chosen(&placement, later, available), 100);
+    assert_eq!(placement.unreachable_gates().collect::<Vec<_>>(), [lost]);
+    placement.mark_reachable(lost);
+    assert!(times_chosen(&placement, later, lost) > 0);
 }
 
-/// Story: the best gate has just said that it is full, so all are. Asked for a slot at once, two of
-/// them would refuse, and the request would lose two round trips before it may wait.
+/// The best gate has just reported that it is full, so all are. If the request asked for a free
+/// slot only, two gates would reject it and it would lose two round trips before it may wait.
 #[test]
-fn a_request_may_wait_at_once_where_all_are_known_to_be_full() {
+fn a_request_may_wait_at_once_if_all_gates_are_known_to_be_full() {
     let now = Instant::now();
     let mut placement = Placement::new();
     for _ in 0..3 {
@@ -149,33 +157,35 @@
         placement.record_load(now, gate, load(7, 1.0));
     }
     let mut rng = SmallRng::seed_from_u64(3);
-    let choose =
-        |now, rng: &mut SmallRng| placement.choose(now, rng, &AttemptHistory::default(), WORK);
-    assert!(choose(now, &mut rng).is_some_and(|placed| placed.may_wait));
+    let choose = |now, rng: &mut SmallRng| {
+        placement.choose(now, rng, &AttemptHistory::default(), SERVICE_TIME)
+    };
+    assert!(choose(now, &mut rng).is_some_and(|choice| choice.may_wait));
     let later = now + Duration::from_millis(200);
-    assert!(choose(later, &mut rng).is_some_and(|placed| !placed.may_wait));
+    assert!(choose(later, &mut rng).is_some_and(|choice| !choice.may_wait));
 }
 
-/// Story: of three targets two are gone, and the third has no place. Asked next, the gates of the
-/// two would hold the request for the time of a connection each, and it would be told no sooner.
+/// Two of three targets are unavailable, and the third has no queue space. Attempts at the gates of
+/// the two would hold the request for the time of a connection each without a better result.
 #[test]
-fn gates_that_are_away_are_not_asked_when_one_has_answered() {
+fn unavailable_gates_are_not_tried_after_a_reply_from_another() {
     let now = Instant::now();
     let mut placement = Placement::new();
-    let [here, gone, left] = [(); 3].map(|()| placement.add(true));
-    for (gate, end) in
-        [(gone, GateAttemptOutcome::Unreachable), (left, GateAttemptOutcome::Unavailable)]
-    {
+    let [serving, unreachable, draining] = [(); 3].map(|()| placement.add(true));
+    for (gate, outcome) in [
+        (unreachable, GateAttemptOutcome::Unreachable),
+        (draining, GateAttemptOutcome::Unavailable),
+    ] {
         placement.record_attempt(gate);
-        placement.record_outcome(now, gate, end);
+        placement.record_outcome(now, gate, outcome);
     }
     let mut rng = SmallRng::seed_from_u64(5);
-    let mut asked = AttemptHistory::default();
-    asked.record(here, GateReply::NoQueueSpace);
-    assert_eq!(placement.choose(now, &mut rng, &asked, WORK), None);
-    // Where nobody takes work, those that are away are asked after all.
-    let mut asked = AttemptHistory::default();
-    asked.record(here, GateReply::Unavailable);
-    let placed = placement.choose(now, &mut rng, &asked, WORK).expect("a gate");
-    assert_eq!(placed.gate, left);
+    let mut history = AttemptHistory::default();
+    history.record(serving, GateReply::NoQueueSpace);
+    assert_eq!(placement.choose(now, &mut rng, &history, SERVICE_TIME), None);
+    // If no gate takes requests, the unavailable ones are tried after all.
+    let mut history = AttemptHistory::default();
+    history.record(serving, GateReply::Unavailable);
+    let choice = placement.choose(now, &mut rng, &history, SERVICE_TIME).expect("a gate");
+    assert_eq!(choice.gate, draining);
 }
--- a/crates/yuccarack_policy/tests/split.rs
+++ b/crates/yuccarack_policy/tests/split.rs
@@ -1,11 +1,11 @@
-//! A route's requests are dealt out by weight.
+//! Tests that a route's requests are split by weight.
 
 use quickcheck::quickcheck;
 use rand::{SeedableRng, rngs::SmallRng};
 use yuccarack_policy::split::WeightedRoundRobin;
 
-/// Requests that each part takes of `requests` over `entries` entries.
-fn dealt(weights: &[u32], entries: u64, requests: usize) -> Vec<usize> {
+/// Returns how many of `requests` at each of `entries` entries each part gets.
+fn requests_by_part(weights: &[u32], entries: u64, requests: usize) -> Vec<usize> {
     let mut counts = vec![0; weights.len()];
     for entry in 0..entries {
         let mut split =
@@ -19,18 +19,18 @@
     counts
 }
 
-/// Story: a split of 90 to 10 is dealt out by a dozen daemons that see some twenty requests each.
-/// Drawn at random, the small part would be off by several in a hundred in one of twenty spans.
+/// A dozen daemons with about twenty requests each split them 90 to 10. Drawn at random, the small
+/// part's share would be off by several percentage points in one of twenty intervals.
 #[test]
 fn a_few_requests_at_many_entries_keep_to_the_weights() {
-    let counts = dealt(&[90, 10], 12, 20);
+    let counts = requests_by_part(&[90, 10], 12, 20);
     let share = counts[1] as f64 / 240.0;
     assert!((share - 0.1).abs() < 0.05, "the small part got {share}");
 }
 
 #[test]
 fn a_part_without_weight_gets_nothing() {
-    assert_eq!(dealt(&[0, 3, 0], 3, 50), [0, 150, 0]);
+    assert_eq!(requests_by_part(&[0, 3, 0], 3, 50), [0, 150, 0]);
     assert_eq!(
         WeightedRoundRobin::new(vec![0, 0], &mut SmallRng::seed_from_u64(1)).next_part(),
         None
@@ -44,10 +44,10 @@
         if total == 0 {
             return true;
         }
-        let counts = dealt(&weights, 1, 300);
+        let counts = requests_by_part(&weights, 1, 300);
         weights.iter().zip(counts).all(|(&weight, count)| {
-            let due = 300.0 * f64::from(weight) / f64::from(total);
-            (count as f64 - due).abs() <= 3.0
+            let expected = 300.0 * f64::from(weight) / f64::from(total);
+            (count as f64 - expected).abs() <= 3.0
         })
     }
 }
