--- a/crates/yuccarack_policy/src/cold_rate.rs
+++ b/crates/yuccarack_policy/src/cold_rate.rs
@@ -176,7 +176,7 @@
     }
 
     /// Returns when to ask the target whether it is warm: at the reported end of its cold time, else
-    /// once the bound is near. `None` while the bound is far off.
+    /// once the bound is near. Returns `None` while the bound is far off.
     pub fn health_check_due_at(&self, now: Instant) -> Option<Instant> {
         let bound = self.bound?;
         let interval_ends_at =
--- a/crates/yuccarack_policy/tests/absences.rs
+++ b/crates/yuccarack_policy/tests/absences.rs
@@ -1,54 +1,59 @@
-//! Which members count as gone, played over looks of a minute each.
+//! Tests which members count as lost, in probe rounds of one minute.
 
 use std::time::{Duration, Instant};
 
 use yuccarack_policy::unreachable_members::UnreachableMembers;
 
-const GONE_AFTER: Duration = Duration::from_secs(600);
-const LOOK: Duration = Duration::from_secs(60);
+const REMOVAL_DELAY: Duration = Duration::from_secs(600);
+const PROBE_INTERVAL: Duration = Duration::from_secs(60);
 
-fn look(reached: &[(&str, bool)]) -> Vec<(String, bool)> {
+fn probes(reached: &[(&str, bool)]) -> Vec<(String, bool)> {
     reached.iter().map(|(member, is_reached)| ((*member).to_owned(), *is_reached)).collect()
 }
 
-/// Story: an instance is lost for good. Its row goes after ten minutes, and no sooner, since a cut
-/// link between failure domains lasts for minutes too.
+/// An instance is lost for good. Its row must be removed after ten minutes and no sooner, since a
+/// network partition between failure domains lasts for minutes too.
 #[test]
-fn who_is_away_for_long_is_gone() {
-    let (mut absences, start) = (UnreachableMembers::new(GONE_AFTER), Instant::now());
-    let one_away = look(&[("a", false), ("b", true)]);
+fn a_member_unreachable_for_long_is_lost() {
+    let (mut members, start) = (UnreachableMembers::new(REMOVAL_DELAY), Instant::now());
+    let one_unreachable = probes(&[("a", false), ("b", true)]);
     for minute in 0..10 {
         assert!(
-            absences.record_probes(start + LOOK * minute, &one_away).is_empty(),
+            members.record_probes(start + PROBE_INTERVAL * minute, &one_unreachable).is_empty(),
             "minute {minute}"
         );
     }
-    assert_eq!(absences.record_probes(start + LOOK * 10, &one_away), ["a"]);
+    assert_eq!(members.record_probes(start + PROBE_INTERVAL * 10, &one_unreachable), ["a"]);
 }
 
-/// Story: an instance is away for nine minutes, is back, and is away again. Only what it was away
-/// without a break counts.
+/// An instance is unreachable for nine minutes, reachable once, and unreachable again. Only
+/// uninterrupted time counts.
 #[test]
-fn who_came_back_starts_anew() {
-    let (mut absences, start) = (UnreachableMembers::new(GONE_AFTER), Instant::now());
+fn a_member_reached_in_between_starts_anew() {
+    let (mut members, start) = (UnreachableMembers::new(REMOVAL_DELAY), Instant::now());
     for minute in 0..30 {
-        let is_back = minute % 10 == 9;
-        let look = look(&[("a", is_back), ("b", true)]);
-        assert!(absences.record_probes(start + LOOK * minute, &look).is_empty(), "minute {minute}");
+        let is_reached = minute % 10 == 9;
+        let probes = probes(&[("a", is_reached), ("b", true)]);
+        assert!(
+            members.record_probes(start + PROBE_INTERVAL * minute, &probes).is_empty(),
+            "minute {minute}"
+        );
     }
 }
 
-/// Story: the link of the daemon that looks is cut for an hour. To it all others are away; ended by it,
-/// the whole domain would be missing from the table.
+/// The probing daemon itself is cut off for an hour, so that all others seem unreachable. If it
+/// removed them, the whole failure domain would be missing from the table.
 #[test]
-fn who_reaches_nobody_says_nothing() {
-    let (mut absences, start) = (UnreachableMembers::new(GONE_AFTER), Instant::now());
-    let all_away = look(&[("a", false), ("b", false)]);
+fn a_daemon_that_reaches_nobody_reports_nothing() {
+    let (mut members, start) = (UnreachableMembers::new(REMOVAL_DELAY), Instant::now());
+    let all_unreachable = probes(&[("a", false), ("b", false)]);
     for minute in 0..60 {
-        assert!(absences.record_probes(start + LOOK * minute, &all_away).is_empty());
+        assert!(
+            members.record_probes(start + PROBE_INTERVAL * minute, &all_unreachable).is_empty()
+        );
     }
-    // Its link is back, and so is one of the others; the other one's time begins now.
-    let one_away = look(&[("a", false), ("b", true)]);
-    assert!(absences.record_probes(start + LOOK * 60, &one_away).is_empty());
-    assert_eq!(absences.record_probes(start + LOOK * 70, &one_away), ["a"]);
+    // Its network is back, and so is one of the others; the time of the other one starts now.
+    let one_unreachable = probes(&[("a", false), ("b", true)]);
+    assert!(members.record_probes(start + PROBE_INTERVAL * 60, &one_unreachable).is_empty());
+    assert_eq!(members.record_probes(start + PROBE_INTERVAL * 70, &one_unreachable), ["a"]);
 }
--- a/crates/yuccarack_policy/tests/admission.rs
+++ b/crates/yuccarack_policy/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Stories of one gate.
+//! Tests the admission control of one gate.
 
 use std::time::{Duration, Instant};
 
@@ -8,7 +8,7 @@
     RunOutcome, WaitKey, WaitOutcome,
 };
 
-const TOOK: Duration = Duration::from_millis(10);
+const SERVICE_TIME: Duration = Duration::from_millis(10);
 
 struct Gate {
     now: Instant,
@@ -55,23 +55,23 @@
         }
     }
 
-    fn done(&mut self, key: RunKey) -> Vec<WaitOutcome> {
-        self.admission.release(self.now, key, RunOutcome::Completed { service_time: TOOK });
+    fn complete(&mut self, key: RunKey) -> Vec<WaitOutcome> {
+        self.admission.release(self.now, key, RunOutcome::Completed { service_time: SERVICE_TIME });
         self.admission.poll(self.now)
     }
 }
 
-fn reason(offered: AdmissionDecision) -> RefusalReason {
-    match offered {
+fn reason(decision: AdmissionDecision) -> RefusalReason {
+    match decision {
         AdmissionDecision::Refused(refusal) => refusal.reason,
-        other => panic!("should be refused: {other:?}"),
+        other => panic!("should be rejected: {other:?}"),
     }
 }
 
-/// Two callers fill the slots and the whole queue. A third sends its first request: it must not
-/// be refused for their sake, but take a place from the one with most, and run in its turn.
+/// Two callers fill the slots and the whole queue. The first request of a third one must not be
+/// rejected because of them, but take a place from the one with the most and run in its turn.
 #[test]
-fn a_light_caller_gets_in_past_heavy_ones() {
+fn a_light_caller_is_admitted_despite_heavy_ones() {
     let mut gate = Gate::with_limits(2, LimitRules { queue_length_max: 8, ..Default::default() });
     let runs = [gate.run(1, 0), gate.run(2, 0)];
     for _ in 0..4 {
@@ -87,7 +87,7 @@
     let mut started = Vec::new();
     let mut run = runs[0];
     for _ in 0..3 {
-        let settled = gate.done(run);
+        let settled = gate.complete(run);
         let [WaitOutcome::Run(waiting, next)] = settled[..] else { panic!("{settled:?}") };
         started.push(waiting);
         run = next;
@@ -95,8 +95,8 @@
     assert!(started.contains(&light), "{started:?}");
 }
 
-/// Stock checks take seconds and come in a wave. They may fill three of ten slots; lookups keep
-/// the other seven, and a lookup that comes later runs at once.
+/// Stock checks take seconds and arrive all at once. They may use three of ten slots; lookups keep
+/// the other seven, and a later lookup must run at once.
 #[test]
 fn a_long_route_leaves_slots_to_others() {
     let mut gate = Gate::new(10);
@@ -112,29 +112,32 @@
     gate.wait(30, 0);
 }
 
-/// A request has 15 ms left and would wait 20. Run late it helps nobody, so it is refused at
-/// once, and the caller learns when there is room.
+/// A request has 15 ms left and would wait 20. Run late it is of no use, so it must be rejected at
+/// once with the time after which there is room.
 #[test]
-fn refuses_at_once_what_cannot_be_answered_in_time() {
+fn rejects_at_once_what_cannot_be_answered_in_time() {
     let mut gate = Gate::new(1);
     let run = gate.run(1, 0);
-    gate.done(run);
+    gate.complete(run);
     gate.run(1, 0);
     gate.wait(2, 0);
-    let offered = gate.offer_for(3, 0, Duration::from_millis(15));
-    let AdmissionDecision::Refused(refusal) = offered else { panic!("{offered:?}") };
+    let decision = gate.offer_for(3, 0, Duration::from_millis(15));
+    let AdmissionDecision::Refused(refusal) = decision else { panic!("{decision:?}") };
     assert_eq!(refusal.reason, RefusalReason::DeadlineClose);
-    assert!(refusal.retry_after >= TOOK && refusal.retry_after <= 4 * TOOK, "{refusal:?}");
+    assert!(
+        refusal.retry_after >= SERVICE_TIME && refusal.retry_after <= 4 * SERVICE_TIME,
+        "{refusal:?}"
+    );
     assert_eq!(reason(gate.offer_for(3, 0, Duration::ZERO)), RefusalReason::DeadlinePassed);
 }
 
-/// The target hangs and a request waits. Its time runs out in the queue: at that moment, not
-/// later, it is told that it did not run.
+/// The target hangs and a request waits. When its time runs out in the queue it must be rejected at
+/// that moment, and not later.
 #[test]
-fn nothing_waits_past_its_time() {
+fn no_request_waits_past_its_time() {
     let mut gate = Gate::new(1);
     let run = gate.run(1, 0);
-    gate.done(run);
+    gate.complete(run);
     gate.run(1, 0);
     let AdmissionDecision::Wait(waiting) = gate.offer_for(2, 0, Duration::from_millis(100)) else {
         panic!("should wait")
@@ -151,8 +154,8 @@
     assert_eq!(gate.admission.next_wake(), None);
 }
 
-/// Load stays above what the target can do. A burst may wait long; once the queue has stood for
-/// a while, newcomers wait for a few times of service or not at all.
+/// Load stays above what the target can do. A burst may wait long; once the queue has stood for a
+/// while, new requests may wait for a few service times or not at all.
 #[test]
 fn a_standing_queue_admits_only_short_waits() {
     let mut gate = Gate::new(1);
@@ -161,8 +164,8 @@
         gate.wait(caller, 0);
     }
     for caller in 11..41 {
-        gate.now += TOOK;
-        let settled = gate.done(run);
+        gate.now += SERVICE_TIME;
+        let settled = gate.complete(run);
         let [WaitOutcome::Run(_, next)] = settled[..] else { panic!("{settled:?}") };
         run = next;
         gate.offer(caller, 0);
@@ -171,9 +174,9 @@
     assert_eq!(reason(gate.offer(50, 0)), RefusalReason::WaitTooLong);
 }
 
-/// Target drains: what waits and what comes is told not run at once, what runs goes on.
+/// The target drains: waiting and new requests must be rejected at once, and running ones continue.
 #[test]
-fn drain_refuses_all_but_what_runs() {
+fn drain_rejects_all_but_running_requests() {
     let mut gate = Gate::new(1);
     let run = gate.run(1, 0);
     let waiting = gate.wait(2, 0);
@@ -186,57 +189,57 @@
     ));
     assert_eq!(reason(gate.offer(3, 0)), RefusalReason::Draining);
     assert_eq!(gate.admission.in_flight(), 1);
-    gate.done(run);
+    gate.complete(run);
     assert_eq!(gate.admission.in_flight(), 0);
 }
 
-/// A request may have crashed a target. It waits until nothing else runs, runs alone, and others
-/// wait meanwhile, so that a second crash takes nobody with it.
+/// A request may have crashed a target. It must wait until nothing else runs and then run alone
+/// while others wait, so that a second crash affects no other request.
 #[test]
 fn a_suspect_runs_alone() {
     let mut gate = Gate::new(4);
     let run = gate.run(1, 0);
     let AdmissionDecision::Wait(suspect) = gate.offer_alone() else { panic!("should wait") };
     let other = gate.wait(2, 0);
-    let settled = gate.done(run);
+    let settled = gate.complete(run);
     let [WaitOutcome::Run(key, alone)] = settled[..] else { panic!("{settled:?}") };
     assert_eq!(key, suspect);
     let late = gate.wait(3, 0);
-    let settled = gate.done(alone);
-    let started: Vec<_> = settled.iter().map(|settled| settled.wait_key()).collect();
+    let settled = gate.complete(alone);
+    let started: Vec<_> = settled.iter().map(|outcome| outcome.wait_key()).collect();
     assert_eq!(started, [other, late]);
 }
 
-/// A slot frees, a waiting request gets it, and its caller hangs up before it is told. The run
-/// nobody knows of must be ended, or the slot is lost for good.
+/// A slot becomes free and is given to a waiting request, whose caller disconnects before it learns
+/// so. The run must be ended, or the slot is lost for good.
 #[test]
-fn a_slot_given_to_a_caller_that_left_is_free_again() {
+fn a_slot_given_to_a_disconnected_caller_is_free_again() {
     let mut gate = Gate::new(1);
     let run = gate.run(1, 0);
     let waiting = gate.wait(2, 0);
-    gate.admission.release(gate.now, run, RunOutcome::Completed { service_time: TOOK });
+    gate.admission.release(gate.now, run, RunOutcome::Completed { service_time: SERVICE_TIME });
     gate.admission.cancel_wait(gate.now, waiting);
     assert_eq!(gate.admission.poll(gate.now), []);
     assert_eq!(gate.admission.in_flight(), 0);
     gate.run(3, 0);
 }
 
-/// A target freezes with four requests running. Six answers should have come by now and none
-/// did: a request handed over would be stuck too, so it is refused and goes elsewhere.
+/// A target freezes with four requests running. Six responses should have come by now and none did.
+/// A request dispatched now would be stuck too, so it must be rejected to go elsewhere.
 #[test]
-fn refuses_while_the_target_has_stopped() {
+fn rejects_while_the_target_is_stalled() {
     let mut gate = Gate::new(10);
     let run = gate.run(1, 0);
-    gate.done(run);
+    gate.complete(run);
     let runs = [1, 2, 3, 4].map(|caller| gate.run(caller, 0));
     gate.now += Duration::from_millis(14);
     assert_eq!(reason(gate.offer(5, 0)), RefusalReason::Stalled);
-    gate.done(runs[0]);
+    gate.complete(runs[0]);
     gate.run(5, 0);
 }
 
-/// A target sheds though it announced ten slots. The gate hands over less until it stops
-/// shedding, never less than one, and finds its way back to ten.
+/// A target sheds requests although it announced ten slots. The gate must dispatch fewer until that
+/// stops, never fewer than one at a time, and return to ten later.
 #[test]
 fn the_limit_follows_the_target() {
     let mut gate = Gate::new(10);
@@ -253,8 +256,8 @@
             runs.push(run);
         }
         while let Some(run) = runs.pop() {
-            for settled in gate.done(run) {
-                if let WaitOutcome::Run(_, next) = settled {
+            for outcome in gate.complete(run) {
+                if let WaitOutcome::Run(_, next) = outcome {
                     runs.push(next);
                 }
             }
@@ -263,13 +266,13 @@
     assert_eq!(gate.admission.load().limit, 10);
 }
 
-/// A target freezes for long with requests running and one waiting. The waiting one did not run
-/// and others have room, so it is sent elsewhere, and not held until its time is over.
+/// A target freezes for long with requests running and one waiting. The waiting one has not run and
+/// other targets have room, so it must be rejected rather than held until its deadline.
 #[test]
-fn what_waits_leaves_a_frozen_target() {
+fn waiting_requests_leave_a_frozen_target() {
     let mut gate = Gate::new(4);
     let run = gate.run(1, 0);
-    gate.done(run);
+    gate.complete(run);
     for caller in 1..5 {
         gate.run(caller, 0);
     }
@@ -283,33 +286,34 @@
     ));
 }
 
-/// Callers give up on a frozen target. Their leaving is no answer of its: newcomers are still
-/// refused while others are stuck there.
+/// Callers give up on a frozen target. Their requests' end is no response: new requests must be
+/// rejected while others are stuck there.
 #[test]
-fn a_caller_that_leaves_is_no_sign_of_life() {
+fn a_disconnected_caller_is_no_sign_of_progress() {
     let mut gate = Gate::new(10);
     let run = gate.run(1, 0);
-    gate.done(run);
+    gate.complete(run);
     let runs = [1, 2, 3, 4, 5].map(|caller| gate.run(caller, 0));
     gate.now += Duration::from_millis(20);
     gate.admission.release(gate.now, runs[0], RunOutcome::Cancelled);
     assert_eq!(reason(gate.offer(6, 0)), RefusalReason::Stalled);
 }
 
-/// One call in ten takes thirty times as long. When a long one has just ended, the target is no
-/// slower than before, and must not be reported so.
+/// One call in ten takes thirty times as long. When a long one has just completed, the target is no
+/// slower than before and must not be reported as slower.
 #[test]
 fn the_reported_time_does_not_follow_the_mix() {
     let mut gate = Gate::new(10);
     let mut reported = Vec::new();
     for call in 0..400 {
         gate.now += Duration::from_millis(20);
-        let (route, service_time) = if call % 10 == 9 { (1, 30 * TOOK) } else { (0, TOOK) };
+        let (route, service_time) =
+            if call % 10 == 9 { (1, 30 * SERVICE_TIME) } else { (0, SERVICE_TIME) };
         let run = gate.run(1, route);
         gate.admission.release(gate.now, run, RunOutcome::Completed { service_time });
         reported.push(gate.admission.load().service_us);
     }
-    let settled = &reported[300..];
-    let (least, most) = (settled.iter().min().unwrap(), settled.iter().max().unwrap());
+    let stable = &reported[300..];
+    let (least, most) = (stable.iter().min().unwrap(), stable.iter().max().unwrap());
     assert!(*most < *least * 5 / 4, "between {least} and {most} µs for the same mix");
 }
--- a/crates/yuccarack_policy/tests/admission_properties.rs
+++ b/crates/yuccarack_policy/tests/admission_properties.rs
@@ -1,4 +1,4 @@
-//! Properties of one gate under any order of events.
+//! Tests properties of admission control under any order of events.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -14,8 +14,8 @@
 
 const SLOTS: u16 = 4;
 
-/// A gate whose every answer is checked against what a caller may rely on.
-struct Checked {
+/// Admission control whose every decision is checked against what a caller may rely on.
+struct CheckedGate {
     now: Instant,
     gate: Admission,
     running: Vec<RunKey>,
@@ -23,7 +23,7 @@
     ended: HashSet<RunKey>,
 }
 
-impl Checked {
+impl CheckedGate {
     fn new() -> Self {
         let limits = LimitRules { queue_length_max: 6, ..Default::default() };
         let routes = [100, 50].map(|slot_share_percent| RouteShare { slot_share_percent });
@@ -42,7 +42,7 @@
         match event % 6 {
             0 | 1 => self.offer(value),
             2 => self.end(value),
-            3 => self.hang_up(value),
+            3 => self.disconnect(value),
             4 => self.now += Duration::from_millis(u64::from(value)),
             _ => {}
         }
@@ -73,18 +73,18 @@
         }
         let key = self.running.remove(usize::from(value) % self.running.len());
         let service_time = Duration::from_millis(u64::from(value % 50));
-        let end = match value % 4 {
+        let outcome = match value % 4 {
             0 => RunOutcome::Failed { service_time },
             1 => RunOutcome::Shed,
             2 => RunOutcome::Cancelled,
             _ => RunOutcome::Completed { service_time },
         };
         self.ended.insert(key);
-        self.gate.release(self.now, key, end);
-        self.gate.release(self.now, key, end);
+        self.gate.release(self.now, key, outcome);
+        self.gate.release(self.now, key, outcome);
     }
 
-    fn hang_up(&mut self, value: u8) {
+    fn disconnect(&mut self, value: u8) {
         let mut keys: Vec<_> = self.waiting.keys().copied().collect();
         keys.sort();
         if keys.is_empty() {
@@ -95,12 +95,12 @@
         self.gate.cancel_wait(self.now, key);
     }
 
-    /// Each waiting request is settled once, and none that was given up.
+    /// Each waiting request gets one outcome, and none that was withdrawn gets one.
     fn poll(&mut self) {
-        for settled in self.gate.poll(self.now) {
-            let deadline = self.waiting.remove(&settled.wait_key());
-            let deadline = deadline.expect("only what waits is settled, and once");
-            if let WaitOutcome::Run(_, key) = settled {
+        for outcome in self.gate.poll(self.now) {
+            let deadline = self.waiting.remove(&outcome.wait_key());
+            let deadline = deadline.expect("only a waiting request gets an outcome, and only once");
+            if let WaitOutcome::Run(_, key) = outcome {
                 assert!(self.now <= deadline, "nothing runs past its deadline");
                 self.run(key);
             }
@@ -109,17 +109,21 @@
 
     fn check(&mut self) {
         assert!(self.running.len() <= usize::from(SLOTS), "more in flight than slots");
-        assert_eq!(self.gate.in_flight(), self.running.len(), "a refused request counts as run");
+        assert_eq!(
+            self.gate.in_flight(),
+            self.running.len(),
+            "a rejected request counts as running"
+        );
         assert_eq!(usize::from(self.gate.load().queued), self.waiting.len());
         let wake = self.gate.next_wake();
         assert_eq!(wake.is_some(), !self.waiting.is_empty());
-        assert!(wake.is_none_or(|wake| wake > self.now), "something due was left");
+        assert!(wake.is_none_or(|wake| wake > self.now), "a due wait was not ended");
         assert!(self.waiting.values().all(|&deadline| deadline > self.now), "held too long");
         let limit = self.gate.load().limit;
         assert!((1..=SLOTS).contains(&limit));
     }
 
-    /// Ends everything: whoever still waits must come to a final answer.
+    /// Ends all runs; each request that still waits must get a final outcome.
     fn finish(&mut self) {
         for _ in 0..1_000 {
             if self.waiting.is_empty() {
@@ -129,7 +133,7 @@
             self.end(3);
             self.poll();
         }
-        assert!(self.waiting.is_empty(), "a request without a final answer");
+        assert!(self.waiting.is_empty(), "a request without a final outcome");
         while !self.running.is_empty() {
             self.end(3);
             self.poll();
@@ -138,12 +142,13 @@
     }
 }
 
-/// Callers offer, hang up and are answered in any order while time passes: never more in flight
-/// than slots, one final answer to each request, none held after it is given up, no slot lost.
+/// Callers offer requests, disconnect and are answered in any order while time passes. There must
+/// never be more in flight than slots, each request gets one final outcome, none is held after its
+/// deadline, and no slot is lost.
 #[test]
-fn a_gate_keeps_its_promises_in_any_order_of_events() {
+fn a_gate_holds_its_invariants_in_any_order_of_events() {
     fn holds(events: Vec<(u8, u8)>) -> bool {
-        let mut gate = Checked::new();
+        let mut gate = CheckedGate::new();
         for (event, value) in events {
             gate.step(event, value);
         }
@@ -153,11 +158,11 @@
     QuickCheck::new().tests(3_000).quickcheck(holds as fn(Vec<(u8, u8)>) -> bool);
 }
 
-/// One caller sends again whenever it may, another sends one request at a time. Whatever the
-/// first does, the second is served within two turns.
+/// One caller sends again whenever it may, another sends one request at a time. Whatever the first
+/// one does, the second must be served within two turns.
 #[test]
 fn no_caller_starves() {
-    fn holds(greed: u8, slots: u8) -> bool {
+    fn holds(offers_per_step: u8, slots: u8) -> bool {
         let slots = u16::from(slots % 8) + 1;
         let config = AdmissionConfig { slots, limits: LimitRules::default(), routes: Vec::new() };
         let mut now = Instant::now();
@@ -166,18 +171,18 @@
         let offer = |caller| Offer { caller, route: 0, deadline, alone: false };
         let service_time = Duration::from_millis(u64::from(slots));
         let mut running: Vec<(RunKey, u64)> = Vec::new();
-        let (mut modest, mut ends) = (None, 0);
+        let (mut waiting, mut ends) = (None, 0);
         for _ in 0..200 {
-            for _ in 0..=greed % 20 {
+            for _ in 0..=offers_per_step % 20 {
                 if let AdmissionDecision::Run(key) = gate.offer(now, offer(1)) {
                     running.push((key, 1));
                 }
             }
-            let has_one = modest.is_some() || running.iter().any(|&(_, caller)| caller == 2);
-            if !has_one {
+            let has_request = waiting.is_some() || running.iter().any(|&(_, caller)| caller == 2);
+            if !has_request {
                 match gate.offer(now, offer(2)) {
                     AdmissionDecision::Run(key) => running.push((key, 2)),
-                    AdmissionDecision::Wait(key) => (modest, ends) = (Some(key), 0),
+                    AdmissionDecision::Wait(key) => (waiting, ends) = (Some(key), 0),
                     AdmissionDecision::Refused(_) => return false,
                 }
             }
@@ -186,14 +191,14 @@
                 gate.release(now, running.remove(0).0, RunOutcome::Completed { service_time });
                 ends += 1;
             }
-            for settled in gate.poll(now) {
-                let is_modest = modest == Some(settled.wait_key());
-                modest = modest.filter(|_| !is_modest);
-                if let WaitOutcome::Run(_, key) = settled {
-                    running.push((key, if is_modest { 2 } else { 1 }));
+            for outcome in gate.poll(now) {
+                let is_second = waiting == Some(outcome.wait_key());
+                waiting = waiting.filter(|_| !is_second);
+                if let WaitOutcome::Run(_, key) = outcome {
+                    running.push((key, if is_second { 2 } else { 1 }));
                 }
             }
-            if modest.is_some() && ends > 2 {
+            if waiting.is_some() && ends > 2 {
                 return false;
             }
         }
--- a/crates/yuccarack_policy/tests/crash_counts.rs
+++ b/crates/yuccarack_policy/tests/crash_counts.rs
@@ -1,29 +1,29 @@
-//! A request that crashes targets is held back after its third.
+//! Tests that a request that crashes targets is blocked after its third crash.
 
 use std::time::{Duration, Instant};
 
 use yuccarack_policy::crash_counts::{CrashCounts, RETENTION};
 
-/// Story: one request crashes target after target, and its caller sends it on and on.
+/// One request crashes target after target, and its caller keeps sending it.
 #[test]
-fn the_third_death_is_the_last() {
+fn a_request_is_blocked_after_the_third_crash() {
     let now = Instant::now();
     let mut counts = CrashCounts::new();
-    for deaths in 0..3 {
-        assert!(!counts.is_blocked(now, 7), "barred after {deaths} deaths");
+    for crashes in 0..3 {
+        assert!(!counts.is_blocked(now, 7), "blocked after {crashes} crashes");
         counts.record_crash(now, 7);
     }
     assert!(counts.is_blocked(now, 7));
     assert!(!counts.is_blocked(now, 8));
     assert!(!counts.is_blocked(now + RETENTION, 7));
     counts.record_crash(now + RETENTION, 7);
-    assert!(!counts.is_blocked(now + RETENTION, 7), "older deaths still count");
+    assert!(!counts.is_blocked(now + RETENTION, 7), "expired crashes still count");
 }
 
-/// Story: a page that everybody reads is running at each death by chance. Its next good answer says
-/// that it isn't the cause.
+/// A request that many callers send is running at each crash by chance. Its next successful
+/// response shows that it isn't the cause.
 #[test]
-fn a_bystander_is_cleared_by_its_next_answer() {
+fn a_harmless_request_is_cleared_by_its_next_response() {
     let now = Instant::now();
     let mut counts = CrashCounts::new();
     for _ in 0..5 {
@@ -46,7 +46,7 @@
         counts.record_crash(now, 99_999);
     }
     assert!(counts.is_blocked(now, 5));
-    assert!(!counts.is_blocked(now, 99_999), "remembered beyond the bound");
+    assert!(!counts.is_blocked(now, 99_999), "counted beyond the bound");
     let later = now + RETENTION + Duration::from_secs(1);
     for _ in 0..3 {
         counts.record_crash(later, 99_999);
--- a/crates/yuccarack_policy/tests/hedge.rs
+++ b/crates/yuccarack_policy/tests/hedge.rs
@@ -1,4 +1,4 @@
-//! Stories of hedges.
+//! Tests when hedges are sent.
 
 use std::time::{Duration, Instant};
 
@@ -14,8 +14,8 @@
     policy
 }
 
-/// Most answers take 10 ms, one in twenty 30. A hedge goes out just after the usual time, not at
-/// once (which would double the load) and not after a second (which would help nobody).
+/// Most responses take 10 ms, one in twenty 30. A hedge must be sent just after the usual time,
+/// neither at once (which would double the load) nor after a second (which would be of no use).
 #[test]
 fn the_delay_follows_the_observed_tail() {
     let now = Instant::now();
@@ -24,8 +24,8 @@
     assert_eq!(HedgePolicy::new(&HedgeRules::default()).delay(now), None);
 }
 
-/// Every target is slow at once, so every request would like a hedge. Only one in twenty, and
-/// the reserve, may have it; the emptier the budget, the longer the rest wait.
+/// Every target is slow at once, so every request would send a hedge. Only one in twenty, and the
+/// reserve, may do so; the emptier the budget, the longer the others wait.
 #[test]
 fn a_general_slowdown_is_not_doubled() {
     let now = Instant::now();
@@ -40,8 +40,8 @@
     assert!(policy.delay(now).unwrap() > 3 * before);
 }
 
-/// Gates refuse: there is no room for what was asked, let alone for asking twice. Hedges stop,
-/// and come back once refusals have.
+/// Gates reject requests: there is no capacity for them, let alone for hedges. Hedges must stop,
+/// and start again after the rejections have ended.
 #[test]
 fn hedges_stop_at_saturation() {
     let now = Instant::now();
@@ -55,9 +55,9 @@
     assert!(policy.spend(later));
 }
 
-/// An operator set the budget to 0.
+/// An operator has set the budget to 0.
 #[test]
-fn a_budget_of_none_turns_hedging_off() {
+fn a_budget_of_zero_turns_hedging_off() {
     let now = Instant::now();
     let mut policy = HedgePolicy::new(&HedgeRules { budget_percent: 0, ..Default::default() });
     (0..100).for_each(|_| policy.record_response(now, Duration::from_millis(10)));
@@ -65,10 +65,10 @@
     assert!(!policy.spend(now));
 }
 
-/// The usual tail has spent the budget when a request is sent, and is earned back while it hangs.
-/// The hedge was planned nevertheless, and can be paid for when it is due.
+/// The budget is spent when a request is sent, and earned again while it hangs. The hedge must be
+/// scheduled nevertheless, so that it can be sent when it is due.
 #[test]
-fn an_empty_budget_delays_hedges_but_plans_them() {
+fn an_empty_budget_delays_hedges_but_schedules_them() {
     let now = Instant::now();
     let mut policy = policy(now);
     while policy.spend(now) {}
--- a/crates/yuccarack_policy/tests/measuring.rs
+++ b/crates/yuccarack_policy/tests/measuring.rs
@@ -1,4 +1,4 @@
-//! Stories of the measuring budget.
+//! Tests the budget for load measurements.
 
 use std::time::{Duration, Instant};
 
@@ -10,14 +10,14 @@
     Duration::from_millis(ms)
 }
 
-struct Look {
+struct Measurement {
     ended_at: Instant,
     bytes: u32,
     time: Duration,
 }
 
-/// A noisy target answers looks late, in part, or never. Whatever it does and whenever the
-/// daemon asks, in any second bytes, time and looks stay within what was agreed.
+/// A busy target answers measurements late, in part, or never. Whatever it does and whenever the
+/// daemon measures, bytes, time and measurements in any second must stay within the budget.
 #[test]
 fn the_budget_holds_in_any_window() {
     fn holds(steps: Vec<(u16, u16, bool)>) -> bool {
@@ -27,35 +27,36 @@
             time_ms_per_s_max: 20,
         };
         let start = Instant::now();
-        let (mut now, mut looks) = (start, Vec::new());
+        let (mut now, mut measurements) = (start, Vec::new());
         let mut budget = MeasuringBudget::new(&rules);
         for (pause_ms, bytes, is_answered) in steps {
             now += ms(u64::from(pause_ms % 700));
             let Some(permit) = budget.try_start(now) else { continue };
-            let took = if is_answered { ms(u64::from(bytes % 15)) } else { ms(1_000) };
-            let ended_at = (now + took).min(permit.give_up_at);
+            let response_time = if is_answered { ms(u64::from(bytes % 15)) } else { ms(1_000) };
+            let ended_at = (now + response_time).min(permit.give_up_at);
             let bytes = u32::from(bytes).min(permit.bytes_max);
-            looks.push(Look { ended_at, bytes, time: ended_at - now });
+            measurements.push(Measurement { ended_at, bytes, time: ended_at - now });
             now = ended_at;
             budget.record_end(now, bytes);
         }
-        looks.iter().all(|first| {
-            let in_window = |look: &&Look| {
-                look.ended_at >= first.ended_at && look.ended_at < first.ended_at + WINDOW
+        measurements.iter().all(|first| {
+            let in_window = |measurement: &&Measurement| {
+                measurement.ended_at >= first.ended_at
+                    && measurement.ended_at < first.ended_at + WINDOW
             };
-            let window: Vec<_> = looks.iter().filter(in_window).collect();
-            window.iter().map(|look| look.bytes).sum::<u32>() <= 512
-                && window.iter().map(|look| look.time).sum::<Duration>() <= ms(20)
+            let window: Vec<_> = measurements.iter().filter(in_window).collect();
+            window.iter().map(|measurement| measurement.bytes).sum::<u32>() <= 512
+                && window.iter().map(|measurement| measurement.time).sum::<Duration>() <= ms(20)
                 && window.len() <= 5 + 1
         })
     }
     QuickCheck::new().tests(500).quickcheck(holds as fn(Vec<(u16, u16, bool)>) -> bool);
 }
 
-/// The target's load endpoint stops answering. Each look is given up within its time and the next
-/// comes later and later, but looks never stop for good.
+/// The target's load endpoint stops responding. Each measurement must time out in its time and the
+/// next ones come ever later, but they must never stop for good.
 #[test]
-fn looks_without_an_answer_become_rare() {
+fn measurements_without_a_response_become_rare() {
     let start = Instant::now();
     let mut budget = MeasuringBudget::new(&MeasuringRules::default());
     let mut now = start;
@@ -67,15 +68,15 @@
         }
         now = budget.next_at(now).max(now + ms(1));
     }
-    let spent = budget.total_cost();
-    assert!((15..=30).contains(&spent.requests), "{spent:?}");
-    assert_eq!(spent.timeouts, spent.requests);
+    let cost = budget.total_cost();
+    assert!((15..=30).contains(&cost.requests), "{cost:?}");
+    assert_eq!(cost.timeouts, cost.requests);
 }
 
-/// A look is open. Nobody may start a second one, and if the daemon never says how the first
-/// ended, it is charged in full and the next may start after its time.
+/// A measurement is open. No second one may start, and if the end of the first is never recorded,
+/// it must be charged in full and the next may start after its time.
 #[test]
-fn one_look_at_a_time_and_a_lost_one_is_charged() {
+fn one_measurement_at_a_time_and_a_lost_one_is_charged() {
     let now = Instant::now();
     let mut budget = MeasuringBudget::new(&MeasuringRules::default());
     let permit = budget.try_start(now).unwrap();
@@ -86,9 +87,9 @@
     assert_eq!(budget.total_cost().bytes, u64::from(permit.bytes_max));
 }
 
-/// An operator allows no looks at all.
+/// An operator allows no measurements at all.
 #[test]
-fn no_requests_means_no_looks() {
+fn a_limit_of_zero_requests_turns_measuring_off() {
     let now = Instant::now();
     let rules = MeasuringRules { requests_per_1000s_max: 0, ..Default::default() };
     assert_eq!(MeasuringBudget::new(&rules).try_start(now), None);
--- a/crates/yuccarack_policy/tests/retry.rs
+++ b/crates/yuccarack_policy/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Stories of retries.
+//! Tests when a request is retried.
 
 use std::time::{Duration, Instant};
 
@@ -9,7 +9,7 @@
     RetryPolicy, RetryReason,
 };
 
-fn ended(now: Instant, failure: AttemptFailure) -> RetryCandidate {
+fn failed_attempt(now: Instant, failure: AttemptFailure) -> RetryCandidate {
     let deadline = now + Duration::from_secs(1);
     RetryCandidate { number: 1, deadline, failure, repeatable: true, depth: 1 }
 }
@@ -18,7 +18,8 @@
     matches!(decision, RetryDecision::Again { .. })
 }
 
-/// Calls the service below, with retries, down to the last, which always fails; counts its runs.
+/// Calls the service below, with retries, down to the last one, which always fails; counts its
+/// runs.
 fn call(levels: &mut [RetryPolicy], now: Instant, depth: u8, runs: &mut u64) {
     let Some((level, below)) = levels.split_first_mut() else {
         *runs += 1;
@@ -28,16 +29,17 @@
     for number in 1.. {
         call(below, now, depth + 1, runs);
         let failure = AttemptFailure::TargetError;
-        let ended = RetryCandidate { number, depth, ..ended(now, failure) };
-        if !is_again(level.decide(now, ended)) {
+        let candidate = RetryCandidate { number, depth, ..failed_attempt(now, failure) };
+        if !is_again(level.decide(now, candidate)) {
             return;
         }
     }
 }
 
 /// A call passes nine services and the ninth fails everything. With two retries at each it would
-/// run 3^9 = 19,683 times for one call; a budget at each still allows 1.1^9 = 2.4 times. Only the
-/// outermost repeats, so the ninth runs at most 1.1 times what was asked for, and the reserve.
+/// run 3^9 = 19,683 times; a budget at each would still allow 1.1^9 = 2.4 times as many runs as
+/// calls. Only the outermost entry retries, so the ninth service runs at most 1.1 times the calls
+/// plus the reserve.
 #[test]
 fn a_chain_nine_deep_does_not_multiply() {
     let now = Instant::now();
@@ -50,14 +52,15 @@
     assert!(runs <= most, "{runs} runs for {calls} calls");
 }
 
-/// An order's connection breaks after hand-over. It may have run, so it must not be sent again;
-/// refused at a gate it did not run, and may go elsewhere.
+/// The connection of an order breaks after dispatch. It may have run, so it must not be sent again;
+/// rejected at a gate it has not run, and may go elsewhere.
 #[test]
 fn an_order_is_repeated_only_if_it_did_not_run() {
     let now = Instant::now();
     let mut policy = RetryPolicy::new(&RetryRules::default());
-    let mut decide =
-        |failure| policy.decide(now, RetryCandidate { repeatable: false, ..ended(now, failure) });
+    let mut decide = |failure| {
+        policy.decide(now, RetryCandidate { repeatable: false, ..failed_attempt(now, failure) })
+    };
     let give_up = RetryDecision::GiveUp { reason: GiveUpReason::NotRepeatable };
     assert_eq!(decide(AttemptFailure::BrokenUnknown), give_up);
     assert_eq!(decide(AttemptFailure::TargetError), give_up);
@@ -67,22 +70,23 @@
     assert_eq!(decide(AttemptFailure::BrokenNotRun), again);
 }
 
-/// The third try has ended, or the caller leaves in a millisecond: another try helps nobody.
+/// The third attempt has ended, or the caller gives up in a millisecond: another attempt is of no
+/// use.
 #[test]
-fn gives_up_when_another_try_is_of_no_use() {
+fn gives_up_when_another_attempt_is_of_no_use() {
     let now = Instant::now();
     let mut policy = RetryPolicy::new(&RetryRules::default());
-    let third = RetryCandidate { number: 3, ..ended(now, AttemptFailure::TargetError) };
+    let third = RetryCandidate { number: 3, ..failed_attempt(now, AttemptFailure::TargetError) };
     let used_up = RetryDecision::GiveUp { reason: GiveUpReason::AttemptsUsedUp };
     assert_eq!(policy.decide(now, third), used_up);
     let deadline = now + Duration::from_millis(1);
-    let late = RetryCandidate { deadline, ..ended(now, AttemptFailure::TargetError) };
+    let late = RetryCandidate { deadline, ..failed_attempt(now, AttemptFailure::TargetError) };
     let close = RetryDecision::GiveUp { reason: GiveUpReason::DeadlineClose };
     assert_eq!(policy.decide(now, late), close);
 }
 
-/// Everything fails for an hour, in whatever order failures and refusals come: in any window the
-/// retries are at most the reserve and the share of that window's first tries.
+/// Everything fails for an hour, with failures and rejections in any order. In any window the
+/// retries must be at most the reserve plus the share of that window's first attempts.
 #[test]
 fn budgets_hold_in_any_window() {
     fn holds(events: Vec<u8>, from: usize, percent: u8) -> bool {
@@ -102,11 +106,13 @@
                     firsts += 1;
                 }
                 1 => {
-                    let again = policy.decide(now, ended(now, AttemptFailure::TargetError));
+                    let again =
+                        policy.decide(now, failed_attempt(now, AttemptFailure::TargetError));
                     failures += u32::from(is_again(again));
                 }
                 _ => {
-                    let again = policy.decide(now, ended(now, AttemptFailure::RefusedNotRun));
+                    let again =
+                        policy.decide(now, failed_attempt(now, AttemptFailure::RefusedNotRun));
                     refusals += u32::from(is_again(again));
                 }
             }
--- a/crates/yuccarack_policy/tests/stall.rs
+++ b/crates/yuccarack_policy/tests/stall.rs
@@ -1,4 +1,4 @@
-//! When a gate takes its target for stalled, and when not.
+//! Tests when a gate takes its target for stalled, and when not.
 
 use std::time::{Duration, Instant};
 
@@ -8,7 +8,7 @@
     RunOutcome,
 };
 
-const QUICK: Duration = Duration::from_micros(200);
+const SERVICE_TIME: Duration = Duration::from_micros(200);
 
 fn gate(now: Instant) -> Admission {
     let routes = vec![RouteShare { slot_share_percent: 100 }];
@@ -26,21 +26,21 @@
     }
 }
 
-/// Teaches the gate that its target answers within 0.2 ms.
+/// Lets the gate learn that its target responds within 0.2 ms.
 fn learn(gate: &mut Admission, mut now: Instant) -> Instant {
     for _ in 0..500 {
         let key = run(gate, now);
-        now += QUICK;
-        gate.release(now, key, RunOutcome::Completed { service_time: QUICK });
+        now += SERVICE_TIME;
+        gate.release(now, key, RunOutcome::Completed { service_time: SERVICE_TIME });
     }
     now
 }
 
-// A hiker reads a note from a target that answers within 0.2 ms. The target's process is off its
-// processor for 3 ms with four requests on it. The hiker's request was refused as stalled, though
-// the target would have answered it sooner than another gate could.
+// A target that responds within 0.2 ms is off its processor for 3 ms with four requests running.
+// The next request must not be rejected as stalled, since the target answers it sooner than another
+// gate could.
 #[test]
-fn a_quick_target_that_is_off_its_processor_for_a_moment_is_not_stalled() {
+fn a_fast_target_that_is_off_its_processor_for_a_moment_is_not_stalled() {
     let start = Instant::now();
     let mut gate = gate(start);
     let now = learn(&mut gate, start);
@@ -50,9 +50,9 @@
     run(&mut gate, now + Duration::from_millis(3));
 }
 
-// One invoice run takes 50 ms among look-ups of 0.2 ms, on the same route. Look-ups that came
-// meanwhile were refused as stalled, though the target answered nothing else because nothing else
-// was asked.
+// One invoice run takes 50 ms among look-ups of 0.2 ms on the same route. Look-ups that arrive
+// meanwhile must not be rejected as stalled: the target answers nothing else because nothing else
+// was sent.
 #[test]
 fn one_long_request_is_not_a_stall() {
     let start = Instant::now();
@@ -62,8 +62,8 @@
     run(&mut gate, now + Duration::from_millis(20));
 }
 
-// A target freezes with ten requests on it. After 20 ms without any answer the gate refuses the
-// next one, which did not run and is answered elsewhere.
+// A target freezes with ten requests running. After 20 ms without any response the gate must reject
+// the next one, which has not run and is answered elsewhere.
 #[test]
 fn a_target_that_answers_none_of_ten_requests_is_stalled() {
     let start = Instant::now();
@@ -79,10 +79,10 @@
     }
 }
 
-// The only target of a service is held up for 20 ms. Its gate refused the next caller, who had two
-// seconds to spare and nowhere else to go.
+// The only target of a service is held up for 20 ms. Its gate must not reject the next request,
+// whose caller has time to wait and no other target.
 #[test]
-fn the_only_target_of_a_service_is_waited_for() {
+fn the_only_target_of_a_service_does_not_count_as_stalled() {
     let start = Instant::now();
     let mut gate = gate(start);
     gate.set_alternatives(false);
@@ -93,10 +93,10 @@
     run(&mut gate, now + Duration::from_millis(20));
 }
 
-// Ten pictures of a collapsed roof are uploaded, each for seconds. No answer comes meanwhile, and
-// the gate refused who read the hut's notes; but the target takes in piece after piece.
+// Ten large uploads take seconds each. No response comes meanwhile, but the target keeps receiving
+// their bodies, so other requests must not be rejected as stalled.
 #[test]
-fn uploads_that_move_are_not_a_stall() {
+fn uploads_in_progress_are_not_a_stall() {
     let start = Instant::now();
     let mut gate = gate(start);
     let now = learn(&mut gate, start);
@@ -107,8 +107,8 @@
     run(&mut gate, now + Duration::from_millis(200));
 }
 
-// Nine reads hang on a frozen target beside one upload that moved before it froze. The upload must
-// not hide the freeze.
+// Nine reads hang on a frozen target beside one upload that made progress before it froze. The
+// upload must not hide the stall.
 #[test]
 fn an_upload_does_not_hide_a_stall() {
     let start = Instant::now();
--- a/crates/yuccarack_policy/tests/suspects.rs
+++ b/crates/yuccarack_policy/tests/suspects.rs
@@ -1,4 +1,4 @@
-//! Stories of requests that crash targets.
+//! Tests the handling of requests that may crash targets.
 
 use std::time::{Duration, Instant};
 
@@ -8,8 +8,8 @@
     Suspects::new(SuspectsConfig::default())
 }
 
-/// A request crashes its target and its caller sends it again: it runs alone, on one target at a
-/// time. That one dies too, and from then on it is refused, until the quarantine ends with
+/// A request crashes its target and its caller sends it again, so it runs alone, on one target at a
+/// time. That one crashes too, and the request must be rejected until the quarantine ends with
 /// another trial.
 #[test]
 fn a_request_that_crashes_two_targets_is_quarantined() {
@@ -26,28 +26,28 @@
     assert_eq!(suspects.verdict(until, 1), Verdict::Alone);
 }
 
-/// Nine harmless requests were in flight with the one that crashed the target, some of them
-/// twice. Each is cleared by its first run that ends well; none is ever quarantined.
+/// Nine harmless requests were in flight with the one that crashed the target, some of them twice.
+/// Each must be cleared by its first successful run, and none may be quarantined.
 #[test]
-fn bystanders_are_cleared() {
+fn requests_in_flight_by_chance_are_cleared() {
     let now = Instant::now();
     let mut suspects = suspects();
     let in_flight: Vec<u64> = (0..10).collect();
     suspects.record_crash(now, &in_flight, false);
     suspects.record_crash(now, &in_flight, false);
-    for bystander in 1..10 {
-        assert_eq!(suspects.verdict(now, bystander), Verdict::Alone);
-        suspects.trial_started(now, bystander);
-        suspects.trial_succeeded(bystander);
-        assert_eq!(suspects.verdict(now, bystander), Verdict::Clear);
+    for harmless in 1..10 {
+        assert_eq!(suspects.verdict(now, harmless), Verdict::Alone);
+        suspects.trial_started(now, harmless);
+        suspects.trial_succeeded(harmless);
+        assert_eq!(suspects.verdict(now, harmless), Verdict::Clear);
     }
     assert_eq!(suspects.verdict(now, 0), Verdict::Alone);
 }
 
-/// A peer says that a request is only suspected while this daemon knows that it is quarantined:
-/// old news must not let it run again.
+/// A peer reports that a request is only suspected while this daemon knows that it is quarantined.
+/// The outdated report must not let it run again.
 #[test]
-fn news_never_lowers_what_is_known() {
+fn a_report_never_lowers_a_known_phase() {
     let now = Instant::now();
     let mut suspects = suspects();
     suspects.merge(now, 1, SuspectPhase::Quarantined);
@@ -58,8 +58,8 @@
     assert_eq!(suspects.verdict(now, 1), Verdict::Clear);
 }
 
-/// The daemon that ran the trial vanishes. The request must not be locked out for good: after the
-/// longest trial it may be tried again, and after ten quiet minutes it is forgotten.
+/// The daemon that ran the trial is lost. The request must not be blocked for good: after the
+/// longest trial it may be tried again, and after ten minutes without a crash it is forgotten.
 #[test]
 fn a_lost_trial_ends_by_itself() {
     let now = Instant::now();
@@ -71,8 +71,8 @@
     assert_eq!(suspects.verdict(later + Duration::from_secs(601), 1), Verdict::Clear);
 }
 
-/// A million different requests are in flight at crashes. The memory stays bounded, and what is
-/// quarantined goes last.
+/// Thousands of different requests are in flight at crashes. The record must stay bounded, and
+/// quarantined requests must be removed last.
 #[test]
 fn memory_is_bounded() {
     let now = Instant::now();
--- a/crates/yuccarack_policy/tests/work_queue.rs
+++ b/crates/yuccarack_policy/tests/work_queue.rs
@@ -303,7 +303,9 @@
     }
     // The call's own soft deadline has passed, but its parent request still waits.
     let late_call = WorkRequest { soft_deadline: now, rank: 2, ..request(now, call) };
-    let QueueDecision::Wait(late_call) = queue.offer(now, late_call) else { panic!("refused") };
+    let QueueDecision::Wait(late_call) = queue.offer(now, late_call) else {
+        panic!("was rejected")
+    };
     let QueueDecision::Run(first) = running[0] else { panic!("not run") };
     queue.release(now + ms(5), first, WorkOutcome::Aborted);
     assert!(matches!(queue.poll(now + ms(5))[..], [WaitResult::Run(key, _)] if key == late_call));
