--- a/crates/yuccarack_player/src/entry.rs
+++ b/crates/yuccarack_player/src/entry.rs
@@ -145,7 +145,7 @@
         number: u8,
         deadline: Instant,
         back: Back,
-        repeatable: bool,
+        is_repeatable: bool,
     ) -> bool {
         let failure = match back {
             Back::Answered => return false,
@@ -156,10 +156,10 @@
         };
         match &mut self.kind {
             Kind::Baseline(_) => {
-                number < BASELINE_TRIES_MAX && (repeatable || !failure.may_have_run())
+                number < BASELINE_TRIES_MAX && (is_repeatable || !failure.may_have_run())
             }
             Kind::Ours(ours) => {
-                let ended = RetryCandidate { number, deadline, failure, repeatable, depth: 1 };
+                let ended = RetryCandidate { number, deadline, failure, is_repeatable, depth: 1 };
                 matches!(ours.retry.decide(now, ended), RetryDecision::Again { .. })
             }
         }
--- a/crates/yuccarack_player/src/player/gate_side.rs
+++ b/crates/yuccarack_player/src/player/gate_side.rs
@@ -25,9 +25,9 @@
                 caller: call.caller,
                 route: usize::from(call.is_long),
                 deadline: call.deadline,
-                alone: false,
+                must_run_alone: false,
             },
-            None => Offer { caller: 0, route: 0, deadline: now, alone: false },
+            None => Offer { caller: 0, route: 0, deadline: now, must_run_alone: false },
         };
         match self.gates[target].offer(now, key, offer) {
             Some(Place::Running(run)) => self.start(key, Place::Running(run)),
--- a/crates/yuccarack_policy/benches/decisions.rs
+++ b/crates/yuccarack_policy/benches/decisions.rs
@@ -72,7 +72,7 @@
         let mut next = 0;
         let mut offer = move || {
             next = (next + 1) % callers as u64;
-            Offer { caller: next, route: 0, deadline, alone: false }
+            Offer { caller: next, route: 0, deadline, must_run_alone: false }
         };
         let mut gate = Admission::new(now, config.clone());
         group.bench_function(BenchmarkId::new("free", callers), |bencher| {
--- a/crates/yuccarack_policy/src/admission/mod.rs
+++ b/crates/yuccarack_policy/src/admission/mod.rs
@@ -44,7 +44,7 @@
 struct RunningRequest {
     caller: u64,
     route: usize,
-    alone: bool,
+    must_run_alone: bool,
     started_at: Instant,
     was_quiet: bool,
     /// Whether a long request or response body is being transferred, so that no response is due.
@@ -59,7 +59,7 @@
     running: SlotMap<RunKey, RunningRequest>,
     running_by_caller: HashMap<u64, u16>,
     running_by_route: Vec<u16>,
-    alone_running: bool,
+    is_lone_request_running: bool,
     queue: Queue,
     service_times: ServiceTimes,
     progress: Progress,
@@ -76,7 +76,7 @@
             running: SlotMap::with_key(),
             running_by_caller: HashMap::new(),
             running_by_route: Vec::new(),
-            alone_running: false,
+            is_lone_request_running: false,
             queue: Queue::new(),
             service_times: ServiceTimes::new(),
             progress: Progress::new(now),
@@ -122,7 +122,7 @@
         if missing > MISSING_RESPONSES_MAX {
             return self.refuse(RefusalReason::Stalled, offer.route);
         }
-        if self.can_start(&offer) && !self.queue.has_alone() {
+        if self.can_start(&offer) && !self.queue.has_lone_request() {
             return AdmissionDecision::Run(self.start(now, offer));
         }
         match self.give_up_at(now, &offer) {
@@ -222,7 +222,7 @@
     }
 
     fn can_start(&self, offer: &Offer) -> bool {
-        if self.alone_running || (offer.alone && !self.running.is_empty()) {
+        if self.is_lone_request_running || (offer.must_run_alone && !self.running.is_empty()) {
             return false;
         }
         let route_running = self.running_by_route.get(offer.route).copied().unwrap_or(0);
@@ -247,12 +247,12 @@
     }
 
     fn start(&mut self, now: Instant, offer: Offer) -> RunKey {
-        let Offer { caller, route, alone, .. } = offer;
+        let Offer { caller, route, must_run_alone, .. } = offer;
         let was_quiet = self.limit.is_quiet(self.running.len() + 1);
         let run = RunningRequest {
             caller,
             route,
-            alone,
+            must_run_alone,
             started_at: now,
             was_quiet,
             is_streaming: false,
@@ -261,7 +261,7 @@
         if let Some(route_running) = self.running_by_route.get_mut(run.route) {
             *route_running += 1;
         }
-        self.alone_running |= run.alone;
+        self.is_lone_request_running |= run.must_run_alone;
         self.running.insert(run)
     }
 
@@ -275,15 +275,15 @@
         if let Some(route_running) = self.running_by_route.get_mut(run.route) {
             *route_running = route_running.saturating_sub(1);
         }
-        if run.alone {
-            self.alone_running = false;
+        if run.must_run_alone {
+            self.is_lone_request_running = false;
         }
     }
 
     /// Starts waiting requests while there is room.
     fn start_waiting(&mut self, now: Instant) {
         self.refuse_overdue(now);
-        while self.running.len() < self.limit.get() && !self.alone_running {
+        while self.running.len() < self.limit.get() && !self.is_lone_request_running {
             let Some(key) = self.next_to_start() else { return };
             let Some(waiting) = self.queue.remove(key) else { return };
             let run = self.start(now, waiting.offer);
@@ -294,7 +294,7 @@
     /// Returns the waiting request to start next: callers with the fewest running requests go
     /// first, then the earliest turn.
     fn next_to_start(&self) -> Option<WaitKey> {
-        if let Some((key, waiting)) = self.queue.first_alone() {
+        if let Some((key, waiting)) = self.queue.first_lone_request() {
             return self.can_start(&waiting.offer).then_some(key);
         }
         let startable = self.queue.iter().filter(|(_, waiting)| self.can_start(&waiting.offer));
--- a/crates/yuccarack_policy/src/admission/offer.rs
+++ b/crates/yuccarack_policy/src/admission/offer.rs
@@ -34,7 +34,7 @@
     /// When the caller gives up.
     pub deadline: Instant,
     /// Whether the request may run only with nothing else in flight on the target.
-    pub alone: bool,
+    pub must_run_alone: bool,
 }
 
 /// Decision on an offered request.
--- a/crates/yuccarack_policy/src/admission/queue.rs
+++ b/crates/yuccarack_policy/src/admission/queue.rs
@@ -33,7 +33,7 @@
     nonempty_since: Option<Instant>,
     /// Earliest time at which a request may have to be rejected; the actual one may be later.
     earliest_give_up: Option<Instant>,
-    alone: usize,
+    must_run_alone_count: usize,
 }
 
 /// Number of a caller's waiting requests, and the turn of its latest one.
@@ -51,7 +51,7 @@
             by_caller: HashMap::new(),
             nonempty_since: None,
             earliest_give_up: None,
-            alone: 0,
+            must_run_alone_count: 0,
         }
     }
 
@@ -79,7 +79,7 @@
             .and_modify(|caller| caller.turn_at = now.max(caller.turn_at + turn))
             .or_insert(CallerQueue { count: 0, turn_at: now });
         caller.count += 1;
-        self.alone += usize::from(waiting.offer.alone);
+        self.must_run_alone_count += usize::from(waiting.offer.must_run_alone);
         let give_up_at = waiting.give_up_at;
         self.earliest_give_up =
             Some(self.earliest_give_up.map_or(give_up_at, |at| at.min(give_up_at)));
@@ -95,7 +95,7 @@
             self.nonempty_since = None;
             self.earliest_give_up = None;
         }
-        self.alone -= usize::from(waiting.offer.alone);
+        self.must_run_alone_count -= usize::from(waiting.offer.must_run_alone);
         if let Some(caller) = self.by_caller.get_mut(&waiting.offer.caller) {
             caller.count -= 1;
             if caller.count == 0 {
@@ -119,15 +119,15 @@
         self.order.iter().map(|&key| (key, &self.waiting[key].waiting))
     }
 
-    pub fn has_alone(&self) -> bool {
-        self.alone > 0
+    pub fn has_lone_request(&self) -> bool {
+        self.must_run_alone_count > 0
     }
 
-    pub fn first_alone(&self) -> Option<(WaitKey, &Waiting)> {
-        if self.alone == 0 {
+    pub fn first_lone_request(&self) -> Option<(WaitKey, &Waiting)> {
+        if self.must_run_alone_count == 0 {
             return None;
         }
-        self.iter().find(|(_, waiting)| waiting.offer.alone)
+        self.iter().find(|(_, waiting)| waiting.offer.must_run_alone)
     }
 
     pub fn caller_len(&self, caller: u64) -> usize {
--- a/crates/yuccarack_policy/src/choice/refusal.rs
+++ b/crates/yuccarack_policy/src/choice/refusal.rs
@@ -9,13 +9,13 @@
     #[error("no target of the service is known")]
     NoMembers,
     /// Every ready target is excluded because it has been tried already.
-    #[error("every ready target was tried")]
+    #[error("every ready target of the service was already tried")]
     AllExcluded,
     /// No target is ready and some are starting.
-    #[error("the targets are starting")]
+    #[error("no target of the service is ready, some are starting")]
     AllStarting,
     /// No target is ready and all are draining.
-    #[error("the targets are draining")]
+    #[error("no target of the service is ready, all are draining")]
     AllDraining,
 }
 
--- a/crates/yuccarack_policy/src/cold_rate.rs
+++ b/crates/yuccarack_policy/src/cold_rate.rs
@@ -175,8 +175,8 @@
         self.dispatches.push_back(Dispatch { dispatched_at: now, is_cold });
     }
 
-    /// Returns when to ask the target whether it is warm: at the reported end of its cold time, else
-    /// once the bound is near. Returns `None` while the bound is far off.
+    /// Returns when to ask the target whether it is warm: at the reported end of its cold time, or
+    /// otherwise once the bound is near. Returns `None` while the bound is far off.
     pub fn health_check_due_at(&self, now: Instant) -> Option<Instant> {
         let bound = self.bound?;
         let interval_ends_at =
--- a/crates/yuccarack_policy/src/crash_counts.rs
+++ b/crates/yuccarack_policy/src/crash_counts.rs
@@ -63,7 +63,7 @@
     }
 
     /// Returns whether the request is no longer dispatched.
-    pub fn is_blocked(&self, now: Instant, request: Fingerprint) -> bool {
+    pub fn is_quarantined(&self, now: Instant, request: Fingerprint) -> bool {
         let count = self.counts.get(&request);
         count.is_some_and(|count| count.crashes >= CRASHES_MAX && count.expires_at > now)
     }
--- a/crates/yuccarack_policy/src/retry.rs
+++ b/crates/yuccarack_policy/src/retry.rs
@@ -60,7 +60,7 @@
     /// How the attempt failed.
     pub failure: AttemptFailure,
     /// Whether the request may run more than once.
-    pub repeatable: bool,
+    pub is_repeatable: bool,
     /// Number of services that the call has passed through; 1 for the first call.
     pub depth: u8,
 }
@@ -149,7 +149,7 @@
         now: Instant,
         candidate: &RetryCandidate,
     ) -> Result<RetryReason, GiveUpReason> {
-        if candidate.failure.may_have_run() && !candidate.repeatable {
+        if candidate.failure.may_have_run() && !candidate.is_repeatable {
             return Err(GiveUpReason::NotRepeatable);
         }
         if candidate.failure.may_have_run() && candidate.depth > OUTERMOST_DEPTH {
--- a/crates/yuccarack_policy/src/suspects.rs
+++ b/crates/yuccarack_policy/src/suspects.rs
@@ -111,12 +111,12 @@
         &mut self,
         now: Instant,
         in_flight: &[Fingerprint],
-        alone: bool,
+        ran_alone: bool,
     ) -> Vec<(Fingerprint, SuspectPhase)> {
         let mut phases = Vec::with_capacity(in_flight.len());
         for &fingerprint in in_flight {
             self.expire(now, fingerprint);
-            let phase = self.phase_after_crash(fingerprint, alone);
+            let phase = self.phase_after_crash(fingerprint, ran_alone);
             self.insert(now, fingerprint, phase);
             phases.push((fingerprint, phase));
         }
@@ -161,10 +161,10 @@
         self.known.is_empty()
     }
 
-    fn phase_after_crash(&self, fingerprint: Fingerprint, alone: bool) -> SuspectPhase {
+    fn phase_after_crash(&self, fingerprint: Fingerprint, ran_alone: bool) -> SuspectPhase {
         match self.known.get(&fingerprint).map(|known| known.phase) {
             Some(SuspectPhase::Quarantined) => SuspectPhase::Quarantined,
-            Some(_) if alone => SuspectPhase::Quarantined,
+            Some(_) if ran_alone => SuspectPhase::Quarantined,
             Some(_) | None => SuspectPhase::Suspected,
         }
     }
--- a/crates/yuccarack_policy/src/unreachable_members.rs
+++ b/crates/yuccarack_policy/src/unreachable_members.rs
@@ -16,14 +16,14 @@
 /// off itself and reports none.
 #[derive(Clone, Debug)]
 pub struct UnreachableMembers {
-    removal_delay: Duration,
+    remove_after: Duration,
     unreachable_since: HashMap<InstanceId, Instant>,
 }
 
 impl UnreachableMembers {
-    /// Creates an empty record; a member counts as lost when unreachable for `removal_delay`.
-    pub fn new(removal_delay: Duration) -> Self {
-        Self { removal_delay, unreachable_since: HashMap::new() }
+    /// Creates an empty record; a member counts as lost when unreachable for `remove_after`.
+    pub fn new(remove_after: Duration) -> Self {
+        Self { remove_after, unreachable_since: HashMap::new() }
     }
 
     /// Records a round of probes, each with whether the member was reached, and returns the members
@@ -44,7 +44,7 @@
         let unreachable = probes.iter().filter(|(_, is_reached)| !is_reached);
         let is_lost = |member: &&InstanceId| {
             let since = *self.unreachable_since.entry((*member).clone()).or_insert(now);
-            now.saturating_duration_since(since) >= self.removal_delay
+            now.saturating_duration_since(since) >= self.remove_after
         };
         unreachable.map(|(member, _)| member).filter(is_lost).cloned().collect()
     }
--- a/crates/yuccarack_policy/tests/absences.rs
+++ b/crates/yuccarack_policy/tests/absences.rs
@@ -4,7 +4,7 @@
 
 use yuccarack_policy::unreachable_members::UnreachableMembers;
 
-const REMOVAL_DELAY: Duration = Duration::from_secs(600);
+const REMOVE_AFTER: Duration = Duration::from_secs(600);
 const PROBE_INTERVAL: Duration = Duration::from_secs(60);
 
 fn probes(reached: &[(&str, bool)]) -> Vec<(String, bool)> {
@@ -15,7 +15,7 @@
 /// network partition between failure domains lasts for minutes too.
 #[test]
 fn a_member_unreachable_for_long_is_lost() {
-    let (mut members, start) = (UnreachableMembers::new(REMOVAL_DELAY), Instant::now());
+    let (mut members, start) = (UnreachableMembers::new(REMOVE_AFTER), Instant::now());
     let one_unreachable = probes(&[("a", false), ("b", true)]);
     for minute in 0..10 {
         assert!(
@@ -30,7 +30,7 @@
 /// uninterrupted time counts.
 #[test]
 fn a_member_reached_in_between_starts_anew() {
-    let (mut members, start) = (UnreachableMembers::new(REMOVAL_DELAY), Instant::now());
+    let (mut members, start) = (UnreachableMembers::new(REMOVE_AFTER), Instant::now());
     for minute in 0..30 {
         let is_reached = minute % 10 == 9;
         let probes = probes(&[("a", is_reached), ("b", true)]);
@@ -45,7 +45,7 @@
 /// removed them, the whole failure domain would be missing from the table.
 #[test]
 fn a_daemon_that_reaches_nobody_reports_nothing() {
-    let (mut members, start) = (UnreachableMembers::new(REMOVAL_DELAY), Instant::now());
+    let (mut members, start) = (UnreachableMembers::new(REMOVE_AFTER), Instant::now());
     let all_unreachable = probes(&[("a", false), ("b", false)]);
     for minute in 0..60 {
         assert!(
--- a/crates/yuccarack_policy/tests/admission.rs
+++ b/crates/yuccarack_policy/tests/admission.rs
@@ -32,13 +32,14 @@
     }
 
     fn offer_for(&mut self, caller: u64, route: usize, time: Duration) -> AdmissionDecision {
-        let offer = Offer { caller, route, deadline: self.now + time, alone: false };
+        let offer = Offer { caller, route, deadline: self.now + time, must_run_alone: false };
         self.admission.offer(self.now, offer)
     }
 
     fn offer_alone(&mut self) -> AdmissionDecision {
         let deadline = self.now + Duration::from_secs(1);
-        self.admission.offer(self.now, Offer { caller: 99, route: 0, deadline, alone: true })
+        self.admission
+            .offer(self.now, Offer { caller: 99, route: 0, deadline, must_run_alone: true })
     }
 
     fn run(&mut self, caller: u64, route: usize) -> RunKey {
@@ -79,16 +80,16 @@
         gate.wait(2, 0);
     }
     let light = gate.wait(3, 0);
-    let settled = gate.admission.poll(gate.now);
+    let outcomes = gate.admission.poll(gate.now);
     assert!(matches!(
-        settled[..],
+        outcomes[..],
         [WaitOutcome::Refused(_, refusal)] if refusal.reason == RefusalReason::CallerShare
     ));
     let mut started = Vec::new();
     let mut run = runs[0];
     for _ in 0..3 {
-        let settled = gate.complete(run);
-        let [WaitOutcome::Run(waiting, next)] = settled[..] else { panic!("{settled:?}") };
+        let outcomes = gate.complete(run);
+        let [WaitOutcome::Run(waiting, next)] = outcomes[..] else { panic!("{outcomes:?}") };
         started.push(waiting);
         run = next;
     }
@@ -145,9 +146,9 @@
     let wake = gate.admission.next_wake().unwrap();
     assert!(wake <= gate.now + Duration::from_millis(90));
     gate.now = wake;
-    let settled = gate.admission.poll(gate.now);
+    let outcomes = gate.admission.poll(gate.now);
     assert!(matches!(
-        settled[..],
+        outcomes[..],
         [WaitOutcome::Refused(key, refusal)]
             if key == waiting && refusal.reason == RefusalReason::DeadlineClose
     ));
@@ -165,8 +166,8 @@
     }
     for caller in 11..41 {
         gate.now += SERVICE_TIME;
-        let settled = gate.complete(run);
-        let [WaitOutcome::Run(_, next)] = settled[..] else { panic!("{settled:?}") };
+        let outcomes = gate.complete(run);
+        let [WaitOutcome::Run(_, next)] = outcomes[..] else { panic!("{outcomes:?}") };
         run = next;
         gate.offer(caller, 0);
     }
@@ -181,9 +182,9 @@
     let run = gate.run(1, 0);
     let waiting = gate.wait(2, 0);
     gate.admission.drain();
-    let settled = gate.admission.poll(gate.now);
+    let outcomes = gate.admission.poll(gate.now);
     assert!(matches!(
-        settled[..],
+        outcomes[..],
         [WaitOutcome::Refused(key, refusal)]
             if key == waiting && refusal.reason == RefusalReason::Draining
     ));
@@ -201,12 +202,12 @@
     let run = gate.run(1, 0);
     let AdmissionDecision::Wait(suspect) = gate.offer_alone() else { panic!("should wait") };
     let other = gate.wait(2, 0);
-    let settled = gate.complete(run);
-    let [WaitOutcome::Run(key, alone)] = settled[..] else { panic!("{settled:?}") };
+    let outcomes = gate.complete(run);
+    let [WaitOutcome::Run(key, alone)] = outcomes[..] else { panic!("{outcomes:?}") };
     assert_eq!(key, suspect);
     let late = gate.wait(3, 0);
-    let settled = gate.complete(alone);
-    let started: Vec<_> = settled.iter().map(|outcome| outcome.wait_key()).collect();
+    let outcomes = gate.complete(alone);
+    let started: Vec<_> = outcomes.iter().map(|outcome| outcome.wait_key()).collect();
     assert_eq!(started, [other, late]);
 }
 
@@ -279,9 +280,9 @@
     gate.wait(5, 0);
     gate.now += Duration::from_millis(60);
     assert_eq!(reason(gate.offer(6, 0)), RefusalReason::Stalled);
-    let settled = gate.admission.poll(gate.now);
+    let outcomes = gate.admission.poll(gate.now);
     assert!(matches!(
-        settled[..],
+        outcomes[..],
         [WaitOutcome::Refused(_, refusal)] if refusal.reason == RefusalReason::Stalled
     ));
 }
--- a/crates/yuccarack_policy/tests/cold_rate.rs
+++ b/crates/yuccarack_policy/tests/cold_rate.rs
@@ -249,8 +249,8 @@
     let mut urgent_waits = Vec::new();
     for at_ms in 0..2_500 {
         let now = start + ms(at_ms);
-        let settled = queue.poll(now);
-        for result in settled {
+        let results = queue.poll(now);
+        for result in results {
             if let WaitResult::Run(waiting, run) = result {
                 urgent_waits.retain(|(key, since): &(_, Instant)| {
                     let is_started = *key == waiting;
@@ -344,7 +344,7 @@
     let QueueDecision::Wait(first) = queue.offer(now, long_waiting(urgent)) else {
         panic!("refused")
     };
-    let settled = queue.poll(now + WINDOW / 5);
-    let Some(WaitResult::Run(started, _)) = settled.first() else { panic!("{settled:?}") };
+    let results = queue.poll(now + WINDOW / 5);
+    let Some(WaitResult::Run(started, _)) = results.first() else { panic!("{results:?}") };
     assert_eq!(*started, first);
 }
--- a/crates/yuccarack_policy/tests/crash_counts.rs
+++ b/crates/yuccarack_policy/tests/crash_counts.rs
@@ -1,4 +1,4 @@
-//! Tests that a request that crashes targets is blocked after its third crash.
+//! Tests that a request that crashes targets is quarantined after its third crash.
 
 use std::time::{Duration, Instant};
 
@@ -6,18 +6,18 @@
 
 /// One request crashes target after target, and its caller keeps sending it.
 #[test]
-fn a_request_is_blocked_after_the_third_crash() {
+fn a_request_is_quarantined_after_the_third_crash() {
     let now = Instant::now();
     let mut counts = CrashCounts::new();
     for crashes in 0..3 {
-        assert!(!counts.is_blocked(now, 7), "blocked after {crashes} crashes");
+        assert!(!counts.is_quarantined(now, 7), "quarantined after {crashes} crashes");
         counts.record_crash(now, 7);
     }
-    assert!(counts.is_blocked(now, 7));
-    assert!(!counts.is_blocked(now, 8));
-    assert!(!counts.is_blocked(now + RETENTION, 7));
+    assert!(counts.is_quarantined(now, 7));
+    assert!(!counts.is_quarantined(now, 8));
+    assert!(!counts.is_quarantined(now + RETENTION, 7));
     counts.record_crash(now + RETENTION, 7);
-    assert!(!counts.is_blocked(now + RETENTION, 7), "expired crashes still count");
+    assert!(!counts.is_quarantined(now + RETENTION, 7), "expired crashes still count");
 }
 
 /// A request that many callers send is running at each crash by chance. Its next successful
@@ -31,7 +31,7 @@
         counts.record_crash(now, 7);
         counts.clear(7);
     }
-    assert!(!counts.is_blocked(now, 7));
+    assert!(!counts.is_quarantined(now, 7));
 }
 
 #[test]
@@ -45,11 +45,11 @@
         counts.record_crash(now, 5);
         counts.record_crash(now, 99_999);
     }
-    assert!(counts.is_blocked(now, 5));
-    assert!(!counts.is_blocked(now, 99_999), "counted beyond the bound");
+    assert!(counts.is_quarantined(now, 5));
+    assert!(!counts.is_quarantined(now, 99_999), "counted beyond the bound");
     let later = now + RETENTION + Duration::from_secs(1);
     for _ in 0..3 {
         counts.record_crash(later, 99_999);
     }
-    assert!(counts.is_blocked(later, 99_999));
+    assert!(counts.is_quarantined(later, 99_999));
 }
--- a/crates/yuccarack_policy/tests/retry.rs
+++ b/crates/yuccarack_policy/tests/retry.rs
@@ -11,7 +11,7 @@
 
 fn failed_attempt(now: Instant, failure: AttemptFailure) -> RetryCandidate {
     let deadline = now + Duration::from_secs(1);
-    RetryCandidate { number: 1, deadline, failure, repeatable: true, depth: 1 }
+    RetryCandidate { number: 1, deadline, failure, is_repeatable: true, depth: 1 }
 }
 
 fn is_again(decision: RetryDecision) -> bool {
@@ -59,7 +59,7 @@
     let now = Instant::now();
     let mut policy = RetryPolicy::new(&RetryRules::default());
     let mut decide = |failure| {
-        policy.decide(now, RetryCandidate { repeatable: false, ..failed_attempt(now, failure) })
+        policy.decide(now, RetryCandidate { is_repeatable: false, ..failed_attempt(now, failure) })
     };
     let give_up = RetryDecision::GiveUp { reason: GiveUpReason::NotRepeatable };
     assert_eq!(decide(AttemptFailure::BrokenUnknown), give_up);
--- a/crates/yuccarack_policy/tests/stall.rs
+++ b/crates/yuccarack_policy/tests/stall.rs
@@ -16,7 +16,7 @@
 }
 
 fn offer(now: Instant) -> Offer {
-    Offer { caller: 1, route: 0, deadline: now + Duration::from_secs(1), alone: false }
+    Offer { caller: 1, route: 0, deadline: now + Duration::from_secs(1), must_run_alone: false }
 }
 
 fn run(gate: &mut Admission, now: Instant) -> RunKey {
--- a/crates/yuccarack_policy/tests/work_queue.rs
+++ b/crates/yuccarack_policy/tests/work_queue.rs
@@ -159,8 +159,8 @@
     let mut order_of_start = Vec::new();
     for key in running.into_iter().take(3) {
         queue.release(now + ms(10), key, WorkOutcome::Aborted);
-        for settled in queue.poll(now + ms(10)) {
-            let WaitResult::Run(waiting, _) = settled else { panic!("refused") };
+        for result in queue.poll(now + ms(10)) {
+            let WaitResult::Run(waiting, _) = result else { panic!("refused") };
             order_of_start.push(waiting);
         }
     }
@@ -190,8 +190,8 @@
         if let Some(key) = running.pop() {
             queue.release(at, key, WorkOutcome::Completed);
         }
-        for settled in queue.poll(at) {
-            match settled {
+        for result in queue.poll(at) {
+            match result {
                 WaitResult::Run(_, key) => running.insert(0, key),
                 WaitResult::Refused(key, refusal) if key == first => {
                     assert_eq!(refusal.reason, QueueRefusalReason::TooLate);
@@ -232,11 +232,11 @@
     };
     let wake = queue.next_wake(now).expect("a time to poll");
     assert!(wake < now + ms(2_000), "due only after its caller has given up");
-    let settled = queue.poll(now + ms(1_950));
-    let is_rejected = settled
+    let results = queue.poll(now + ms(1_950));
+    let is_rejected = results
         .iter()
-        .any(|settled| matches!(settled, WaitResult::Refused(rejected, _) if *rejected == key));
-    assert!(is_rejected, "not rejected: {settled:?}");
+        .any(|result| matches!(result, WaitResult::Refused(rejected, _) if *rejected == key));
+    assert!(is_rejected, "not rejected: {results:?}");
 }
 
 /// A target was slow for a while and is fast now. By the slow estimate a waiting request was due
--- a/crates/yuccarackd/src/coordination/entry/attempts.rs
+++ b/crates/yuccarackd/src/coordination/entry/attempts.rs
@@ -86,7 +86,7 @@
             number,
             deadline: self.call.deadline,
             failure: failed.failure,
-            repeatable: self.call.is_repeatable || failed.is_guarded,
+            is_repeatable: self.call.is_repeatable || failed.is_guarded,
             depth: self.call.head.depth,
         };
         let counters = &self.entry.parts.counters;
--- a/crates/yuccarackd/src/coordination/routed/gate/crash_tracker.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/crash_tracker.rs
@@ -80,7 +80,7 @@
 
     /// Returns whether the request is quarantined, that is, no longer dispatched to targets.
     pub fn is_quarantined(&self, fingerprint: Fingerprint) -> bool {
-        self.inner.counts.lock().is_blocked(Instant::now().into(), fingerprint)
+        self.inner.counts.lock().is_quarantined(Instant::now().into(), fingerprint)
     }
 
     /// Records that a target responded to the request, so it crashed nothing.
