--- a/crates/yuccarackctl/src/admin_client.rs
+++ b/crates/yuccarackctl/src/admin_client.rs
@@ -15,20 +15,20 @@
 use crate::errors::CtlError;
 
 /// Most characters of a daemon's refusal that are told on.
-const REFUSAL_LENGTH_MAX: usize = 200;
+const REFUSAL_CHARS_MAX: usize = 200;
 
 /// Asks daemons; each answer may take as long as it was made with.
 #[derive(Clone, Debug)]
 pub struct AdminClient {
     client: Client<HttpConnector, Full<Bytes>>,
-    answer_timeout: Duration,
+    response_timeout: Duration,
 }
 
 impl AdminClient {
-    /// Makes a client that waits `answer_timeout` for each answer.
-    pub fn new(answer_timeout: Duration) -> Self {
+    /// Makes a client that waits `response_timeout` for each answer.
+    pub fn new(response_timeout: Duration) -> Self {
         let client = Client::builder(TokioExecutor::new()).build(HttpConnector::new());
-        Self { client, answer_timeout }
+        Self { client, response_timeout }
     }
 
     /// Reads `path` of the daemon at `address`; none for what it doesn't know.
@@ -41,13 +41,13 @@
         address: SocketAddr,
         path: &str,
     ) -> Result<Option<T>, CtlError> {
-        let (status, body) = self.ask(Method::GET, address, path).await?;
+        let (status, body) = self.send_request(Method::GET, address, path).await?;
         if status == StatusCode::NOT_FOUND {
             return Ok(None);
         }
         match serde_json::from_slice(&body) {
-            Ok(answer) if status.is_success() => Ok(Some(answer)),
-            _ => Err(refused(address, status, &body)),
+            Ok(response) if status.is_success() => Ok(Some(response)),
+            _ => Err(refusal_error(address, status, &body)),
         }
     }
 
@@ -57,14 +57,14 @@
     ///
     /// The daemon can't be reached or refused.
     pub async fn post(&self, address: SocketAddr, path: &str) -> Result<(), CtlError> {
-        let (status, body) = self.ask(Method::POST, address, path).await?;
+        let (status, body) = self.send_request(Method::POST, address, path).await?;
         match status.is_success() {
             true => Ok(()),
-            false => Err(refused(address, status, &body)),
+            false => Err(refusal_error(address, status, &body)),
         }
     }
 
-    async fn ask(
+    async fn send_request(
         &self,
         method: Method,
         address: SocketAddr,
@@ -77,16 +77,16 @@
                 .uri(format!("http://{address}{path}"))
                 .body(Full::new(Bytes::new()))
                 .map_err(|_| unreachable())?;
-            let answer = self.client.request(request).await.map_err(|_| unreachable())?;
-            let status = answer.status();
-            let body = answer.into_body().collect().await.map_err(|_| unreachable())?;
+            let response = self.client.request(request).await.map_err(|_| unreachable())?;
+            let status = response.status();
+            let body = response.into_body().collect().await.map_err(|_| unreachable())?;
             Ok((status, body.to_bytes()))
         };
-        timeout(self.answer_timeout, exchange).await.unwrap_or_else(|_| Err(unreachable()))
+        timeout(self.response_timeout, exchange).await.unwrap_or_else(|_| Err(unreachable()))
     }
 }
 
-fn refused(address: SocketAddr, status: StatusCode, body: &[u8]) -> CtlError {
-    let body = String::from_utf8_lossy(body).chars().take(REFUSAL_LENGTH_MAX).collect();
+fn refusal_error(address: SocketAddr, status: StatusCode, body: &[u8]) -> CtlError {
+    let body = String::from_utf8_lossy(body).chars().take(REFUSAL_CHARS_MAX).collect();
     CtlError::DaemonRefused { address, status: status.as_u16(), body }
 }
--- a/crates/yuccarackctl/src/commands/apply.rs
+++ b/crates/yuccarackctl/src/commands/apply.rs
@@ -17,7 +17,7 @@
     rows::applied_key,
 };
 
-use super::platform;
+use super::platform_client;
 use crate::{admin_client::AdminClient, errors::CtlError, options::Common, report::Report};
 
 /// Longest wait for one daemon's answer.
@@ -28,7 +28,7 @@
 
 /// What is to be applied, by whom.
 #[derive(Clone, Debug)]
-pub(super) struct Application {
+pub(super) struct ApplyRequest {
     pub operator: String,
     pub apply_id: Option<String>,
     pub wait: bool,
@@ -37,7 +37,7 @@
 
 /// The part of a daemon's status that tells which rules it has in force.
 #[derive(Debug, Deserialize)]
-struct DaemonRules {
+struct DaemonStatus {
     services: Vec<ServiceRevision>,
 }
 
@@ -47,10 +47,10 @@
     rules_revision: Revision,
 }
 
-pub(super) async fn apply(common: &Common, application: Application) -> Result<Report, CtlError> {
+pub(super) async fn apply(common: &Common, request: ApplyRequest) -> Result<Report, CtlError> {
     let deadline = Instant::now() + common.timeout();
-    let proposal = proposal(&application)?;
-    let platform = platform(common)?;
+    let proposal = read_proposal(&request)?;
+    let platform = platform_client(common)?;
     check_based_on(&platform, &proposal).await?;
     let accepted = accept(&platform, &proposal, deadline).await?;
     let client = AdminClient::new(DAEMON_TIMEOUT);
@@ -58,26 +58,26 @@
         // A hint saves a poll's delay and no more: the rules are accepted without it.
         let _ = client.post(*daemon, "/hint").await;
     }
-    if !application.wait {
-        return Ok(report(&accepted, &[]));
+    if !request.wait {
+        return Ok(apply_report(&accepted, &[]));
     }
-    let late = wait_in_force(&client, &common.daemons, &accepted, deadline).await;
-    if late.is_empty() {
-        return Ok(report(&accepted, &common.daemons));
+    let pending = wait_in_force(&client, &common.daemons, &accepted, deadline).await;
+    if pending.is_empty() {
+        return Ok(apply_report(&accepted, &common.daemons));
     }
-    Err(CtlError::NotInForce { revision: accepted.revision, daemons: late })
+    Err(CtlError::NotInForce { revision: accepted.revision, daemons: pending })
 }
 
 /// Without an id of the operator's, the same file has the same id: whoever runs the same command
 /// again, since the tool was killed or its answer got lost, hears the fate of the first run.
-fn proposal(application: &Application) -> Result<Proposal, CtlError> {
-    let file = &application.file;
+fn read_proposal(request: &ApplyRequest) -> Result<Proposal, CtlError> {
+    let file = &request.file;
     let text = std::fs::read(file)
         .map_err(|source| FileError::Unreadable { path: file.clone(), source })?;
     let rules = RulesFile::parse(&text)?;
-    let operator = application.operator.clone();
+    let operator = request.operator.clone();
     let mut proposal = Proposal::new(String::new(), operator, rules, Bytes::from(text));
-    proposal.apply_id = application.apply_id.clone().unwrap_or_else(|| proposal.object_name());
+    proposal.apply_id = request.apply_id.clone().unwrap_or_else(|| proposal.object_name());
     Ok(proposal)
 }
 
@@ -103,34 +103,34 @@
     accepted: &AcceptedFile,
     deadline: Instant,
 ) -> Vec<SocketAddr> {
-    let mut late = daemons.to_vec();
+    let mut pending = daemons.to_vec();
     loop {
-        let mut still_late = Vec::new();
-        for daemon in late {
-            if !has_in_force(client, daemon, accepted).await {
-                still_late.push(daemon);
+        let mut still_pending = Vec::new();
+        for daemon in pending {
+            if !is_in_force_at(client, daemon, accepted).await {
+                still_pending.push(daemon);
             }
         }
-        late = still_late;
-        if late.is_empty() || Instant::now() >= deadline {
-            return late;
+        pending = still_pending;
+        if pending.is_empty() || Instant::now() >= deadline {
+            return pending;
         }
         sleep(POLL_INTERVAL).await;
     }
 }
 
 /// A daemon that doesn't know a service has nothing older of it in force.
-async fn has_in_force(client: &AdminClient, daemon: SocketAddr, accepted: &AcceptedFile) -> bool {
-    let status = client.get::<DaemonRules>(daemon, "/status").await;
+async fn is_in_force_at(client: &AdminClient, daemon: SocketAddr, accepted: &AcceptedFile) -> bool {
+    let status = client.get::<DaemonStatus>(daemon, "/status").await;
     let Ok(Some(status)) = status else { return false };
-    let changed = |name: &ServiceName| {
+    let is_affected = |name: &ServiceName| {
         accepted.applied.services.contains(name) || accepted.applied.removed.contains(name)
     };
-    let known = status.services.iter().filter(|service| changed(&service.name));
-    known.into_iter().all(|service| service.rules_revision >= accepted.revision)
+    let affected = status.services.iter().filter(|service| is_affected(&service.name));
+    affected.into_iter().all(|service| service.rules_revision >= accepted.revision)
 }
 
-fn report(accepted: &AcceptedFile, in_force_at: &[SocketAddr]) -> Report {
+fn apply_report(accepted: &AcceptedFile, in_force_at: &[SocketAddr]) -> Report {
     let applied = &accepted.applied;
     let mut text = format!("accepted at revision {} as {}", accepted.revision, applied.apply_id);
     for service in &applied.services {
--- a/crates/yuccarackctl/src/commands/claim.rs
+++ b/crates/yuccarackctl/src/commands/claim.rs
@@ -9,11 +9,11 @@
     rows::{ClaimRow, ClaimState, claim_key, claim_prefix},
 };
 
-use super::platform;
+use super::platform_client;
 use crate::{
     errors::CtlError,
     options::{ClaimCommand, Common},
-    report::{Report, outline, table},
+    report::{Report, format_fields, format_table},
 };
 
 /// Wait between two tries to release.
@@ -21,7 +21,7 @@
 
 /// A claim as the table has it.
 #[derive(Clone, Debug)]
-struct FoundClaim {
+struct StoredClaim {
     revision: Revision,
     row: ClaimRow,
 }
@@ -29,19 +29,19 @@
 pub(super) async fn claim(command: ClaimCommand) -> Result<Report, CtlError> {
     match command {
         ClaimCommand::List { common, open, instance, service } => {
-            let rows = platform(&common)?.rows(&claim_prefix(&service)).await?.rows;
-            let mut claims = rows.into_iter().map(parse).collect::<Result<Vec<_>, _>>()?;
+            let rows = platform_client(&common)?.rows(&claim_prefix(&service)).await?.rows;
+            let mut claims = rows.into_iter().map(parse_claim).collect::<Result<Vec<_>, _>>()?;
             claims.retain(|claim| !open || claim.row.state == ClaimState::Open);
             claims.retain(|claim| instance.as_ref().is_none_or(|i| *i == claim.row.instance));
-            Ok(report_list(&claims))
+            Ok(list_report(&claims))
         }
         ClaimCommand::Show { common, service, key } => {
-            let found = find(&platform(&common)?, &service, &key).await?;
-            Ok(report_one(&found, "found"))
+            let found = find_claim(&platform_client(&common)?, &service, &key).await?;
+            Ok(claim_report(&found, "found"))
         }
         ClaimCommand::Release { common, yes, revision, service, key } => {
-            let client = platform(&common)?;
-            let found = find(&client, &service, &key).await?;
+            let client = platform_client(&common)?;
+            let found = find_claim(&client, &service, &key).await?;
             if revision.is_some_and(|revision| revision != found.revision) {
                 return Err(CtlError::ClaimChanged { revision: found.revision });
             }
@@ -53,7 +53,7 @@
                 return Err(CtlError::NotConfirmed { instance, revision: found.revision });
             }
             release(&client, &common, &found).await?;
-            Ok(report_one(&found, "released"))
+            Ok(claim_report(&found, "released"))
         }
     }
 }
@@ -66,7 +66,7 @@
 async fn release(
     client: &PlatformClient,
     common: &Common,
-    found: &FoundClaim,
+    found: &StoredClaim,
 ) -> Result<(), CtlError> {
     let deadline = Instant::now() + common.timeout();
     let key = claim_key(&found.row.service, &found.row.key);
@@ -74,7 +74,7 @@
         conditions: vec![Condition::new(&key, Precondition::BeAt(found.revision))],
         writes: vec![Write::delete(&key)],
     };
-    let mut in_doubt = false;
+    let mut is_outcome_unknown = false;
     loop {
         let error = match client.commit(&commit).await {
             Ok(_) => return Ok(()),
@@ -82,17 +82,17 @@
                 let revision = failed.first().map_or(0, |failed| failed.revision);
                 // Nobody else takes an open claim's row away without having held it, so an absent
                 // row is the effect of the try whose answer was lost.
-                if in_doubt && revision == 0 {
+                if is_outcome_unknown && revision == 0 {
                     return Ok(());
                 }
                 return Err(CtlError::ClaimChanged { revision });
             }
             Err(error) => error,
         };
-        in_doubt |= !error.is_not_written();
+        is_outcome_unknown |= !error.is_not_written();
         if Instant::now() >= deadline {
-            return Err(match in_doubt {
-                true => CtlError::ReleaseUnknown,
+            return Err(match is_outcome_unknown {
+                true => CtlError::ReleaseOutcomeUnknown,
                 false => error.into(),
             });
         }
@@ -100,40 +100,44 @@
     }
 }
 
-async fn find(client: &PlatformClient, service: &str, key: &str) -> Result<FoundClaim, CtlError> {
+async fn find_claim(
+    client: &PlatformClient,
+    service: &str,
+    key: &str,
+) -> Result<StoredClaim, CtlError> {
     match client.row(&claim_key(service, key)).await? {
-        Some(row) => parse(row),
+        Some(row) => parse_claim(row),
         None => Err(CtlError::NotFound { what: format!("claim {key} of {service}") }),
     }
 }
 
-fn parse(row: Row) -> Result<FoundClaim, CtlError> {
+fn parse_claim(row: Row) -> Result<StoredClaim, CtlError> {
     let revision = row.revision;
     let row = serde_json::from_value(row.value).map_err(PlatformError::Malformed)?;
-    Ok(FoundClaim { revision, row })
+    Ok(StoredClaim { revision, row })
 }
 
-fn report_one(found: &FoundClaim, word: &str) -> Report {
-    let row = readable(&found.row);
-    let text = format!("{word} at revision {}\n{}", found.revision, outline(&row));
-    Report::new(text, json!({"result": word, "revision": found.revision, "claim": row}))
+fn claim_report(found: &StoredClaim, result: &str) -> Report {
+    let row = claim_json(&found.row);
+    let text = format!("{result} at revision {}\n{}", found.revision, format_fields(&row));
+    Report::new(text, json!({"result": result, "revision": found.revision, "claim": row}))
 }
 
-fn report_list(claims: &[FoundClaim]) -> Report {
-    let lines: Vec<_> = claims.iter().map(line).collect();
+fn list_report(claims: &[StoredClaim]) -> Report {
+    let table_rows: Vec<_> = claims.iter().map(table_row).collect();
     let header = ["key", "state", "instance", "claimed_at_unix_ms", "revision"];
     let json = claims
         .iter()
-        .map(|found| json!({"revision": found.revision, "claim": readable(&found.row)}))
+        .map(|found| json!({"revision": found.revision, "claim": claim_json(&found.row)}))
         .collect();
-    Report::new(table(&header, &lines), json)
+    Report::new(format_table(&header, &table_rows), json)
 }
 
-fn line(found: &FoundClaim) -> Vec<String> {
+fn table_row(found: &StoredClaim) -> Vec<String> {
     let row = &found.row;
     vec![
         row.key.clone(),
-        state(row.state).to_owned(),
+        state_name(row.state).to_owned(),
         row.instance.clone(),
         row.claimed_at_unix_ms.to_string(),
         found.revision.to_string(),
@@ -141,14 +145,14 @@
 }
 
 /// The attempt as callers and targets see it; the recorded body by its length only.
-fn readable(row: &ClaimRow) -> serde_json::Value {
+fn claim_json(row: &ClaimRow) -> serde_json::Value {
     json!({
         "service": row.service,
         "key": row.key,
         "attempt": format!("{:032x}", row.attempt),
         "instance": row.instance,
         "fingerprint": format!("{:016x}", row.fingerprint),
-        "state": state(row.state),
+        "state": state_name(row.state),
         "claimed_at_unix_ms": row.claimed_at_unix_ms,
         "outcome": row.outcome.as_ref().map(|outcome| json!({
             "status": outcome.status,
@@ -158,7 +162,7 @@
     })
 }
 
-fn state(state: ClaimState) -> &'static str {
+fn state_name(state: ClaimState) -> &'static str {
     match state {
         ClaimState::Open => "open",
         ClaimState::Done => "done",
--- a/crates/yuccarackctl/src/commands/diff.rs
+++ b/crates/yuccarackctl/src/commands/diff.rs
@@ -7,9 +7,9 @@
 use yuccarack_config::{ids::Revision, rules::RulesFile};
 use yuccarack_platform::{PlatformError, rows::RulesRow};
 
-use super::{CurrentRules, CurrentService, rules_now};
+use super::{CurrentRules, CurrentService, read_current_rules};
 use crate::{
-    difference::{FieldChange, changes},
+    difference::{FieldChange, field_changes},
     errors::CtlError,
     options::Common,
     report::Report,
@@ -36,33 +36,33 @@
 
 pub(super) async fn diff(common: &Common, file: &Path) -> Result<Report, CtlError> {
     let rules = RulesFile::load(file)?;
-    let now = rules_now(common).await?;
-    let mut found = Vec::new();
+    let current_rules = read_current_rules(common).await?;
+    let mut changes = Vec::new();
     for service in &rules.services {
         let new = to_value(service)?;
-        found.push(change_of(&now, &service.name, Some(new), rules.based_on)?);
+        changes.push(service_change(&current_rules, &service.name, Some(new), rules.based_on)?);
     }
     for service in &rules.removed {
-        found.push(change_of(&now, service, None, rules.based_on)?);
+        changes.push(service_change(&current_rules, service, None, rules.based_on)?);
     }
-    let text = found.iter().map(lines).collect::<Vec<_>>().join("\n");
-    let json = json!({"based_on": rules.based_on, "revision": now.revision, "services": found});
+    let text = changes.iter().map(format_change).collect::<Vec<_>>().join("\n");
+    let json = json!({"based_on": rules.based_on, "revision": current_rules.revision, "services": changes});
     Ok(Report::new(text, json))
 }
 
-fn change_of(
-    now: &CurrentRules,
+fn service_change(
+    current_rules: &CurrentRules,
     name: &str,
     new: Option<Value>,
     based_on: Revision,
 ) -> Result<ServiceChange, CtlError> {
-    let current = now.services.iter().find(|service| service.name == name);
+    let current = current_rules.services.iter().find(|service| service.name == name);
     let old = match current {
         Some(CurrentService { rules: RulesRow::InForce(rules), .. }) => Some(to_value(rules)?),
         _ => None,
     };
     let fields = match (&old, &new) {
-        (Some(old), Some(new)) => changes(old, new),
+        (Some(old), Some(new)) => field_changes(old, new),
         _ => Vec::new(),
     };
     let change = match (&old, &new) {
@@ -71,11 +71,11 @@
         (Some(_), Some(_)) if !fields.is_empty() => Change::Alter,
         _ => Change::Keep,
     };
-    let conflict = current.map(|service| service.revision).filter(|newest| *newest > based_on);
+    let conflict = current.map(|service| service.revision).filter(|revision| *revision > based_on);
     Ok(ServiceChange { service: name.to_owned(), change, fields, conflict })
 }
 
-fn lines(change: &ServiceChange) -> String {
+fn format_change(change: &ServiceChange) -> String {
     let mark = match change.change {
         Change::Add => "+",
         Change::Alter => "~",
--- a/crates/yuccarackctl/src/commands/history.rs
+++ b/crates/yuccarackctl/src/commands/history.rs
@@ -8,38 +8,38 @@
     rows::{AppliedRow, HISTORY_SPAN_MS, history_prefix},
 };
 
-use super::platform;
+use super::platform_client;
 use crate::{
     errors::CtlError,
     options::Common,
-    report::{Report, table},
+    report::{Report, format_table},
 };
 
 /// An accepted file with the revision of its commit.
-type Entry = (Revision, AppliedRow);
+type HistoryEntry = (Revision, AppliedRow);
 
 pub(super) async fn history(common: &Common, limit: usize, days: u32) -> Result<Report, CtlError> {
-    let entries = latest(&platform(common)?, limit, days).await?;
-    let lines: Vec<_> = entries.iter().map(line).collect();
+    let entries = read_newest(&platform_client(common)?, limit, days).await?;
+    let table_rows: Vec<_> = entries.iter().map(table_row).collect();
     let json = entries
         .iter()
         .map(|(revision, applied)| json!({"revision": revision, "applied": applied}))
         .collect();
     let header = ["revision", "at_unix_ms", "operator", "set", "took_away", "apply_id"];
-    Ok(Report::new(table(&header, &lines), json))
+    Ok(Report::new(format_table(&header, &table_rows), json))
 }
 
 /// Reads day after day back from now until there are enough.
-async fn latest(
+async fn read_newest(
     platform: &PlatformClient,
     limit: usize,
     days: u32,
-) -> Result<Vec<Entry>, CtlError> {
+) -> Result<Vec<HistoryEntry>, CtlError> {
     // An operator's clock may be ahead of this one by some minutes, and so a day further.
-    let newest = now_unix_ms() + HISTORY_SPAN_MS;
+    let start_unix_ms = now_unix_ms() + HISTORY_SPAN_MS;
     let mut entries = Vec::new();
     for day in 0..=u64::from(days) {
-        let prefix = history_prefix(newest.saturating_sub(day * HISTORY_SPAN_MS));
+        let prefix = history_prefix(start_unix_ms.saturating_sub(day * HISTORY_SPAN_MS));
         for row in platform.rows(&prefix).await?.rows {
             let applied = serde_json::from_value(row.value).map_err(PlatformError::Malformed)?;
             entries.push((row.revision, applied));
@@ -53,7 +53,7 @@
     Ok(entries)
 }
 
-fn line((revision, applied): &Entry) -> Vec<String> {
+fn table_row((revision, applied): &HistoryEntry) -> Vec<String> {
     vec![
         revision.to_string(),
         applied.applied_at_unix_ms.to_string(),
--- a/crates/yuccarackctl/src/commands/logs.rs
+++ b/crates/yuccarackctl/src/commands/logs.rs
@@ -6,32 +6,34 @@
 
 use crate::{
     errors::CtlError,
-    logs::{Event, Story, Summary, draw, for_each_event},
-    report::{Report, table},
+    logs::{Event, RequestTrace, Summary, draw_chart, for_each_event},
+    report::{Report, format_table},
 };
 
 pub(super) fn explain(files: &[PathBuf], request: &str) -> Result<Report, CtlError> {
-    let mut story = Story::default();
-    let mut left_out = 0;
+    let mut trace = RequestTrace::default();
+    let mut omitted_lines = 0;
     for file in files {
         for_each_event(file, |event| {
-            left_out += event.left_out().unwrap_or(0);
-            story.take(request, event);
+            omitted_lines += event.omitted_lines().unwrap_or(0);
+            trace.record(request, event);
         })?;
     }
-    if story.events.is_empty() {
+    if trace.events.is_empty() {
         let what = format!("request {request} in {} log(s)", files.len());
         return Err(CtlError::NotFound { what });
     }
-    story.sort();
-    let lines: Vec<String> = story.events.iter().map(line).collect();
-    let mut text = format!("{}\n\n{}", lines.join("\n"), story.sentence(request));
-    if left_out > 0 {
-        text.push_str(&format!("\n{left_out} lines of other moments were left out by daemons."));
+    trace.sort();
+    let lines: Vec<String> = trace.events.iter().map(format_event).collect();
+    let mut text = format!("{}\n\n{}", lines.join("\n"), trace.explanation(request));
+    if omitted_lines > 0 {
+        text.push_str(&format!(
+            "\n{omitted_lines} lines of other moments were left out by daemons."
+        ));
     }
     let json = json!({
-        "request": request, "cause": story.cause(), "sentence": story.sentence(request),
-        "events": story.events, "lines_left_out": left_out,
+        "request": request, "cause": trace.cause(), "sentence": trace.explanation(request),
+        "events": trace.events, "lines_left_out": omitted_lines,
     });
     Ok(Report::new(text, json))
 }
@@ -41,30 +43,30 @@
     mut summary: Summary,
     svg: Option<&Path>,
 ) -> Result<Report, CtlError> {
-    let mut others = 0;
+    let mut other_lines = 0;
     for file in files {
-        others += for_each_event(file, |event| summary.take(&event))?;
+        other_lines += for_each_event(file, |event| summary.record(&event))?;
     }
     if let Some(svg) = svg {
-        draw(&summary, svg)?;
+        draw_chart(&summary, svg)?;
     }
     let totals: Vec<Vec<String>> =
         summary.causes().into_iter().map(|(name, count)| vec![name, count.to_string()]).collect();
     let (header, rows) = summary.rows();
     let header: Vec<&str> = header.iter().map(String::as_str).collect();
     let text = format!(
-        "{}\n\n{}\n\n{} lines were left out by daemons, {others} are no lines of a daemon.",
-        table(&["cause", "calls"], &totals),
-        table(&header, &rows),
-        summary.left_out(),
+        "{}\n\n{}\n\n{} lines were left out by daemons, {other_lines} are no lines of a daemon.",
+        format_table(&["cause", "calls"], &totals),
+        format_table(&header, &rows),
+        summary.omitted_lines(),
     );
     let mut json = summary.to_json();
-    json["other_lines"] = json!(others);
+    json["other_lines"] = json!(other_lines);
     Ok(Report::new(text, json))
 }
 
 /// One line for a person: when and where, what, and its details.
-fn line(event: &Event) -> String {
+fn format_event(event: &Event) -> String {
     let time = event.ts.time();
     let clock = format!(
         "{:02}:{:02}:{:02}.{:03}",
@@ -79,8 +81,9 @@
         Err(error) => return format!("{text}  (details can't be shown: {error})"),
     };
     for (name, value) in details.as_object().into_iter().flatten() {
-        let is_told = matches!(name.as_str(), "ts" | "instance" | "msg" | "event" | "request");
-        if !is_told {
+        let is_shown_before =
+            matches!(name.as_str(), "ts" | "instance" | "msg" | "event" | "request");
+        if !is_shown_before {
             let value = value.as_str().map_or_else(|| value.to_string(), str::to_owned);
             text.push_str(&format!("  {name}={value}"));
         }
--- a/crates/yuccarackctl/src/commands/mod.rs
+++ b/crates/yuccarackctl/src/commands/mod.rs
@@ -31,7 +31,7 @@
     match command {
         Command::Check { file, .. } => check::check(&file),
         Command::Apply { common, operator, apply_id, wait, file } => {
-            apply::apply(&common, apply::Application { operator, apply_id, wait, file }).await
+            apply::apply(&common, apply::ApplyRequest { operator, apply_id, wait, file }).await
         }
         Command::Diff { common, file } => diff::diff(&common, &file).await,
         Command::Show { common, applied: Some(apply_id), .. } => {
@@ -56,17 +56,17 @@
     }
 }
 
-fn platform(common: &Common) -> Result<PlatformClient, CtlError> {
+fn platform_client(common: &Common) -> Result<PlatformClient, CtlError> {
     let address = common.platform.ok_or(CtlError::NoPlatform)?;
     // Several tries fit into the time of the whole command.
     Ok(PlatformClient::new(address, common.timeout() / 4))
 }
 
 /// The daemons named on the command line, and those that the table names.
-async fn daemons_of(common: &Common, members: &Members) -> Result<Vec<SocketAddr>, CtlError> {
+async fn resolve_daemons(common: &Common, members: &Members) -> Result<Vec<SocketAddr>, CtlError> {
     let mut daemons = common.daemons.clone();
     if let Some(service) = &members.members_of {
-        let rows = platform(common)?.rows(&member_prefix(service)).await?;
+        let rows = platform_client(common)?.rows(&member_prefix(service)).await?;
         for row in rows.rows {
             let Ok(member) = serde_json::from_value::<MemberRow>(row.value) else { continue };
             if !daemons.contains(&member.admin_address) {
@@ -81,8 +81,8 @@
 }
 
 /// The accepted rules of all services, as the table has them at one moment.
-async fn rules_now(common: &Common) -> Result<CurrentRules, CtlError> {
-    let rows = platform(common)?.rows(RULES_PREFIX).await?;
+async fn read_current_rules(common: &Common) -> Result<CurrentRules, CtlError> {
+    let rows = platform_client(common)?.rows(RULES_PREFIX).await?;
     let services = rows.rows.into_iter().map(|row| {
         let rules = serde_json::from_value(row.value)
             .map_err(yuccarack_platform::PlatformError::Malformed)?;
--- a/crates/yuccarackctl/src/commands/show.rs
+++ b/crates/yuccarackctl/src/commands/show.rs
@@ -3,37 +3,37 @@
 use yuccarack_config::{ids::ServiceName, rules::RulesFile};
 use yuccarack_platform::{PlatformError, accept::read_back, rows::RulesRow};
 
-use super::{platform, rules_now};
+use super::{platform_client, read_current_rules};
 use crate::{errors::CtlError, options::Common, report::Report};
 
 /// Version of the form of a rules file.
-const FORMAT: u32 = 1;
+const RULES_FILE_FORMAT: u32 = 1;
 
 pub(super) async fn show(common: &Common, services: &[ServiceName]) -> Result<Report, CtlError> {
-    let now = rules_now(common).await?;
+    let current = read_current_rules(common).await?;
     let mut file = RulesFile {
-        format: FORMAT,
-        based_on: now.revision,
+        format: RULES_FILE_FORMAT,
+        based_on: current.revision,
         services: Vec::new(),
         removed: Vec::new(),
     };
-    for service in now.services {
-        let is_wanted = services.is_empty() || services.contains(&service.name);
-        if let (true, RulesRow::InForce(rules)) = (is_wanted, service.rules) {
+    for service in current.services {
+        let is_selected = services.is_empty() || services.contains(&service.name);
+        if let (true, RulesRow::InForce(rules)) = (is_selected, service.rules) {
             file.services.push(rules);
         }
     }
-    for wanted in services {
-        if file.services.iter().all(|service| service.name != *wanted) {
-            return Err(CtlError::NotFound { what: format!("service {wanted}") });
+    for name in services {
+        if file.services.iter().all(|service| service.name != *name) {
+            return Err(CtlError::NotFound { what: format!("service {name}") });
         }
     }
-    as_file(&file)
+    file_report(&file)
 }
 
 /// The file keeps its services and gets the revision of now, so that applying it goes back to it.
 pub(super) async fn show_applied(common: &Common, apply_id: &str) -> Result<Report, CtlError> {
-    let client = platform(common)?;
+    let client = platform_client(common)?;
     let not_found = |what: String| CtlError::NotFound { what };
     let accepted = read_back(&client, apply_id)
         .await?
@@ -43,11 +43,11 @@
         .await?
         .ok_or_else(|| not_found(format!("object {}", accepted.applied.object)))?;
     let mut file = RulesFile::parse(&text)?;
-    file.based_on = rules_now(common).await?.revision;
-    as_file(&file)
+    file.based_on = read_current_rules(common).await?.revision;
+    file_report(&file)
 }
 
-fn as_file(file: &RulesFile) -> Result<Report, CtlError> {
+fn file_report(file: &RulesFile) -> Result<Report, CtlError> {
     let json = serde_json::to_value(file).map_err(PlatformError::Unserializable)?;
     let text = serde_json::to_string_pretty(file).map_err(PlatformError::Unserializable)?;
     Ok(Report::new(text, json))
--- a/crates/yuccarackctl/src/difference.rs
+++ b/crates/yuccarackctl/src/difference.rs
@@ -26,34 +26,51 @@
 }
 
 /// All fields that differ between `old` and `new`.
-pub fn changes(old: &Value, new: &Value) -> Vec<FieldChange> {
-    let mut found = Vec::new();
-    collect("", Some(old), Some(new), &mut found);
-    found
+pub fn field_changes(old: &Value, new: &Value) -> Vec<FieldChange> {
+    let mut changes = Vec::new();
+    collect_changes("", Some(old), Some(new), &mut changes);
+    changes
 }
 
-fn collect(path: &str, old: Option<&Value>, new: Option<&Value>, found: &mut Vec<FieldChange>) {
+fn collect_changes(
+    path: &str,
+    old: Option<&Value>,
+    new: Option<&Value>,
+    changes: &mut Vec<FieldChange>,
+) {
     match (old, new) {
         (old, new) if old == new => {}
-        (Some(Value::Object(olds)), Some(Value::Object(news))) => {
-            for name in olds.keys() {
-                collect(&join(path, name), olds.get(name), news.get(name), found);
+        (Some(Value::Object(old_items)), Some(Value::Object(new_items))) => {
+            for name in old_items.keys() {
+                collect_changes(
+                    &join_path(path, name),
+                    old_items.get(name),
+                    new_items.get(name),
+                    changes,
+                );
             }
-            for name in news.keys().filter(|name| !olds.contains_key(*name)) {
-                collect(&join(path, name), None, news.get(name), found);
+            for name in new_items.keys().filter(|name| !old_items.contains_key(*name)) {
+                collect_changes(&join_path(path, name), None, new_items.get(name), changes);
             }
         }
-        (Some(Value::Array(olds)), Some(Value::Array(news))) => {
-            for index in 0..olds.len().max(news.len()) {
-                collect(&format!("{path}[{index}]"), olds.get(index), news.get(index), found);
+        (Some(Value::Array(old_items)), Some(Value::Array(new_items))) => {
+            for index in 0..old_items.len().max(new_items.len()) {
+                collect_changes(
+                    &format!("{path}[{index}]"),
+                    old_items.get(index),
+                    new_items.get(index),
+                    changes,
+                );
             }
         }
-        (old, new) => {
-            found.push(FieldChange { path: path.to_owned(), old: old.cloned(), new: new.cloned() })
-        }
+        (old, new) => changes.push(FieldChange {
+            path: path.to_owned(),
+            old: old.cloned(),
+            new: new.cloned(),
+        }),
     }
 }
 
-fn join(path: &str, name: &str) -> String {
+fn join_path(path: &str, name: &str) -> String {
     if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") }
 }
--- a/crates/yuccarackctl/src/errors.rs
+++ b/crates/yuccarackctl/src/errors.rs
@@ -22,11 +22,11 @@
     /// It was asked for in a way that has no meaning.
     Usage = 2,
     /// The file has faults; nothing was applied.
-    Refused = 3,
+    InvalidFile = 3,
     /// Somebody changed the same thing before; nothing was applied.
     Conflict = 4,
     /// The platform is away; nothing was applied.
-    PlatformAway = 5,
+    PlatformUnavailable = 5,
     /// A daemon can't be reached.
     DaemonUnreachable = 6,
     /// A write went out and its fate is unknown.
@@ -61,7 +61,7 @@
     Platform(#[from] PlatformError),
     /// The claim's release went out and no answer came.
     #[error("unknown whether the claim was released; run `yuccarackctl claim show` to find out")]
-    ReleaseUnknown,
+    ReleaseOutcomeUnknown,
     /// The claim changed while it was looked at.
     #[error("the claim changed, it is at revision {revision} now (0: it is gone)")]
     ClaimChanged {
@@ -112,7 +112,7 @@
         address: SocketAddr,
     },
     /// The rules were accepted and are not everywhere in force yet.
-    #[error("accepted at revision {revision}, not seen in force yet at {}", list(.daemons))]
+    #[error("accepted at revision {revision}, not seen in force yet at {}", join_addresses(.daemons))]
     NotInForce {
         /// Revision of the rules.
         revision: Revision,
@@ -131,11 +131,13 @@
     /// The code by which the command ends.
     pub fn exit_status(&self) -> ExitStatus {
         match self {
-            Self::File(FileError::Invalid(_)) | Self::BasedOnFuture { .. } => ExitStatus::Refused,
+            Self::File(FileError::Invalid(_)) | Self::BasedOnFuture { .. } => {
+                ExitStatus::InvalidFile
+            }
             Self::File(FileError::Unreadable { .. }) => ExitStatus::Failed,
-            Self::Accept(error) => accept_status(error),
-            Self::Platform(error) => platform_status(error),
-            Self::ReleaseUnknown => ExitStatus::OutcomeUnknown,
+            Self::Accept(error) => accept_exit_status(error),
+            Self::Platform(error) => platform_exit_status(error),
+            Self::ReleaseOutcomeUnknown => ExitStatus::OutcomeUnknown,
             Self::ClaimChanged { .. } => ExitStatus::Conflict,
             Self::DaemonUnreachable { .. } => ExitStatus::DaemonUnreachable,
             Self::NotConfirmed { .. } | Self::NoPlatform | Self::NoDaemon => ExitStatus::Usage,
@@ -151,31 +153,31 @@
 
     /// The same for scripts.
     pub fn to_json(&self) -> Value {
-        let mut told = json!({
+        let mut json = json!({
             "error": self.to_string(),
             "exit_code": self.exit_status() as u8,
         });
         match self {
-            Self::File(FileError::Invalid(faults)) => told["faults"] = json!(faults),
+            Self::File(FileError::Invalid(faults)) => json["faults"] = json!(faults),
             Self::Accept(AcceptError::Conflict { based_on, services }) => {
-                told["based_on"] = json!(based_on);
-                told["services"] = json!(services);
+                json["based_on"] = json!(based_on);
+                json["services"] = json!(services);
             }
             Self::Accept(AcceptError::UnknownOutcome { apply_id, .. }) => {
-                told["apply_id"] = json!(apply_id);
+                json["apply_id"] = json!(apply_id);
             }
             Self::NotInForce { revision, daemons } => {
-                told["revision"] = json!(revision);
-                told["daemons"] = json!(daemons);
+                json["revision"] = json!(revision);
+                json["daemons"] = json!(daemons);
             }
             Self::ClaimChanged { revision }
             | Self::NotConfirmed { revision, .. }
             | Self::BasedOnFuture { revision, .. } => {
-                told["revision"] = json!(revision);
+                json["revision"] = json!(revision);
             }
             _ => {}
         }
-        told
+        json
     }
 }
 
@@ -185,20 +187,20 @@
     }
 }
 
-fn accept_status(error: &AcceptError) -> ExitStatus {
+fn accept_exit_status(error: &AcceptError) -> ExitStatus {
     match error {
         AcceptError::Conflict { .. } | AcceptError::ApplyIdTaken { .. } => ExitStatus::Conflict,
-        AcceptError::NotAccepted(error) => platform_status(error),
+        AcceptError::NotAccepted(error) => platform_exit_status(error),
         AcceptError::UnknownOutcome { .. } => ExitStatus::OutcomeUnknown,
     }
 }
 
-fn platform_status(error: &PlatformError) -> ExitStatus {
+fn platform_exit_status(error: &PlatformError) -> ExitStatus {
     match error {
         PlatformError::Unreachable
         | PlatformError::UnknownOutcome
-        | PlatformError::Stalled { .. } => ExitStatus::PlatformAway,
-        PlatformError::Refused { status } if *status >= 500 => ExitStatus::PlatformAway,
+        | PlatformError::Stalled { .. } => ExitStatus::PlatformUnavailable,
+        PlatformError::Refused { status } if *status >= 500 => ExitStatus::PlatformUnavailable,
         PlatformError::Conflict { .. } => ExitStatus::Conflict,
         PlatformError::Refused { .. }
         | PlatformError::Malformed(_)
@@ -226,6 +228,6 @@
     }
 }
 
-fn list(addresses: &[SocketAddr]) -> String {
+fn join_addresses(addresses: &[SocketAddr]) -> String {
     addresses.iter().map(SocketAddr::to_string).collect::<Vec<_>>().join(", ")
 }
--- a/crates/yuccarackctl/src/logs/cause.rs
+++ b/crates/yuccarackctl/src/logs/cause.rs
@@ -4,10 +4,10 @@
 
 use serde::Serialize;
 
-use super::{Event, EventName};
+use super::{Event, EventKind};
 
 /// Words of gates whose targets have no room for a request.
-const NO_ROOM: [&str; 4] = ["full", "slow", "too_late", "cannot_end_in_time"];
+const NO_CAPACITY_REASONS: [&str; 4] = ["full", "slow", "too_late", "cannot_end_in_time"];
 
 /// Kinds of causes, for tables over many calls.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
@@ -43,23 +43,23 @@
 
 impl Cause {
     /// Of a line that tells how a call ended.
-    pub fn of(end: &Event) -> Self {
-        if end.event == Some(EventName::CallAnswered) {
+    pub fn from_end(end: &Event) -> Self {
+        if end.event == Some(EventKind::CallAnswered) {
             return Self::None;
         }
-        let is_unrun = end.outcome.as_deref() == Some("not_run");
+        let is_not_run = end.outcome.as_deref() == Some("not_run");
         match (end.reason.as_deref(), end.status) {
             // One gate without room is enough, whatever those said that were away.
-            (Some(_), _) if is_unrun && has_no_room(end) => Self::Load,
-            (Some(reason), _) => Self::of_reason(reason),
+            (Some(_), _) if is_not_run && has_gate_without_capacity(end) => Self::Load,
+            (Some(reason), _) => Self::from_reason(reason),
             (None, Some(_)) => Self::TargetFailed,
             (None, None) => Self::Untold,
         }
     }
 
-    fn of_reason(reason: &str) -> Self {
+    fn from_reason(reason: &str) -> Self {
         match reason {
-            reason if NO_ROOM.contains(&reason) => Self::Load,
+            reason if NO_CAPACITY_REASONS.contains(&reason) => Self::Load,
             "broken" | "target_died" => Self::TargetBroke,
             "shed" => Self::TargetShed,
             "deadline_passed" => Self::TooSlow,
@@ -74,7 +74,7 @@
     }
 
     /// One sentence, with what an engineer does next.
-    pub fn sentence(self) -> &'static str {
+    pub fn explanation(self) -> &'static str {
         match self {
             Self::None => "its target answered it.",
             Self::Load => {
@@ -115,15 +115,15 @@
 }
 
 /// Whether one of the gates that were asked had no room.
-fn has_no_room(end: &Event) -> bool {
+fn has_gate_without_capacity(end: &Event) -> bool {
     let gates = end.gates.as_deref().unwrap_or_default();
-    let words = gates.split(' ').filter_map(|gate| gate.split_once('='));
-    words.into_iter().any(|(_, word)| NO_ROOM.contains(&word))
+    let replies = gates.split(' ').filter_map(|gate| gate.split_once('='));
+    replies.into_iter().any(|(_, reply)| NO_CAPACITY_REASONS.contains(&reply))
 }
 
 impl fmt::Display for Cause {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let word = match self {
+        let name = match self {
             Self::None => "none",
             Self::Load => "load",
             Self::TargetFailed => "target_failed",
@@ -138,6 +138,6 @@
             Self::Caller => "caller",
             Self::Untold => "untold",
         };
-        write!(f, "{word}")
+        write!(f, "{name}")
     }
 }
--- a/crates/yuccarackctl/src/logs/chart.rs
+++ b/crates/yuccarackctl/src/logs/chart.rs
@@ -11,19 +11,19 @@
 };
 use thiserror::Error;
 
-use super::{Summary, summary::clock};
+use super::{Summary, summary::format_time};
 
 /// Size of the picture, in pixels.
-const SIZE: (u32, u32) = (1_000, 420);
+const CHART_SIZE_PX: (u32, u32) = (1_000, 420);
 
 /// Room for the numbers beside the axes, in pixels.
-const LABELS: u32 = 50;
+const AXIS_LABELS_PX: u32 = 50;
 
 /// Times that are written below the picture.
-const TIMES: usize = 6;
+const TIME_LABELS_MAX: usize = 6;
 
 /// Side of a square in the key, in pixels.
-const KEY: i32 = 10;
+const LEGEND_MARKER_PX: i32 = 10;
 
 /// A picture that can't be drawn or written.
 #[derive(Debug, Error)]
@@ -35,8 +35,8 @@
 /// # Errors
 ///
 /// The file can't be written.
-pub fn draw(summary: &Summary, file: &Path) -> Result<(), ChartError> {
-    let area = SVGBackend::new(file, SIZE).into_drawing_area();
+pub fn draw_chart(summary: &Summary, file: &Path) -> Result<(), ChartError> {
+    let area = SVGBackend::new(file, CHART_SIZE_PX).into_drawing_area();
     area.fill(&WHITE)?;
     let (causes, buckets) = (summary.causes(), summary.buckets());
     let starts: Vec<i64> = buckets.keys().copied().collect();
@@ -47,15 +47,15 @@
     let highest = buckets.values().map(|counts| counts.values().sum::<u64>()).max().unwrap_or(0);
     let end = last + summary.bucket_s();
     let mut chart = ChartBuilder::on(&area)
-        .margin(KEY)
-        .x_label_area_size(LABELS)
-        .y_label_area_size(LABELS)
+        .margin(LEGEND_MARKER_PX)
+        .x_label_area_size(AXIS_LABELS_PX)
+        .y_label_area_size(AXIS_LABELS_PX)
         .build_cartesian_2d(*first..end, 0..highest + 1)?;
     chart
         .configure_mesh()
         .disable_x_mesh()
-        .x_labels(TIMES)
-        .x_label_formatter(&|at| clock(*at))
+        .x_labels(TIME_LABELS_MAX)
+        .x_label_formatter(&|at| format_time(*at))
         .y_desc("calls")
         .draw()?;
     for (index, (cause, _)) in causes.iter().enumerate() {
@@ -67,7 +67,10 @@
             Rectangle::new([(*at, low), (at + summary.bucket_s(), high)], colour.filled())
         };
         chart.draw_series(buckets.iter().map(part))?.label(cause).legend(move |(x, y)| {
-            Rectangle::new([(x, y - KEY / 2), (x + KEY, y + KEY / 2)], colour.filled())
+            Rectangle::new(
+                [(x, y - LEGEND_MARKER_PX / 2), (x + LEGEND_MARKER_PX, y + LEGEND_MARKER_PX / 2)],
+                colour.filled(),
+            )
         });
     }
     chart
--- a/crates/yuccarackctl/src/logs/event.rs
+++ b/crates/yuccarackctl/src/logs/event.rs
@@ -6,13 +6,14 @@
 /// What a line is about.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum EventName {
+pub enum EventKind {
     /// A call got its target's answer.
     CallAnswered,
     /// A call got an answer of the daemon's own, or its target's failure.
     CallFailed,
     /// A try ended without a good answer.
-    TryEnded,
+    #[serde(rename = "try_ended")]
+    AttemptEnded,
     /// A gate turned a request away or got no whole answer of its target.
     GateRefused,
     /// Lines of a kind were left out.
@@ -33,7 +34,7 @@
     pub instance: String,
     /// What it is about.
     #[serde(default)]
-    pub event: Option<EventName>,
+    pub event: Option<EventKind>,
     /// Its text.
     #[serde(default)]
     pub msg: String,
@@ -101,12 +102,12 @@
 
 impl Event {
     /// Whether it tells of lines that were left out, and of how many.
-    pub fn left_out(&self) -> Option<u64> {
-        self.count.filter(|_| self.event == Some(EventName::LinesLeftOut))
+    pub fn omitted_lines(&self) -> Option<u64> {
+        self.count.filter(|_| self.event == Some(EventKind::LinesLeftOut))
     }
 
     /// Whether it tells how a call ended.
-    pub fn is_end(&self) -> bool {
-        matches!(self.event, Some(EventName::CallAnswered | EventName::CallFailed))
+    pub fn is_call_end(&self) -> bool {
+        matches!(self.event, Some(EventKind::CallAnswered | EventKind::CallFailed))
     }
 }
--- a/crates/yuccarackctl/src/logs/mod.rs
+++ b/crates/yuccarackctl/src/logs/mod.rs
@@ -4,12 +4,12 @@
 mod chart;
 mod event;
 mod reader;
-mod story;
+mod request_trace;
 mod summary;
 
 pub use cause::Cause;
-pub use chart::{ChartError, draw};
-pub use event::{Event, EventName};
+pub use chart::{ChartError, draw_chart};
+pub use event::{Event, EventKind};
 pub use reader::{LogError, for_each_event};
-pub use story::Story;
+pub use request_trace::RequestTrace;
 pub use summary::Summary;
--- a/crates/yuccarackctl/src/logs/reader.rs
+++ b/crates/yuccarackctl/src/logs/reader.rs
@@ -12,7 +12,7 @@
 use super::Event;
 
 /// First bytes of a file that gzip packed.
-const GZIP_START: [u8; 2] = [0x1f, 0x8b];
+const GZIP_MAGIC: [u8; 2] = [0x1f, 0x8b];
 
 /// Longest line that is read; a daemon's have some 500 bytes, and what is longer is no line of one.
 const LINE_MAX_BYTES: u64 = 1 << 20;
@@ -35,29 +35,29 @@
 /// # Errors
 ///
 /// The file can't be read to its end.
-pub fn for_each_event(path: &Path, mut take: impl FnMut(Event)) -> Result<u64, LogError> {
-    let failed = |error| LogError { path: path.to_owned(), error };
-    let mut lines = open(path).map_err(failed)?;
+pub fn for_each_event(path: &Path, mut handle: impl FnMut(Event)) -> Result<u64, LogError> {
+    let log_error = |error| LogError { path: path.to_owned(), error };
+    let mut lines = open(path).map_err(log_error)?;
     let mut line = Vec::new();
-    let mut others = 0;
+    let mut other_lines = 0;
     loop {
         line.clear();
-        let read = lines.as_mut().take(LINE_MAX_BYTES).read_until(b'\n', &mut line);
-        if read.map_err(failed)? == 0 {
-            return Ok(others);
+        let bytes_read = lines.as_mut().take(LINE_MAX_BYTES).read_until(b'\n', &mut line);
+        if bytes_read.map_err(log_error)? == 0 {
+            return Ok(other_lines);
         }
         match serde_json::from_slice(&line) {
-            Ok(event) => take(event),
+            Ok(event) => handle(event),
             Err(_) if line.trim_ascii().is_empty() => {}
-            Err(_) => others += 1,
+            Err(_) => other_lines += 1,
         }
     }
 }
 
 fn open(path: &Path) -> io::Result<Box<dyn BufRead>> {
     let mut file = BufReader::new(File::open(path)?);
-    let is_packed = file.fill_buf()?.starts_with(&GZIP_START);
-    Ok(match is_packed {
+    let is_gzip = file.fill_buf()?.starts_with(&GZIP_MAGIC);
+    Ok(match is_gzip {
         true => Box::new(BufReader::new(MultiGzDecoder::new(file))),
         false => Box::new(file),
     })
--- a/crates/yuccarackctl/src/logs/story.rs
+++ b/crates/yuccarackctl/src/logs/request_trace.rs
@@ -1,17 +1,17 @@
 //! All lines of one request, in the order in which things happened.
 
-use super::{Cause, Event, EventName};
+use super::{Cause, Event, EventKind};
 
 /// What the lines tell of one request.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Story {
+pub struct RequestTrace {
     /// Its lines in order.
     pub events: Vec<Event>,
 }
 
-impl Story {
+impl RequestTrace {
     /// Adds a line if it speaks of `request`.
-    pub fn take(&mut self, request: &str, event: Event) {
+    pub fn record(&mut self, request: &str, event: Event) {
         if event.request.as_deref() == Some(request) {
             self.events.push(event);
         }
@@ -23,69 +23,70 @@
     /// end follows the line of its gate; the end of the call is last. Times are compared only
     /// between lines of one instance.
     pub fn sort(&mut self) {
-        let left_at: Vec<(String, u64)> = self
+        let times_left: Vec<(String, u64)> = self
             .events
             .iter()
-            .filter(|event| event.event == Some(EventName::GateRefused))
+            .filter(|event| event.event == Some(EventKind::GateRefused))
             .filter_map(|event| Some((event.instance.clone(), event.left_ms?)))
             .collect();
-        let left_of = |gate: &str| {
-            let of_gate = left_at.iter().filter(|(name, _)| name == gate);
-            of_gate.map(|(_, left_ms)| *left_ms).min()
+        let time_left_at = |gate: &str| {
+            let gate_entries = times_left.iter().filter(|(name, _)| name == gate);
+            gate_entries.map(|(_, left_ms)| *left_ms).min()
         };
         self.events.sort_by_cached_key(|event| {
-            let (left_ms, place) = match event.event {
-                Some(EventName::GateRefused) => (event.left_ms, 0),
-                Some(EventName::TryEnded) => {
-                    (left_of(event.gate.as_deref().unwrap_or_default()), 1)
+            let (left_ms, rank) = match event.event {
+                Some(EventKind::GateRefused) => (event.left_ms, 0),
+                Some(EventKind::AttemptEnded) => {
+                    (time_left_at(event.gate.as_deref().unwrap_or_default()), 1)
                 }
                 _ => (None, 2),
             };
             // A try whose gate wrote nothing stands behind those of which more is known.
-            let passed = left_ms.map_or(u64::MAX, |left_ms| u64::MAX - 1 - left_ms);
-            let is_end = event.is_end();
-            (is_end, passed, place, event.ts)
+            let elapsed_rank = left_ms.map_or(u64::MAX, |left_ms| u64::MAX - 1 - left_ms);
+            let is_call_end = event.is_call_end();
+            (is_call_end, elapsed_rank, rank, event.ts)
         });
     }
 
     /// The line that tells how the call ended.
-    pub fn end(&self) -> Option<&Event> {
-        self.events.iter().rev().find(|event| event.is_end())
+    pub fn call_end(&self) -> Option<&Event> {
+        self.events.iter().rev().find(|event| event.is_call_end())
     }
 
     /// Why it failed, if it did.
     pub fn cause(&self) -> Cause {
-        match self.end() {
-            Some(end) => self.cause_of(end),
+        match self.call_end() {
+            Some(end) => self.refined_cause(end),
             // Its entry's line was left out, or that log isn't at hand; a gate's word is all there is.
-            None => self.events.last().map_or(Cause::Untold, Cause::of),
+            None => self.events.last().map_or(Cause::Untold, Cause::from_end),
         }
     }
 
     /// An end that says only that time was over is told by the gate that had the request then.
-    fn cause_of(&self, end: &Event) -> Cause {
-        let cause = Cause::of(end);
+    fn refined_cause(&self, end: &Event) -> Cause {
+        let cause = Cause::from_end(end);
         if cause != Cause::TooSlow {
             return cause;
         }
-        let unknown = |event: &&Event| event.outcome.as_deref() == Some("unknown");
-        let at_gates = self.events.iter().filter(|event| !event.is_end()).filter(unknown);
-        at_gates.map(Cause::of).find(|other| *other == Cause::TargetBroke).unwrap_or(cause)
+        let has_unknown_outcome = |event: &&Event| event.outcome.as_deref() == Some("unknown");
+        let gate_events =
+            self.events.iter().filter(|event| !event.is_call_end()).filter(has_unknown_outcome);
+        gate_events.map(Cause::from_end).find(|other| *other == Cause::TargetBroke).unwrap_or(cause)
     }
 
     /// The cause in one sentence, with the instance where it lies if that is one.
-    pub fn sentence(&self, request: &str) -> String {
+    pub fn explanation(&self, request: &str) -> String {
         let cause = self.cause();
-        let at = match self.place() {
-            Some(place) => format!(" (at {place})"),
+        let at = match self.faulty_instance() {
+            Some(instance) => format!(" (at {instance})"),
             None => String::new(),
         };
-        format!("{request}: {cause}{at}: {}", cause.sentence())
+        format!("{request}: {cause}{at}: {}", cause.explanation())
     }
 
     /// Where the cause lies, if that is one instance: the last gate that was asked.
-    fn place(&self) -> Option<&str> {
-        let end = self.end()?;
+    fn faulty_instance(&self) -> Option<&str> {
+        let end = self.call_end()?;
         match self.cause() {
             // The whole service had no room.
             Cause::Load | Cause::NoTarget | Cause::CrashesTargets => return None,
--- a/crates/yuccarackctl/src/logs/summary.rs
+++ b/crates/yuccarackctl/src/logs/summary.rs
@@ -5,7 +5,7 @@
 use serde_json::{Value, json};
 use time::OffsetDateTime;
 
-use super::{Cause, Event, EventName};
+use super::{Cause, Event, EventKind};
 
 /// Most pieces of time that are kept; memory is theirs, whatever the length of the logs.
 const BUCKETS_MAX: usize = 2_000;
@@ -19,8 +19,8 @@
     bucket_s: i64,
     slow_ms: u64,
     buckets: BTreeMap<i64, Counts>,
-    left_out: u64,
-    answered: u64,
+    omitted_lines: u64,
+    answered_lines: u64,
 }
 
 impl Summary {
@@ -30,20 +30,20 @@
             bucket_s: i64::from(bucket_s.max(1)),
             slow_ms,
             buckets: BTreeMap::new(),
-            left_out: 0,
-            answered: 0,
+            omitted_lines: 0,
+            answered_lines: 0,
         }
     }
 
     /// Takes a line in.
-    pub fn take(&mut self, event: &Event) {
-        self.left_out += event.left_out().unwrap_or(0);
-        if !event.is_end() {
+    pub fn record(&mut self, event: &Event) {
+        self.omitted_lines += event.omitted_lines().unwrap_or(0);
+        if !event.is_call_end() {
             return;
         }
-        let cause = Cause::of(event);
-        if event.event == Some(EventName::CallAnswered) {
-            self.answered += 1;
+        let cause = Cause::from_end(event);
+        if event.event == Some(EventKind::CallAnswered) {
+            self.answered_lines += 1;
         }
         let is_slow = event.took_ms.is_some_and(|took_ms| took_ms > self.slow_ms);
         let name = match cause {
@@ -54,17 +54,17 @@
         let at = event.ts.unix_timestamp().div_euclid(self.bucket_s) * self.bucket_s;
         *self.buckets.entry(at).or_default().entry(name).or_default() += 1;
         if self.buckets.len() > BUCKETS_MAX {
-            self.widen();
+            self.double_bucket_length();
         }
     }
 
     /// Doubles the pieces of time.
-    fn widen(&mut self) {
+    fn double_bucket_length(&mut self) {
         self.bucket_s *= 2;
         for (at, counts) in std::mem::take(&mut self.buckets) {
             let at = at.div_euclid(self.bucket_s) * self.bucket_s;
-            let wider = self.buckets.entry(at).or_default();
-            counts.into_iter().for_each(|(name, count)| *wider.entry(name).or_default() += count);
+            let merged = self.buckets.entry(at).or_default();
+            counts.into_iter().for_each(|(name, count)| *merged.entry(name).or_default() += count);
         }
     }
 
@@ -90,8 +90,8 @@
     }
 
     /// Lines that daemons left out, by their own word: what was counted is a part of all.
-    pub fn left_out(&self) -> u64 {
-        self.left_out
+    pub fn omitted_lines(&self) -> u64 {
+        self.omitted_lines
     }
 
     /// The rows of a table: time, then a column for each cause.
@@ -100,7 +100,7 @@
         let mut header = vec!["time".to_owned()];
         header.extend(causes.iter().map(|(name, _)| name.clone()));
         let row = |(at, counts): (&i64, &Counts)| {
-            let mut cells = vec![clock(*at)];
+            let mut cells = vec![format_time(*at)];
             let cell = |(name, _): &(String, u64)| counts.get(name).copied().unwrap_or(0);
             cells.extend(causes.iter().map(cell).map(|count| count.to_string()));
             cells
@@ -113,18 +113,18 @@
         let buckets: Vec<Value> = self
             .buckets
             .iter()
-            .map(|(at, counts)| json!({"from": clock(*at), "from_unix_s": at, "calls": counts}))
+            .map(|(at, counts)| json!({"from": format_time(*at), "from_unix_s": at, "calls": counts}))
             .collect();
         let totals: Counts = self.causes().into_iter().collect();
         json!({
             "bucket_s": self.bucket_s, "buckets": buckets, "totals": totals,
-            "lines_left_out": self.left_out, "answered_lines": self.answered,
+            "lines_left_out": self.omitted_lines, "answered_lines": self.answered_lines,
         })
     }
 }
 
 /// A moment, to the second, by UTC.
-pub fn clock(unix_s: i64) -> String {
+pub fn format_time(unix_s: i64) -> String {
     match OffsetDateTime::from_unix_timestamp(unix_s) {
         Ok(at) => {
             let (date, time) = (at.date(), at.time());
--- a/crates/yuccarackctl/src/main.rs
+++ b/crates/yuccarackctl/src/main.rs
@@ -12,16 +12,16 @@
 async fn main() -> ExitCode {
     let command = match command().run_inner(Args::current_args()) {
         Ok(command) => command,
-        Err(failure) => return usage(&failure),
+        Err(failure) => return print_usage(&failure),
     };
     let as_json = command.common().json;
     match run(command).await {
-        Ok(report) => tell(&report, as_json),
-        Err(error) => complain(&error, as_json),
+        Ok(report) => print_report(&report, as_json),
+        Err(error) => print_error(&error, as_json),
     }
 }
 
-fn usage(failure: &ParseFailure) -> ExitCode {
+fn print_usage(failure: &ParseFailure) -> ExitCode {
     failure.print_message(HELP_COLUMNS);
     match failure {
         ParseFailure::Stderr(_) => ExitStatus::Usage.into(),
@@ -29,7 +29,7 @@
     }
 }
 
-fn tell(report: &Report, as_json: bool) -> ExitCode {
+fn print_report(report: &Report, as_json: bool) -> ExitCode {
     match as_json {
         true => println!("{:#}", report.json),
         false => println!("{}", report.text),
@@ -37,7 +37,7 @@
     report.exit_status.into()
 }
 
-fn complain(error: &CtlError, as_json: bool) -> ExitCode {
+fn print_error(error: &CtlError, as_json: bool) -> ExitCode {
     eprintln!("{error}");
     if as_json {
         println!("{:#}", error.to_json());
--- a/crates/yuccarackctl/src/options.rs
+++ b/crates/yuccarackctl/src/options.rs
@@ -38,14 +38,16 @@
         .help("Admin address of a daemon, may be given several times [env:YUCCARACK_DAEMON]")
         .argument::<SocketAddr>("ADDR")
         .many()
-        .parse(or_from_environment)
+        .parse(daemons_or_environment)
 }
 
 /// A list of options has no environment variable of its own in the library.
-fn or_from_environment(given: Vec<SocketAddr>) -> Result<Vec<SocketAddr>, DaemonVariableError> {
+fn daemons_or_environment(
+    daemons: Vec<SocketAddr>,
+) -> Result<Vec<SocketAddr>, DaemonVariableError> {
     match std::env::var(DAEMON_VARIABLE) {
-        Ok(address) if given.is_empty() => Ok(vec![address.parse()?]),
-        _ => Ok(given),
+        Ok(address) if daemons.is_empty() => Ok(vec![address.parse()?]),
+        _ => Ok(daemons),
     }
 }
 
--- a/crates/yuccarackctl/src/report.rs
+++ b/crates/yuccarackctl/src/report.rs
@@ -31,7 +31,7 @@
 }
 
 /// Lines of equal columns, each as wide as its widest cell.
-pub fn table(header: &[&str], rows: &[Vec<String>]) -> String {
+pub fn format_table(header: &[&str], rows: &[Vec<String>]) -> String {
     let header: Vec<String> = header.iter().map(|cell| (*cell).to_owned()).collect();
     let lines: Vec<&Vec<String>> = std::iter::once(&header).chain(rows).collect();
     let widths: Vec<usize> = (0..header.len())
@@ -49,23 +49,23 @@
 }
 
 /// Lines `path: value` of all that `value` holds.
-pub fn outline(value: &Value) -> String {
+pub fn format_fields(value: &Value) -> String {
     let mut lines = Vec::new();
-    collect_lines("", value, &mut lines);
+    collect_field_lines("", value, &mut lines);
     lines.join("\n")
 }
 
-fn collect_lines(path: &str, value: &Value, lines: &mut Vec<String>) {
+fn collect_field_lines(path: &str, value: &Value, lines: &mut Vec<String>) {
     match value {
         Value::Object(fields) if !fields.is_empty() => {
             for (name, value) in fields {
                 let path = if path.is_empty() { name.clone() } else { format!("{path}.{name}") };
-                collect_lines(&path, value, lines);
+                collect_field_lines(&path, value, lines);
             }
         }
         Value::Array(items) if !items.is_empty() => {
             for (index, item) in items.iter().enumerate() {
-                collect_lines(&format!("{path}[{index}]"), item, lines);
+                collect_field_lines(&format!("{path}[{index}]"), item, lines);
             }
         }
         Value::String(text) => lines.push(format!("{path}: {text}")),
--- a/crates/yuccarackctl/tests/claim_commands.rs
+++ b/crates/yuccarackctl/tests/claim_commands.rs
@@ -36,32 +36,32 @@
 }
 
 #[tokio::test]
-async fn claims_are_listed_and_shown() {
+async fn list_and_show_report_claims() {
     let platform = platform().await;
-    let at = platform.address();
+    let address = platform.address();
     put_claim(&platform, "order-1", ClaimState::Open);
     put_claim(&platform, "order-2", ClaimState::Done);
-    let all = ctl(&format!("claim list supplies --platform {at}")).await.unwrap();
+    let all = ctl(&format!("claim list supplies --platform {address}")).await.unwrap();
     assert_eq!(all.json.as_array().unwrap().len(), 2);
-    let open = ctl(&format!("claim list supplies --open --platform {at}")).await.unwrap();
+    let open = ctl(&format!("claim list supplies --open --platform {address}")).await.unwrap();
     assert_eq!(open.json[0]["claim"]["key"], json!("order-1"));
-    let args = format!("claim list supplies --instance sapporo-1 --platform {at}");
+    let args = format!("claim list supplies --instance sapporo-1 --platform {address}");
     assert_eq!(ctl(&args).await.unwrap().json, json!([]));
 
-    let shown = ctl(&format!("claim show supplies order-2 --platform {at}")).await.unwrap();
+    let shown = ctl(&format!("claim show supplies order-2 --platform {address}")).await.unwrap();
     assert_eq!(shown.json["claim"]["attempt"], json!(format!("{:032x}", 0xabc)));
     assert_eq!(shown.json["claim"]["outcome"]["body_bytes"], json!(3));
-    let absent = ctl(&format!("claim show supplies order-3 --platform {at}")).await;
+    let absent = ctl(&format!("claim show supplies order-3 --platform {address}")).await;
     assert!(matches!(absent, Err(CtlError::NotFound { .. })));
     platform.stop().await;
 }
 
 #[tokio::test]
-async fn a_release_wants_the_operators_word() {
+async fn release_requires_confirmation() {
     let platform = platform().await;
-    let at = platform.address();
+    let address = platform.address();
     put_claim(&platform, "order-1", ClaimState::Open);
-    let args = format!("claim release supplies order-1 --platform {at}");
+    let args = format!("claim release supplies order-1 --platform {address}");
     let unconfirmed = ctl(&args).await.unwrap_err();
     assert_eq!(unconfirmed.exit_status(), ExitStatus::Usage);
     assert!(unconfirmed.to_string().contains("kushiro-2"), "{unconfirmed}");
@@ -74,7 +74,7 @@
 // The delivery was booked and its answer is recorded. A release would let the caller's resend book
 // it a second time, so no word of an operator is enough.
 #[tokio::test]
-async fn a_claim_with_an_outcome_stays() {
+async fn claim_with_an_outcome_is_not_released() {
     let platform = platform().await;
     put_claim(&platform, "order-1", ClaimState::Done);
     let args = format!("claim release supplies order-1 --yes --platform {}", platform.address());
@@ -86,23 +86,26 @@
 // An operator looks at a claim, asks the target's people, and releases it an hour later. Meanwhile
 // the key was released by a colleague and claimed again: that new attempt may be running.
 #[tokio::test]
-async fn a_claim_that_changed_since_it_was_seen_stays() {
+async fn claim_at_another_revision_is_not_released() {
     let platform = platform().await;
-    let seen = put_claim(&platform, "order-1", ClaimState::Open);
-    let newer = put_claim(&platform, "order-1", ClaimState::Open);
+    let old_revision = put_claim(&platform, "order-1", ClaimState::Open);
+    let new_revision = put_claim(&platform, "order-1", ClaimState::Open);
     let args = format!(
-        "claim release supplies order-1 --yes --revision {seen} --platform {}",
+        "claim release supplies order-1 --yes --revision {old_revision} --platform {}",
         platform.address()
     );
     let error = ctl(&args).await.unwrap_err();
-    assert!(matches!(error, CtlError::ClaimChanged { revision } if revision == newer), "{error}");
+    assert!(
+        matches!(error, CtlError::ClaimChanged { revision } if revision == new_revision),
+        "{error}"
+    );
     assert_eq!(error.exit_status(), ExitStatus::Conflict);
     assert!(has_claim(&platform, "order-1"));
     platform.stop().await;
 }
 
 #[tokio::test]
-async fn a_release_whose_answer_got_lost_is_told_as_done() {
+async fn release_with_a_lost_response_is_reported_as_released() {
     let platform = platform().await;
     put_claim(&platform, "order-1", ClaimState::Open);
     platform.set_faults(PlatformFaults { lose_answers: 1, ..Default::default() });
--- a/crates/yuccarackctl/tests/common/mod.rs
+++ b/crates/yuccarackctl/tests/common/mod.rs
@@ -62,29 +62,29 @@
 
 /// What a [`FakeDaemon`] answers.
 #[derive(Default)]
-struct Answers {
-    by_path: Mutex<BTreeMap<String, Value>>,
+struct DaemonState {
+    responses: Mutex<BTreeMap<String, Value>>,
     hints: AtomicU32,
-    questions: AtomicU32,
+    requests: AtomicU32,
 }
 
 /// A daemon of which only the admin address is there.
 pub struct FakeDaemon {
     server: Server,
-    answers: Arc<Answers>,
+    state: Arc<DaemonState>,
 }
 
 impl FakeDaemon {
     /// Starts a daemon that knows nothing.
     pub async fn start() -> Self {
-        let answers = Arc::new(Answers::default());
-        let for_server = Arc::clone(&answers);
+        let state = Arc::new(DaemonState::default());
+        let server_state = Arc::clone(&state);
         let listener = listen(any_port()).await.expect("a free port");
         let server = Server::start(listener, 16, move |request| {
-            let answers = Arc::clone(&for_server);
-            async move { answers.serve(&request) }
+            let state = Arc::clone(&server_state);
+            async move { state.serve(&request) }
         });
-        Self { server: server.expect("a listening socket"), answers }
+        Self { server: server.expect("a listening socket"), state }
     }
 
     /// Its admin address.
@@ -93,18 +93,18 @@
     }
 
     /// Has it answer `value` at `path`.
-    pub fn set(&self, path: &str, value: Value) {
-        self.answers.by_path.lock().insert(path.to_owned(), value);
+    pub fn set_response(&self, path: &str, value: Value) {
+        self.state.responses.lock().insert(path.to_owned(), value);
     }
 
     /// Hints it has got.
     pub fn hints(&self) -> u32 {
-        self.answers.hints.load(Ordering::Relaxed)
+        self.state.hints.load(Ordering::Relaxed)
     }
 
     /// Questions it has got.
-    pub fn questions(&self) -> u32 {
-        self.answers.questions.load(Ordering::Relaxed)
+    pub fn requests(&self) -> u32 {
+        self.state.requests.load(Ordering::Relaxed)
     }
 
     /// Ends it.
@@ -113,15 +113,15 @@
     }
 }
 
-impl Answers {
+impl DaemonState {
     fn serve(&self, request: &Request<Incoming>) -> Answer {
         let path = request.uri().path();
         if request.method() == Method::POST && path == "/hint" {
             self.hints.fetch_add(1, Ordering::Relaxed);
             return answer(StatusCode::NO_CONTENT, Bytes::new());
         }
-        self.questions.fetch_add(1, Ordering::Relaxed);
-        match self.by_path.lock().get(path) {
+        self.requests.fetch_add(1, Ordering::Relaxed);
+        match self.responses.lock().get(path) {
             Some(value) => json_answer(StatusCode::OK, value),
             None => answer(StatusCode::NOT_FOUND, Bytes::new()),
         }
--- a/crates/yuccarackctl/tests/daemon_commands.rs
+++ b/crates/yuccarackctl/tests/daemon_commands.rs
@@ -27,47 +27,51 @@
 }
 
 #[tokio::test]
-async fn status_and_targets_show_what_the_daemon_says() {
+async fn status_and_targets_show_the_response_of_the_daemon() {
     let daemon = FakeDaemon::start().await;
-    daemon.set("/status", json!({
+    daemon.set_response("/status", json!({
         "instance": "sapporo-1",
         "store": "reachable",
         "services": [{"name": "conditions", "is_own": true, "rules_revision": 41, "members": 6}],
     }));
-    daemon.set("/targets", json!([member("sapporo-1", "127.0.0.1:7002")]));
-    let at = daemon.address();
-    let status = ctl(&format!("status --daemon {at}")).await.unwrap();
+    daemon.set_response("/targets", json!([member("sapporo-1", "127.0.0.1:7002")]));
+    let address = daemon.address();
+    let status = ctl(&format!("status --daemon {address}")).await.unwrap();
     assert!(status.text.contains("instance: sapporo-1\nstore: reachable"), "{}", status.text);
     let line = "conditions  true  41              6";
     assert!(status.text.contains(line), "{}", status.text);
-    let targets = ctl(&format!("targets --daemon {at}")).await.unwrap();
+    let targets = ctl(&format!("targets --daemon {address}")).await.unwrap();
     let line = "conditions  sapporo-1  sapporo  ready  10     127.0.0.1:7001  127.0.0.1:7002";
     assert!(targets.text.contains(line), "{}", targets.text);
-    assert_eq!(targets.json[at.to_string()][0]["slots"], json!(10));
+    assert_eq!(targets.json[address.to_string()][0]["slots"], json!(10));
     daemon.stop().await;
 }
 
 #[tokio::test]
-async fn counters_are_chosen_by_the_start_of_their_names() {
+async fn counters_are_filtered_by_prefix() {
     let daemon = FakeDaemon::start().await;
-    daemon.set("/counters", json!({"refused.draining": 3, "refused.shed": 1, "retries": 7}));
-    let at = daemon.address();
-    let counters = ctl(&format!("counters --daemon {at} --prefix refused.")).await.unwrap();
-    assert_eq!(counters.json[at.to_string()], json!({"refused.draining": 3, "refused.shed": 1}));
+    daemon
+        .set_response("/counters", json!({"refused.draining": 3, "refused.shed": 1, "retries": 7}));
+    let address = daemon.address();
+    let counters = ctl(&format!("counters --daemon {address} --prefix refused.")).await.unwrap();
+    assert_eq!(
+        counters.json[address.to_string()],
+        json!({"refused.draining": 3, "refused.shed": 1})
+    );
     assert!(counters.text.contains("refused.draining  3"), "{}", counters.text);
     daemon.stop().await;
 }
 
 #[tokio::test]
-async fn the_steps_of_a_request_are_a_line_each() {
+async fn explain_prints_one_line_per_step() {
     let daemon = FakeDaemon::start().await;
     let steps = json!([
         {"after_us": 12, "event": "chosen", "instance": "sapporo-1"},
         {"after_us": 950, "event": "answered", "instance": "sapporo-1", "reason": null},
     ]);
-    daemon.set("/explain/00ff", steps);
-    let told = ctl(&format!("explain 00ff --daemon {}", daemon.address())).await.unwrap();
-    let lines: Vec<_> = told.text.lines().skip(1).collect();
+    daemon.set_response("/explain/00ff", steps);
+    let explained = ctl(&format!("explain 00ff --daemon {}", daemon.address())).await.unwrap();
+    let lines: Vec<_> = explained.text.lines().skip(1).collect();
     let expected = [
         "        12 us  chosen  instance=sapporo-1",
         "       950 us  answered  instance=sapporo-1",
@@ -79,11 +83,11 @@
 // A request went through two of three daemons, and the operator doesn't know which. Each daemon
 // remembers its own part only, so all are asked, and those that know nothing are passed over.
 #[tokio::test]
-async fn explain_asks_all_daemons_of_a_service() {
+async fn explain_queries_all_daemons_of_a_service() {
     let platform = platform().await;
     let daemons = [FakeDaemon::start().await, FakeDaemon::start().await, FakeDaemon::start().await];
-    daemons[0].set("/explain/00ff", json!({"role": "entry"}));
-    daemons[2].set("/explain/00ff", json!({"role": "gate"}));
+    daemons[0].set_response("/explain/00ff", json!({"role": "entry"}));
+    daemons[2].set_response("/explain/00ff", json!({"role": "gate"}));
     for (index, daemon) in daemons.iter().enumerate() {
         let instance = format!("sapporo-{index}");
         let row = member(&instance, &daemon.address().to_string());
@@ -91,13 +95,13 @@
         let commit = Commit { conditions: vec![], writes: vec![write] };
         platform.with_table(|table| table.commit(commit)).unwrap();
     }
-    let at = platform.address();
+    let address = platform.address();
     let found =
-        ctl(&format!("explain 00ff --members-of conditions --platform {at}")).await.unwrap();
+        ctl(&format!("explain 00ff --members-of conditions --platform {address}")).await.unwrap();
     assert_eq!(found.json.as_object().unwrap().len(), 2);
     assert_eq!(found.json[daemons[2].address().to_string()]["role"], json!("gate"));
 
-    let unknown = ctl(&format!("explain 01 --members-of conditions --platform {at}")).await;
+    let unknown = ctl(&format!("explain 01 --members-of conditions --platform {address}")).await;
     assert!(matches!(unknown, Err(CtlError::NotFound { .. })));
     for daemon in daemons {
         daemon.stop().await;
@@ -108,29 +112,29 @@
 // An instance died, which is why the operator asks. Its row still stands in the table, so it is
 // asked with the others; that it is away must not hide what they say.
 #[tokio::test]
-async fn a_daemon_that_is_away_does_not_hide_the_others() {
-    let (here, away) = (FakeDaemon::start().await, FakeDaemon::start().await);
-    here.set("/counters", json!({"entry.calls": 3}));
-    let (here_at, away_at) = (here.address(), away.address());
-    away.stop().await;
-    let args = format!("counters --daemon {away_at} --daemon {here_at}");
+async fn unreachable_daemon_does_not_hide_the_others() {
+    let (running, stopped) = (FakeDaemon::start().await, FakeDaemon::start().await);
+    running.set_response("/counters", json!({"entry.calls": 3}));
+    let (running_address, stopped_address) = (running.address(), stopped.address());
+    stopped.stop().await;
+    let args = format!("counters --daemon {stopped_address} --daemon {running_address}");
     let counters = ctl(&args).await.unwrap();
-    assert_eq!(counters.json[here_at.to_string()], json!({"entry.calls": 3}));
-    assert_eq!(counters.json[away_at.to_string()]["exit_code"], json!(6));
+    assert_eq!(counters.json[running_address.to_string()], json!({"entry.calls": 3}));
+    assert_eq!(counters.json[stopped_address.to_string()]["exit_code"], json!(6));
     assert_eq!(counters.exit_status, ExitStatus::DaemonUnreachable);
-    here.stop().await;
+    running.stop().await;
 }
 
 #[tokio::test]
-async fn a_daemon_that_refuses_is_told_apart_from_one_that_is_away() {
+async fn unexpected_response_differs_from_an_unreachable_daemon() {
     let daemon = FakeDaemon::start().await;
-    let at = daemon.address();
-    let other = ctl(&format!("counters --daemon {at}")).await.unwrap_err();
-    assert!(matches!(other, CtlError::NotADaemon { .. }), "{other}");
-    daemon.set("/counters", json!("not a map"));
-    let refused = ctl(&format!("counters --daemon {at}")).await.unwrap_err();
+    let address = daemon.address();
+    let not_a_daemon = ctl(&format!("counters --daemon {address}")).await.unwrap_err();
+    assert!(matches!(not_a_daemon, CtlError::NotADaemon { .. }), "{not_a_daemon}");
+    daemon.set_response("/counters", json!("not a map"));
+    let refused = ctl(&format!("counters --daemon {address}")).await.unwrap_err();
     assert_eq!(refused.exit_status(), ExitStatus::Failed);
     daemon.stop().await;
-    let away = ctl(&format!("counters --daemon {at}")).await.unwrap_err();
-    assert_eq!(away.exit_status(), ExitStatus::DaemonUnreachable);
+    let unreachable = ctl(&format!("counters --daemon {address}")).await.unwrap_err();
+    assert_eq!(unreachable.exit_status(), ExitStatus::DaemonUnreachable);
 }
--- a/crates/yuccarackctl/tests/exit_codes.rs
+++ b/crates/yuccarackctl/tests/exit_codes.rs
@@ -12,7 +12,7 @@
 use common::{any_port, platform, rules_file};
 
 /// Runs the tool as a process of its own, off the threads that serve it.
-async fn process(args: String) -> Output {
+async fn run_tool(args: String) -> Output {
     let run = move || {
         let mut command = Command::new(env!("CARGO_BIN_EXE_yuccarackctl"));
         command.env_remove("YUCCARACK_PLATFORM").env_remove("YUCCARACK_DAEMON");
@@ -21,8 +21,8 @@
     tokio::task::spawn_blocking(run).await.expect("a process that ends")
 }
 
-async fn code(args: String) -> i32 {
-    process(args).await.status.code().expect("an exit code")
+async fn exit_code(args: String) -> i32 {
+    run_tool(args).await.status.code().expect("an exit code")
 }
 
 #[tokio::test]
@@ -42,7 +42,7 @@
         "claim show",
         "claim release",
     ] {
-        let output = process(format!("{command} --help")).await;
+        let output = run_tool(format!("{command} --help")).await;
         assert_eq!(output.status.code(), Some(0), "{command}");
         let text = String::from_utf8(output.stdout).unwrap();
         assert!(text.contains("Usage: yuccarackctl"), "{command}: {text}");
@@ -52,21 +52,21 @@
 #[tokio::test]
 async fn each_kind_of_failure_has_its_exit_code() {
     let platform = platform().await;
-    let at = platform.address();
-    let good = rules_file("code-good.json", 0, "conditions", 500);
-    let other = rules_file("code-other.json", 0, "conditions", 600);
-    let bad = rules_file("code-bad.json", 0, "conditions", 0);
-    assert_eq!(code(format!("apply {good} --platform {at}")).await, 0);
-    assert_eq!(code(format!("claim show conditions none --platform {at}")).await, 1);
-    assert_eq!(code("apply".to_owned()).await, 2);
-    assert_eq!(code(format!("apply {good}")).await, 2);
-    assert_eq!(code(format!("apply {bad} --platform {at}")).await, 3);
-    assert_eq!(code(format!("apply {other} --platform {at}")).await, 4);
+    let address = platform.address();
+    let valid = rules_file("code-good.json", 0, "conditions", 500);
+    let conflicting = rules_file("code-other.json", 0, "conditions", 600);
+    let invalid = rules_file("code-bad.json", 0, "conditions", 0);
+    assert_eq!(exit_code(format!("apply {valid} --platform {address}")).await, 0);
+    assert_eq!(exit_code(format!("claim show conditions none --platform {address}")).await, 1);
+    assert_eq!(exit_code("apply".to_owned()).await, 2);
+    assert_eq!(exit_code(format!("apply {valid}")).await, 2);
+    assert_eq!(exit_code(format!("apply {invalid} --platform {address}")).await, 3);
+    assert_eq!(exit_code(format!("apply {conflicting} --platform {address}")).await, 4);
     platform.stop().await;
-    let away = format!("--platform {at} --timeout-ms 200");
-    assert_eq!(code(format!("apply {good} {away}")).await, 5);
-    assert_eq!(code(format!("show {away}")).await, 5);
-    assert_eq!(code(format!("status --daemon {at}")).await, 6);
+    let unreachable = format!("--platform {address} --timeout-ms 200");
+    assert_eq!(exit_code(format!("apply {valid} {unreachable}")).await, 5);
+    assert_eq!(exit_code(format!("show {unreachable}")).await, 5);
+    assert_eq!(exit_code(format!("status --daemon {address}")).await, 6);
 }
 
 // The store falls silent in the middle of a commit. A script that got "failed" would apply its
@@ -82,20 +82,21 @@
         }
     })
     .unwrap();
-    let at = server.address();
-    let good = rules_file("code-unknown.json", 0, "conditions", 500);
-    let output = process(format!("apply {good} --json --platform {at} --timeout-ms 400")).await;
+    let address = server.address();
+    let valid = rules_file("code-unknown.json", 0, "conditions", 500);
+    let output =
+        run_tool(format!("apply {valid} --json --platform {address} --timeout-ms 400")).await;
     assert_eq!(output.status.code(), Some(7));
-    let told: Value = serde_json::from_slice(&output.stdout).unwrap();
-    assert!(told["apply_id"].is_string(), "{told}");
+    let error: Value = serde_json::from_slice(&output.stdout).unwrap();
+    assert!(error["apply_id"].is_string(), "{error}");
     server.crash().await;
 }
 
 #[tokio::test]
 async fn a_script_reads_the_faults_as_json() {
-    let bad = rules_file("code-json.json", 0, "conditions", 0);
-    let output = process(format!("check {bad} --json")).await;
-    let told: Value = serde_json::from_slice(&output.stdout).unwrap();
-    assert_eq!(told["exit_code"], 3);
-    assert_eq!(told["faults"][0]["path"], "services[0].routes[0].deadline_ms");
+    let invalid = rules_file("code-json.json", 0, "conditions", 0);
+    let output = run_tool(format!("check {invalid} --json")).await;
+    let error: Value = serde_json::from_slice(&output.stdout).unwrap();
+    assert_eq!(error["exit_code"], 3);
+    assert_eq!(error["faults"][0]["path"], "services[0].routes[0].deadline_ms");
 }
--- a/crates/yuccarackctl/tests/explain_logs.rs
+++ b/crates/yuccarackctl/tests/explain_logs.rs
@@ -6,7 +6,7 @@
 use yuccarackctl::{CtlError, ExitStatus, Report, command, run};
 
 /// Options that name all logs of the run; the clock of one instance stands three seconds back.
-fn logs() -> Vec<String> {
+fn log_options() -> Vec<String> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data");
     let files = fs::read_dir(folder).expect("logs of a run");
     let mut files: Vec<String> =
@@ -16,9 +16,9 @@
 }
 
 async fn ctl(name: &str, options: &[&str]) -> Result<Report, CtlError> {
-    let logs = logs();
+    let log_options = log_options();
     let mut args = vec![name];
-    args.extend(logs.iter().map(String::as_str));
+    args.extend(log_options.iter().map(String::as_str));
     args.extend(options);
     run(command().run_inner(args.as_slice()).expect("a right command line")).await
 }
@@ -31,7 +31,7 @@
 /// An order waited for almost its whole time at a gate whose clock stands back, and was refused
 /// then. Put in order by clocks, that gate's word would come before the call.
 #[tokio::test]
-async fn a_request_s_lines_are_in_order_though_clocks_differ() {
+async fn lines_of_a_request_are_in_order_despite_clock_differences() {
     let report = ctl("explain", &["fa7edc34f5a5070b"]).await.expect("lines of the request");
     let expected = ["sidecar-sapporo-3", "sidecar-kushiro-3", "sidecar-sapporo-3"];
     assert_eq!(instances(&report), expected, "{}", report.text);
@@ -41,39 +41,40 @@
 /// A read failed at one target, found no room at two gates, and its time ended at a fourth one that
 /// wrote nothing. The lines name that one.
 #[tokio::test]
-async fn the_gate_that_had_a_request_when_its_time_ended_is_named() {
+async fn gate_that_held_the_request_at_its_deadline_is_named() {
     let report = ctl("explain", &["a00a5e6feb1c9275"]).await.expect("lines of the request");
-    let last =
+    let explanation =
         report.text.lines().find(|line| line.starts_with("a00a5e6feb1c9275")).expect("a cause");
-    assert!(last.contains("too_slow (at sidecar-sapporo-2)"), "{}", report.text);
+    assert!(explanation.contains("too_slow (at sidecar-sapporo-2)"), "{}", report.text);
     assert_eq!(instances(&report).last(), Some(&"sidecar-asahikawa-2"), "{}", report.text);
 }
 
 #[tokio::test]
-async fn an_unknown_request_is_said_to_be_unknown() {
+async fn unknown_request_and_missing_logs_are_errors() {
     let error = ctl("explain", &["nobody"]).await.expect_err("no such request");
     assert_eq!(error.exit_status(), ExitStatus::Failed);
-    let no_log = command().run_inner(["report"].as_slice());
-    assert!(no_log.is_err(), "a report of nothing");
+    let without_logs = command().run_inner(["report"].as_slice());
+    assert!(without_logs.is_err(), "a report of nothing");
     let args = ["report", "--logs", "/nonexistent"];
-    let missing = run(command().run_inner(args.as_slice()).expect("a right command line")).await;
-    assert!(matches!(missing, Err(CtlError::Log(_))), "{missing:?}");
+    let missing_file =
+        run(command().run_inner(args.as_slice()).expect("a right command line")).await;
+    assert!(matches!(missing_file, Err(CtlError::Log(_))), "{missing_file:?}");
 }
 
 #[tokio::test]
-async fn a_report_counts_by_cause_and_time_and_draws_it() {
-    let picture = Path::new(env!("CARGO_TARGET_TMPDIR")).join("report.svg");
-    let options = ["--bucket-s", "5", "--svg", &picture.display().to_string()];
+async fn report_counts_calls_by_cause_and_time_and_draws_a_chart() {
+    let chart = Path::new(env!("CARGO_TARGET_TMPDIR")).join("report.svg");
+    let options = ["--bucket-s", "5", "--svg", &chart.display().to_string()];
     let report = ctl("report", &options).await.expect("a report");
     let totals = report.json["totals"].as_object().expect("totals");
     let sum: u64 = totals.values().filter_map(Value::as_u64).sum();
     let buckets = report.json["buckets"].as_array().expect("buckets");
-    let in_buckets = buckets.iter().flat_map(|bucket| bucket["calls"].as_object());
-    let in_buckets: u64 =
-        in_buckets.flat_map(|calls| calls.values()).filter_map(Value::as_u64).sum();
+    let sum_of_buckets = buckets.iter().flat_map(|bucket| bucket["calls"].as_object());
+    let sum_of_buckets: u64 =
+        sum_of_buckets.flat_map(|calls| calls.values()).filter_map(Value::as_u64).sum();
     assert!(totals.contains_key("load") && totals.contains_key("target_failed"), "{}", report.text);
-    assert_eq!(sum, in_buckets);
+    assert_eq!(sum, sum_of_buckets);
     assert!(report.json["lines_left_out"].as_u64() > Some(0), "{}", report.text);
-    let picture = fs::read_to_string(picture).expect("a picture");
-    assert!(picture.contains("<svg") && picture.contains("target_failed"), "no key in it");
+    let chart = fs::read_to_string(chart).expect("a picture");
+    assert!(chart.contains("<svg") && chart.contains("target_failed"), "no key in it");
 }
--- a/crates/yuccarackctl/tests/links.rs
+++ b/crates/yuccarackctl/tests/links.rs
@@ -5,12 +5,12 @@
     path::{Path, PathBuf},
 };
 
-fn repository() -> PathBuf {
+fn repository_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
 fn pages() -> Vec<PathBuf> {
-    let folders = ["", "docs", "examples"].map(|folder| repository().join(folder));
+    let folders = ["", "docs", "examples"].map(|folder| repository_root().join(folder));
     let files = folders.iter().flat_map(|folder| fs::read_dir(folder).expect("a folder"));
     let paths = files.map(|file| file.expect("a readable folder").path());
     paths.filter(|path| path.extension().is_some_and(|extension| extension == "md")).collect()
@@ -34,7 +34,7 @@
     kept.map(|c| if c == ' ' { '-' } else { c }).collect()
 }
 
-fn leads_somewhere(page: &Path, target: &str) -> bool {
+fn is_valid_link(page: &Path, target: &str) -> bool {
     let (file, heading) = target.split_once('#').unwrap_or((target, ""));
     let path = match file.is_empty() {
         true => page.to_owned(),
@@ -48,18 +48,18 @@
 }
 
 #[test]
-fn every_link_leads_somewhere() {
-    let mut seen = 0;
+fn every_link_has_a_target() {
+    let mut links_checked = 0;
     let mut broken = Vec::new();
     for page in pages() {
         let text = fs::read_to_string(&page).expect("a page");
         for target in links(&text) {
-            seen += 1;
-            if !leads_somewhere(&page, target) {
+            links_checked += 1;
+            if !is_valid_link(&page, target) {
                 broken.push(format!("{}: {target}", page.display()));
             }
         }
     }
-    assert!(seen > 30, "the search finds too few links: {seen}");
+    assert!(links_checked > 30, "the search finds too few links: {links_checked}");
     assert!(broken.is_empty(), "links that lead nowhere: {broken:#?}");
 }
--- a/crates/yuccarackctl/tests/pages.rs
+++ b/crates/yuccarackctl/tests/pages.rs
@@ -6,29 +6,29 @@
     path::{Path, PathBuf},
 };
 
-fn repository() -> PathBuf {
+fn repository_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-fn sources(folder: &Path, found: &mut Vec<String>) {
+fn read_sources(folder: &Path, found: &mut Vec<String>) {
     for entry in fs::read_dir(folder).expect("a folder of sources") {
         let path = entry.expect("a readable folder").path();
         if path.is_dir() {
-            sources(&path, found);
+            read_sources(&path, found);
         } else {
             found.push(fs::read_to_string(&path).expect("a source file"));
         }
     }
 }
 
-fn daemon_sources() -> Vec<String> {
+fn read_daemon_sources() -> Vec<String> {
     let mut found = Vec::new();
-    sources(&repository().join("crates/yuccarackd/src"), &mut found);
+    read_sources(&repository_root().join("crates/yuccarackd/src"), &mut found);
     found
 }
 
 /// Literals of lower-case words with a dot between them, as only counters are.
-fn counters(source: &str) -> impl Iterator<Item = &str> {
+fn counter_names(source: &str) -> impl Iterator<Item = &str> {
     let is_word = |word: &str| {
         !word.is_empty() && word.bytes().all(|byte| byte.is_ascii_lowercase() || byte == b'_')
     };
@@ -37,17 +37,17 @@
 }
 
 /// Words behind `=> "`, as an enum's spelling has them.
-fn spellings(source: &str) -> impl Iterator<Item = &str> {
+fn match_arm_literals(source: &str) -> impl Iterator<Item = &str> {
     source.split("=> \"").skip(1).filter_map(|rest| rest.split('"').next())
 }
 
 /// Whether the page has the name, by itself or as the start of a counter with its reason.
-fn names(page: &str, counter: &str) -> bool {
+fn has_counter(page: &str, counter: &str) -> bool {
     page.contains(&format!("`{counter}`")) || page.contains(&format!("`{counter}."))
 }
 
 /// Reasons in the first columns of the pages' tables of refusals.
-fn reasons_on(page: &str) -> Vec<&str> {
+fn documented_reasons(page: &str) -> Vec<&str> {
     let tables = page.split("\n## Refusals").skip(1).filter_map(|rest| rest.split("\n## ").next());
     let rows = tables.flat_map(str::lines).filter(|line| line.starts_with("| `"));
     let first_cells = rows.filter_map(|line| line.split('|').nth(1));
@@ -55,24 +55,24 @@
 }
 
 /// The operators' pages: the product's own interface, and daemons on the users' platform.
-fn page() -> String {
-    let read = |name: &str| fs::read_to_string(repository().join(name)).expect("a page");
+fn operator_pages() -> String {
+    let read = |name: &str| fs::read_to_string(repository_root().join(name)).expect("a page");
     format!("{}\n{}", read("docs/OPERATING.md"), read("docs/OPERATIONS.md"))
 }
 
 #[test]
 fn every_counter_is_on_the_operators_page() {
-    let page = page();
-    let sources = daemon_sources();
-    let found: BTreeSet<&str> = sources.iter().flat_map(|source| counters(source)).collect();
-    let missing: Vec<_> = found.iter().filter(|counter| !names(&page, counter)).collect();
+    let page = operator_pages();
+    let sources = read_daemon_sources();
+    let found: BTreeSet<&str> = sources.iter().flat_map(|source| counter_names(source)).collect();
+    let missing: Vec<_> = found.iter().filter(|counter| !has_counter(&page, counter)).collect();
     assert!(found.len() > 30, "the search finds too little: {found:?}");
     assert!(missing.is_empty(), "docs/OPERATING.md lacks the counters {missing:?}");
 }
 
 #[test]
 fn every_header_is_on_the_interfaces_page() {
-    let root = repository();
+    let root = repository_root();
     let page = fs::read_to_string(root.join("docs/INTERFACES.md")).expect("the page");
     let headers = root.join("crates/yuccarack_config/src/headers.rs");
     let source = fs::read_to_string(headers).expect("the names of headers");
@@ -85,7 +85,7 @@
 
 #[test]
 fn every_crate_is_on_the_developers_page() {
-    let root = repository();
+    let root = repository_root();
     let page = fs::read_to_string(root.join("CONTRIBUTING.md")).expect("the page");
     for folder in fs::read_dir(root.join("crates")).expect("the folder of crates") {
         let name = folder.expect("a readable folder").file_name();
@@ -96,19 +96,20 @@
 
 #[test]
 fn every_reason_is_on_the_operators_page() {
-    let page = page();
-    let root = repository().join("crates");
+    let page = operator_pages();
+    let root = repository_root().join("crates");
     let mut files = Vec::new();
-    sources(&root.join("yuccarack_policy/src"), &mut files);
-    sources(&root.join("yuccarackd/src/protocol"), &mut files);
-    let found: BTreeSet<&str> = files.iter().flat_map(|source| spellings(source)).collect();
+    read_sources(&root.join("yuccarack_policy/src"), &mut files);
+    read_sources(&root.join("yuccarackd/src/protocol"), &mut files);
+    let found: BTreeSet<&str> =
+        files.iter().flat_map(|source| match_arm_literals(source)).collect();
     assert!(found.len() > 30, "the search finds too little: {found:?}");
     let outdated: Vec<_> =
-        reasons_on(&page).into_iter().filter(|reason| !found.contains(reason)).collect();
+        documented_reasons(&page).into_iter().filter(|reason| !found.contains(reason)).collect();
     assert!(outdated.is_empty(), "docs/OPERATING.md has reasons that are gone: {outdated:?}");
-    let is_there = |reason: &&&str| {
+    let is_documented = |reason: &&&str| {
         page.contains(&format!("`{reason}`")) || page.contains(&format!(".{reason}`"))
     };
-    let missing: Vec<_> = found.iter().filter(|reason| !is_there(reason)).collect();
+    let missing: Vec<_> = found.iter().filter(|reason| !is_documented(reason)).collect();
     assert!(missing.is_empty(), "docs/OPERATING.md lacks the reasons {missing:?}");
 }
--- a/crates/yuccarackctl/tests/rules_commands.rs
+++ b/crates/yuccarackctl/tests/rules_commands.rs
@@ -16,12 +16,12 @@
 use common::{FakeDaemon, ctl, platform, rules_file, write_file};
 
 #[tokio::test]
-async fn check_tells_all_faults_without_a_platform() {
-    let good = rules_file("check-good.json", 0, "conditions", 500);
-    ctl(&format!("check {good}")).await.unwrap();
-    let bad = rules_file("check-bad.json", 0, "Conditions", 0);
-    let error = ctl(&format!("check {bad}")).await.unwrap_err();
-    assert_eq!(error.exit_status(), ExitStatus::Refused);
+async fn check_reports_all_faults_without_a_platform() {
+    let valid = rules_file("check-good.json", 0, "conditions", 500);
+    ctl(&format!("check {valid}")).await.unwrap();
+    let invalid = rules_file("check-bad.json", 0, "Conditions", 0);
+    let error = ctl(&format!("check {invalid}")).await.unwrap_err();
+    assert_eq!(error.exit_status(), ExitStatus::InvalidFile);
     let paths: Vec<_> = error.to_json()["faults"].as_array().unwrap().clone();
     assert_eq!(paths.len(), 2);
     assert!(error.to_string().contains("services[0].routes[0].deadline_ms: found 0"), "{error}");
@@ -30,36 +30,37 @@
 #[tokio::test]
 async fn a_file_with_faults_is_not_applied() {
     let platform = platform().await;
-    let bad = rules_file("apply-bad.json", 0, "conditions", 0);
-    let error = ctl(&format!("apply {bad} --platform {}", platform.address())).await.unwrap_err();
-    assert_eq!(error.exit_status(), ExitStatus::Refused);
+    let invalid = rules_file("apply-bad.json", 0, "conditions", 0);
+    let error =
+        ctl(&format!("apply {invalid} --platform {}", platform.address())).await.unwrap_err();
+    assert_eq!(error.exit_status(), ExitStatus::InvalidFile);
     assert_eq!(platform.stats().writes, 0);
     platform.stop().await;
 }
 
 #[tokio::test]
-async fn what_show_prints_can_be_edited_and_applied() {
+async fn output_of_show_can_be_edited_and_applied() {
     let platform = platform().await;
-    let at = platform.address();
+    let address = platform.address();
     let first = rules_file("show-first.json", 0, "conditions", 500);
-    ctl(&format!("apply {first} --platform {at}")).await.unwrap();
+    ctl(&format!("apply {first} --platform {address}")).await.unwrap();
 
-    let shown = ctl(&format!("show --platform {at}")).await.unwrap();
+    let shown = ctl(&format!("show --platform {address}")).await.unwrap();
     assert_eq!(shown.json["based_on"], json!(1));
     let edited = shown.text.replace("\"deadline_ms\": 500", "\"deadline_ms\": 600");
     let edited = write_file("show-edited.json", &edited);
-    let diff = ctl(&format!("diff {edited} --platform {at}")).await.unwrap();
+    let diff = ctl(&format!("diff {edited} --platform {address}")).await.unwrap();
     assert_eq!(diff.text, "~ conditions\n    routes[0].deadline_ms: 500 -> 600");
-    ctl(&format!("apply {edited} --platform {at} --operator aiko")).await.unwrap();
+    ctl(&format!("apply {edited} --platform {address} --operator aiko")).await.unwrap();
 
-    let history = ctl(&format!("history --platform {at} --limit 1")).await.unwrap();
+    let history = ctl(&format!("history --platform {address} --limit 1")).await.unwrap();
     let newest = &history.json[0];
     assert_eq!(newest["applied"]["operator"], json!("aiko"));
     assert_eq!(newest["revision"], json!(2));
 
-    let oldest = ctl(&format!("history --platform {at}")).await.unwrap().json[1].clone();
+    let oldest = ctl(&format!("history --platform {address}")).await.unwrap().json[1].clone();
     let apply_id = oldest["applied"]["apply_id"].as_str().unwrap();
-    let back = ctl(&format!("show --platform {at} --applied {apply_id}")).await.unwrap();
+    let back = ctl(&format!("show --platform {address} --applied {apply_id}")).await.unwrap();
     assert_eq!(back.json["based_on"], json!(2));
     assert_eq!(back.json["services"][0]["routes"][0]["deadline_ms"], json!(500));
     platform.stop().await;
@@ -67,11 +68,11 @@
 
 // After years there are millions of accepted files. The history must not read them all.
 #[tokio::test]
-async fn history_looks_back_some_days_only() {
+async fn history_is_limited_by_days() {
     let platform = platform().await;
-    let at = platform.address();
+    let address = platform.address();
     let file = rules_file("history.json", 0, "conditions", 500);
-    ctl(&format!("apply {file} --platform {at}")).await.unwrap();
+    ctl(&format!("apply {file} --platform {address}")).await.unwrap();
     let old_unix_ms = now_unix_ms() - 3 * HISTORY_SPAN_MS;
     let old = AppliedRow {
         apply_id: "old".to_owned(),
@@ -86,7 +87,7 @@
     let commit = Commit { conditions: vec![], writes: vec![write] };
     platform.with_table(|table| table.commit(commit)).unwrap();
     let count = async |days: u32| {
-        let history = ctl(&format!("history --platform {at} --days {days}")).await.unwrap();
+        let history = ctl(&format!("history --platform {address} --days {days}")).await.unwrap();
         history.json.as_array().unwrap().len()
     };
     assert_eq!((count(1).await, count(30).await), (1, 2));
@@ -96,15 +97,15 @@
 // An operator applies a file from last month, which names no revision. It would undo what others
 // changed since. A file that says nothing of what it is based on is based on nothing.
 #[tokio::test]
-async fn a_file_without_based_on_conflicts_with_what_is_there() {
+async fn file_without_based_on_conflicts_with_existing_rules() {
     let platform = platform().await;
-    let at = platform.address();
+    let address = platform.address();
     let first = rules_file("conflict-first.json", 0, "conditions", 500);
-    ctl(&format!("apply {first} --platform {at}")).await.unwrap();
+    ctl(&format!("apply {first} --platform {address}")).await.unwrap();
     let old = rules_file("conflict-old.json", 0, "conditions", 700);
-    let diff = ctl(&format!("diff {old} --platform {at}")).await.unwrap();
+    let diff = ctl(&format!("diff {old} --platform {address}")).await.unwrap();
     assert!(diff.text.starts_with("~ conditions (conflict: changed at revision 1)"));
-    let error = ctl(&format!("apply {old} --platform {at}")).await.unwrap_err();
+    let error = ctl(&format!("apply {old} --platform {address}")).await.unwrap_err();
     assert_eq!(error.exit_status(), ExitStatus::Conflict);
     assert_eq!(error.to_json()["services"], json!([{"service": "conditions", "revision": 1}]));
     platform.stop().await;
@@ -113,52 +114,54 @@
 // A file comes from another platform, whose revisions are higher. Nothing here is newer than its
 // `based_on`, so it would undo everything without a conflict.
 #[tokio::test]
-async fn a_file_based_on_a_revision_to_come_is_refused() {
+async fn file_based_on_a_future_revision_is_rejected() {
     let platform = platform().await;
     let file = rules_file("future.json", 40, "conditions", 500);
     let error = ctl(&format!("apply {file} --platform {}", platform.address())).await.unwrap_err();
     assert!(matches!(error, CtlError::BasedOnFuture { based_on: 40, revision: 0 }), "{error}");
-    assert_eq!(error.exit_status(), ExitStatus::Refused);
+    assert_eq!(error.exit_status(), ExitStatus::InvalidFile);
     platform.stop().await;
 }
 
 #[tokio::test]
-async fn the_same_command_again_tells_the_first_fate() {
+async fn repeated_apply_returns_the_first_outcome() {
     let platform = platform().await;
-    let at = platform.address();
+    let address = platform.address();
     let file = rules_file("again.json", 0, "conditions", 500);
-    let first = ctl(&format!("apply {file} --platform {at}")).await.unwrap();
-    let again = ctl(&format!("apply {file} --platform {at}")).await.unwrap();
-    assert_eq!(again, first);
+    let first = ctl(&format!("apply {file} --platform {address}")).await.unwrap();
+    let second = ctl(&format!("apply {file} --platform {address}")).await.unwrap();
+    assert_eq!(second, first);
     assert_eq!(platform.stats().commits, 1);
 
     let other = rules_file("again-other.json", 0, "repairs", 500);
-    let id = first.json["applied"]["apply_id"].as_str().unwrap();
-    let error = ctl(&format!("apply {other} --platform {at} --apply-id {id}")).await.unwrap_err();
+    let apply_id = first.json["applied"]["apply_id"].as_str().unwrap();
+    let error = ctl(&format!("apply {other} --platform {address} --apply-id {apply_id}"))
+        .await
+        .unwrap_err();
     assert!(matches!(error, CtlError::Accept(AcceptError::ApplyIdTaken { .. })), "{error}");
     platform.stop().await;
 }
 
 #[tokio::test]
-async fn a_removed_service_is_gone_from_show() {
+async fn show_omits_removed_services() {
     let platform = platform().await;
-    let at = platform.address();
+    let address = platform.address();
     let first = rules_file("remove-first.json", 0, "conditions", 500);
-    ctl(&format!("apply {first} --platform {at}")).await.unwrap();
+    ctl(&format!("apply {first} --platform {address}")).await.unwrap();
     let removal = r#"{"format": 1, "based_on": 1, "services": [], "removed": ["conditions"]}"#;
     let removal = write_file("remove.json", removal);
-    let diff = ctl(&format!("diff {removal} --platform {at}")).await.unwrap();
+    let diff = ctl(&format!("diff {removal} --platform {address}")).await.unwrap();
     assert_eq!(diff.text, "- conditions");
-    ctl(&format!("apply {removal} --platform {at}")).await.unwrap();
-    let shown = ctl(&format!("show --platform {at}")).await.unwrap();
+    ctl(&format!("apply {removal} --platform {address}")).await.unwrap();
+    let shown = ctl(&format!("show --platform {address}")).await.unwrap();
     assert_eq!(shown.json["services"], json!([]));
-    let error = ctl(&format!("show conditions --platform {at}")).await.unwrap_err();
+    let error = ctl(&format!("show conditions --platform {address}")).await.unwrap_err();
     assert!(matches!(error, CtlError::NotFound { .. }), "{error}");
     platform.stop().await;
 }
 
 #[tokio::test]
-async fn apply_hints_the_daemon_and_waits_until_it_has_the_rules() {
+async fn apply_waits_until_daemons_have_the_rules_in_force() {
     let platform = platform().await;
     let daemon = FakeDaemon::start().await;
     let file = rules_file("wait.json", 0, "conditions", 500);
@@ -168,20 +171,20 @@
             {"name": "repairs", "rules_revision": 0},
         ]})
     };
-    daemon.set("/status", status(0));
+    daemon.set_response("/status", status(0));
     let args = format!(
         "apply {file} --wait --platform {} --daemon {}",
         platform.address(),
         daemon.address()
     );
     let applying = ctl(&args);
-    let becoming_in_force = async {
-        while daemon.questions() < 2 {
+    let put_in_force = async {
+        while daemon.requests() < 2 {
             sleep(Duration::from_millis(5)).await;
         }
-        daemon.set("/status", status(1));
+        daemon.set_response("/status", status(1));
     };
-    let (applied, ()) = tokio::join!(applying, becoming_in_force);
+    let (applied, ()) = tokio::join!(applying, put_in_force);
     assert_eq!(applied.unwrap().json["in_force_at"], json!([daemon.address()]));
     assert_eq!(daemon.hints(), 1);
     daemon.stop().await;
@@ -189,10 +192,13 @@
 }
 
 #[tokio::test]
-async fn apply_says_which_daemon_has_not_taken_the_rules_over() {
+async fn apply_reports_daemons_without_the_rules_in_force() {
     let platform = platform().await;
     let daemon = FakeDaemon::start().await;
-    daemon.set("/status", json!({"services": [{"name": "conditions", "rules_revision": 0}]}));
+    daemon.set_response(
+        "/status",
+        json!({"services": [{"name": "conditions", "rules_revision": 0}]}),
+    );
     let file = rules_file("late.json", 0, "conditions", 500);
     let args = format!(
         "apply {file} --wait --timeout-ms 300 --platform {} --daemon {}",
@@ -200,9 +206,9 @@
         daemon.address()
     );
     let error = ctl(&args).await.unwrap_err();
-    let late = [daemon.address()];
+    let pending = [daemon.address()];
     assert!(
-        matches!(&error, CtlError::NotInForce { revision: 1, daemons } if *daemons == late),
+        matches!(&error, CtlError::NotInForce { revision: 1, daemons } if *daemons == pending),
         "{error}"
     );
     daemon.stop().await;
@@ -210,7 +216,7 @@
 }
 
 #[tokio::test]
-async fn routing_files_are_checked_whole_too() {
+async fn check_reports_all_faults_of_a_routing_file() {
     let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples");
     let example = folder.join("hokkaido/routing.json");
     let report = ctl(&format!("check {}", example.display())).await.expect("an accepted file");
@@ -220,7 +226,7 @@
     let broken = broken.replacen("\"x\"", "\"nobody\"", 1);
     let file = write_file("routing-broken.json", &broken);
     let error = ctl(&format!("check {file}")).await.expect_err("a file with faults");
-    let told = error.to_json();
-    assert_eq!(told["exit_code"], 3);
-    assert_eq!(told["faults"].as_array().map(Vec::len), Some(2), "{told}");
+    let error_json = error.to_json();
+    assert_eq!(error_json["exit_code"], 3);
+    assert_eq!(error_json["faults"].as_array().map(Vec::len), Some(2), "{error_json}");
 }
--- a/crates/yuccarackctl/tests/with_daemons.rs
+++ b/crates/yuccarackctl/tests/with_daemons.rs
@@ -18,7 +18,7 @@
 use common::{ctl, platform, rules_file, write_file};
 
 /// Longest wait for anything that has to come.
-const LONG: Duration = Duration::from_secs(30);
+const WAIT_MAX: Duration = Duration::from_secs(30);
 
 /// One instance: a target with its daemon.
 struct Instance {
@@ -59,16 +59,16 @@
 }
 
 /// Asks until the answer is the target's own.
-async fn ask_until_answered(entry: SocketAddr, question: &Question) -> Told {
-    let asker = Asker::default();
-    let deadline = Instant::now() + LONG;
+async fn send_until_successful(entry: SocketAddr, request: &Question) -> Told {
+    let client = Asker::default();
+    let deadline = Instant::now() + WAIT_MAX;
     loop {
-        let told = asker.ask(entry, question.clone()).await.expect("an answer");
-        if told.status.is_success() {
-            return told;
+        let response = client.ask(entry, request.clone()).await.expect("an answer");
+        if response.status.is_success() {
+            return response;
         }
-        let reason = told.header("yuccarack-reason");
-        assert!(Instant::now() < deadline, "still refused: {} {reason}", told.status);
+        let reason = response.header("yuccarack-reason");
+        assert!(Instant::now() < deadline, "still refused: {} {reason}", response.status);
         sleep(Duration::from_millis(50)).await;
     }
 }
@@ -76,47 +76,49 @@
 // An operator brings a fleet up, follows one order through it and changes a rule: everything that
 // the tool reads comes from real daemons, so a field that was renamed on one side shows here.
 #[tokio::test]
-async fn an_operator_follows_an_order_through_the_fleet() {
+async fn commands_read_the_responses_of_real_daemons() {
     let platform = platform().await;
     let first = Instance::start(&platform, "sapporo-1", "supplies").await;
     let second = Instance::start(&platform, "kushiro-1", "conditions").await;
-    let at = platform.address();
+    let address = platform.address();
     let daemons = format!("--daemon {} --daemon {}", first.admin, second.admin);
 
     let rules = rules_file("fleet-1.json", 0, "supplies", 5_000);
-    let applied = ctl(&format!("apply {rules} --wait --platform {at} {daemons}")).await.unwrap();
+    let applied =
+        ctl(&format!("apply {rules} --wait --platform {address} {daemons}")).await.unwrap();
     assert_eq!(applied.json["in_force_at"].as_array().unwrap().len(), 2);
 
     let order = Question::new(Method::POST, "/deliveries")
         .with_header("yuccarack-service", "supplies")
         .with_header("idempotency-key", "order-7")
         .with_body("firewood");
-    let told = ask_until_answered(second.call, &order).await;
-    let request = told.header("yuccarack-request-id");
+    let response = send_until_successful(second.call, &order).await;
+    let request = response.header("yuccarack-request-id");
     let explained = ctl(&format!("explain {request} {daemons}")).await.unwrap();
     let steps = explained.json[second.admin.to_string()].to_string();
     assert!(steps.contains("chosen") && steps.contains("sapporo-1"), "{steps}");
 
-    let shown = until_done(&format!("claim show supplies order-7 --platform {at}")).await;
+    let shown = wait_until_done(&format!("claim show supplies order-7 --platform {address}")).await;
     assert_eq!(shown["claim"]["instance"], json!("sapporo-1"));
     assert_eq!(shown["claim"]["outcome"]["status"], json!(200));
-    let release = format!("claim release supplies order-7 --yes --platform {at}");
+    let release = format!("claim release supplies order-7 --yes --platform {address}");
     assert!(ctl(&release).await.is_err(), "a done claim was released");
 
     let status = ctl(&format!("status {daemons}")).await.unwrap();
     assert_eq!(status.json[first.admin.to_string()]["target_state"], json!("ready"));
-    let members = format!("targets --members-of supplies --platform {at}");
+    let members = format!("targets --members-of supplies --platform {address}");
     let targets = ctl(&members).await.unwrap();
     assert_eq!(targets.json[first.admin.to_string()][0]["instance"], json!("sapporo-1"));
     let counters = ctl(&format!("counters {daemons} --prefix claims.")).await.unwrap();
     assert_eq!(counters.json[first.admin.to_string()]["claims.mine"], json!(1));
 
-    let shown = ctl(&format!("show --platform {at}")).await.unwrap();
+    let shown = ctl(&format!("show --platform {address}")).await.unwrap();
     let edited = write_file("fleet-2.json", &shown.text.replace("5000", "4000"));
-    let again = format!("apply {edited} --wait --timeout-ms 20000 --platform {at} {daemons}");
-    let began = Instant::now();
-    let changed = ctl(&again).await.unwrap();
-    println!("in force at both daemons after {:?}", began.elapsed());
+    let reapply =
+        format!("apply {edited} --wait --timeout-ms 20000 --platform {address} {daemons}");
+    let started_at = Instant::now();
+    let changed = ctl(&reapply).await.unwrap();
+    println!("in force at both daemons after {:?}", started_at.elapsed());
     assert!(changed.json["revision"].as_u64() > applied.json["revision"].as_u64());
 
     second.stop().await;
@@ -125,8 +127,8 @@
 }
 
 /// The outcome is recorded after the answer has gone out.
-async fn until_done(show: &str) -> Value {
-    let deadline = Instant::now() + LONG;
+async fn wait_until_done(show: &str) -> Value {
+    let deadline = Instant::now() + WAIT_MAX;
     loop {
         let shown = ctl(show).await.expect("a claim").json;
         if shown["claim"]["state"] == json!("done") {
--- a/crates/yuccarackd/tests/routed/explained.rs
+++ b/crates/yuccarackd/tests/routed/explained.rs
@@ -10,7 +10,7 @@
     deployment::{Deployment, RouteSpec},
     target::Behaviour,
 };
-use yuccarackctl::logs::{Cause, Story, for_each_event};
+use yuccarackctl::logs::{Cause, RequestTrace, for_each_event};
 
 use crate::support::{ORDERS, READS, board_routes, deployed};
 
@@ -82,13 +82,13 @@
     Call::read(READS, "/r/1", id)
 }
 
-fn explain(logs: &[PathBuf], request: &str) -> Story {
-    let mut story = Story::default();
+fn explain(logs: &[PathBuf], request: &str) -> RequestTrace {
+    let mut trace = RequestTrace::default();
     for log in logs {
-        for_each_event(log, |event| story.take(request, event)).expect("a log");
+        for_each_event(log, |event| trace.record(request, event)).expect("a log");
     }
-    story.sort();
-    story
+    trace.sort();
+    trace
 }
 
 /// Guards against failures that can't be diagnosed from log lines: requests fail for eight injected
@@ -127,9 +127,9 @@
     let logs = injected.logs();
     let mut missed = Vec::new();
     for (id, cause) in &injected.failed {
-        let story = explain(&logs, id);
-        if story.cause() != *cause {
-            missed.push((cause, story.sentence(id), story.events));
+        let trace = explain(&logs, id);
+        if trace.cause() != *cause {
+            missed.push((cause, trace.explanation(id), trace.events));
         }
     }
     let all = injected.failed.len();
