--- a/crates/yuccarackd/src/coordination/control_handler.rs
+++ b/crates/yuccarackd/src/coordination/control_handler.rs
@@ -1,4 +1,4 @@
-//! Answers the questions of other daemons.
+//! Handler of control requests from other daemons.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -15,28 +15,28 @@
     state::{counters::Counters, directory::Directory},
 };
 
-/// Daemons that are named when the asked-for service isn't known here.
-const REFERRALS: usize = 4;
+/// Most daemons that a response refers to when the requested service isn't known here.
+const REFERRALS_MAX: usize = 4;
 
-/// Answers the questions of other daemons; clones share all.
+/// Handles control requests of other daemons. Clones share all state.
 #[derive(Clone)]
 pub struct ControlHandler {
     /// Settings of the daemon.
     pub settings: Arc<DaemonSettings>,
-    /// What is known.
+    /// Services and members that this daemon knows.
     pub directory: Directory,
-    /// Works out who lacks what.
+    /// Computes and applies updates.
     pub reconciler: Reconciler,
-    /// Asks other daemons.
+    /// Pings members for probes of other daemons.
     pub gossip: Gossip,
-    /// Where urgent news go.
-    pub urgent: mpsc::Sender<UrgentUpdate>,
-    /// Counters.
+    /// Queue of received urgent updates.
+    pub urgent_sender: mpsc::Sender<UrgentUpdate>,
+    /// Counters of the daemon.
     pub counters: Counters,
 }
 
 impl ControlHandler {
-    /// Answers one question.
+    /// Decodes one request and returns the encoded response.
     pub async fn respond(self, request: Vec<u8>) -> Vec<u8> {
         let response = match decode(&request) {
             Ok(request) => self.respond_to(request).await,
@@ -65,7 +65,8 @@
         }
     }
 
-    /// ServiceUpdate of services that nobody here wants are dropped, so that peers can't fill the memory.
+    /// Applies an update. Updates of services that this daemon doesn't use are dropped, so that
+    /// peers can't fill its memory.
     fn accept_push(&self, update: ServiceUpdate) -> ControlResponse {
         if self.directory.peek(&update.service).is_some() {
             self.reconciler.apply(update);
@@ -74,7 +75,7 @@
     }
 
     fn accept_urgent(&self, update: UrgentUpdate) -> ControlResponse {
-        let counter = match self.urgent.try_send(update) {
+        let counter = match self.urgent_sender.try_send(update) {
             Ok(()) => "urgent.received",
             Err(_) => "urgent.dropped",
         };
@@ -96,7 +97,7 @@
         let views = self.directory.views();
         let is_other = |row: &&MemberRow| row.instance != self.settings.instance;
         let members = views.iter().flat_map(|view| view.members.iter()).filter(is_other);
-        let chosen = members.choose_multiple(&mut generator(), REFERRALS);
+        let chosen = members.choose_multiple(&mut generator(), REFERRALS_MAX);
         chosen.into_iter().map(|row| row.control_address).collect()
     }
 }
--- a/crates/yuccarackd/src/coordination/control_parts.rs
+++ b/crates/yuccarackd/src/coordination/control_parts.rs
@@ -1,4 +1,4 @@
-//! What the control tasks share, and how each is made of it.
+//! Shared state of the control tasks, and their construction.
 
 use std::{sync::Arc, time::Duration};
 
@@ -26,7 +26,7 @@
     transport::control_channel::ControlClient,
 };
 
-/// What the tasks share.
+/// Shared state of the control tasks.
 pub(super) struct ControlParts {
     pub(super) settings: Arc<DaemonSettings>,
     pub(super) counters: Counters,
@@ -53,7 +53,7 @@
         let directory = Directory::new();
         let reachability = Reachability::new();
         let own_service_changed = Arc::new(Notify::new());
-        // A client of its own, since its connections live on the thread that opened them.
+        // A separate client, since connections are bound to the thread that opened them.
         let timeout_ms = u64::from(settings.budgets.platform_timeout_ms);
         let timeout = Duration::from_millis(timeout_ms);
         let platform = PlatformClient::new(settings.platform_address, timeout);
@@ -128,13 +128,16 @@
         }
     }
 
-    pub(super) fn control_handler(&self, urgent: mpsc::Sender<UrgentUpdate>) -> ControlHandler {
+    pub(super) fn control_handler(
+        &self,
+        urgent_sender: mpsc::Sender<UrgentUpdate>,
+    ) -> ControlHandler {
         ControlHandler {
             settings: Arc::clone(&self.settings),
             directory: self.directory.clone(),
             reconciler: self.reconciler.clone(),
             gossip: self.gossip.clone(),
-            urgent,
+            urgent_sender,
             counters: self.counters.clone(),
         }
     }
--- a/crates/yuccarackd/src/coordination/control_plane.rs
+++ b/crates/yuccarackd/src/coordination/control_plane.rs
@@ -1,4 +1,4 @@
-//! Starts and stops all that a daemon does besides calls.
+//! Control plane: starts and stops all tasks of a daemon that don't handle calls.
 
 use std::{
     io,
@@ -30,42 +30,43 @@
     },
 };
 
-/// Urgent news that wait to be sent or taken; more are dropped and counted.
+/// Most urgent updates that wait to be sent or processed; further ones are dropped and counted.
 const URGENT_QUEUE_MAX: usize = 256;
-/// How long connections are given to close at the end.
+/// Longest time that connections get to close when the control plane stops.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why the control plane could not start or stop well.
+/// Why the control plane failed to start or to stop.
 #[derive(Debug, Error)]
 pub enum ControlError {
-    /// The control thread can't be had or ended badly.
+    /// The control thread can't be started or panicked.
     #[error("the control thread failed")]
     Thread(#[source] io::Error),
-    /// The control address can't be served.
-    #[error("the control address {address} can't be served")]
+    /// The daemon can't listen on the control address.
+    #[error("can't listen on the control address {address}")]
     Listen {
-        /// The address.
+        /// Control address from the settings.
         address: SocketAddr,
-        /// What the operating system says.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The admin address can't be served.
+    /// The admin endpoint can't be started or stopped.
     #[error("the admin endpoint failed")]
     Admin(#[source] io::Error),
 }
 
-/// All that a daemon does besides calls; has to be stopped.
+/// Running control tasks of a daemon. Must be stopped with [`ControlPlane::stop`].
 ///
-/// It runs on a thread of its own, so that calls never wait for control work, and what it costs
-/// can be read off the operating system's count for that thread.
+/// The tasks run on a thread of their own, so that calls never wait for control work, and so that
+/// the operating system accounts its cost separately.
 pub struct ControlPlane {
-    /// What is known of services.
+    /// Services and members that this daemon knows.
     pub directory: Directory,
-    /// The own target.
+    /// State of the own target.
     pub own_target: OwnTarget,
-    /// Whether the store answers.
+    /// Whether the store responds.
     pub store_health: StoreHealth,
-    /// News that members of the own service need at once; a full queue must not be waited for.
+    /// Queue of updates that members of the own service need at once. Senders must not wait while
+    /// the queue is full.
     pub urgent_sender: mpsc::Sender<UrgentUpdate>,
     urgent_receiver: Option<mpsc::Receiver<UrgentUpdate>>,
     control_address: SocketAddr,
@@ -80,7 +81,7 @@
     ///
     /// # Errors
     ///
-    /// [`ControlError`] when an address or a thread can't be had; nothing runs then.
+    /// Returns a [`ControlError`] if an address or a thread isn't available; no task runs then.
     pub async fn start(
         settings: Arc<DaemonSettings>,
         counters: Counters,
@@ -146,31 +147,32 @@
         })
     }
 
-    /// Urgent news of other daemons; only the first taker gets them.
+    /// Takes the receiver of urgent updates from other daemons; `None` if it was already taken.
     pub fn take_urgent_receiver(&mut self) -> Option<mpsc::Receiver<UrgentUpdate>> {
         self.urgent_receiver.take()
     }
 
-    /// Address of the admin endpoint.
+    /// Returns the bound address of the admin endpoint.
     pub fn admin_address(&self) -> SocketAddr {
         self.admin.address()
     }
 
-    /// Address for control messages of other daemons.
+    /// Returns the bound address for control messages of other daemons.
     pub fn control_address(&self) -> SocketAddr {
         self.control_address
     }
 
-    /// Says to peers and in the table that this daemon takes no more work for its target.
+    /// Announces to peers and in the table that this daemon accepts no more requests for its
+    /// target.
     pub fn begin_drain(&self) {
         self.draining.send_replace(true);
     }
 
-    /// Says that this daemon has gone, and waits for all tasks and threads to end.
+    /// Announces that this daemon leaves, and waits for all tasks and threads to end.
     ///
     /// # Errors
     ///
-    /// [`ControlError`] when a thread ended badly.
+    /// Returns a [`ControlError`] if a thread panicked or the admin endpoint failed.
     pub async fn stop(self) -> Result<(), ControlError> {
         self.begin_drain();
         self.stop.cancel();
@@ -186,12 +188,13 @@
     }
 }
 
-/// The control thread panicked.
+/// Source of [`ControlError::Thread`] after a panic.
 #[derive(Debug, Error)]
 #[error("the control thread panicked")]
 struct ControlPanic;
 
-/// The settings with the ports that the kernel gave where they leave the choice to it.
+/// Returns the settings with the bound addresses, which differ where a port of 0 leaves the choice
+/// to the kernel.
 fn with_bound_addresses(
     settings: &DaemonSettings,
     server: &ControlServer,
@@ -203,7 +206,7 @@
     Ok(Arc::new(settings))
 }
 
-/// Runs all control tasks on this thread until they have ended.
+/// Runs all control tasks on this thread until they end.
 fn run(
     runtime: Runtime,
     parts: ControlParts,
@@ -215,7 +218,7 @@
 ) {
     runtime.block_on(async {
         let (tracker, stop) = (&parts.tracker, &parts.stop);
-        // Peers are answered until this daemon has said that it has gone.
+        // Requests of peers are served until this daemon has announced that it leaves.
         let stop_serving = CancellationToken::new();
         let control_handler = parts.control_handler(received_sender);
         let respond = move |request| control_handler.clone().respond(request);
@@ -248,7 +251,7 @@
             update = send_queue.recv() => update,
         };
         let Some(update) = update else { return };
-        // Each by itself: a member that doesn't answer must not hold up the next news.
+        // A task for each update: a member that doesn't respond must not delay the next update.
         let gossip = gossip.clone();
         tracker.spawn(async move { gossip.send_urgent(update).await });
     }
--- a/crates/yuccarackd/src/coordination/foreign_schedule.rs
+++ b/crates/yuccarackd/src/coordination/foreign_schedule.rs
@@ -1,4 +1,4 @@
-//! When which foreign service is compared.
+//! Schedule of exchanges about foreign services.
 
 use std::{
     collections::HashMap,
@@ -11,27 +11,28 @@
 
 use crate::coordination::jitter::jittered;
 
-/// Turns that may fail before a service counts as out of touch.
+/// Exchanges that may be missed before a service no longer counts as recently exchanged.
 const MISSED_EXCHANGES_MAX: u32 = 3;
 
-/// When a foreign service is compared next, and when it last was.
+/// Next exchange about a foreign service, and the last successful one.
 #[derive(Clone, Copy)]
 struct ScheduledExchange {
     due_at: Instant,
     synced_at: Option<Instant>,
-    /// Time between two turns that its members ask for.
+    /// Time between two exchanges that the service's members request.
     interval: Duration,
 }
 
-/// Turns of all foreign services.
+/// Scheduled exchanges about all foreign services.
 #[derive(Default)]
 pub(super) struct ForeignSchedule {
     schedule: Mutex<HashMap<ServiceName, ScheduledExchange>>,
 }
 
 impl ForeignSchedule {
-    /// Those of `foreign` whose turn it is, the one that has waited longest first; so each gets its
-    /// turn also when the budget is short of them. Services that aren't named are forgotten.
+    /// Returns those services of `foreign` whose exchange is due, the longest overdue first, so
+    /// that none starves when the budget is low. Services that `foreign` doesn't contain are
+    /// removed from the schedule.
     pub(super) fn due(&self, mut foreign: Vec<ServiceName>, now: Instant) -> Vec<ServiceName> {
         let mut schedule = self.schedule.lock();
         schedule.retain(|service, _| foreign.contains(service));
@@ -41,8 +42,8 @@
         foreign
     }
 
-    /// A turn of `service` has begun; the next one is set already, so that services that don't
-    /// answer don't take all turns.
+    /// Records that an exchange about `service` starts. The next one is scheduled already here, so
+    /// that services that don't respond don't take up all exchanges.
     pub(super) fn record_start(&self, service: &str, now: Instant) {
         let mut schedule = self.schedule.lock();
         let before = schedule.get(service).copied();
@@ -58,7 +59,7 @@
         );
     }
 
-    /// A member of `service` answered and asks for `pace` between two turns.
+    /// Records that a member of `service` responded and requests `interval` between two exchanges.
     pub(super) fn record_success(&self, service: &str, interval: Duration, now: Instant) {
         let exchange = ScheduledExchange {
             due_at: next_due_at(interval, now),
@@ -68,7 +69,7 @@
         self.schedule.lock().insert(service.to_owned(), exchange);
     }
 
-    /// Whether exchanges about `service` go well.
+    /// Returns whether an exchange about `service` succeeded recently.
     pub(super) fn has_recent_exchange(&self, service: &str, now: Instant) -> bool {
         let schedule = self.schedule.lock();
         let Some(exchange) = schedule.get(service) else { return false };
@@ -78,6 +79,6 @@
 }
 
 fn next_due_at(interval: Duration, now: Instant) -> Instant {
-    // Jitter takes a quarter away on average.
+    // Jitter shortens the interval by a quarter on average.
     now + jittered(interval.max(EXCHANGE_INTERVAL_MIN) * 4 / 3)
 }
--- a/crates/yuccarackd/src/coordination/gossip.rs
+++ b/crates/yuccarackd/src/coordination/gossip.rs
@@ -1,4 +1,4 @@
-//! Exchanges what is known of services with one member at a time.
+//! Gossip: exchanges of service updates with randomly chosen members.
 
 use std::{
     net::SocketAddr,
@@ -32,40 +32,40 @@
     transport::control_channel::{ChannelError, ControlClient},
 };
 
-/// Longest wait for an answer of another daemon.
+/// Longest wait for the response of another daemon.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Bytes left below which the budget counts as short: some ten exchanges.
+/// Remaining bytes below which the budget counts as low; about ten exchanges.
 const LOW_BUDGET_BYTES: u32 = 4_096;
-/// Members that hear of a change at once; each of them passes it on to as many.
+/// Members to which a change is sent at once; each of them forwards it to as many.
 ///
-/// With three, a change reaches 94 in 100 within the first wave (the share that e^-3x leaves
-/// out); the ticks bring it to the others.
+/// With three, a change reaches 94 of 100 members within the first wave (all but the share that
+/// e^-3x leaves out); the periodic exchanges bring it to the others.
 const FANOUT: usize = 3;
-/// Least time between two waves, so that changes that come together go out together.
+/// Shortest time between two broadcasts, so that changes in quick succession are sent together.
 const BROADCAST_INTERVAL_MIN: Duration = Duration::from_millis(20);
-/// Most members of the own service that urgent news go to.
+/// Most members of the own service to which an urgent update is sent.
 const URGENT_FANOUT_MAX: usize = 64;
 
 /// Why an exchange with another daemon failed.
 #[derive(Debug, Error)]
 pub enum ExchangeError {
-    /// The question got no answer.
+    /// The request got no response.
     #[error(transparent)]
     Channel(#[from] ChannelError),
-    /// A message can't be written or read.
+    /// A message can't be encoded or decoded.
     #[error(transparent)]
     Message(#[from] MessageError),
-    /// The other daemon gave an answer of another kind.
+    /// The other daemon sent a response of another kind.
     #[error("the response doesn't fit the request")]
     UnexpectedResponse,
 }
 
-/// What an exchange brought.
+/// Outcome of an exchange with another daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ExchangeOutcome {
-    /// The other knows the service, and both now know what either knew.
+    /// The other daemon knows the service, and both daemons now have the same data of it.
     Synced,
-    /// The other doesn't know the service; these may.
+    /// The other daemon doesn't know the service; daemons at these control addresses may.
     Referred(Vec<SocketAddr>),
 }
 
@@ -77,12 +77,12 @@
     counters: Counters,
     reconciler: Reconciler,
     reachability: Reachability,
-    /// Told when something about the own service changed.
+    /// Notified when the own service changed.
     own_service_changed: Arc<Notify>,
     foreign_schedule: ForeignSchedule,
 }
 
-/// Whose turn it is while the budget is short.
+/// Which services the next tick serves while the budget is low.
 #[derive(Clone, Copy)]
 enum ExchangeTurn {
     Own,
@@ -98,34 +98,34 @@
     }
 }
 
-/// Exchanges with other daemons; clones share all.
+/// Exchanges updates with other daemons. Clones share all state.
 #[derive(Clone)]
 pub struct Gossip {
     shared: Arc<Shared>,
 }
 
-/// What a [`Gossip`] works with.
+/// Components of a [`Gossip`].
 pub struct GossipParts {
     /// Settings of the daemon.
     pub settings: Arc<DaemonSettings>,
-    /// What is known.
+    /// Services and members that this daemon knows.
     pub directory: Directory,
-    /// Asks other daemons.
+    /// Client for requests to other daemons.
     pub client: ControlClient,
-    /// What exchanges may cost.
+    /// Limit of the bytes that exchanges may use.
     pub budget: ByteBudget,
-    /// Counters.
+    /// Counters of the daemon.
     pub counters: Counters,
-    /// Works out who lacks what.
+    /// Computes and applies updates.
     pub reconciler: Reconciler,
-    /// Who answers.
+    /// Record of which members respond.
     pub reachability: Reachability,
-    /// Told when something about the own service changed.
+    /// Notified when the own service changed.
     pub own_service_changed: Arc<Notify>,
 }
 
 impl Gossip {
-    /// Works with `parts`.
+    /// Creates a gossip from its components.
     pub fn new(parts: GossipParts) -> Self {
         let shared = Shared {
             settings: parts.settings,
@@ -141,10 +141,10 @@
         Self { shared: Arc::new(shared) }
     }
 
-    /// Exchanges with one random member each tick until `stop`.
+    /// Exchanges with one random member of each due service in each tick, until `stop`.
     pub async fn run_exchanges(self, stop: CancellationToken) {
         let interval_ms = u64::from(self.shared.settings.budgets.gossip_interval_ms);
-        // Jitter takes a quarter away on average.
+        // Jitter shortens the interval by a quarter on average.
         let interval = Duration::from_millis(interval_ms) * 4 / 3;
         let mut next = ExchangeTurn::Own;
         loop {
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Passes changes of the own service on to some members at once, until `stop`.
+    /// Sends changes of the own service to some members at once, until `stop`.
     pub async fn run_broadcasts(self, stop: CancellationToken) {
         loop {
             tokio::select! {
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Compares with some members of the own service now.
+    /// Exchanges with `FANOUT` members of the own service now.
     pub async fn broadcast_changes(&self) {
         let Some(view) = self.own_view() else { return };
         self.shared.counters.add("gossip.waves");
@@ -174,7 +174,7 @@
         join_all(peers.iter().map(|peer| self.exchange_with(&view.name, peer))).await;
     }
 
-    /// Tells members of the own service what can't wait.
+    /// Sends an update that can't wait for the next exchange to members of the own service.
     pub async fn send_urgent(&self, update: UrgentUpdate) {
         let Some(view) = self.own_view() else { return };
         let peers = self.random_members(&view, URGENT_FANOUT_MAX);
@@ -187,16 +187,16 @@
         join_all(peers.iter().map(send)).await;
     }
 
-    /// Asks `peer` for a sign of life; says whether it gave one.
+    /// Pings `peer` and returns whether it responded.
     pub async fn ping(&self, peer: &MemberRow) -> bool {
         self.send_to_member(peer, &ControlRequest::Ping).await.is_ok()
     }
 
-    /// Compares what is known of `service` with the daemon at `address`.
+    /// Exchanges updates of `service` with the daemon at `address`, in both directions.
     ///
     /// # Errors
     ///
-    /// Any [`ExchangeError`].
+    /// Returns any [`ExchangeError`].
     pub async fn exchange(
         &self,
         service: &str,
@@ -219,27 +219,25 @@
         Ok(ExchangeOutcome::Synced)
     }
 
-    /// Compares what is known of `service` with a random one of its members.
+    /// Exchanges updates of `service` with a random one of its members.
     ///
-    /// # Errors
-    ///
-    /// Any [`ExchangeError`].
+    /// Returns `None` if the service has no known member or the exchange failed.
     pub async fn exchange_any(&self, service: &str) -> Option<ExchangeOutcome> {
         let view = self.shared.directory.peek(service)?;
         let peer = self.random_members(&view, 1).pop()?;
         self.exchange_with(service, &peer).await
     }
 
-    /// Whether exchanges about a foreign `service` go well.
+    /// Returns whether an exchange about a foreign `service` succeeded recently.
     pub fn has_recent_exchange(&self, service: &str) -> bool {
         self.shared.foreign_schedule.has_recent_exchange(service, Instant::now())
     }
 
-    /// Asks `address` and waits for its answer.
+    /// Sends a request to the daemon at `address` and waits for the response.
     ///
     /// # Errors
     ///
-    /// Any [`ExchangeError`].
+    /// Returns any [`ExchangeError`].
     pub async fn send_request(
         &self,
         address: SocketAddr,
@@ -251,11 +249,11 @@
         Ok(decode(&response)?)
     }
 
-    /// Asks a member and takes note of whether it answers.
+    /// Sends a request to a member and records whether it responds.
     ///
     /// # Errors
     ///
-    /// Any [`ExchangeError`].
+    /// Returns any [`ExchangeError`].
     pub async fn send_to_member(
         &self,
         peer: &MemberRow,
@@ -266,11 +264,11 @@
         result
     }
 
-    /// Compares with one member of the own service, and of each foreign one whose turn it is.
+    /// Exchanges with one member of the own service and of each foreign service that is due.
     ///
-    /// When the budget is short, ticks go to the own service and to a foreign one alternately.
-    /// Served first in each tick, the own service would spend all that comes in, and a caller would
-    /// never hear of a foreign service's new rules.
+    /// When the budget is low, ticks serve the own service and a foreign one alternately. If the
+    /// own service came first in each tick, it would use up the budget, and a caller would never
+    /// get new rules of a foreign service.
     async fn run_tick(&self, next: &mut ExchangeTurn) {
         self.shared.counters.add("gossip.ticks");
         let own = self.shared.directory.own_service();
@@ -332,7 +330,8 @@
         self.shared.directory.peek(&own)
     }
 
-    /// Up to `count` members but for this daemon, those that answer if there are any.
+    /// Returns up to `count` random members other than this daemon; only reachable ones if there
+    /// are any.
     fn random_members(&self, view: &ServiceView, count: usize) -> Vec<MemberRow> {
         let others =
             || view.members.iter().filter(|row| row.instance != self.shared.settings.instance);
--- a/crates/yuccarackd/src/coordination/load_prober.rs
+++ b/crates/yuccarackd/src/coordination/load_prober.rs
@@ -1,7 +1,7 @@
-//! Looks at the own target's load, within the budget that its rules allow.
+//! Probes the load of the own target within the budget that its rules allow.
 //!
-//! Only the gate beside a target asks it, one look at a time; all others hear of the load with the
-//! answers, which costs the target nothing.
+//! Only the gate beside a target probes it, one probe at a time. All others get the load with the
+//! responses, which costs the target nothing.
 
 use std::{
     sync::Arc,
@@ -21,10 +21,10 @@
     transport::load_probe::{LoadProbe, probe_load},
 };
 
-/// Wait for a target that can be asked.
+/// Delay before the next check while there is no target that can be probed.
 const NO_TARGET_WAIT: Duration = Duration::from_secs(1);
 
-/// Measures one target.
+/// Probes the load of one target.
 pub struct LoadProber {
     gate: Arc<Gate>,
     counters: Counters,
@@ -34,14 +34,14 @@
 }
 
 impl LoadProber {
-    /// Starts with an unspent budget.
+    /// Creates a prober with an unspent budget.
     pub fn new(gate: Arc<Gate>, counters: Counters) -> Self {
         let rules = MeasuringRules::default();
         let budget = MeasuringBudget::new(&rules);
         Self { gate, counters, rules, budget, hidden: HiddenLoad::new() }
     }
 
-    /// Looks again and again until `stop`.
+    /// Probes the target until `stop`.
     pub async fn run(mut self, stop: CancellationToken) {
         loop {
             tokio::select! {
@@ -71,7 +71,8 @@
         }
     }
 
-    /// A changed budget starts unspent, so what the old one allowed has to leave the window first.
+    /// Adopts changed rules. A new budget starts unspent, so the cost under the old one must leave
+    /// the window first.
     async fn apply_rules(&mut self, target: &GateTarget) {
         if self.rules == target.rules.measuring {
             return;
--- a/crates/yuccarackd/src/coordination/member_remover.rs
+++ b/crates/yuccarackd/src/coordination/member_remover.rs
@@ -1,4 +1,4 @@
-//! Ends the rows of members that died without a word.
+//! Removal of members that exited without announcing it.
 
 use std::{
     sync::Arc,
@@ -28,55 +28,55 @@
     },
 };
 
-/// Time between two rounds of pings to silent members.
+/// Time between two rounds of pings to unreachable members.
 const ROUND_INTERVAL: Duration = Duration::from_secs(2);
-/// Silent members that are pinged in one round.
+/// Most unreachable members that are pinged in one round.
 const PINGS_MAX: usize = 4;
-/// Silence after which a member may be taken for dead.
+/// Time without a response after which a member may be considered dead.
 const SILENCE_MIN: Duration = Duration::from_secs(10);
-/// Unanswered questions after which a member may be taken for dead.
+/// Failed requests after which a member may be considered dead.
 const FAILURES_MIN: u32 = 4;
-/// Members that are asked whether they reach one that is silent.
-const WITNESSES: usize = 3;
-/// Silence after which a member counts as dead without a witness.
+/// Most members that are asked whether they reach an unreachable one.
+const WITNESSES_MAX: usize = 3;
+/// Time without a response after which a member counts as dead without a witness.
 ///
-/// Regions lose each other for minutes; what is gone for longer is lost, or finds its way back by
-/// a higher incarnation.
+/// Connections between regions fail for minutes at a time. A member that is unreachable for longer
+/// is lost, or becomes a member again with a higher incarnation.
 const SILENCE_WITHOUT_WITNESS: Duration = Duration::from_secs(600);
 
-/// What is thought of a silent member.
+/// Liveness of an unreachable member according to its witnesses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Liveness {
-    /// Somebody reaches it.
+    /// A witness reaches it.
     Alive,
-    /// Somebody near it doesn't reach it either.
+    /// At least one witness responded and none reaches it.
     Dead,
-    /// Nobody near it could be asked.
+    /// No witness responded, or none in its failure domain could be asked.
     Unknown,
 }
 
-/// Ends the rows of dead members of the own service.
+/// Marks the rows of dead members of the own service as gone.
 pub struct MemberRemover {
     /// Settings of the daemon.
     pub settings: Arc<DaemonSettings>,
-    /// What is known.
+    /// Services and members that this daemon knows.
     pub directory: Directory,
-    /// Asks other daemons.
+    /// Sends pings and probes to other daemons.
     pub gossip: Gossip,
-    /// Who answers.
+    /// Record of which members respond.
     pub reachability: Reachability,
-    /// Where the rows are.
+    /// Table with the members' rows.
     pub table: Table,
-    /// Counters.
+    /// Counters of the daemon.
     pub counters: Counters,
-    /// Where changes of state are logged.
+    /// Logger of state changes.
     pub logger: Logger,
-    /// Told when a row was ended.
+    /// Notified when a member was removed, so that peers get the update.
     pub own_service_changed: Arc<Notify>,
 }
 
 impl MemberRemover {
-    /// Pings silent members and ends the rows of the dead until `stop`.
+    /// Pings unreachable members and removes dead ones until `stop`.
     pub async fn run(self, stop: CancellationToken) {
         loop {
             tokio::select! {
@@ -92,7 +92,7 @@
         self.prune_reachability();
         let unreachable = self.unreachable_members(&view);
         join_all(unreachable.iter().take(PINGS_MAX).map(|member| self.gossip.ping(member))).await;
-        // One a round bounds what a daemon that is itself cut off can do.
+        // At most one removal a round limits the damage of a daemon that is itself cut off.
         let now = Instant::now();
         let is_due = |member: &&MemberRow| {
             self.reachability.is_silent_for(&member.instance, SILENCE_MIN, FAILURES_MIN, now)
@@ -110,7 +110,7 @@
         self.reachability.retain(is_known);
     }
 
-    /// Members that don't answer, in random order.
+    /// Returns the members that don't respond, in random order.
     fn unreachable_members(&self, view: &ServiceView) -> Vec<MemberRow> {
         let is_silent = |row: &&MemberRow| {
             row.instance != self.settings.instance && !self.reachability.is_reachable(&row.instance)
@@ -137,21 +137,21 @@
             return;
         }
         match self.remove(member).await {
-            Ok(true) => info!(self.logger, "ended the row of a dead member";
+            Ok(true) => info!(self.logger, "marked the row of a dead member as gone";
                 "service" => &member.service, "instance" => &member.instance,
                 "incarnation" => member.incarnation),
             Ok(false) => {}
-            // The next round tries again, or another member does.
+            // The next round retries, or another member removes the row.
             Err(_) => self.counters.add("removal.failed"),
         }
     }
 
-    /// Asks others whether they reach `member`, those of its own failure domain first.
+    /// Asks other members whether they reach `member`, those of its failure domain first.
     ///
-    /// Guards against two mistakes of a daemon that is cut off, which shows only as silence of
-    /// others: taking a whole failure domain for dead, and taking all others for dead. A witness
-    /// near the silent one sees whether it lives; where none answers, nothing is concluded for as
-    /// long as regions usually lose each other.
+    /// To a daemon that is cut off all others seem unreachable. Without witnesses it would take a
+    /// complete failure domain, or all other members, for dead. A witness in the failure domain of
+    /// the unreachable member sees whether it is alive. If no witness responds, the member stays
+    /// for as long as outages between regions usually last.
     async fn check_liveness(&self, view: &ServiceView, member: &MemberRow) -> Liveness {
         let witnesses = self.witnesses(view, member);
         let has_near = witnesses.iter().any(|row| row.failure_domain == member.failure_domain);
@@ -185,18 +185,18 @@
         let mut chosen: Vec<&MemberRow> =
             all.choose_multiple(&mut generator(), all.len()).copied().collect();
         chosen.sort_by_key(|row| row.failure_domain != member.failure_domain);
-        chosen.into_iter().take(WITNESSES).cloned().collect()
+        chosen.into_iter().take(WITNESSES_MAX).cloned().collect()
     }
 
-    /// Writes that `member` has gone, if its row is still the one that was judged; says whether
+    /// Marks the row of `member` as gone if it is still the one that was checked. Returns whether
     /// it was.
     async fn remove(&self, member: &MemberRow) -> Result<bool, TableError> {
         let stored = self.table.member(&member.service, &member.instance).await?;
         let gone = MemberRow { state: TargetState::Gone, ..member.clone() };
         let Some((revision, row)) = stored else {
-            // Its row was taken away long ago, and somebody who had been cut off since told of it
-            // again. Just forgotten here, it would be told of by the next one that knows it; as
-            // gone it is remembered, and word of its end goes round.
+            // The row was deleted long ago, and a daemon that had been cut off since reported the
+            // member again. If it were only dropped here, the next daemon that knows it would
+            // report it again. So it is remembered as gone, and the peers get that update.
             self.directory.merge_members(&member.service, vec![gone]);
             self.own_service_changed.notify_one();
             return Ok(false);
--- a/crates/yuccarackd/src/coordination/membership.rs
+++ b/crates/yuccarackd/src/coordination/membership.rs
@@ -1,4 +1,4 @@
-//! Keeps the row of the own target in the table and in the directory.
+//! Membership: keeps the row of the own target up to date in the table and in the directory.
 
 use std::{
     sync::Arc,
@@ -29,62 +29,63 @@
     },
 };
 
-/// How often silence of the target is looked at.
+/// Time between two checks whether the target still announces itself.
 const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Least time between two times of outranking others' word about this instance.
-const OUTRANK_PAUSE: Duration = Duration::from_secs(2);
-/// First wait before a failed write is tried again.
+/// Shortest time between two rows that outrank others' rows of this instance.
+const OUTRANK_INTERVAL_MIN: Duration = Duration::from_secs(2);
+/// First delay before a failed write is retried.
 const RETRY_DELAY_MIN: Duration = Duration::from_millis(250);
-/// Longest wait before a failed write is tried again; also how long the store's return may go
-/// unseen by writers.
+/// Longest delay before a failed write is retried, hence also the time after which writers notice
+/// that the store is available again.
 const RETRY_DELAY_MAX: Duration = Duration::from_secs(5);
-/// Longest time a stopping daemon tries to say in the table that it has gone.
+/// Longest time for which a stopping daemon tries to mark its row in the table as gone.
 const DEPARTURE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What the membership works with.
+/// Components of a [`Membership`].
 pub struct MembershipParts {
     /// Settings of the daemon.
     pub settings: Arc<DaemonSettings>,
-    /// The own target.
+    /// State of the own target.
     pub own_target: OwnTarget,
-    /// Where the own row shows first.
+    /// Directory to which changes of the own row are published at once.
     pub directory: Directory,
-    /// Where the own row lasts.
+    /// Table to which the own row is written in the background.
     pub table: Table,
-    /// Tells peers that this daemon has gone.
+    /// Sends the last row to peers when the daemon stops.
     pub gossip: Gossip,
-    /// Counters.
+    /// Counters of the daemon.
     pub counters: Counters,
-    /// Where changes of state are logged.
+    /// Logger of state changes.
     pub logger: Logger,
 }
 
-/// The own row, as it should stand in the table.
+/// The own row as it should be in the table.
 struct OwnRow {
     row: Option<MemberRow>,
-    /// Rows of services that the target no longer serves and that don't say so yet.
+    /// Rows of services that the target no longer serves, which aren't marked as gone in the table
+    /// yet.
     departed: Vec<MemberRow>,
     incarnation: Incarnation,
     outranked_at: Option<Instant>,
 }
 
-/// Keeps the own row right.
+/// Keeps the own row up to date.
 pub struct Membership {
     parts: MembershipParts,
     draining: watch::Receiver<bool>,
     own: Mutex<OwnRow>,
-    /// Told when the own row changed, so that it's written.
+    /// Notified when the own row changed, so that it is written to the table.
     write_needed: Notify,
-    /// Told when the own row changed, so that peers hear of it.
+    /// Notified when the own row changed, so that peers get the update.
     own_service_changed: Arc<Notify>,
 }
 
 impl Membership {
-    /// Takes the wall clock for this life's number.
+    /// Creates a membership with the wall clock as the incarnation.
     ///
-    /// The table may know a higher one, as after a clock was set back; it is read before the first
-    /// write and outranked then. The clock serves alone when the store is away at start, so that a
-    /// daemon can join by its peers only.
+    /// The table may contain a higher incarnation, for example after the clock was set back. It is
+    /// read before the first write and outranked then. The clock is sufficient while the store is
+    /// unavailable at start, so that a daemon can join through its peers alone.
     pub fn new(
         parts: MembershipParts,
         draining: watch::Receiver<bool>,
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Keeps the own row right until `stop`, then says that it has gone.
+    /// Keeps the own row up to date until `stop`, then marks it as gone.
     pub async fn run(self, stop: CancellationToken) {
         tokio::join!(self.run_updates(&stop), self.run_writer(&stop));
         self.announce_departure().await;
@@ -134,10 +135,10 @@
             return;
         }
         self.parts.counters.add("announce.silent");
-        info!(self.parts.logger, "the target stopped announcing itself");
+        info!(self.parts.logger, "target stopped announcing itself; it counts as draining");
     }
 
-    /// Brings the own row up to what the target last said.
+    /// Updates the own row from the target's last announcement.
     fn update_row(&self) {
         let Some(view) = self.parts.own_target.current() else { return };
         let mut own = self.own.lock();
@@ -150,7 +151,7 @@
             return;
         }
         row.sequence += 1;
-        info!(self.parts.logger, "own row changed";
+        info!(self.parts.logger, "member row of this instance changed";
             "service" => &row.service, "state" => ?row.state, "slots" => row.slots,
             "incarnation" => row.incarnation, "sequence" => row.sequence);
         self.parts.directory.set_own_service(&row.service);
@@ -164,7 +165,7 @@
         self.own_service_changed.notify_one();
     }
 
-    /// Marks the row of a service that the target no longer serves.
+    /// Marks the row of a service that the target no longer serves as gone.
     fn mark_departed(&self, own: &mut OwnRow, old: MemberRow) {
         let gone = as_gone(old);
         self.parts.directory.merge_members(&gone.service, vec![gone.clone()]);
@@ -180,21 +181,21 @@
         }
     }
 
-    /// Takes a higher life when somebody else's word about this instance outranks the own row.
+    /// Takes a higher incarnation if a row of this instance from elsewhere outranks the own row.
     ///
-    /// Guards against a live target that peers took for dead, or that an earlier life's row
-    /// outlives: it would be left out for good, since its own news counts as older. Whoever sees
-    /// such a row about itself is alive, so it may outrank it.
+    /// A live target that peers considered dead, or whose earlier incarnation left a higher row,
+    /// would otherwise be omitted for good, since its own updates count as older. A daemon that
+    /// sees such a row of its own instance is alive, so it may outrank the row.
     ///
-    /// Two daemons that were given one name would outrank each other without end; the pause keeps
-    /// that to a few messages a second, and the counter shows it.
+    /// Two daemons with the same instance id would outrank each other without end.
+    /// [`OUTRANK_INTERVAL_MIN`] limits that to a few messages a second, and the counter shows it.
     fn outrank(&self, own: &mut OwnRow, known: &MemberRow) {
         let Some(row) = own.row.clone() else { return };
         if !is_newer(known, &row) {
             return;
         }
         let now = Instant::now();
-        if own.outranked_at.is_some_and(|at| now.duration_since(at) < OUTRANK_PAUSE) {
+        if own.outranked_at.is_some_and(|at| now.duration_since(at) < OUTRANK_INTERVAL_MIN) {
             return;
         }
         own.outranked_at = Some(now);
@@ -237,10 +238,10 @@
         self.write(&row).await
     }
 
-    /// Reads the row that stands in the table and replaces it on condition that it still does.
+    /// Reads the row in the table and replaces it on condition that it is unchanged.
     ///
-    /// Guards against a write whose answer was lost, or that raced with a peer's: the next try
-    /// reads what stands there now, so nothing is written twice or over something unseen.
+    /// After a lost response or a conflict with a peer's write, the next attempt reads the current
+    /// row. So nothing is written twice, and no unseen row is overwritten.
     async fn write(&self, row: &MemberRow) -> Result<(), TableError> {
         let stored = self.parts.table.member(&row.service, &row.instance).await?;
         let Some((revision, known)) = stored else {
@@ -251,7 +252,7 @@
             return Ok(());
         }
         if is_newer(&known, row) {
-            // The row that outranks the known one wakes the writer again.
+            // Publishing the row that outranks the known one notifies the writer again.
             self.parts.directory.merge_members(&row.service, vec![known]);
             self.outrank_known();
             return Ok(());
@@ -267,7 +268,7 @@
             self.publish(&mut own, as_gone(row));
         }
         self.parts.gossip.broadcast_changes().await;
-        // A store that is away must not hold up the stop: peers find the row's owner gone.
+        // An unavailable store must not delay the stop: peers remove the row of a dead member.
         let _ = timeout(DEPARTURE_TIMEOUT, async {
             while self.write_all().await.is_err() {
                 sleep(jittered(RETRY_DELAY_MIN)).await;
@@ -298,7 +299,7 @@
     MemberRow { state: TargetState::Gone, sequence: row.sequence + 1, ..row }
 }
 
-/// Wall clock, in ms since 1970.
+/// Returns the wall-clock time in ms since 1970.
 fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
--- a/crates/yuccarackd/src/coordination/mod.rs
+++ b/crates/yuccarackd/src/coordination/mod.rs
@@ -1,4 +1,4 @@
-//! What the daemon does: entry, gate, membership, rules, claims, suspects.
+//! Tasks and services of the daemon: entry, gate, membership, rules, claims and suspects.
 
 pub mod claims;
 pub mod control_handler;
--- a/crates/yuccarackd/src/coordination/reconciler.rs
+++ b/crates/yuccarackd/src/coordination/reconciler.rs
@@ -1,4 +1,4 @@
-//! Works out what each of two daemons lacks of a service, and takes it in.
+//! Reconciliation of what two daemons know of a service.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -18,25 +18,25 @@
     state::{counters::Counters, directory::Directory, is_newer},
 };
 
-/// Members that are sent when not all are asked for; most services have no more at all.
+/// Most members that are sent unless all are requested. Most services don't have more.
 const LATEST_ROWS_MAX: usize = 16;
 
-/// Works out who lacks what; clones share all.
+/// Computes and applies updates of services. Clones share all state.
 #[derive(Clone)]
 pub struct Reconciler {
     directory: Directory,
     counters: Counters,
     logger: Logger,
-    /// Told when something about the own service changed.
+    /// Notified when the own service changed.
     own_service_changed: Arc<Notify>,
-    /// Services of which the latest changes weren't enough.
+    /// Services whose members still differed after an update with the latest changes only.
     wants_all: Arc<Mutex<HashSet<ServiceName>>>,
-    /// How often callers of the own service may ask.
+    /// Interval at which callers of the own service may exchange with this daemon.
     exchange_interval: Arc<Mutex<ExchangeInterval>>,
 }
 
 impl Reconciler {
-    /// Works on `directory`, and tells `changed` when the own service did.
+    /// Creates a reconciler of `directory`, which notifies `own_service_changed`.
     pub fn new(
         directory: Directory,
         counters: Counters,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// What is known here of `service`, for another daemon to compare with.
+    /// Returns a request with the state of `service` here, for another daemon to compare with.
     pub fn sync_request(&self, service: &str) -> SyncRequest {
         let directory = &self.directory;
         let wants_all = self.wants_all.lock().remove(service);
@@ -67,13 +67,13 @@
         }
     }
 
-    /// Takes news in; says whether they were any.
+    /// Applies an update and returns whether it changed anything.
     pub fn apply(&self, update: ServiceUpdate) -> bool {
         let directory = &self.directory;
         let is_own = directory.own_service().as_ref() == Some(&update.service);
         let merged = directory.merge_members(&update.service, update.members.clone());
         if update.has_all_members && !is_own {
-            // Members of a service know best who they are.
+            // The members of a service have the authoritative list of its members.
             directory.drop_unlisted(&update.service, &update.members);
         }
         let has_rules = update
@@ -97,7 +97,7 @@
         has_changes
     }
 
-    /// What another daemon lacks, which asked with `question`; none when nothing is known here.
+    /// Returns the update that the sender of `request` lacks; `None` if nothing is known here.
     pub fn update_for(&self, request: &SyncRequest) -> Option<ServiceUpdate> {
         let directory = &self.directory;
         let view = directory.peek(&request.service)?;
@@ -125,7 +125,7 @@
         })
     }
 
-    /// What the sender of `news` lacks.
+    /// Returns what the sender of `update` lacks; `None` if it lacks nothing.
     pub fn update_lacked_by(&self, update: &ServiceUpdate) -> Option<ServiceUpdate> {
         let directory = &self.directory;
         let rules = directory.rules_row(&update.service);
--- a/crates/yuccarackd/src/coordination/rules_sync.rs
+++ b/crates/yuccarackd/src/coordination/rules_sync.rs
@@ -1,4 +1,4 @@
-//! Brings rules and members from the table into the directory: look-ups, polls and hints.
+//! Loads rules and members from the table into the directory, on lookups, polls and hints.
 
 use std::{
     collections::HashMap,
@@ -30,25 +30,26 @@
     },
 };
 
-/// How often it is looked whether a poll is due.
+/// Time between two checks whether a poll is due.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// How many polls of the rules there are to one of the members.
+/// Polls of the rules for each poll of the members.
 const MEMBERS_POLL_EVERY: u32 = 4;
-/// Interval at which the table is asked about a foreign service none of whose members answers.
+/// Poll interval of a foreign service none of whose members responds.
 const UNREACHABLE_SERVICE_INTERVAL: Duration = Duration::from_secs(15);
-/// Most look-ups that are answered at once.
+/// Most lookups that are served at the same time.
 const CONCURRENT_LOOKUPS_MAX: usize = 8;
-/// Services that nobody has called for this long are forgotten.
+/// Time after which a service that isn't called any more is dropped from the directory.
 const SERVICE_RETENTION: Duration = Duration::from_secs(300);
-/// Gone members are remembered for this long, so that old news can't bring them back.
+/// Time for which removed members are remembered, so that outdated updates can't bring them back.
 const REMOVED_RETENTION: Duration = Duration::from_secs(600);
-/// When a service's rules are polled next, and the polls so far.
+
+/// Time of the next poll of a service's rules, and the number of polls so far.
 struct Schedule {
     next: Instant,
     polls: u32,
 }
 
-/// Brings what the table holds into the directory; clones share all.
+/// Loads rows from the table into the directory. Clones share all state.
 #[derive(Clone)]
 pub struct RulesSync {
     settings: Arc<DaemonSettings>,
@@ -57,32 +58,32 @@
     gossip: Gossip,
     counters: Counters,
     logger: Logger,
-    /// Asks for a poll at once.
+    /// Notified when a hint requests a poll.
     hint_notify: Arc<Notify>,
-    /// Told when the table brought news, so that peers hear of them.
+    /// Notified when the table had changes of the own service, so that peers get them.
     own_service_changed: Arc<Notify>,
 }
 
-/// What a [`RulesSync`] works with.
+/// Components of a [`RulesSync`].
 pub struct RulesSyncParts {
     /// Settings of the daemon.
     pub settings: Arc<DaemonSettings>,
-    /// What is known.
+    /// Directory into which rows are merged.
     pub directory: Directory,
-    /// Where rules and members last.
+    /// Table with rules and members.
     pub table: Table,
-    /// Asks other daemons.
+    /// Exchanges with members, which are preferred to the table.
     pub gossip: Gossip,
-    /// Counters.
+    /// Counters of the daemon.
     pub counters: Counters,
-    /// Where changes of state are logged.
+    /// Logger of state changes.
     pub logger: Logger,
-    /// Told when the table brought news.
+    /// Notified when the table had changes, so that peers get them.
     pub own_service_changed: Arc<Notify>,
 }
 
 impl RulesSync {
-    /// Works with `parts`.
+    /// Creates a sync from its components.
     pub fn new(parts: RulesSyncParts) -> Self {
         Self {
             settings: parts.settings,
@@ -96,13 +97,13 @@
         }
     }
 
-    /// Asks for a poll of all known services at once.
+    /// Requests an immediate poll of all known services.
     pub fn hint(&self) {
         self.counters.add("rules.hints");
         self.hint_notify.notify_one();
     }
 
-    /// Answers the directory's look-ups until `stop`.
+    /// Serves the directory's lookups until `stop`.
     pub async fn serve_lookups(
         self,
         mut lookups: mpsc::Receiver<Lookup>,
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Polls the table until `stop`, the less often the more members share the work.
+    /// Polls the table until `stop`. The more members a service has, the less often each one polls.
     pub async fn poll(self, stop: CancellationToken) {
         let mut schedules = HashMap::new();
         loop {
@@ -151,8 +152,10 @@
         }
     }
 
-    /// Asks a member first: when a popular service's rules change, all its callers hear at once,
-    /// and the store must not be asked by all of them.
+    /// Fetches newer rules, from a member if possible.
+    ///
+    /// When the rules of a service with many callers change, all callers learn of it at the same
+    /// time, and they must not all read from the store.
     async fn refresh(&self, service: &str) {
         let before = self.directory.peek(service).map(|view| view.rules_revision);
         self.gossip.exchange_any(service).await;
@@ -171,7 +174,8 @@
         self.directory.fail_lookup(service, DirectoryError::StoreUnavailable);
     }
 
-    /// Takes all in that the table knows of a service; says whether it has rules or had some.
+    /// Loads rules and members of a service from the table. Returns false if the service isn't the
+    /// own one and never had rules.
     async fn load(&self, service: &str) -> Result<bool, TableError> {
         let rules = self.table.rules(service).await?;
         let is_own = self.is_own(service);
@@ -184,7 +188,7 @@
             self.directory.merge_rules(service, revision, &row);
         }
         if is_own {
-            // A peer may know of changes that could not be written yet.
+            // A peer may have changes that couldn't be written yet.
             self.own_service_changed.notify_one();
         }
         Ok(true)
@@ -212,14 +216,17 @@
         }
     }
 
-    /// The own service is loaded by its first poll, others are loaded by a look-up before.
+    /// Returns the time of the first poll: at once for the own service, which that poll loads, and
+    /// after an interval for others, which a lookup has loaded before.
     fn first_poll_at(&self, view: &ServiceView, now: Instant) -> Instant {
         if self.is_own(&view.name) { now } else { now + self.interval(view) }
     }
 
-    /// Daemons that started together loaded their service together; were they to wait a whole
-    /// interval each, nobody would look for as long as that, 50 s in a service of 100. So the
-    /// second poll comes at any time within the first interval.
+    /// Returns the delay until the next poll.
+    ///
+    /// Daemons that start at the same time load their service at the same time. If each then waited
+    /// a full interval, no daemon would poll for that long, which is 50 s in a service of 100. So
+    /// the second poll comes at a random time within the first interval.
     fn next_interval(&self, view: &ServiceView, polls: u32) -> Duration {
         let interval = self.interval(view);
         if polls == 0 { interval.mul_f64(generator().random_range(0.0..1.0)) } else { interval }
@@ -240,7 +247,7 @@
             return;
         }
         if !is_own && self.gossip.has_recent_exchange(service) {
-            // Its members poll, and tell.
+            // The service's members poll the table and send updates in exchanges.
             return;
         }
         self.poll_rules(service).await;
@@ -274,7 +281,7 @@
         }
     }
 
-    /// Takes the row of a member away that has been gone for long, if it's still the same.
+    /// Deletes the row of a member that was removed long ago, if the row is unchanged.
     async fn delete_removed_row(&self, row: &MemberRow, listed: &[MemberRow]) {
         if !self.is_own(&row.service) || !listed.contains(row) {
             return;
--- a/crates/yuccarackd/src/coordination/service_finder.rs
+++ b/crates/yuccarackd/src/coordination/service_finder.rs
@@ -1,4 +1,4 @@
-//! Finds a service by asking from daemon to daemon, for when the store is away.
+//! Search for a service by requests to other daemons, used while the store is unavailable.
 
 use std::{
     collections::{HashSet, VecDeque},
@@ -12,13 +12,14 @@
     state::directory::Directory,
 };
 
-/// Most daemons that are asked for one service.
+/// Most daemons that are queried for one service.
 const QUERIED_MAX: usize = 16;
 
-/// Asks members of known services and the settings' seed peers, and those they name, until one knows `service`.
+/// Queries members of known services, the seed peers of the settings and the daemons they refer to,
+/// until one knows `service`. Returns whether one did.
 ///
-/// Says whether one did. Guards against a daemon that starts while the store is away and would
-/// refuse all calls until its return: the others still know, and one of them is enough.
+/// A daemon that starts while the store is unavailable would otherwise refuse all calls until the
+/// store is available again, although any other daemon that knows the service can provide it.
 pub async fn find_service(
     service: &str,
     settings: &DaemonSettings,
@@ -48,7 +49,7 @@
     directory.peek(service).is_some_and(|view| view.rules_revision > 0)
 }
 
-/// Members of the service itself first, then those of others.
+/// Returns the control addresses of known members, those of the service itself first.
 fn known_addresses(service: &str, directory: &Directory) -> Vec<SocketAddr> {
     let mut views = directory.views();
     views.sort_by_key(|view| view.name != service);
--- a/crates/yuccarackd/src/coordination/table.rs
+++ b/crates/yuccarackd/src/coordination/table.rs
@@ -1,4 +1,4 @@
-//! The table as control tasks use it: each question counted, its failure noted.
+//! Table access of the control tasks, which counts each request and records failures.
 
 use serde::{Serialize, de::DeserializeOwned};
 use slog::{Logger, info, warn};
@@ -12,23 +12,23 @@
 
 use crate::state::{counters::Counters, store_health::StoreHealth};
 
-/// Why the table gave nothing that can be used.
+/// Why an access to the table failed.
 #[derive(Debug, Error)]
 pub enum TableError {
-    /// The platform gave no result.
+    /// The platform returned an error or didn't respond.
     #[error(transparent)]
     Platform(#[from] PlatformError),
-    /// A row holds what this version of the daemon can't read.
-    #[error("row {key} can't be read")]
+    /// This version of the daemon can't parse the value of a row.
+    #[error("the value of table row {key} can't be parsed")]
     Unreadable {
-        /// The row's key.
+        /// Key of the row.
         key: String,
-        /// What is wrong with it.
+        /// Error of the JSON parser.
         source: serde_json::Error,
     },
 }
 
-/// The table; clones share their connections.
+/// Table access. Clones share their connections.
 #[derive(Clone)]
 pub struct Table {
     client: PlatformClient,
@@ -38,7 +38,7 @@
 }
 
 impl Table {
-    /// Asks over `client` and keeps `health` up to date.
+    /// Creates table access over `client`, which keeps `health` up to date.
     pub fn new(
         client: PlatformClient,
         health: StoreHealth,
@@ -48,7 +48,7 @@
         Self { client, health, counters, logger }
     }
 
-    /// Whether the last question got no answer.
+    /// Returns whether the store didn't respond to the last request.
     pub fn is_unavailable(&self) -> bool {
         self.health.is_unavailable()
     }
@@ -57,18 +57,18 @@
     ///
     /// # Errors
     ///
-    /// Any [`TableError`].
+    /// Returns any [`TableError`].
     pub async fn rules(&self, service: &str) -> Result<Option<(Revision, RulesRow)>, TableError> {
         let row = self.read(&rules_key(service)).await?;
         row.map(|row| Ok((row.revision, read_value(row)?))).transpose()
     }
 
-    /// Reads the rows of all members of `service`; those that can't be read are counted and
-    /// left out, so that one bad row doesn't hide the others.
+    /// Reads the rows of all members of `service`. Rows that can't be parsed are counted and
+    /// skipped, so that one invalid row doesn't hide the others.
     ///
     /// # Errors
     ///
-    /// Any [`TableError`].
+    /// Returns any [`TableError`].
     pub async fn members(&self, service: &str) -> Result<Vec<MemberRow>, TableError> {
         self.counters.add("store.reads");
         let result = self.client.rows(&member_prefix(service)).await;
@@ -87,7 +87,7 @@
     ///
     /// # Errors
     ///
-    /// Any [`TableError`].
+    /// Returns any [`TableError`].
     pub async fn member(
         &self,
         service: &str,
@@ -97,11 +97,12 @@
         row.map(|row| Ok((row.revision, read_value(row)?))).transpose()
     }
 
-    /// Writes the row of one member, if the row there is still that of `seen`.
+    /// Writes the row of one member if the row is still at `expected_revision`; without a revision,
+    /// if there is no row.
     ///
     /// # Errors
     ///
-    /// Any [`TableError`]; a conflict when the row has changed since.
+    /// Returns any [`TableError`]; a conflict if the row has changed since.
     pub async fn put_member(
         &self,
         member: &MemberRow,
@@ -112,11 +113,11 @@
         self.commit(key, write, expected_revision).await
     }
 
-    /// Takes the row of one member away, if the row there is still that of `seen`.
+    /// Deletes the row of one member if it is still at `expected_revision`.
     ///
     /// # Errors
     ///
-    /// Any [`TableError`]; a conflict when the row has changed since.
+    /// Returns any [`TableError`]; a conflict if the row has changed since.
     pub async fn delete_member(
         &self,
         member: &MemberRow,
@@ -157,8 +158,10 @@
             return;
         }
         match result {
-            Err(error) => warn!(self.logger, "the store is away"; "error" => %error),
-            Ok(_) => info!(self.logger, "the store is back"),
+            Err(error) => {
+                warn!(self.logger, "store is unavailable; rules and members come from peers only"; "error" => %error)
+            }
+            Ok(_) => info!(self.logger, "store is available again"),
         }
     }
 }
