--- a/crates/yuccarack_player/src/baseline.rs
+++ b/crates/yuccarack_player/src/baseline.rs
@@ -9,20 +9,25 @@
     policy: Policy,
     next: usize,
     /// Requests in flight as last reported.
-    reported: Vec<u32>,
+    reported_in_flight: Vec<u32>,
     /// Requests this entry sent since.
-    sent_since: Vec<u32>,
+    sent_since_report: Vec<u32>,
 }
 
 impl Baseline {
     pub fn new(policy: Policy, targets: usize, first: usize) -> Self {
-        Self { policy, next: first, reported: vec![0; targets], sent_since: vec![0; targets] }
+        Self {
+            policy,
+            next: first,
+            reported_in_flight: vec![0; targets],
+            sent_since_report: vec![0; targets],
+        }
     }
 
     /// Takes the reports of all targets.
     pub fn report(&mut self, in_flight: &[u32]) {
-        self.reported.copy_from_slice(in_flight);
-        self.sent_since.fill(0);
+        self.reported_in_flight.copy_from_slice(in_flight);
+        self.sent_since_report.fill(0);
     }
 
     /// Chooses among the targets in `known` that weren't tried, if there are any.
@@ -30,15 +35,15 @@
         &mut self,
         rng: &mut SmallRng,
         known: &[usize],
-        tried: &[usize],
+        attempted: &[usize],
     ) -> Option<usize> {
-        let untried: Vec<_> = known.iter().copied().filter(|t| !tried.contains(t)).collect();
-        let candidates = if untried.is_empty() { known } else { &untried };
+        let remaining: Vec<_> = known.iter().copied().filter(|t| !attempted.contains(t)).collect();
+        let candidates = if remaining.is_empty() { known } else { &remaining };
         if candidates.is_empty() {
             return None;
         }
         let chosen = self.pick(rng, candidates);
-        self.sent_since[chosen] += 1;
+        self.sent_since_report[chosen] += 1;
         Some(chosen)
     }
 
@@ -50,20 +55,20 @@
                 self.next += 1;
                 candidates[self.next % candidates.len()]
             }
-            Policy::LeastInFlight => self.least(rng, candidates),
+            Policy::LeastInFlight => self.least_loaded(rng, candidates),
             Policy::PowerOfTwo => {
                 let two = [random(rng), random(rng)];
-                self.least(rng, &two)
+                self.least_loaded(rng, &two)
             }
         }
     }
 
-    fn least(&self, rng: &mut SmallRng, candidates: &[usize]) -> usize {
-        let load = |target: usize| self.reported[target] + self.sent_since[target];
+    fn least_loaded(&self, rng: &mut SmallRng, candidates: &[usize]) -> usize {
+        let load = |target: usize| self.reported_in_flight[target] + self.sent_since_report[target];
         let first = rng.random_range(0..candidates.len());
         let (before, after) = candidates.split_at(first);
-        let mut in_turn = after.iter().chain(before).copied();
-        let start = in_turn.next().unwrap_or(candidates[first]);
-        in_turn.fold(start, |best, next| if load(next) < load(best) { next } else { best })
+        let mut rotated = after.iter().chain(before).copied();
+        let start = rotated.next().unwrap_or(candidates[first]);
+        rotated.fold(start, |best, next| if load(next) < load(best) { next } else { best })
     }
 }
--- a/crates/yuccarack_player/src/chain_table.rs
+++ b/crates/yuccarack_player/src/chain_table.rs
@@ -3,7 +3,7 @@
 use std::io::Write;
 
 use serde_json::json;
-use yuccarack_player::routed::{Credit, KINDS, LOADS, Load, Policy, play_chain};
+use yuccarack_player::routed::{Credit, LOADS, Load, Policy, REQUEST_KINDS, play_chain};
 
 use crate::PlayError;
 
@@ -27,9 +27,9 @@
     }
     for load in &LOADS {
         for policy in Policy::ALL {
-            let played: Vec<Credit> =
+            let credits: Vec<Credit> =
                 (seed..seed + seeds).map(|seed| play_chain(load, policy, seed)).collect();
-            write_rows(load, policy, &played, as_json, out)?;
+            write_rows(load, policy, &credits, as_json, out)?;
         }
     }
     Ok(())
@@ -38,20 +38,21 @@
 fn write_rows(
     load: &Load,
     policy: Policy,
-    played: &[Credit],
+    credits: &[Credit],
     as_json: bool,
     out: &mut impl Write,
 ) -> Result<(), PlayError> {
-    let mean = |of: fn(&Credit) -> f64| played.iter().map(of).sum::<f64>() / played.len() as f64;
+    let mean = |of: fn(&Credit) -> f64| credits.iter().map(of).sum::<f64>() / credits.len() as f64;
     let wasted = mean(|credit| 100.0 * credit.wasted_runs as f64 / credit.runs.max(1) as f64);
-    let (credit, worst) = (mean(Credit::share), mean(Credit::worst));
-    for (number, kind) in KINDS.iter().enumerate().filter(|(_, kind)| kind.rate_per_s > 0.0) {
-        let sum = |of: fn(&yuccarack_player::routed::Ends) -> u64| {
-            played.iter().map(|credit| of(&credit.ends[number])).sum::<u64>() as f64
+    let (credit, worst) = (mean(Credit::earned_share), mean(Credit::worst_share));
+    for (number, kind) in REQUEST_KINDS.iter().enumerate().filter(|(_, kind)| kind.rate_per_s > 0.0)
+    {
+        let sum = |of: fn(&yuccarack_player::routed::OutcomeCounts) -> u64| {
+            credits.iter().map(|credit| of(&credit.outcomes[number])).sum::<u64>() as f64
         };
-        let parts = [sum(|e| e.in_time), sum(|e| e.late), sum(|e| e.refused), sum(|e| e.failed)];
-        let all = parts.iter().sum::<f64>().max(1.0);
-        let [in_time, late, refused, failed] = parts.map(|part| 100.0 * part / all);
+        let counts = [sum(|e| e.in_time), sum(|e| e.late), sum(|e| e.refused), sum(|e| e.failed)];
+        let total = counts.iter().sum::<f64>().max(1.0);
+        let [in_time, late, refused, failed] = counts.map(|count| 100.0 * count / total);
         if as_json {
             let row = json!({
                 "load": load.name, "policy": policy.as_str(), "credit": credit, "worst": worst,
--- a/crates/yuccarack_player/src/clock.rs
+++ b/crates/yuccarack_player/src/clock.rs
@@ -10,20 +10,20 @@
 pub struct Clock<E> {
     now: Instant,
     started_at: Instant,
-    planned: BinaryHeap<Reverse<Planned<E>>>,
-    count: u64,
+    scheduled: BinaryHeap<Reverse<ScheduledEvent<E>>>,
+    last_sequence: u64,
 }
 
-struct Planned<E> {
+struct ScheduledEvent<E> {
     at: Instant,
-    number: u64,
+    sequence: u64,
     event: E,
 }
 
 impl<E> Clock<E> {
     pub fn new() -> Self {
         let now = Instant::now();
-        Self { now, started_at: now, planned: BinaryHeap::new(), count: 0 }
+        Self { now, started_at: now, scheduled: BinaryHeap::new(), last_sequence: 0 }
     }
 
     pub fn now(&self) -> Instant {
@@ -34,39 +34,43 @@
         self.now - self.started_at
     }
 
-    pub fn plan(&mut self, at: Instant, event: E) {
-        self.count += 1;
-        self.planned.push(Reverse(Planned { at: at.max(self.now), number: self.count, event }));
+    pub fn schedule(&mut self, at: Instant, event: E) {
+        self.last_sequence += 1;
+        self.scheduled.push(Reverse(ScheduledEvent {
+            at: at.max(self.now),
+            sequence: self.last_sequence,
+            event,
+        }));
     }
 
-    pub fn plan_after(&mut self, delay: Duration, event: E) {
-        self.plan(self.now + delay, event);
+    pub fn schedule_after(&mut self, delay: Duration, event: E) {
+        self.schedule(self.now + delay, event);
     }
 
     /// Moves to the next event.
     pub fn next(&mut self) -> Option<E> {
-        let Reverse(planned) = self.planned.pop()?;
-        self.now = planned.at;
-        Some(planned.event)
+        let Reverse(scheduled) = self.scheduled.pop()?;
+        self.now = scheduled.at;
+        Some(scheduled.event)
     }
 }
 
-impl<E> PartialEq for Planned<E> {
+impl<E> PartialEq for ScheduledEvent<E> {
     fn eq(&self, other: &Self) -> bool {
-        self.number == other.number
+        self.sequence == other.sequence
     }
 }
 
-impl<E> Eq for Planned<E> {}
+impl<E> Eq for ScheduledEvent<E> {}
 
-impl<E> PartialOrd for Planned<E> {
+impl<E> PartialOrd for ScheduledEvent<E> {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl<E> Ord for Planned<E> {
+impl<E> Ord for ScheduledEvent<E> {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (self.at, self.number).cmp(&(other.at, other.number))
+        (self.at, self.sequence).cmp(&(other.at, other.sequence))
     }
 }
--- a/crates/yuccarack_player/src/entry.rs
+++ b/crates/yuccarack_player/src/entry.rs
@@ -19,11 +19,11 @@
 };
 
 /// Most tries of one request by a baseline.
-const BASELINE_TRIES_MAX: u8 = 3;
+const BASELINE_ATTEMPTS_MAX: u8 = 3;
 
 /// How a try came back to its entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Back {
+pub enum AttemptResult {
     Answered,
     Refused,
     Failed,
@@ -34,16 +34,16 @@
 /// One entry of the fleet.
 pub struct Entry {
     pub domain: usize,
-    kind: Kind,
+    balancer: Balancer,
     targets: Vec<usize>,
 }
 
-enum Kind {
-    Ours(Box<Ours>),
+enum Balancer {
+    Yuccarack(Box<YuccarackBalancer>),
     Baseline(Baseline),
 }
 
-struct Ours {
+struct YuccarackBalancer {
     chooser: Chooser,
     retry: RetryPolicy,
     hedge: HedgePolicy,
@@ -54,120 +54,128 @@
     pub fn new(index: usize, policy: Policy, scenario: &Scenario, rng: &mut SmallRng) -> Self {
         let targets = scenario.fleet.targets;
         let domain = index % scenario.fleet.domains;
-        let kind = match policy {
-            Policy::Yuccarack => Kind::Ours(Box::new(Ours {
+        let balancer = match policy {
+            Policy::Yuccarack => Balancer::Yuccarack(Box::new(YuccarackBalancer {
                 chooser: Chooser::new(ChooserConfig::default(), domain_name(domain)),
                 retry: RetryPolicy::new(&RetryRules::default()),
                 hedge: HedgePolicy::new(&HedgeRules::default()),
                 keys: Vec::new(),
             })),
-            _ => Kind::Baseline(Baseline::new(policy, targets, rng.random_range(0..targets))),
+            _ => Balancer::Baseline(Baseline::new(policy, targets, rng.random_range(0..targets))),
         };
-        Self { domain, kind, targets: Vec::new() }
+        Self { domain, balancer, targets: Vec::new() }
     }
 
     /// Replaces the targets that the entry knows of.
     pub fn set_targets(&mut self, now: Instant, targets: &[usize], scenario: &Scenario) {
         self.targets = targets.to_vec();
-        let Kind::Ours(ours) = &mut self.kind else { return };
+        let Balancer::Yuccarack(balancer) = &mut self.balancer else { return };
         let members: Vec<_> = targets.iter().map(|&target| member(target, scenario)).collect();
-        ours.chooser.set_members(now, &members);
-        ours.keys = (0..scenario.fleet.targets)
-            .map(|target| ours.chooser.key_of(&instance_name(target)))
+        balancer.chooser.set_members(now, &members);
+        balancer.keys = (0..scenario.fleet.targets)
+            .map(|target| balancer.chooser.key_of(&instance_name(target)))
             .collect();
     }
 
     /// Chooses a target for a call's next try and notes that it is sent.
-    pub fn choose(&mut self, now: Instant, rng: &mut SmallRng, tried: &[usize]) -> Option<usize> {
-        match &mut self.kind {
-            Kind::Baseline(baseline) => baseline.choose(rng, &self.targets, tried),
-            Kind::Ours(ours) => {
-                let excluded: Vec<_> = tried.iter().filter_map(|&t| ours.keys[t]).collect();
-                let key = ours.chooser.choose(now, rng, &excluded).ok()?;
-                ours.chooser.record_attempt(now, key);
-                ours.keys.iter().position(|&known| known == Some(key))
+    pub fn choose(
+        &mut self,
+        now: Instant,
+        rng: &mut SmallRng,
+        attempted: &[usize],
+    ) -> Option<usize> {
+        match &mut self.balancer {
+            Balancer::Baseline(baseline) => baseline.choose(rng, &self.targets, attempted),
+            Balancer::Yuccarack(balancer) => {
+                let excluded: Vec<_> = attempted.iter().filter_map(|&t| balancer.keys[t]).collect();
+                let key = balancer.chooser.choose(now, rng, &excluded).ok()?;
+                balancer.chooser.record_attempt(now, key);
+                balancer.keys.iter().position(|&other| other == Some(key))
             }
         }
     }
 
     /// Age of what is known of a target's load.
-    pub fn news_age(&self, now: Instant, target: usize) -> Option<Duration> {
-        let Kind::Ours(ours) = &self.kind else { return None };
-        ours.chooser.report_age(now, ours.keys[target]?)
+    pub fn report_age(&self, now: Instant, target: usize) -> Option<Duration> {
+        let Balancer::Yuccarack(balancer) = &self.balancer else { return None };
+        balancer.chooser.report_age(now, balancer.keys[target]?)
     }
 
-    pub fn first_try(&mut self, now: Instant) {
-        let Kind::Ours(ours) = &mut self.kind else { return };
-        ours.retry.record_first_attempt(now);
-        ours.hedge.record_first_attempt(now);
+    pub fn record_first_attempt(&mut self, now: Instant) {
+        let Balancer::Yuccarack(balancer) = &mut self.balancer else { return };
+        balancer.retry.record_first_attempt(now);
+        balancer.hedge.record_first_attempt(now);
     }
 
     pub fn hedge_delay(&self, now: Instant) -> Option<Duration> {
-        let Kind::Ours(ours) = &self.kind else { return None };
-        ours.hedge.delay(now)
+        let Balancer::Yuccarack(balancer) = &self.balancer else { return None };
+        balancer.hedge.delay(now)
     }
 
     pub fn spend_hedge(&mut self, now: Instant) -> bool {
-        let Kind::Ours(ours) = &mut self.kind else { return false };
-        ours.hedge.spend(now)
+        let Balancer::Yuccarack(balancer) = &mut self.balancer else { return false };
+        balancer.hedge.spend(now)
     }
 
     /// Learns how a try ended; `None` means that the entry gave it up.
-    pub fn ended(
+    pub fn record_attempt_end(
         &mut self,
         now: Instant,
         target: usize,
-        back: Option<Back>,
+        result: Option<AttemptResult>,
         response_time: Duration,
         report: Option<LoadReport>,
     ) {
-        let Kind::Ours(ours) = &mut self.kind else { return };
-        let Some(key) = ours.keys[target] else { return };
-        let end = match back {
-            Some(Back::Answered) => TargetAttemptOutcome::Answered { response_time },
-            Some(Back::Refused) => TargetAttemptOutcome::Refused,
-            Some(Back::Failed) => TargetAttemptOutcome::TargetFailed { response_time },
-            Some(Back::BrokenNotRun | Back::BrokenUnknown) => TargetAttemptOutcome::Broken,
+        let Balancer::Yuccarack(balancer) = &mut self.balancer else { return };
+        let Some(key) = balancer.keys[target] else { return };
+        let outcome = match result {
+            Some(AttemptResult::Answered) => TargetAttemptOutcome::Answered { response_time },
+            Some(AttemptResult::Refused) => TargetAttemptOutcome::Refused,
+            Some(AttemptResult::Failed) => TargetAttemptOutcome::TargetFailed { response_time },
+            Some(AttemptResult::BrokenNotRun | AttemptResult::BrokenUnknown) => {
+                TargetAttemptOutcome::Broken
+            }
             None => TargetAttemptOutcome::Cancelled,
         };
-        ours.chooser.record_outcome(now, key, end, report);
-        match back {
-            Some(Back::Answered) => ours.hedge.record_response(now, response_time),
-            Some(Back::Refused) => ours.hedge.record_refusal(now),
+        balancer.chooser.record_outcome(now, key, outcome, report);
+        match result {
+            Some(AttemptResult::Answered) => balancer.hedge.record_response(now, response_time),
+            Some(AttemptResult::Refused) => balancer.hedge.record_refusal(now),
             _ => {}
         }
     }
 
     /// Whether a call is tried again after a try that brought no answer.
-    pub fn tries_again(
+    pub fn should_retry(
         &mut self,
         now: Instant,
         number: u8,
         deadline: Instant,
-        back: Back,
+        result: AttemptResult,
         is_repeatable: bool,
     ) -> bool {
-        let failure = match back {
-            Back::Answered => return false,
-            Back::Refused => AttemptFailure::RefusedNotRun,
-            Back::Failed => AttemptFailure::TargetError,
-            Back::BrokenNotRun => AttemptFailure::BrokenNotRun,
-            Back::BrokenUnknown => AttemptFailure::BrokenUnknown,
+        let failure = match result {
+            AttemptResult::Answered => return false,
+            AttemptResult::Refused => AttemptFailure::RefusedNotRun,
+            AttemptResult::Failed => AttemptFailure::TargetError,
+            AttemptResult::BrokenNotRun => AttemptFailure::BrokenNotRun,
+            AttemptResult::BrokenUnknown => AttemptFailure::BrokenUnknown,
         };
-        match &mut self.kind {
-            Kind::Baseline(_) => {
-                number < BASELINE_TRIES_MAX && (is_repeatable || !failure.may_have_run())
+        match &mut self.balancer {
+            Balancer::Baseline(_) => {
+                number < BASELINE_ATTEMPTS_MAX && (is_repeatable || !failure.may_have_run())
             }
-            Kind::Ours(ours) => {
-                let ended = RetryCandidate { number, deadline, failure, is_repeatable, depth: 1 };
-                matches!(ours.retry.decide(now, ended), RetryDecision::Again { .. })
+            Balancer::Yuccarack(balancer) => {
+                let candidate =
+                    RetryCandidate { number, deadline, failure, is_repeatable, depth: 1 };
+                matches!(balancer.retry.decide(now, candidate), RetryDecision::Again { .. })
             }
         }
     }
 
     /// Takes the reports of all targets, as a baseline polls them.
     pub fn report(&mut self, in_flight: &[u32]) {
-        if let Kind::Baseline(baseline) = &mut self.kind {
+        if let Balancer::Baseline(baseline) = &mut self.balancer {
             baseline.report(in_flight);
         }
     }
--- a/crates/yuccarack_player/src/gate.rs
+++ b/crates/yuccarack_player/src/gate.rs
@@ -15,57 +15,57 @@
 
 /// Front of one target; `A` names an attempt.
 pub enum Gate<A> {
-    Ours { admission: Box<Admission>, waiting: HashMap<WaitKey, A> },
-    Plain { running: usize, waiting: VecDeque<A> },
+    Admission { admission: Box<Admission>, waiting: HashMap<WaitKey, A> },
+    Fifo { running: usize, waiting: VecDeque<A> },
 }
 
 /// Where an attempt stands at its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Place {
-    OnTheWay,
+pub enum AttemptState {
+    InTransit,
     Waiting(Option<WaitKey>),
     Running(Option<RunKey>),
     Returning,
 }
 
 /// What became of an attempt that waited.
-pub enum Step<A> {
-    Runs(A, Option<RunKey>),
+pub enum WaitEnd<A> {
+    Started(A, Option<RunKey>),
     Refused(A),
 }
 
 impl<A: Copy + PartialEq> Gate<A> {
     pub fn new(now: Instant, policy: Policy, scenario: &Scenario) -> Self {
         if policy != Policy::Yuccarack {
-            return Self::Plain { running: 0, waiting: VecDeque::new() };
+            return Self::Fifo { running: 0, waiting: VecDeque::new() };
         }
-        let long = scenario.work.long_slots_percent;
+        let long = scenario.workload.long_slots_percent;
         let routes = [100, long].map(|slot_share_percent| RouteShare { slot_share_percent });
         let limits = LimitRules::default();
         let config = AdmissionConfig { slots: SLOTS, limits, routes: routes.to_vec() };
         let admission = Box::new(Admission::new(now, config));
-        Self::Ours { admission, waiting: HashMap::new() }
+        Self::Admission { admission, waiting: HashMap::new() }
     }
 
     /// Decides on an attempt that arrives; `None` refuses it.
-    pub fn offer(&mut self, now: Instant, attempt: A, offer: Offer) -> Option<Place> {
+    pub fn offer(&mut self, now: Instant, attempt: A, offer: Offer) -> Option<AttemptState> {
         match self {
-            Self::Plain { running, waiting } => {
+            Self::Fifo { running, waiting } => {
                 if *running < usize::from(SLOTS) {
                     *running += 1;
-                    return Some(Place::Running(None));
+                    return Some(AttemptState::Running(None));
                 }
                 if *running + waiting.len() >= CONNECTIONS {
                     return None;
                 }
                 waiting.push_back(attempt);
-                Some(Place::Waiting(None))
+                Some(AttemptState::Waiting(None))
             }
-            Self::Ours { admission, waiting } => match admission.offer(now, offer) {
-                AdmissionDecision::Run(key) => Some(Place::Running(Some(key))),
+            Self::Admission { admission, waiting } => match admission.offer(now, offer) {
+                AdmissionDecision::Run(key) => Some(AttemptState::Running(Some(key))),
                 AdmissionDecision::Wait(key) => {
                     waiting.insert(key, attempt);
-                    Some(Place::Waiting(Some(key)))
+                    Some(AttemptState::Waiting(Some(key)))
                 }
                 AdmissionDecision::Refused(_) => None,
             },
@@ -73,14 +73,16 @@
     }
 
     /// Takes an attempt out, from where it stands.
-    pub fn remove(&mut self, now: Instant, attempt: A, place: Place, end: RunOutcome) {
-        match (self, place) {
-            (Self::Plain { running, .. }, Place::Running(_)) => *running -= 1,
-            (Self::Plain { waiting, .. }, Place::Waiting(_)) => waiting.retain(|a| *a != attempt),
-            (Self::Ours { admission, .. }, Place::Running(Some(key))) => {
-                admission.release(now, key, end);
+    pub fn remove(&mut self, now: Instant, attempt: A, state: AttemptState, outcome: RunOutcome) {
+        match (self, state) {
+            (Self::Fifo { running, .. }, AttemptState::Running(_)) => *running -= 1,
+            (Self::Fifo { waiting, .. }, AttemptState::Waiting(_)) => {
+                waiting.retain(|a| *a != attempt)
             }
-            (Self::Ours { admission, waiting }, Place::Waiting(Some(key))) => {
+            (Self::Admission { admission, .. }, AttemptState::Running(Some(key))) => {
+                admission.release(now, key, outcome);
+            }
+            (Self::Admission { admission, waiting }, AttemptState::Waiting(Some(key))) => {
                 admission.cancel_wait(now, key);
                 waiting.remove(&key);
             }
@@ -89,50 +91,52 @@
     }
 
     /// What waiting attempts do now.
-    pub fn poll(&mut self, now: Instant) -> Vec<Step<A>> {
+    pub fn poll(&mut self, now: Instant) -> Vec<WaitEnd<A>> {
         match self {
-            Self::Plain { running, waiting } => {
-                let mut steps = Vec::new();
+            Self::Fifo { running, waiting } => {
+                let mut ends = Vec::new();
                 while *running < usize::from(SLOTS)
                     && let Some(attempt) = waiting.pop_front()
                 {
                     *running += 1;
-                    steps.push(Step::Runs(attempt, None));
+                    ends.push(WaitEnd::Started(attempt, None));
                 }
-                steps
+                ends
             }
-            Self::Ours { admission, waiting } => {
-                let settled = admission.poll(now);
-                settled.into_iter().filter_map(|settled| step(waiting, settled)).collect()
+            Self::Admission { admission, waiting } => {
+                let outcomes = admission.poll(now);
+                outcomes.into_iter().filter_map(|outcome| wait_end(waiting, outcome)).collect()
             }
         }
     }
 
     pub fn next_wake(&self) -> Option<Instant> {
         match self {
-            Self::Plain { .. } => None,
-            Self::Ours { admission, .. } => admission.next_wake(),
+            Self::Fifo { .. } => None,
+            Self::Admission { admission, .. } => admission.next_wake(),
         }
     }
 
     pub fn report(&self) -> Option<LoadReport> {
         match self {
-            Self::Plain { .. } => None,
-            Self::Ours { admission, .. } => Some(admission.load()),
+            Self::Fifo { .. } => None,
+            Self::Admission { admission, .. } => Some(admission.load()),
         }
     }
 
     pub fn in_flight(&self) -> u32 {
         match self {
-            Self::Plain { running, waiting } => (running + waiting.len()) as u32,
-            Self::Ours { admission, waiting } => (admission.in_flight() + waiting.len()) as u32,
+            Self::Fifo { running, waiting } => (running + waiting.len()) as u32,
+            Self::Admission { admission, waiting } => {
+                (admission.in_flight() + waiting.len()) as u32
+            }
         }
     }
 }
 
-fn step<A>(waiting: &mut HashMap<WaitKey, A>, settled: WaitOutcome) -> Option<Step<A>> {
-    match settled {
-        WaitOutcome::Run(key, run) => waiting.remove(&key).map(|a| Step::Runs(a, Some(run))),
-        WaitOutcome::Refused(key, _) => waiting.remove(&key).map(Step::Refused),
+fn wait_end<A>(waiting: &mut HashMap<WaitKey, A>, outcome: WaitOutcome) -> Option<WaitEnd<A>> {
+    match outcome {
+        WaitOutcome::Run(key, run) => waiting.remove(&key).map(|a| WaitEnd::Started(a, Some(run))),
+        WaitOutcome::Refused(key, _) => waiting.remove(&key).map(WaitEnd::Refused),
     }
 }
--- a/crates/yuccarack_player/src/lib.rs
+++ b/crates/yuccarack_player/src/lib.rs
@@ -8,15 +8,15 @@
 mod clock;
 mod entry;
 mod gate;
-mod outcome;
 mod player;
 pub mod routed;
 pub mod scenario;
-pub mod stories;
+pub mod scenarios;
+mod tally;
 mod target;
 
 pub use self::{
-    outcome::{Outcome, Tally},
     player::play,
     scenario::{Fleet, Policy, Scenario},
+    tally::{Summary, Tally},
 };
--- a/crates/yuccarack_player/src/main.rs
+++ b/crates/yuccarack_player/src/main.rs
@@ -10,7 +10,7 @@
 
 use bpaf::Bpaf;
 use thiserror::Error;
-use yuccarack_player::{Outcome, Policy, Scenario, Tally, play, stories};
+use yuccarack_player::{Policy, Scenario, Summary, Tally, play, scenarios};
 
 /// Plays loads against the decisions.
 #[derive(Clone, Debug, Bpaf)]
@@ -41,7 +41,7 @@
     #[error("can't write a row as JSON: {0}")]
     Json(#[from] serde_json::Error),
     #[error("a run ended early")]
-    Panicked,
+    ThreadPanicked,
 }
 
 fn main() -> ExitCode {
@@ -62,13 +62,13 @@
     if !options.json {
         write_heading(&mut out)?;
     }
-    for (fleet, services) in stories::FLEETS {
-        if !is_wanted(&options.fleet, fleet.name) {
+    for (fleet, services) in scenarios::FLEETS {
+        if !is_selected(&options.fleet, fleet.name) {
             continue;
         }
-        for story in stories::all(fleet) {
-            if is_wanted(&options.story, story.name) {
-                play_story(options, &story, services, &mut out)?;
+        for scenario in scenarios::all(fleet) {
+            if is_selected(&options.story, scenario.name) {
+                play_scenario(options, &scenario, services, &mut out)?;
             }
         }
     }
@@ -76,33 +76,33 @@
 }
 
 /// Plays one story with every policy, each on its own thread, and prints their rows.
-fn play_story(
+fn play_scenario(
     options: &Options,
-    story: &Scenario,
+    scenario: &Scenario,
     services: u64,
     out: &mut impl Write,
 ) -> Result<(), PlayError> {
-    let policies = Policy::ALL.into_iter().filter(|p| is_wanted(&options.policy, p.as_str()));
+    let policies = Policy::ALL.into_iter().filter(|p| is_selected(&options.policy, p.as_str()));
     let rows: Vec<_> = thread::scope(|scope| {
-        let played: Vec<_> = policies
-            .map(|policy| scope.spawn(move || play_policy(options, story, services, policy)))
+        let threads: Vec<_> = policies
+            .map(|policy| scope.spawn(move || play_policy(options, scenario, services, policy)))
             .collect();
-        played.into_iter().map(thread::ScopedJoinHandle::join).collect()
+        threads.into_iter().map(thread::ScopedJoinHandle::join).collect()
     });
     for row in rows {
-        let row = row.map_err(|_| PlayError::Panicked)?;
+        let row = row.map_err(|_| PlayError::ThreadPanicked)?;
         write_row(options, &row, out)?;
     }
     Ok(())
 }
 
 /// Plays one policy for all services of the kind and adds up what their callers got.
-fn play_policy(options: &Options, story: &Scenario, services: u64, policy: Policy) -> Outcome {
+fn play_policy(options: &Options, scenario: &Scenario, services: u64, policy: Policy) -> Summary {
     let mut sum = Tally::new();
     for seed in options.seed..options.seed + options.seeds * services {
-        sum.add(&play(story, policy, seed));
+        sum.add(&play(scenario, policy, seed));
     }
-    sum.outcome(story.fleet.name, story.name, policy.as_str())
+    sum.summary(scenario.fleet.name, scenario.name, policy.as_str())
 }
 
 fn write_heading(out: &mut impl Write) -> io::Result<()> {
@@ -129,7 +129,7 @@
     )
 }
 
-fn write_row(options: &Options, row: &Outcome, out: &mut impl Write) -> Result<(), PlayError> {
+fn write_row(options: &Options, row: &Summary, out: &mut impl Write) -> Result<(), PlayError> {
     if options.json {
         serde_json::to_writer(&mut *out, row)?;
         writeln!(out)?;
@@ -160,6 +160,6 @@
     Ok(())
 }
 
-fn is_wanted(only: &Option<String>, name: &str) -> bool {
+fn is_selected(only: &Option<String>, name: &str) -> bool {
     only.as_deref().is_none_or(|only| only == name)
 }
--- a/crates/yuccarack_player/src/player/arrivals.rs
+++ b/crates/yuccarack_player/src/player/arrivals.rs
@@ -2,14 +2,14 @@
 
 use rand::Rng;
 
-use super::{Call, Player, WORK_SPREAD};
+use super::{Call, Player, SERVICE_TIME_SPREAD};
 
 impl Player<'_> {
     pub(super) fn rate_per_s(&self) -> f64 {
         let rate = self.scenario.load * self.scenario.capacity_per_s();
         let Some(burst) = self.scenario.burst else { return rate };
-        let into = self.clock.elapsed().as_micros() % burst.every.as_micros();
-        if into < burst.lasts.as_micros() { rate * burst.factor } else { rate }
+        let offset = self.clock.elapsed().as_micros() % burst.interval.as_micros();
+        if offset < burst.duration.as_micros() { rate * burst.factor } else { rate }
     }
 
     pub(super) fn draw_call(&mut self) -> Call {
@@ -20,11 +20,13 @@
             true => self.rng.random_range(0..callers.heavy),
             false => self.rng.random_range(callers.heavy..callers.count),
         };
-        let work = self.scenario.work;
-        let is_long = self.rng.random::<f64>() < work.long_share;
+        let workload = self.scenario.workload;
+        let is_long = self.rng.random::<f64>() < workload.long_share;
         let spread = 0.5 - 0.5 * (1.0 - self.rng.random::<f64>()).ln();
-        let factor = if is_long { work.long_factor } else { 1.0 };
-        let work = work.mean.mul_f64(factor * spread.clamp(WORK_SPREAD.0, WORK_SPREAD.1));
+        let factor = if is_long { workload.long_factor } else { 1.0 };
+        let service_time = workload
+            .mean
+            .mul_f64(factor * spread.clamp(SERVICE_TIME_SPREAD.0, SERVICE_TIME_SPREAD.1));
         Call {
             entry: self.draw_entry(),
             caller,
@@ -32,10 +34,10 @@
             is_long,
             arrived_at: now,
             deadline: now + self.scenario.deadline,
-            work,
-            tried: Vec::new(),
-            live: Vec::new(),
-            tries: 0,
+            service_time,
+            attempted_targets: Vec::new(),
+            live_attempts: Vec::new(),
+            attempt_count: 0,
             runs: 0,
         }
     }
@@ -43,7 +45,7 @@
     fn draw_entry(&mut self) -> usize {
         loop {
             let entry = self.rng.random_range(0..self.entries.len());
-            if !self.is_gone || self.entries[entry].domain != 0 {
+            if !self.is_domain_lost || self.entries[entry].domain != 0 {
                 return entry;
             }
         }
--- a/crates/yuccarack_player/src/player/gate_side.rs
+++ b/crates/yuccarack_player/src/player/gate_side.rs
@@ -3,19 +3,19 @@
 use yuccarack_config::load::LoadReport;
 use yuccarack_policy::admission::{Offer, RunOutcome};
 
-use super::{AttemptKey, Event, Player, link};
+use super::{AttemptKey, Event, Player, link_delay};
 use crate::{
-    entry::Back,
-    gate::{Place, Step},
-    outcome::REPORT_BYTES,
-    target::Run,
+    entry::AttemptResult,
+    gate::{AttemptState, WaitEnd},
+    tally::REPORT_BYTES,
+    target::PlannedEnd,
 };
 
 impl Player<'_> {
     pub(super) fn reach_gate(&mut self, key: AttemptKey) {
         let now = self.clock.now();
         let Some(attempt) = self.attempts.get(key) else { return };
-        if attempt.place != Place::OnTheWay {
+        if attempt.state != AttemptState::InTransit {
             return;
         }
         let target = attempt.target;
@@ -30,97 +30,104 @@
             None => Offer { caller: 0, route: 0, deadline: now, must_run_alone: false },
         };
         match self.gates[target].offer(now, key, offer) {
-            Some(Place::Running(run)) => self.start(key, Place::Running(run)),
-            Some(place) => self.attempts[key].place = place,
-            None => self.return_to_entry(key, Back::Refused),
+            Some(AttemptState::Running(run)) => self.start_run(key, AttemptState::Running(run)),
+            Some(state) => self.attempts[key].state = state,
+            None => self.return_to_entry(key, AttemptResult::Refused),
         }
         self.poll_gate(target);
     }
 
-    fn start(&mut self, key: AttemptKey, place: Place) {
+    fn start_run(&mut self, key: AttemptKey, state: AttemptState) {
         let now = self.clock.now();
         let attempt = &mut self.attempts[key];
-        attempt.place = place;
+        attempt.state = state;
         attempt.started_at = now;
         self.tally.runs += 1;
-        let mut work = self.scenario.work.mean;
+        let mut service_time = self.scenario.workload.mean;
         if let Some(call) = self.calls.get_mut(attempt.call) {
             call.runs += 1;
             self.tally.duplicates += u64::from(call.runs > 1);
-            work = call.work;
+            service_time = call.service_time;
         }
-        match self.targets[attempt.target].start(now, work) {
-            Run::Answers { at } => self.clock.plan(at, Event::RunEnds(key, Back::Answered)),
-            Run::Fails { at } => self.clock.plan(at, Event::RunEnds(key, Back::Failed)),
+        match self.targets[attempt.target].start(now, service_time) {
+            PlannedEnd::Response { at } => {
+                self.clock.schedule(at, Event::RunEnds(key, AttemptResult::Answered))
+            }
+            PlannedEnd::Failure { at } => {
+                self.clock.schedule(at, Event::RunEnds(key, AttemptResult::Failed))
+            }
         }
     }
 
-    pub(super) fn run_ends(&mut self, key: AttemptKey, back: Back) {
+    pub(super) fn run_ends(&mut self, key: AttemptKey, result: AttemptResult) {
         let now = self.clock.now();
         let Some(attempt) = self.attempts.get(key) else { return };
-        if !matches!(attempt.place, Place::Running(_)) {
+        if !matches!(attempt.state, AttemptState::Running(_)) {
             return;
         }
         let (target, service_time) = (attempt.target, now - attempt.started_at);
-        let end = match back {
-            Back::Answered => RunOutcome::Completed { service_time },
+        let outcome = match result {
+            AttemptResult::Answered => RunOutcome::Completed { service_time },
             _ => RunOutcome::Failed { service_time },
         };
-        self.gates[target].remove(now, key, attempt.place, end);
-        self.targets[target].ended();
-        self.return_to_entry(key, back);
+        self.gates[target].remove(now, key, attempt.state, outcome);
+        self.targets[target].finish_run();
+        self.return_to_entry(key, result);
         self.poll_gate(target);
     }
 
     pub(super) fn poll_gate(&mut self, target: usize) {
         let now = self.clock.now();
-        if self.targets[target].is_gone(now) {
+        if self.targets[target].is_lost(now) {
             return;
         }
-        for step in self.gates[target].poll(now) {
-            match step {
-                Step::Runs(attempt, run) => self.start(attempt, Place::Running(run)),
-                Step::Refused(attempt) => self.return_to_entry(attempt, Back::Refused),
+        for end in self.gates[target].poll(now) {
+            match end {
+                WaitEnd::Started(attempt, run) => {
+                    self.start_run(attempt, AttemptState::Running(run))
+                }
+                WaitEnd::Refused(attempt) => self.return_to_entry(attempt, AttemptResult::Refused),
             }
         }
         let Some(wake) = self.gates[target].next_wake() else { return };
-        if self.wakes[target].is_none_or(|planned| wake < planned) {
+        if self.wakes[target].is_none_or(|scheduled| wake < scheduled) {
             self.wakes[target] = Some(wake);
-            self.clock.plan(wake, Event::Wake(target));
+            self.clock.schedule(wake, Event::Wake(target));
         }
     }
 
-    fn return_to_entry(&mut self, key: AttemptKey, back: Back) {
+    fn return_to_entry(&mut self, key: AttemptKey, result: AttemptResult) {
         let attempt = &mut self.attempts[key];
-        attempt.place = Place::Returning;
+        attempt.state = AttemptState::Returning;
         let target = &self.targets[attempt.target];
         let mut report = self.gates[attempt.target].report();
         if report.is_some() {
             self.tally.measuring_bytes += REPORT_BYTES;
         }
-        if target.lies {
-            report = report.map(|honest| LoadReport {
+        if target.has_false_reports {
+            report = report.map(|actual| LoadReport {
                 in_flight: 0,
                 queued: 0,
-                limit: honest.limit,
+                limit: actual.limit,
                 service_us: 1,
             });
         }
-        let link = link(self.scenario, self.entries[attempt.entry].domain, target.domain);
-        self.clock.plan_after(link, Event::Return(key, back, report));
+        let link_delay =
+            link_delay(self.scenario, self.entries[attempt.entry].domain, target.domain);
+        self.clock.schedule_after(link_delay, Event::ReturnToEntry(key, result, report));
     }
 
     pub(super) fn cancel_at_gate(&mut self, key: AttemptKey) {
         let now = self.clock.now();
         let Some(attempt) = self.attempts.get(key) else { return };
-        if attempt.place == Place::Returning {
+        if attempt.state == AttemptState::Returning {
             return;
         }
-        let (target, place) = (attempt.target, attempt.place);
+        let (target, state) = (attempt.target, attempt.state);
         self.attempts.remove(key);
-        self.gates[target].remove(now, key, place, RunOutcome::Cancelled);
-        if matches!(place, Place::Running(_)) {
-            self.targets[target].ended();
+        self.gates[target].remove(now, key, state, RunOutcome::Cancelled);
+        if matches!(state, AttemptState::Running(_)) {
+            self.targets[target].finish_run();
         }
         self.poll_gate(target);
     }
--- a/crates/yuccarack_player/src/player/mod.rs
+++ b/crates/yuccarack_player/src/player/mod.rs
@@ -12,10 +12,10 @@
 
 use crate::{
     clock::Clock,
-    entry::{Back, Entry},
-    gate::{Gate, Place},
-    outcome::{POLL_BYTES, Tally},
+    entry::{AttemptResult, Entry},
+    gate::{AttemptState, Gate},
     scenario::{Fault, Policy, Scenario},
+    tally::{POLL_BYTES, Tally},
     target::Target,
 };
 
@@ -23,22 +23,22 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time between two looks of a gate at its target's load.
-const LOOK_INTERVAL: Duration = Duration::from_secs(1);
+const HEALTH_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// One way within a failure domain.
-const NEAR: Duration = Duration::from_micros(100);
+const LOCAL_LINK_DELAY: Duration = Duration::from_micros(100);
 
 /// Time after which a connection that isn't answered counts as broken.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(20);
 
 /// Time after which an answer that can't come any more counts as broken.
-const SILENCE_TIMEOUT: Duration = Duration::from_millis(100);
+const LOST_RESPONSE_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Time after which the membership no longer names targets that are gone.
-const GONE_NOTICED: Duration = Duration::from_secs(3);
+const MEMBER_REMOVAL_DELAY: Duration = Duration::from_secs(3);
 
 /// Shortest and longest request as multiples of the mean.
-const WORK_SPREAD: (f64, f64) = (0.5, 5.0);
+const SERVICE_TIME_SPREAD: (f64, f64) = (0.5, 5.0);
 
 new_key_type! {
     struct CallKey;
@@ -48,16 +48,16 @@
 enum Event {
     Arrive,
     ReachGate(AttemptKey),
-    RunEnds(AttemptKey, Back),
-    Return(AttemptKey, Back, Option<LoadReport>),
+    RunEnds(AttemptKey, AttemptResult),
+    ReturnToEntry(AttemptKey, AttemptResult, Option<LoadReport>),
     Cancel(AttemptKey),
     Wake(usize),
     Hedge(CallKey),
     Deadline(CallKey),
     Poll,
-    Look,
-    DomainGone,
-    GoneNoticed,
+    HealthCheck,
+    DomainLoss,
+    LostTargetsRemoved,
 }
 
 struct Call {
@@ -67,10 +67,10 @@
     is_long: bool,
     arrived_at: Instant,
     deadline: Instant,
-    work: Duration,
-    tried: Vec<usize>,
-    live: Vec<AttemptKey>,
-    tries: u8,
+    service_time: Duration,
+    attempted_targets: Vec<usize>,
+    live_attempts: Vec<AttemptKey>,
+    attempt_count: u8,
     runs: u32,
 }
 
@@ -80,8 +80,8 @@
     target: usize,
     sent_at: Instant,
     started_at: Instant,
-    place: Place,
-    is_given_up: bool,
+    state: AttemptState,
+    is_cancelled: bool,
 }
 
 struct Player<'a> {
@@ -95,25 +95,25 @@
     calls: SlotMap<CallKey, Call>,
     attempts: SlotMap<AttemptKey, Attempt>,
     polled_at: Instant,
-    is_gone: bool,
+    is_domain_lost: bool,
     tally: Tally,
 }
 
 /// Plays a scenario to its end; the same seed gives the same tally.
 pub fn play(scenario: &Scenario, policy: Policy, seed: u64) -> Tally {
     let mut player = Player::new(scenario, policy, seed);
-    player.clock.plan_after(Duration::ZERO, Event::Arrive);
+    player.clock.schedule_after(Duration::ZERO, Event::Arrive);
     match policy {
-        Policy::Yuccarack => player.clock.plan_after(LOOK_INTERVAL, Event::Look),
+        Policy::Yuccarack => player.clock.schedule_after(HEALTH_CHECK_INTERVAL, Event::HealthCheck),
         Policy::LeastInFlight | Policy::PowerOfTwo => {
-            player.clock.plan_after(POLL_INTERVAL, Event::Poll);
+            player.clock.schedule_after(POLL_INTERVAL, Event::Poll);
         }
         Policy::Random | Policy::RoundRobin => {}
     }
     for fault in &scenario.faults {
-        if let Fault::DomainGone { from } = *fault {
-            player.clock.plan_after(from, Event::DomainGone);
-            player.clock.plan_after(from + GONE_NOTICED, Event::GoneNoticed);
+        if let Fault::DomainLoss { from } = *fault {
+            player.clock.schedule_after(from, Event::DomainLoss);
+            player.clock.schedule_after(from + MEMBER_REMOVAL_DELAY, Event::LostTargetsRemoved);
         }
     }
     while let Some(event) = player.clock.next() {
@@ -135,9 +135,9 @@
             (0..fleet.entries).map(|i| Entry::new(i, policy, scenario, &mut rng)).collect();
         entries.iter_mut().for_each(|entry| entry.set_targets(now, &all, scenario));
         let mut tally = Tally::new();
-        let lasts_s = scenario.lasts.as_secs_f64();
-        tally.capacity = scenario.capacity_per_s() * lasts_s;
-        tally.target_s = fleet.targets as f64 * lasts_s;
+        let duration_s = scenario.duration.as_secs_f64();
+        tally.capacity = scenario.capacity_per_s() * duration_s;
+        tally.target_s = fleet.targets as f64 * duration_s;
         tally.pair_s = tally.target_s * fleet.entries as f64;
         Self {
             gates: all.iter().map(|_| Gate::new(now, policy, scenario)).collect(),
@@ -145,7 +145,7 @@
             polled_at: now,
             calls: SlotMap::with_key(),
             attempts: SlotMap::with_key(),
-            is_gone: false,
+            is_domain_lost: false,
             scenario,
             clock,
             rng,
@@ -159,28 +159,30 @@
         match event {
             Event::Arrive => self.arrive(),
             Event::ReachGate(attempt) => self.reach_gate(attempt),
-            Event::RunEnds(attempt, back) => self.run_ends(attempt, back),
-            Event::Return(attempt, back, report) => self.come_back(attempt, back, report),
+            Event::RunEnds(attempt, result) => self.run_ends(attempt, result),
+            Event::ReturnToEntry(attempt, result, report) => {
+                self.receive_result(attempt, result, report)
+            }
             Event::Cancel(attempt) => self.cancel_at_gate(attempt),
             Event::Wake(target) => {
                 self.wakes[target] = None;
                 self.poll_gate(target);
             }
             Event::Hedge(call) => self.hedge(call),
-            Event::Deadline(call) => self.deadline(call),
+            Event::Deadline(call) => self.handle_deadline(call),
             Event::Poll => self.poll_reports(),
-            Event::Look => self.look(),
-            Event::DomainGone => self.domain_goes(),
-            Event::GoneNoticed => self.notice_gone(),
+            Event::HealthCheck => self.check_health(),
+            Event::DomainLoss => self.lose_domain(),
+            Event::LostTargetsRemoved => self.remove_lost_targets(),
         }
     }
 
     fn arrive(&mut self) {
-        if self.clock.elapsed() >= self.scenario.lasts {
+        if self.clock.elapsed() >= self.scenario.duration {
             return;
         }
         let gap_s = -(1.0 - self.rng.random::<f64>()).ln() / self.rate_per_s();
-        self.clock.plan_after(Duration::from_secs_f64(gap_s), Event::Arrive);
+        self.clock.schedule_after(Duration::from_secs_f64(gap_s), Event::Arrive);
         let call = self.draw_call();
         self.tally.offered += 1;
         if call.is_heavy {
@@ -190,9 +192,9 @@
         }
         let (entry, deadline) = (call.entry, call.deadline);
         let key = self.calls.insert(call);
-        self.clock.plan(deadline, Event::Deadline(key));
+        self.clock.schedule(deadline, Event::Deadline(key));
         let now = self.clock.now();
-        self.entries[entry].first_try(now);
+        self.entries[entry].record_first_attempt(now);
         if self.send(key) {
             self.plan_hedge(key);
         }
@@ -203,46 +205,46 @@
         let now = self.clock.now();
         let call = &mut self.calls[key];
         let entry = &mut self.entries[call.entry];
-        let Some(target) = entry.choose(now, &mut self.rng, &call.tried) else {
-            if call.live.is_empty() {
+        let Some(target) = entry.choose(now, &mut self.rng, &call.attempted_targets) else {
+            if call.live_attempts.is_empty() {
                 self.tally.refused += 1;
                 self.calls.remove(key);
             }
             return false;
         };
-        let age = entry.news_age(now, target).unwrap_or(now - self.polled_at);
-        self.tally.news_age_us.0 += age.as_micros() as u64;
-        self.tally.news_age_us.1 += 1;
-        call.tries += 1;
-        call.tried.push(target);
-        let link = link(self.scenario, entry.domain, self.targets[target].domain);
+        let age = entry.report_age(now, target).unwrap_or(now - self.polled_at);
+        self.tally.report_age_us.0 += age.as_micros() as u64;
+        self.tally.report_age_us.1 += 1;
+        call.attempt_count += 1;
+        call.attempted_targets.push(target);
+        let link_delay = link_delay(self.scenario, entry.domain, self.targets[target].domain);
         let attempt = self.attempts.insert(Attempt {
             call: key,
             entry: call.entry,
             target,
             sent_at: now,
             started_at: now,
-            place: Place::OnTheWay,
-            is_given_up: false,
+            state: AttemptState::InTransit,
+            is_cancelled: false,
         });
-        call.live.push(attempt);
-        if self.targets[target].is_gone(now) {
-            self.attempts[attempt].place = Place::Returning;
-            let back = Event::Return(attempt, Back::BrokenNotRun, None);
-            self.clock.plan_after(CONNECT_TIMEOUT, back);
+        call.live_attempts.push(attempt);
+        if self.targets[target].is_lost(now) {
+            self.attempts[attempt].state = AttemptState::Returning;
+            let event = Event::ReturnToEntry(attempt, AttemptResult::BrokenNotRun, None);
+            self.clock.schedule_after(CONNECT_TIMEOUT, event);
         } else {
-            self.clock.plan_after(link, Event::ReachGate(attempt));
+            self.clock.schedule_after(link_delay, Event::ReachGate(attempt));
         }
         true
     }
 
     fn plan_hedge(&mut self, key: CallKey) {
         let call = &self.calls[key];
-        if !self.scenario.fleet.repeatable || call.is_long {
+        if !self.scenario.fleet.is_repeatable || call.is_long {
             return;
         }
         if let Some(delay) = self.entries[call.entry].hedge_delay(self.clock.now()) {
-            self.clock.plan_after(delay, Event::Hedge(key));
+            self.clock.schedule_after(delay, Event::Hedge(key));
         }
     }
 
@@ -254,41 +256,52 @@
         }
     }
 
-    fn come_back(&mut self, key: AttemptKey, back: Back, report: Option<LoadReport>) {
+    fn receive_result(
+        &mut self,
+        key: AttemptKey,
+        result: AttemptResult,
+        report: Option<LoadReport>,
+    ) {
         let now = self.clock.now();
         let Some(attempt) = self.attempts.remove(key) else { return };
-        if attempt.is_given_up {
+        if attempt.is_cancelled {
             return;
         }
-        let took = now - attempt.sent_at;
-        self.entries[attempt.entry].ended(now, attempt.target, Some(back), took, report);
+        let response_time = now - attempt.sent_at;
+        self.entries[attempt.entry].record_attempt_end(
+            now,
+            attempt.target,
+            Some(result),
+            response_time,
+            report,
+        );
         let Some(call) = self.calls.get_mut(attempt.call) else { return };
-        call.live.retain(|&live| live != key);
-        if back == Back::Answered {
-            let took = now - call.arrived_at;
-            self.tally.answered(took, call.is_heavy, call.is_long);
-            let is_offering = self.clock.elapsed() < self.scenario.lasts;
+        call.live_attempts.retain(|&other| other != key);
+        if result == AttemptResult::Answered {
+            let response_time = now - call.arrived_at;
+            self.tally.record_response(response_time, call.is_heavy, call.is_long);
+            let is_offering = self.clock.elapsed() < self.scenario.duration;
             self.tally.answered_while_offered += u64::from(is_offering);
             self.end_call(attempt.call);
             return;
         }
-        let repeatable = self.scenario.fleet.repeatable;
+        let is_repeatable = self.scenario.fleet.is_repeatable;
         let entry = &mut self.entries[call.entry];
-        if entry.tries_again(now, call.tries, call.deadline, back, repeatable) {
+        if entry.should_retry(now, call.attempt_count, call.deadline, result, is_repeatable) {
             self.tally.retries += 1;
             self.send(attempt.call);
             return;
         }
-        if call.live.is_empty() {
-            match back {
-                Back::Refused | Back::BrokenNotRun => self.tally.refused += 1,
+        if call.live_attempts.is_empty() {
+            match result {
+                AttemptResult::Refused | AttemptResult::BrokenNotRun => self.tally.refused += 1,
                 _ => self.tally.failed += 1,
             }
             self.end_call(attempt.call);
         }
     }
 
-    fn deadline(&mut self, key: CallKey) {
+    fn handle_deadline(&mut self, key: CallKey) {
         if self.calls.contains_key(key) {
             self.tally.late += 1;
             self.end_call(key);
@@ -299,39 +312,40 @@
     fn end_call(&mut self, key: CallKey) {
         let now = self.clock.now();
         let Some(call) = self.calls.remove(key) else { return };
-        for live in call.live {
-            let Some(attempt) = self.attempts.get_mut(live) else { continue };
-            attempt.is_given_up = true;
+        for attempt_key in call.live_attempts {
+            let Some(attempt) = self.attempts.get_mut(attempt_key) else { continue };
+            attempt.is_cancelled = true;
             let entry = &mut self.entries[attempt.entry];
-            entry.ended(now, attempt.target, None, now - attempt.sent_at, None);
-            let link = link(self.scenario, entry.domain, self.targets[attempt.target].domain);
-            self.clock.plan_after(link, Event::Cancel(live));
+            entry.record_attempt_end(now, attempt.target, None, now - attempt.sent_at, None);
+            let link_delay =
+                link_delay(self.scenario, entry.domain, self.targets[attempt.target].domain);
+            self.clock.schedule_after(link_delay, Event::Cancel(attempt_key));
         }
     }
 
     fn poll_reports(&mut self) {
         self.polled_at = self.clock.now();
-        let reports: Vec<_> = self.gates.iter().zip(&self.targets).map(seen_by_poll).collect();
+        let reports: Vec<_> = self.gates.iter().zip(&self.targets).map(polled_in_flight).collect();
         self.entries.iter_mut().for_each(|entry| entry.report(&reports));
         let polls = self.entries.len() * self.targets.len();
         self.tally.measuring_bytes += polls as u64 * POLL_BYTES;
-        if self.clock.elapsed() < self.scenario.lasts {
-            self.clock.plan_after(POLL_INTERVAL, Event::Poll);
+        if self.clock.elapsed() < self.scenario.duration {
+            self.clock.schedule_after(POLL_INTERVAL, Event::Poll);
         }
     }
 
-    fn look(&mut self) {
+    fn check_health(&mut self) {
         self.tally.measuring_bytes += self.targets.len() as u64 * POLL_BYTES;
-        if self.clock.elapsed() < self.scenario.lasts {
-            self.clock.plan_after(LOOK_INTERVAL, Event::Look);
+        if self.clock.elapsed() < self.scenario.duration {
+            self.clock.schedule_after(HEALTH_CHECK_INTERVAL, Event::HealthCheck);
         }
     }
 }
 
-fn seen_by_poll((gate, target): (&Gate<AttemptKey>, &Target)) -> u32 {
-    if target.lies { 0 } else { gate.in_flight() }
+fn polled_in_flight((gate, target): (&Gate<AttemptKey>, &Target)) -> u32 {
+    if target.has_false_reports { 0 } else { gate.in_flight() }
 }
 
-fn link(scenario: &Scenario, from: usize, to: usize) -> Duration {
-    if from == to { NEAR } else { scenario.fleet.link }
+fn link_delay(scenario: &Scenario, from: usize, to: usize) -> Duration {
+    if from == to { LOCAL_LINK_DELAY } else { scenario.fleet.link_delay }
 }
--- a/crates/yuccarack_player/src/routed/chain.rs
+++ b/crates/yuccarack_player/src/routed/chain.rs
@@ -18,53 +18,53 @@
 use super::{
     Policy,
     credit::Credit,
-    load::{COLD_PER_S, DOMAINS, KINDS, Load, SERVICES, SLOTS, TARGETS},
-    queue::{Queue, Ticket},
+    load::{COLD_RATE_PER_S, DOMAINS, Load, REQUEST_KINDS, SERVICES, SLOTS, TARGETS},
+    queue::{Queue, RequestId},
 };
 use crate::clock::Clock;
 
 /// One way between failure domains, and within one.
-const WAY_FAR: Duration = Duration::from_micros(1_400);
-const WAY_NEAR: Duration = Duration::from_micros(200);
+const REMOTE_LINK_DELAY: Duration = Duration::from_micros(1_400);
+const LOCAL_LINK_DELAY: Duration = Duration::from_micros(200);
 
 /// Time between two shifts of a target's pace, and the part of the shifts that slow it fourfold.
-const PACE_LASTS: Duration = Duration::from_millis(300);
+const SLOWDOWN_INTERVAL: Duration = Duration::from_millis(300);
 const SLOW_SHARE: f64 = 0.15;
-const SLOW_PACE: f64 = 4.0;
+const SLOW_FACTOR: f64 = 4.0;
 
 /// Filled share from which a target slows, and how much.
-const FULL_SHARE: f64 = 0.8;
-const FULL_FACTOR: f64 = 1.7;
+const OVERLOAD_FILL: f64 = 0.8;
+const OVERLOAD_SLOWDOWN: f64 = 1.7;
 
 /// How much longer work takes for how long after a start.
 const COLD_FACTOR: f64 = 2.0;
-const COLD_LASTS: Duration = Duration::from_secs(3);
+const COLD_DURATION: Duration = Duration::from_secs(3);
 
 /// Time in which the requests of a cold target count that may crash it, and how long it is down then.
 const CRASH_WINDOW: Duration = Duration::from_secs(1);
-const DOWN_LASTS: Duration = Duration::from_millis(500);
+const RESTART_DURATION: Duration = Duration::from_millis(500);
 
 /// Time between two looks of a gate at its target, and after the end of a cold time until the first.
-const LOOK_INTERVAL: Duration = Duration::from_millis(200);
-const LOOK_AFTER: Duration = Duration::from_millis(10);
+const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+const HEALTH_CHECK_DELAY: Duration = Duration::from_millis(10);
 
 /// When targets start cold, or are lost.
-const CHANGE_AT: Duration = Duration::from_secs(4);
+const FAULTS_START: Duration = Duration::from_secs(4);
 
 /// Times that a caller comes back: as told once, or at once and more often.
-const RETURNS: u8 = 1;
-const EARLY_RETURNS: u8 = 3;
+const DELAYED_RETRIES: u8 = 1;
+const IMMEDIATE_RETRIES: u8 = 3;
 
 /// When a caller comes back that was told no time.
-const RETURN_AFTER: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Spread of work around its mean.
-const WORK_SPREAD: (f64, f64) = (0.7, 1.3);
+const SERVICE_TIME_SPREAD: (f64, f64) = (0.7, 1.3);
 
 struct Gate {
     domain: usize,
     queue: Queue,
-    pace: f64,
+    slowdown: f64,
     running: usize,
     cold_until: Option<Instant>,
     /// Requests that it began to run in the last second while it was cold.
@@ -83,9 +83,9 @@
     kind: usize,
     entry: usize,
     /// When its caller came first.
-    came_at: Instant,
+    arrived_at: Instant,
     deadline: Instant,
-    asked: AttemptHistory,
+    history: AttemptHistory,
     /// The gate that has it, under its key at the entry.
     gate: Option<(usize, Option<GateKey>)>,
     /// Whether it may wait there.
@@ -93,27 +93,27 @@
     is_running: bool,
     has_ended: bool,
     /// The run that made it.
-    parent: Option<Ticket>,
-    returns_left: u8,
-    is_early: bool,
+    parent: Option<RequestId>,
+    retries_left: u8,
+    has_immediate_retries: bool,
 }
 
 enum Event {
     Arrive(usize),
-    Try(Ticket),
-    AtGate(Ticket),
-    Refused(Ticket),
+    Attempt(RequestId),
+    ReachGate(RequestId),
+    Refusal(RequestId),
     Wake(usize),
-    OwnWork(Ticket),
-    RunEnds(Ticket),
-    Back(Ticket, bool),
-    Deadline(Ticket),
-    Shift(usize),
-    Change,
+    StartWork(RequestId),
+    RunEnds(RequestId),
+    Response(RequestId, bool),
+    Deadline(RequestId),
+    SlowdownChange(usize),
+    FaultsStart,
     /// A crashed target is back.
-    Return(usize),
+    Restart(usize),
     /// A look at a target that may be warm.
-    Look(usize),
+    HealthCheck(usize),
 }
 
 struct Chain {
@@ -123,7 +123,7 @@
     clock: Clock<Event>,
     started_at: Instant,
     gates: Vec<Gate>,
-    of_service: Vec<Vec<usize>>,
+    gates_by_service: Vec<Vec<usize>>,
     entries: Vec<Entry>,
     requests: Vec<Request>,
     credit: Credit,
@@ -141,14 +141,14 @@
 impl Chain {
     fn new(load: Load, policy: Policy, seed: u64) -> Self {
         let clock = Clock::new();
-        let (mut gates, mut of_service) = (Vec::new(), vec![Vec::new(); SERVICES]);
+        let (mut gates, mut gates_by_service) = (Vec::new(), vec![Vec::new(); SERVICES]);
         for (service, targets) in TARGETS.into_iter().enumerate() {
             for _ in 0..targets {
-                of_service[service].push(gates.len());
+                gates_by_service[service].push(gates.len());
                 gates.push(Gate {
                     domain: gates.len() % DOMAINS,
                     queue: Queue::new(policy, SLOTS),
-                    pace: 1.0,
+                    slowdown: 1.0,
                     running: 0,
                     cold_until: None,
                     cold_runs: VecDeque::new(),
@@ -159,9 +159,9 @@
         let entry = |number: usize| {
             let domain = number % DOMAINS;
             let mut entry = Entry { domain, placements: Vec::new(), gates: Vec::new() };
-            for gates_of in &of_service {
+            for service_gates in &gates_by_service {
                 let (mut placement, mut known) = (Placement::new(), SecondaryMap::new());
-                for &gate in gates_of {
+                for &gate in service_gates {
                     known.insert(placement.add(gates[gate].domain == domain), gate);
                 }
                 entry.placements.push(placement);
@@ -177,62 +177,64 @@
             started_at: clock.now(),
             clock,
             gates,
-            of_service,
+            gates_by_service,
             entries,
             requests: Vec::new(),
             credit: Credit::default(),
         };
-        let of_callers = KINDS.iter().enumerate().filter(|(_, kind)| kind.rate_per_s > 0.0);
-        for (kind, _) in of_callers {
-            chain.clock.plan_after(Duration::ZERO, Event::Arrive(kind));
+        let caller_kinds =
+            REQUEST_KINDS.iter().enumerate().filter(|(_, kind)| kind.rate_per_s > 0.0);
+        for (kind, _) in caller_kinds {
+            chain.clock.schedule_after(Duration::ZERO, Event::Arrive(kind));
         }
         for gate in 0..chain.gates.len() {
-            chain.clock.plan_after(Duration::ZERO, Event::Shift(gate));
+            chain.clock.schedule_after(Duration::ZERO, Event::SlowdownChange(gate));
         }
-        chain.clock.plan_after(CHANGE_AT, Event::Change);
+        chain.clock.schedule_after(FAULTS_START, Event::FaultsStart);
         chain
     }
 
     fn handle(&mut self, event: Event) {
         match event {
             Event::Arrive(kind) => self.arrive(kind),
-            Event::Try(ticket) => self.try_next(ticket),
-            Event::AtGate(ticket) => self.at_gate(ticket),
-            Event::Refused(ticket) => self.refused(ticket),
+            Event::Attempt(request_id) => self.start_attempt(request_id),
+            Event::ReachGate(request_id) => self.reach_gate(request_id),
+            Event::Refusal(request_id) => self.handle_refusal(request_id),
             Event::Wake(gate) => {
-                let verdicts = self.gates[gate].queue.settle(self.clock.now());
-                self.follow(gate, verdicts);
+                let verdicts = self.gates[gate].queue.poll(self.clock.now());
+                self.apply_verdicts(gate, verdicts);
             }
-            Event::OwnWork(ticket) => self.own_work(ticket),
-            Event::RunEnds(ticket) => self.run_ends(ticket, true),
-            Event::Back(ticket, is_good) => self.back(ticket, is_good),
-            Event::Deadline(ticket) => self.deadline(ticket),
-            Event::Shift(gate) => self.shift(gate),
-            Event::Change => self.change(),
-            Event::Return(gate) => {
+            Event::StartWork(request_id) => self.start_work(request_id),
+            Event::RunEnds(request_id) => self.run_ends(request_id, true),
+            Event::Response(request_id, is_success) => self.handle_response(request_id, is_success),
+            Event::Deadline(request_id) => self.handle_deadline(request_id),
+            Event::SlowdownChange(gate) => self.change_slowdown(gate),
+            Event::FaultsStart => self.start_faults(),
+            Event::Restart(gate) => {
                 self.gates[gate].is_lost = false;
-                self.cool_down(gate);
+                self.set_cold(gate);
             }
-            Event::Look(gate) => self.look(gate),
+            Event::HealthCheck(gate) => self.check_health(gate),
         }
     }
 
-    fn shift(&mut self, gate: usize) {
+    fn change_slowdown(&mut self, gate: usize) {
         let is_slow = self.rng.random_bool(SLOW_SHARE);
-        self.gates[gate].pace = if is_slow { SLOW_PACE } else { self.rng.random_range(1.0..1.3) };
-        if self.clock.elapsed() < self.load.lasts {
-            let lasts = PACE_LASTS.mul_f64(self.rng.random_range(0.5..1.5));
-            self.clock.plan_after(lasts, Event::Shift(gate));
+        self.gates[gate].slowdown =
+            if is_slow { SLOW_FACTOR } else { self.rng.random_range(1.0..1.3) };
+        if self.clock.elapsed() < self.load.duration {
+            let interval = SLOWDOWN_INTERVAL.mul_f64(self.rng.random_range(0.5..1.5));
+            self.clock.schedule_after(interval, Event::SlowdownChange(gate));
         }
     }
 
-    fn change(&mut self) {
-        for (service, gates) in self.of_service.clone().into_iter().enumerate() {
-            for &gate in gates.iter().take(self.load.cold) {
-                self.cool_down(gate);
+    fn start_faults(&mut self) {
+        for (service, gates) in self.gates_by_service.clone().into_iter().enumerate() {
+            for &gate in gates.iter().take(self.load.cold_targets) {
+                self.set_cold(gate);
             }
             if service > 0 {
-                for &gate in gates.iter().take(self.load.lost) {
+                for &gate in gates.iter().take(self.load.lost_targets) {
                     self.gates[gate].is_lost = true;
                 }
             }
@@ -240,67 +242,67 @@
     }
 
     /// The target of `gate` is cold from now on.
-    fn cool_down(&mut self, gate: usize) {
-        let cold_until = self.clock.now() + COLD_LASTS;
+    fn set_cold(&mut self, gate: usize) {
+        let cold_until = self.clock.now() + COLD_DURATION;
         self.gates[gate].cold_until = Some(cold_until);
         self.gates[gate].cold_runs.clear();
-        if self.load.crashes_at.is_some() {
-            let bound = ColdBound::new(COLD_PER_S * 1_000, 100, 0);
+        if self.load.crash_threshold.is_some() {
+            let bound = ColdBound::new(COLD_RATE_PER_S * 1_000, 100, 0);
             self.gates[gate].queue.set_cold_until(cold_until, bound);
-            self.clock.plan(cold_until + LOOK_AFTER, Event::Look(gate));
+            self.clock.schedule(cold_until + HEALTH_CHECK_DELAY, Event::HealthCheck(gate));
         }
     }
 
-    fn look(&mut self, gate: usize) {
+    fn check_health(&mut self, gate: usize) {
         let now = self.clock.now();
-        let at = &mut self.gates[gate];
-        if at.is_lost || at.cold_until.is_some_and(|until| until > now) {
+        let state = &mut self.gates[gate];
+        if state.is_lost || state.cold_until.is_some_and(|until| until > now) {
             return;
         }
-        at.queue.set_warm(now);
-        if self.clock.elapsed() < self.load.lasts {
-            self.clock.plan_after(LOOK_INTERVAL, Event::Look(gate));
+        state.queue.set_warm(now);
+        if self.clock.elapsed() < self.load.duration {
+            self.clock.schedule_after(HEALTH_CHECK_INTERVAL, Event::HealthCheck(gate));
         }
     }
 
     /// Notes that the target of `gate` begins to run a request; says whether it crashes of it.
-    fn crashes(&mut self, gate: usize) -> bool {
+    fn record_cold_run(&mut self, gate: usize) -> bool {
         let now = self.clock.now();
-        let at = &mut self.gates[gate];
-        let Some(most) = self.load.crashes_at else { return false };
-        if at.cold_until.is_none_or(|until| until <= now) {
+        let state = &mut self.gates[gate];
+        let Some(threshold) = self.load.crash_threshold else { return false };
+        if state.cold_until.is_none_or(|until| until <= now) {
             return false;
         }
-        at.cold_runs.push_back(now);
-        at.cold_runs.retain(|began_at| *began_at + CRASH_WINDOW > now);
-        at.cold_runs.len() >= most
+        state.cold_runs.push_back(now);
+        state.cold_runs.retain(|started_at| *started_at + CRASH_WINDOW > now);
+        state.cold_runs.len() >= threshold
     }
 
     /// The target of `gate` crashes with all that it runs, and returns cold.
     fn crash(&mut self, gate: usize) {
-        let at = &mut self.gates[gate];
-        at.is_lost = true;
-        at.running = 0;
-        let waiting = std::mem::replace(&mut at.queue, Queue::new(self.policy, SLOTS)).waiting();
-        for ticket in waiting {
-            let way = self.way(self.requests[ticket].entry, gate);
-            self.clock.plan_after(way, Event::Refused(ticket));
+        let state = &mut self.gates[gate];
+        state.is_lost = true;
+        state.running = 0;
+        let waiting = std::mem::replace(&mut state.queue, Queue::new(self.policy, SLOTS)).waiting();
+        for request_id in waiting {
+            let link_delay = self.link_delay(self.requests[request_id].entry, gate);
+            self.clock.schedule_after(link_delay, Event::Refusal(request_id));
         }
-        for ticket in 0..self.requests.len() {
-            let request = &mut self.requests[ticket];
-            let is_there = request.gate.is_some_and(|(at, _)| at == gate);
-            if is_there && std::mem::take(&mut request.is_running) {
-                let way = self.way(self.requests[ticket].entry, gate);
-                self.clock.plan_after(way, Event::Back(ticket, false));
+        for request_id in 0..self.requests.len() {
+            let request = &mut self.requests[request_id];
+            let is_at_gate = request.gate.is_some_and(|(other, _)| other == gate);
+            if is_at_gate && std::mem::take(&mut request.is_running) {
+                let link_delay = self.link_delay(self.requests[request_id].entry, gate);
+                self.clock.schedule_after(link_delay, Event::Response(request_id, false));
             }
         }
-        self.clock.plan_after(DOWN_LASTS, Event::Return(gate));
+        self.clock.schedule_after(RESTART_DURATION, Event::Restart(gate));
     }
 
-    fn way(&self, entry: usize, gate: usize) -> Duration {
+    fn link_delay(&self, entry: usize, gate: usize) -> Duration {
         match self.entries[entry].domain == self.gates[gate].domain {
-            true => WAY_NEAR,
-            false => WAY_FAR,
+            true => LOCAL_LINK_DELAY,
+            false => REMOTE_LINK_DELAY,
         }
     }
 }
--- a/crates/yuccarack_player/src/routed/chain/calls.rs
+++ b/crates/yuccarack_player/src/routed/chain/calls.rs
@@ -6,196 +6,210 @@
 use yuccarack_policy::placement::{AttemptHistory, GateAttemptOutcome, GateKey, GateReply};
 use yuccarack_policy::work_queue::WorkOutcome;
 
-use super::{Chain, EARLY_RETURNS, Event, RETURN_AFTER, RETURNS, Request};
-use crate::routed::{Policy, credit::End, load::KINDS, queue::Ticket};
+use super::{Chain, DELAYED_RETRIES, Event, IMMEDIATE_RETRIES, RETRY_DELAY, Request};
+use crate::routed::{Policy, credit::RequestOutcome, load::REQUEST_KINDS, queue::RequestId};
 
 impl Chain {
     pub(super) fn arrive(&mut self, kind: usize) {
         let elapsed = self.clock.elapsed();
-        if elapsed >= self.load.lasts {
+        if elapsed >= self.load.duration {
             return;
         }
         let factor = match self.load.burst {
             Some((factor, from, until)) => {
-                let into = Duration::from_micros((elapsed.as_micros() % 10_000_000) as u64);
-                if (from..until).contains(&into) { factor } else { 1.0 }
+                let offset = Duration::from_micros((elapsed.as_micros() % 10_000_000) as u64);
+                if (from..until).contains(&offset) { factor } else { 1.0 }
             }
             None => 1.0,
         };
-        let mean = 1.0 / (KINDS[kind].rate_per_s * factor);
+        let mean = 1.0 / (REQUEST_KINDS[kind].rate_per_s * factor);
         let gap = -mean * (1.0 - self.rng.random::<f64>()).ln();
-        self.clock.plan_after(Duration::from_secs_f64(gap), Event::Arrive(kind));
+        self.clock.schedule_after(Duration::from_secs_f64(gap), Event::Arrive(kind));
         let now = self.clock.now();
         let entry = self.rng.random_range(0..self.entries.len());
-        let is_early = self.rng.random_bool(self.load.early_share);
-        let returns_left = if is_early { EARLY_RETURNS } else { RETURNS };
-        let deadline = now + KINDS[kind].deadline;
-        self.start(Request {
+        let has_immediate_retries = self.rng.random_bool(self.load.immediate_retry_share);
+        let retries_left = if has_immediate_retries { IMMEDIATE_RETRIES } else { DELAYED_RETRIES };
+        let deadline = now + REQUEST_KINDS[kind].deadline;
+        self.start_request(Request {
             kind,
             entry,
-            came_at: now,
+            arrived_at: now,
             deadline,
-            asked: AttemptHistory::default(),
+            history: AttemptHistory::default(),
             gate: None,
             may_wait: true,
             is_running: false,
             has_ended: false,
             parent: None,
-            returns_left,
-            is_early,
+            retries_left,
+            has_immediate_retries,
         });
     }
 
-    pub(super) fn start(&mut self, request: Request) {
-        let ticket = self.requests.len();
-        self.clock.plan(request.deadline, Event::Deadline(ticket));
+    pub(super) fn start_request(&mut self, request: Request) {
+        let request_id = self.requests.len();
+        self.clock.schedule(request.deadline, Event::Deadline(request_id));
         self.requests.push(request);
-        self.clock.plan_after(Duration::ZERO, Event::Try(ticket));
+        self.clock.schedule_after(Duration::ZERO, Event::Attempt(request_id));
     }
 
-    pub(super) fn try_next(&mut self, ticket: Ticket) {
-        if self.requests[ticket].has_ended {
+    pub(super) fn start_attempt(&mut self, request_id: RequestId) {
+        if self.requests[request_id].has_ended {
             return;
         }
-        let Some((gate, key)) = self.choose(ticket) else {
-            return self.end(ticket, End::Refused);
+        let Some((gate, key)) = self.choose(request_id) else {
+            return self.end_attempt(request_id, RequestOutcome::Refused);
         };
-        self.requests[ticket].gate = Some((gate, key));
-        let way = self.way(self.requests[ticket].entry, gate);
-        self.clock.plan_after(way, Event::AtGate(ticket));
+        self.requests[request_id].gate = Some((gate, key));
+        let link_delay = self.link_delay(self.requests[request_id].entry, gate);
+        self.clock.schedule_after(link_delay, Event::ReachGate(request_id));
     }
 
-    pub(super) fn choose(&mut self, ticket: Ticket) -> Option<(usize, Option<GateKey>)> {
-        let request = &self.requests[ticket];
-        let service = KINDS[request.kind].service;
-        let there =
-            || self.of_service[service].iter().copied().filter(|&at| !self.gates[at].is_lost);
-        if self.policy == Policy::Decided {
+    pub(super) fn choose(&mut self, request_id: RequestId) -> Option<(usize, Option<GateKey>)> {
+        let request = &self.requests[request_id];
+        let service = REQUEST_KINDS[request.kind].service;
+        let available =
+            || self.gates_by_service[service].iter().copied().filter(|&at| !self.gates[at].is_lost);
+        if self.policy == Policy::Yuccarack {
             let entry = &mut self.entries[request.entry];
-            let (now, work) = (self.clock.now(), KINDS[request.kind].work);
+            let (now, service_time) = (self.clock.now(), REQUEST_KINDS[request.kind].service_time);
             let placement = &mut entry.placements[service];
-            let placed = placement.choose(now, &mut self.rng, &request.asked, work)?;
-            placement.record_attempt(placed.gate);
-            let gate = *entry.gates[service].get(placed.gate)?;
-            self.requests[ticket].may_wait = placed.may_wait;
-            return Some((gate, Some(placed.gate)));
+            let choice = placement.choose(now, &mut self.rng, &request.history, service_time)?;
+            placement.record_attempt(choice.gate);
+            let gate = *entry.gates[service].get(choice.gate)?;
+            self.requests[request_id].may_wait = choice.may_wait;
+            return Some((gate, Some(choice.gate)));
         }
-        let all: Vec<usize> = there().collect();
-        if request.asked.count() > 0 || all.is_empty() {
+        let gates: Vec<usize> = available().collect();
+        if request.history.count() > 0 || gates.is_empty() {
             return None;
         }
-        let one = all[self.rng.random_range(0..all.len())];
-        let other = all[self.rng.random_range(0..all.len())];
-        let is_shorter = self.gates[other].queue.length() < self.gates[one].queue.length();
-        let is_other = self.policy == Policy::FifoShortest && is_shorter;
-        Some((if is_other { other } else { one }, None))
+        let first = gates[self.rng.random_range(0..gates.len())];
+        let second = gates[self.rng.random_range(0..gates.len())];
+        let is_second_shorter =
+            self.gates[second].queue.length() < self.gates[first].queue.length();
+        let takes_second = self.policy == Policy::FifoShortest && is_second_shorter;
+        Some((if takes_second { second } else { first }, None))
     }
 
-    pub(super) fn back(&mut self, ticket: Ticket, is_good: bool) {
-        if self.requests[ticket].has_ended {
+    pub(super) fn handle_response(&mut self, request_id: RequestId, is_success: bool) {
+        if self.requests[request_id].has_ended {
             return;
         }
-        self.told(
-            ticket,
-            if is_good { GateAttemptOutcome::Answered } else { GateAttemptOutcome::Failed },
+        self.record_gate_outcome(
+            request_id,
+            if is_success { GateAttemptOutcome::Answered } else { GateAttemptOutcome::Failed },
+        );
+        let response_time = self.clock.now() - self.requests[request_id].arrived_at;
+        self.end_attempt(
+            request_id,
+            if is_success {
+                RequestOutcome::Answered(response_time)
+            } else {
+                RequestOutcome::Failed
+            },
         );
-        let took = self.clock.now() - self.requests[ticket].came_at;
-        self.end(ticket, if is_good { End::Answered(took) } else { End::Failed });
     }
 
-    pub(super) fn refused(&mut self, ticket: Ticket) {
-        if self.requests[ticket].has_ended {
+    pub(super) fn handle_refusal(&mut self, request_id: RequestId) {
+        if self.requests[request_id].has_ended {
             return;
         }
-        self.told(ticket, GateAttemptOutcome::Refused);
-        let request = &mut self.requests[ticket];
+        self.record_gate_outcome(request_id, GateAttemptOutcome::Refused);
+        let request = &mut self.requests[request_id];
         match request.gate.take() {
             Some((gate, Some(key))) => {
-                let said = match (self.gates[gate].is_lost, request.may_wait) {
+                let reply = match (self.gates[gate].is_lost, request.may_wait) {
                     (true, _) => GateReply::Unavailable,
                     (false, true) => GateReply::NoQueueSpace,
                     (false, false) => GateReply::NoFreeSlot,
                 };
-                request.asked.record(key, said);
+                request.history.record(key, reply);
             }
-            _ => return self.end(ticket, End::Refused),
+            _ => return self.end_attempt(request_id, RequestOutcome::Refused),
         }
-        self.try_next(ticket);
+        self.start_attempt(request_id);
     }
 
     /// What the entry learns from an answer of the gate.
-    pub(super) fn told(&mut self, ticket: Ticket, end: GateAttemptOutcome) {
+    pub(super) fn record_gate_outcome(
+        &mut self,
+        request_id: RequestId,
+        outcome: GateAttemptOutcome,
+    ) {
         let now = self.clock.now();
-        let request = &self.requests[ticket];
+        let request = &self.requests[request_id];
         let Some((gate, Some(key))) = request.gate else { return };
-        let service = KINDS[request.kind].service;
+        let service = REQUEST_KINDS[request.kind].service;
         let is_lost = self.gates[gate].is_lost;
         let load = self.gates[gate].queue.load(now);
         let placement = &mut self.entries[request.entry].placements[service];
         placement.record_outcome(
             now,
             key,
-            if is_lost { GateAttemptOutcome::Unreachable } else { end },
+            if is_lost { GateAttemptOutcome::Unreachable } else { outcome },
         );
         if let Some(load) = load.filter(|_| !is_lost) {
             placement.record_load(now, key, load);
         }
     }
 
-    pub(super) fn deadline(&mut self, ticket: Ticket) {
-        if self.requests[ticket].has_ended {
+    pub(super) fn handle_deadline(&mut self, request_id: RequestId) {
+        if self.requests[request_id].has_ended {
             return;
         }
         let now = self.clock.now();
-        if self.requests[ticket].is_running {
+        if self.requests[request_id].is_running {
             self.credit.wasted_runs += 1;
-            self.free(ticket, WorkOutcome::Aborted);
-        } else if let Some((gate, _)) = self.requests[ticket].gate {
-            let verdicts = self.gates[gate].queue.cancel(now, ticket);
-            self.follow(gate, verdicts);
+            self.release_slot(request_id, WorkOutcome::Aborted);
+        } else if let Some((gate, _)) = self.requests[request_id].gate {
+            let verdicts = self.gates[gate].queue.cancel(now, request_id);
+            self.apply_verdicts(gate, verdicts);
         }
-        self.told(ticket, GateAttemptOutcome::Cancelled);
-        self.requests[ticket].returns_left = 0;
-        self.end(ticket, End::Failed);
+        self.record_gate_outcome(request_id, GateAttemptOutcome::Cancelled);
+        self.requests[request_id].retries_left = 0;
+        self.end_attempt(request_id, RequestOutcome::Failed);
     }
 
     /// An attempt has ended: its caller comes back, or that was all; a run goes on or fails.
-    pub(super) fn end(&mut self, ticket: Ticket, end: End) {
+    pub(super) fn end_attempt(&mut self, request_id: RequestId, outcome: RequestOutcome) {
         let now = self.clock.now();
-        let request = &mut self.requests[ticket];
+        let request = &mut self.requests[request_id];
         request.has_ended = true;
         if let Some(parent) = request.parent {
             if self.requests[parent].has_ended {
                 return;
             }
-            match end {
-                End::Answered(_) => self.clock.plan_after(Duration::ZERO, Event::OwnWork(parent)),
-                End::Refused | End::Failed => {
+            match outcome {
+                RequestOutcome::Answered(_) => {
+                    self.clock.schedule_after(Duration::ZERO, Event::StartWork(parent))
+                }
+                RequestOutcome::Refused | RequestOutcome::Failed => {
                     self.credit.wasted_runs += 1;
                     self.run_ends(parent, false);
                 }
             }
             return;
         }
-        if end == End::Refused && request.returns_left > 0 {
-            let wait = match request.is_early {
+        if outcome == RequestOutcome::Refused && request.retries_left > 0 {
+            let wait = match request.has_immediate_retries {
                 true => Duration::ZERO,
-                false => RETURN_AFTER.min((request.deadline - now) / 3),
+                false => RETRY_DELAY.min((request.deadline - now) / 3),
             };
-            let again = Request {
-                asked: AttemptHistory::default(),
+            let retry = Request {
+                history: AttemptHistory::default(),
                 gate: None,
                 is_running: false,
                 has_ended: false,
-                returns_left: request.returns_left - 1,
+                retries_left: request.retries_left - 1,
                 ..*request
             };
-            let ticket = self.requests.len();
-            self.clock.plan(again.deadline, Event::Deadline(ticket));
-            self.requests.push(again);
-            return self.clock.plan_after(wait, Event::Try(ticket));
+            let request_id = self.requests.len();
+            self.clock.schedule(retry.deadline, Event::Deadline(request_id));
+            self.requests.push(retry);
+            return self.clock.schedule_after(wait, Event::Attempt(request_id));
         }
-        let (kind, came_at) = (request.kind, request.came_at);
-        self.credit.note(kind, came_at - self.started_at, end);
+        let (kind, arrived_at) = (request.kind, request.arrived_at);
+        self.credit.record(kind, arrived_at - self.started_at, outcome);
     }
 }
--- a/crates/yuccarack_player/src/routed/chain/runs.rs
+++ b/crates/yuccarack_player/src/routed/chain/runs.rs
@@ -8,117 +8,123 @@
     work_queue::{WorkOutcome, WorkRequest},
 };
 
-use super::{COLD_FACTOR, Chain, Event, FULL_FACTOR, FULL_SHARE, Request, WORK_SPREAD};
+use super::{
+    COLD_FACTOR, Chain, Event, OVERLOAD_FILL, OVERLOAD_SLOWDOWN, Request, SERVICE_TIME_SPREAD,
+};
 use crate::routed::{
-    load::{KINDS, SLOTS},
-    queue::{Ticket, Verdict},
+    load::{REQUEST_KINDS, SLOTS},
+    queue::{RequestId, Verdict},
 };
 
 impl Chain {
-    pub(super) fn at_gate(&mut self, ticket: Ticket) {
-        let request = &self.requests[ticket];
+    pub(super) fn reach_gate(&mut self, request_id: RequestId) {
+        let request = &self.requests[request_id];
         let Some((gate, _)) = request.gate else { return };
         if request.has_ended {
-            return self.told(ticket, GateAttemptOutcome::Cancelled);
+            return self.record_gate_outcome(request_id, GateAttemptOutcome::Cancelled);
         }
         if self.gates[gate].is_lost {
-            let way = self.way(self.requests[ticket].entry, gate);
-            return self.clock.plan_after(way, Event::Refused(ticket));
+            let link_delay = self.link_delay(self.requests[request_id].entry, gate);
+            return self.clock.schedule_after(link_delay, Event::Refusal(request_id));
         }
-        let kind = &KINDS[request.kind];
+        let kind = &REQUEST_KINDS[request.kind];
         let work = WorkRequest {
             kind: request.kind as u64,
             rank: kind.rank,
-            soft_deadline: request.came_at + kind.aim,
+            soft_deadline: request.arrived_at + kind.soft_deadline,
             deadline: request.deadline,
             may_wait: request.may_wait,
         };
-        let verdicts = self.gates[gate].queue.offer(self.clock.now(), ticket, work);
-        self.follow(gate, verdicts);
+        let verdicts = self.gates[gate].queue.offer(self.clock.now(), request_id, work);
+        self.apply_verdicts(gate, verdicts);
     }
 
-    pub(super) fn follow(&mut self, gate: usize, verdicts: Vec<Verdict>) {
+    pub(super) fn apply_verdicts(&mut self, gate: usize, verdicts: Vec<Verdict>) {
         for verdict in verdicts {
             match verdict {
-                Verdict::Run(ticket) => self.run(ticket),
-                Verdict::Refused(ticket) => {
-                    let way = self.way(self.requests[ticket].entry, gate);
-                    self.clock.plan_after(way, Event::Refused(ticket));
+                Verdict::Run(request_id) => self.start_run(request_id),
+                Verdict::Refused(request_id) => {
+                    let link_delay = self.link_delay(self.requests[request_id].entry, gate);
+                    self.clock.schedule_after(link_delay, Event::Refusal(request_id));
                 }
             }
         }
         if let Some(at) = self.gates[gate].queue.next_wake(self.clock.now()) {
-            self.clock.plan(at, Event::Wake(gate));
+            self.clock.schedule(at, Event::Wake(gate));
         }
     }
 
     /// A request has a slot: it makes its call first, and works when that is answered.
-    pub(super) fn run(&mut self, ticket: Ticket) {
-        let Some((gate, _)) = self.requests[ticket].gate else { return };
-        self.requests[ticket].is_running = true;
+    pub(super) fn start_run(&mut self, request_id: RequestId) {
+        let Some((gate, _)) = self.requests[request_id].gate else { return };
+        self.requests[request_id].is_running = true;
         self.gates[gate].running += 1;
         self.credit.runs += 1;
-        if self.crashes(gate) {
+        if self.record_cold_run(gate) {
             return self.crash(gate);
         }
-        let Request { kind, deadline, .. } = self.requests[ticket];
-        let call = KINDS[kind].calls.filter(|(_, share)| self.rng.random_bool(*share));
+        let Request { kind, deadline, .. } = self.requests[request_id];
+        let call = REQUEST_KINDS[kind].calls.filter(|(_, share)| self.rng.random_bool(*share));
         let Some((kind, _)) = call else {
-            return self.clock.plan_after(Duration::ZERO, Event::OwnWork(ticket));
+            return self.clock.schedule_after(Duration::ZERO, Event::StartWork(request_id));
         };
         let now = self.clock.now();
-        self.start(Request {
+        self.start_request(Request {
             kind,
             entry: gate,
-            came_at: now,
-            deadline: deadline.min(now + KINDS[kind].deadline),
-            asked: AttemptHistory::default(),
+            arrived_at: now,
+            deadline: deadline.min(now + REQUEST_KINDS[kind].deadline),
+            history: AttemptHistory::default(),
             gate: None,
             may_wait: true,
             is_running: false,
             has_ended: false,
-            parent: Some(ticket),
-            returns_left: 0,
-            is_early: false,
+            parent: Some(request_id),
+            retries_left: 0,
+            has_immediate_retries: false,
         });
     }
 
-    pub(super) fn own_work(&mut self, ticket: Ticket) {
-        let Some((gate, _)) = self.requests[ticket].gate else { return };
+    pub(super) fn start_work(&mut self, request_id: RequestId) {
+        let Some((gate, _)) = self.requests[request_id].gate else { return };
         let now = self.clock.now();
         let gate = &self.gates[gate];
-        let spread = self.rng.random_range(WORK_SPREAD.0..WORK_SPREAD.1);
-        let mut factor = gate.pace * spread;
-        if gate.running as f64 > FULL_SHARE * f64::from(SLOTS) {
-            factor *= FULL_FACTOR;
+        let spread = self.rng.random_range(SERVICE_TIME_SPREAD.0..SERVICE_TIME_SPREAD.1);
+        let mut factor = gate.slowdown * spread;
+        if gate.running as f64 > OVERLOAD_FILL * f64::from(SLOTS) {
+            factor *= OVERLOAD_SLOWDOWN;
         }
         if gate.cold_until.is_some_and(|until| until > now) {
             factor *= COLD_FACTOR;
         }
-        let work = KINDS[self.requests[ticket].kind].work.mul_f64(factor);
-        self.clock.plan_after(work, Event::RunEnds(ticket));
+        let service_time =
+            REQUEST_KINDS[self.requests[request_id].kind].service_time.mul_f64(factor);
+        self.clock.schedule_after(service_time, Event::RunEnds(request_id));
     }
 
-    pub(super) fn run_ends(&mut self, ticket: Ticket, is_good: bool) {
-        if self.requests[ticket].has_ended || !self.requests[ticket].is_running {
+    pub(super) fn run_ends(&mut self, request_id: RequestId, is_success: bool) {
+        if self.requests[request_id].has_ended || !self.requests[request_id].is_running {
             return;
         }
-        self.free(ticket, if is_good { WorkOutcome::Completed } else { WorkOutcome::Aborted });
-        let request = &self.requests[ticket];
+        self.release_slot(
+            request_id,
+            if is_success { WorkOutcome::Completed } else { WorkOutcome::Aborted },
+        );
+        let request = &self.requests[request_id];
         let Some((gate, _)) = request.gate else { return };
-        let way = self.way(request.entry, gate);
-        self.clock.plan_after(way, Event::Back(ticket, is_good));
+        let link_delay = self.link_delay(request.entry, gate);
+        self.clock.schedule_after(link_delay, Event::Response(request_id, is_success));
     }
 
     /// Gives the slot of a run back.
-    pub(super) fn free(&mut self, ticket: Ticket, end: WorkOutcome) {
+    pub(super) fn release_slot(&mut self, request_id: RequestId, outcome: WorkOutcome) {
         let now = self.clock.now();
-        self.requests[ticket].is_running = false;
-        let Some((at, _)) = self.requests[ticket].gate else { return };
-        let gate = &mut self.gates[at];
+        self.requests[request_id].is_running = false;
+        let Some((gate_index, _)) = self.requests[request_id].gate else { return };
+        let gate = &mut self.gates[gate_index];
         gate.running -= 1;
-        gate.queue.pace_reported(now, gate.pace);
-        let verdicts = gate.queue.release(now, ticket, end);
-        self.follow(at, verdicts);
+        gate.queue.record_slowdown(now, gate.slowdown);
+        let verdicts = gate.queue.release(now, request_id, outcome);
+        self.apply_verdicts(gate_index, verdicts);
     }
 }
--- a/crates/yuccarack_player/src/routed/credit.rs
+++ b/crates/yuccarack_player/src/routed/credit.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-use super::load::{KINDS, Kind};
+use super::load::{REQUEST_KINDS, RequestKind};
 
 /// Length of the pieces of time of which the worst counts.
 const WINDOW: Duration = Duration::from_secs(2);
 
 /// How requests of one kind ended, once for each caller, over all its attempts.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Ends {
+pub struct OutcomeCounts {
     /// Within their aim.
     pub in_time: u64,
     /// Answered later.
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Credit {
     /// By kind.
-    pub ends: [Ends; KINDS.len()],
+    pub outcomes: [OutcomeCounts; REQUEST_KINDS.len()],
     /// Credit earned and owed by window.
     windows: Vec<(f64, f64)>,
     /// Runs that were wasted: their caller got nothing for them.
@@ -35,7 +35,7 @@
 
 /// How one request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum RequestOutcome {
     /// Answered so long after it came.
     Answered(Duration),
     /// Turned away to the last.
@@ -46,24 +46,24 @@
 
 impl Credit {
     /// Notes the end of a request that came `at` after the start.
-    pub fn note(&mut self, kind: usize, at: Duration, end: End) {
-        let Kind { aim, worth, .. } = KINDS[kind];
-        let ends = &mut self.ends[kind];
-        let earned = match end {
-            End::Answered(took) if took <= aim => {
-                ends.in_time += 1;
-                worth.0
+    pub fn record(&mut self, kind: usize, at: Duration, outcome: RequestOutcome) {
+        let RequestKind { soft_deadline, value, .. } = REQUEST_KINDS[kind];
+        let counts = &mut self.outcomes[kind];
+        let earned = match outcome {
+            RequestOutcome::Answered(response_time) if response_time <= soft_deadline => {
+                counts.in_time += 1;
+                value.0
             }
-            End::Answered(_) => {
-                ends.late += 1;
-                worth.1
+            RequestOutcome::Answered(_) => {
+                counts.late += 1;
+                value.1
             }
-            End::Refused => {
-                ends.refused += 1;
+            RequestOutcome::Refused => {
+                counts.refused += 1;
                 0.0
             }
-            End::Failed => {
-                ends.failed += 1;
+            RequestOutcome::Failed => {
+                counts.failed += 1;
                 0.0
             }
         };
@@ -72,29 +72,30 @@
             self.windows.resize(window + 1, (0.0, 0.0));
         }
         self.windows[window].0 += earned;
-        self.windows[window].1 += worth.0;
+        self.windows[window].1 += value.0;
     }
 
     /// Credit earned over credit owed.
-    pub fn share(&self) -> f64 {
-        self.share_from(Duration::ZERO)
+    pub fn earned_share(&self) -> f64 {
+        self.earned_share_from(Duration::ZERO)
     }
 
     /// The same of requests that came after `from`, a whole number of windows.
-    pub fn share_from(&self, from: Duration) -> f64 {
+    pub fn earned_share_from(&self, from: Duration) -> f64 {
         let first = (from.as_micros() / WINDOW.as_micros()) as usize;
         let later = self.windows.iter().skip(first);
-        let (earned, owed) = later.fold((0.0, 0.0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
-        earned / f64::max(owed, f64::MIN_POSITIVE)
+        let (earned, attainable) =
+            later.fold((0.0, 0.0), |sum, window| (sum.0 + window.0, sum.1 + window.1));
+        earned / f64::max(attainable, f64::MIN_POSITIVE)
     }
 
     /// The same in the two worst windows.
-    pub fn worst(&self) -> f64 {
+    pub fn worst_share(&self) -> f64 {
         let mut shares: Vec<f64> = self
             .windows
             .iter()
-            .filter(|(_, owed)| *owed > 0.0)
-            .map(|(got, owed)| got / owed)
+            .filter(|(_, attainable)| *attainable > 0.0)
+            .map(|(earned, attainable)| earned / attainable)
             .collect();
         shares.sort_by(f64::total_cmp);
         let worst = &shares[..shares.len().min(2)];
--- a/crates/yuccarack_player/src/routed/mod.rs
+++ b/crates/yuccarack_player/src/routed/mod.rs
@@ -11,15 +11,15 @@
 
 pub use self::{
     chain::play_chain,
-    credit::{Credit, End, Ends},
-    load::{KINDS, LOADS, Load},
+    credit::{Credit, OutcomeCounts, RequestOutcome},
+    load::{LOADS, Load, REQUEST_KINDS},
 };
 
 /// Who decides.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
     /// This project's queue and placement.
-    Decided,
+    Yuccarack,
     /// First come, first served in all slots, at a target drawn at random.
     FifoRandom,
     /// The same at the shorter of two queues, known without delay.
@@ -28,12 +28,12 @@
 
 impl Policy {
     /// All of them.
-    pub const ALL: [Self; 3] = [Self::Decided, Self::FifoRandom, Self::FifoShortest];
+    pub const ALL: [Self; 3] = [Self::Yuccarack, Self::FifoRandom, Self::FifoShortest];
 
     /// Its name in tables.
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::Decided => "decided",
+            Self::Yuccarack => "decided",
             Self::FifoRandom => "fifo_random",
             Self::FifoShortest => "fifo_shortest",
         }
--- a/crates/yuccarack_player/src/routed/queue.rs
+++ b/crates/yuccarack_player/src/routed/queue.rs
@@ -13,33 +13,33 @@
 use super::Policy;
 
 /// Name of a request that waits or runs at a gate.
-pub type Ticket = usize;
+pub type RequestId = usize;
 
 /// What becomes of requests.
 #[derive(Clone, Copy, Debug)]
 pub enum Verdict {
     /// It runs.
-    Run(Ticket),
+    Run(RequestId),
     /// It doesn't run here.
-    Refused(Ticket),
+    Refused(RequestId),
 }
 
 /// The queue of one gate.
 pub enum Queue {
     /// The decisions of this project.
-    Decided {
+    Yuccarack {
         queue: Box<WorkQueue>,
-        waiting: Vec<(WaitingKey, Ticket)>,
-        running: Vec<(RunningKey, Ticket)>,
+        waiting: Vec<(WaitingKey, RequestId)>,
+        running: Vec<(RunningKey, RequestId)>,
     },
     /// First come, first served, in all slots; what has run out of time is dropped when its turn comes.
-    Fifo { slots: usize, running: usize, waiting: VecDeque<(Ticket, Instant)> },
+    Fifo { slots: usize, running: usize, waiting: VecDeque<(RequestId, Instant)> },
 }
 
 impl Queue {
     pub fn new(policy: Policy, slots: u16) -> Self {
         match policy {
-            Policy::Decided => Self::Decided {
+            Policy::Yuccarack => Self::Yuccarack {
                 queue: Box::new(WorkQueue::new(slots)),
                 waiting: Vec::new(),
                 running: Vec::new(),
@@ -50,29 +50,34 @@
         }
     }
 
-    pub fn offer(&mut self, now: Instant, ticket: Ticket, work: WorkRequest) -> Vec<Verdict> {
+    pub fn offer(
+        &mut self,
+        now: Instant,
+        request_id: RequestId,
+        work: WorkRequest,
+    ) -> Vec<Verdict> {
         match self {
-            Self::Decided { queue, waiting, running } => {
+            Self::Yuccarack { queue, waiting, running } => {
                 match queue.offer(now, work) {
                     QueueDecision::Run(key) => {
-                        running.push((key, ticket));
-                        return vec![Verdict::Run(ticket)];
+                        running.push((key, request_id));
+                        return vec![Verdict::Run(request_id)];
                     }
-                    QueueDecision::Wait(key) => waiting.push((key, ticket)),
-                    QueueDecision::Refused(_) => return vec![Verdict::Refused(ticket)],
+                    QueueDecision::Wait(key) => waiting.push((key, request_id)),
+                    QueueDecision::Refused(_) => return vec![Verdict::Refused(request_id)],
                 }
-                self.settle(now)
+                self.poll(now)
             }
             Self::Fifo { waiting, .. } => {
-                waiting.push_back((ticket, work.deadline));
-                self.settle(now)
+                waiting.push_back((request_id, work.deadline));
+                self.poll(now)
             }
         }
     }
 
     /// Notes that the target is cold until `cold_until`, and what it bears by then.
     pub fn set_cold_until(&mut self, cold_until: Instant, bound: Option<ColdBound>) {
-        if let Self::Decided { queue, .. } = self {
+        if let Self::Yuccarack { queue, .. } = self {
             queue.cold_rate_mut().set_bound(bound);
             queue.cold_rate_mut().set_cold_until(cold_until);
         }
@@ -80,64 +85,73 @@
 
     /// Notes that the target is warm as of `now`.
     pub fn set_warm(&mut self, now: Instant) {
-        if let Self::Decided { queue, .. } = self {
+        if let Self::Yuccarack { queue, .. } = self {
             queue.cold_rate_mut().set_warm(now);
         }
     }
 
     /// Ends a run; says who runs now.
-    pub fn release(&mut self, now: Instant, ticket: Ticket, end: WorkOutcome) -> Vec<Verdict> {
+    pub fn release(
+        &mut self,
+        now: Instant,
+        request_id: RequestId,
+        outcome: WorkOutcome,
+    ) -> Vec<Verdict> {
         match self {
-            Self::Decided { queue, running, .. } => {
-                if let Some(at) = running.iter().position(|(_, other)| *other == ticket) {
-                    let (key, _) = running.swap_remove(at);
-                    queue.release(now, key, end);
+            Self::Yuccarack { queue, running, .. } => {
+                if let Some(index) = running.iter().position(|(_, other)| *other == request_id) {
+                    let (key, _) = running.swap_remove(index);
+                    queue.release(now, key, outcome);
                 }
             }
             Self::Fifo { running, .. } => *running -= 1,
         }
-        self.settle(now)
+        self.poll(now)
     }
 
     /// Takes a waiting request back.
-    pub fn cancel(&mut self, now: Instant, ticket: Ticket) -> Vec<Verdict> {
+    pub fn cancel(&mut self, now: Instant, request_id: RequestId) -> Vec<Verdict> {
         match self {
-            Self::Decided { queue, waiting, .. } => {
-                if let Some(at) = waiting.iter().position(|(_, other)| *other == ticket) {
-                    let (key, _) = waiting.swap_remove(at);
+            Self::Yuccarack { queue, waiting, .. } => {
+                if let Some(index) = waiting.iter().position(|(_, other)| *other == request_id) {
+                    let (key, _) = waiting.swap_remove(index);
                     queue.cancel(now, key);
                 }
             }
-            Self::Fifo { waiting, .. } => waiting.retain(|(other, _)| *other != ticket),
+            Self::Fifo { waiting, .. } => waiting.retain(|(other, _)| *other != request_id),
         }
-        self.settle(now)
+        self.poll(now)
     }
 
     /// Requests that wait.
-    pub fn waiting(&self) -> Vec<Ticket> {
+    pub fn waiting(&self) -> Vec<RequestId> {
         match self {
-            Self::Decided { waiting, .. } => waiting.iter().map(|(_, ticket)| *ticket).collect(),
-            Self::Fifo { waiting, .. } => waiting.iter().map(|(ticket, _)| *ticket).collect(),
+            Self::Yuccarack { waiting, .. } => {
+                waiting.iter().map(|(_, request_id)| *request_id).collect()
+            }
+            Self::Fifo { waiting, .. } => {
+                waiting.iter().map(|(request_id, _)| *request_id).collect()
+            }
         }
     }
 
     /// Settles what has become due.
-    pub fn settle(&mut self, now: Instant) -> Vec<Verdict> {
+    pub fn poll(&mut self, now: Instant) -> Vec<Verdict> {
         match self {
-            Self::Decided { queue, waiting, running } => {
+            Self::Yuccarack { queue, waiting, running } => {
                 let mut verdicts = Vec::new();
-                for settled in queue.poll(now) {
-                    let (WaitResult::Run(key, _) | WaitResult::Refused(key, _)) = settled;
-                    let Some(at) = waiting.iter().position(|(other, _)| *other == key) else {
+                for result in queue.poll(now) {
+                    let (WaitResult::Run(key, _) | WaitResult::Refused(key, _)) = result;
+                    let Some(index) = waiting.iter().position(|(other, _)| *other == key) else {
                         continue;
                     };
-                    let (_, ticket) = waiting.swap_remove(at);
-                    match settled {
+                    let (_, request_id) = waiting.swap_remove(index);
+                    match result {
                         WaitResult::Run(_, run) => {
-                            running.push((run, ticket));
-                            verdicts.push(Verdict::Run(ticket));
+                            running.push((run, request_id));
+                            verdicts.push(Verdict::Run(request_id));
                         }
-                        WaitResult::Refused(..) => verdicts.push(Verdict::Refused(ticket)),
+                        WaitResult::Refused(..) => verdicts.push(Verdict::Refused(request_id)),
                     }
                 }
                 verdicts
@@ -145,10 +159,10 @@
             Self::Fifo { slots, running, waiting } => {
                 let mut verdicts = Vec::new();
                 while *running < *slots {
-                    let Some((ticket, give_up_by)) = waiting.pop_front() else { break };
-                    if give_up_by > now {
+                    let Some((request_id, deadline)) = waiting.pop_front() else { break };
+                    if deadline > now {
                         *running += 1;
-                        verdicts.push(Verdict::Run(ticket));
+                        verdicts.push(Verdict::Run(request_id));
                     }
                 }
                 verdicts
@@ -158,28 +172,28 @@
 
     pub fn next_wake(&self, now: Instant) -> Option<Instant> {
         match self {
-            Self::Decided { queue, .. } => queue.next_wake(now),
+            Self::Yuccarack { queue, .. } => queue.next_wake(now),
             Self::Fifo { .. } => None,
         }
     }
 
-    pub fn pace_reported(&mut self, now: Instant, slowness: f64) {
-        if let Self::Decided { queue, .. } = self {
-            queue.record_slowdown(now, slowness);
+    pub fn record_slowdown(&mut self, now: Instant, slowdown: f64) {
+        if let Self::Yuccarack { queue, .. } = self {
+            queue.record_slowdown(now, slowdown);
         }
     }
 
     /// Requests that run and wait.
     pub fn length(&self) -> usize {
         match self {
-            Self::Decided { queue, .. } => queue.running() + queue.waiting(),
+            Self::Yuccarack { queue, .. } => queue.running() + queue.waiting(),
             Self::Fifo { running, waiting, .. } => running + waiting.len(),
         }
     }
 
     /// What the gate tells with each answer.
     pub fn load(&self, now: Instant) -> Option<GateLoad> {
-        let Self::Decided { queue, .. } = self else { return None };
+        let Self::Yuccarack { queue, .. } = self else { return None };
         Some(GateLoad {
             running: u16::try_from(queue.running()).unwrap_or(u16::MAX),
             waiting: u16::try_from(queue.waiting()).unwrap_or(u16::MAX),
--- a/crates/yuccarack_player/src/scenario.rs
+++ b/crates/yuccarack_player/src/scenario.rs
@@ -29,9 +29,9 @@
     /// Failure domains, over which targets and entries are spread evenly.
     pub domains: usize,
     /// One way between failure domains.
-    pub link: Duration,
+    pub link_delay: Duration,
     /// Whether the service's requests may run more than once.
-    pub repeatable: bool,
+    pub is_repeatable: bool,
 }
 
 /// Who calls.
@@ -47,7 +47,7 @@
 
 /// What calls ask for.
 #[derive(Clone, Copy, Debug)]
-pub struct Work {
+pub struct Workload {
     /// Mean time of a short request on an idle target.
     pub mean: Duration,
     /// Share of calls that are long, on their own route.
@@ -62,9 +62,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Burst {
     /// Time between two bursts' starts.
-    pub every: Duration,
+    pub interval: Duration,
     /// How long one lasts.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// How many times the load it is.
     pub factor: f64,
 }
@@ -75,7 +75,7 @@
     /// Every target stalls at random times.
     Stalls {
         /// Mean time between two stalls of a target.
-        every: Duration,
+        mean_interval: Duration,
         /// Shortest stall.
         shortest: Duration,
         /// Longest stall.
@@ -84,9 +84,9 @@
         factor: f64,
     },
     /// A neighbour moves on from target to target and slows each for a while.
-    Neighbour {
+    NoisyNeighbour {
         /// How long it stays.
-        stays: Duration,
+        duration: Duration,
         /// How many times slower the target is meanwhile.
         factor: f64,
     },
@@ -107,16 +107,16 @@
         until: Duration,
     },
     /// The first target says it is idle and quick, whatever is true.
-    Lies,
+    FalseReports,
     /// Targets are slow until they have answered some requests.
-    Cold,
+    ColdStart,
     /// Targets slow down beyond this many requests at once.
-    Overpromised {
+    OverstatedSlots {
         /// Requests that a target really runs at once.
         real_slots: u16,
     },
     /// The first failure domain is cut off from a time on.
-    DomainGone {
+    DomainLoss {
         /// From when.
         from: Duration,
     },
@@ -132,13 +132,13 @@
     /// Offered load as a share of the capacity of healthy targets.
     pub load: f64,
     /// Time in which calls arrive.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// Time that each call has.
     pub deadline: Duration,
     /// Who calls.
     pub callers: Callers,
     /// What they ask for.
-    pub work: Work,
+    pub workload: Workload,
     /// Bursts, if any.
     pub burst: Option<Burst>,
     /// What goes wrong.
@@ -168,9 +168,9 @@
     }
 }
 
-impl Work {
+impl Workload {
     /// Mean time over short and long requests.
-    pub fn mean_of_all(&self) -> Duration {
+    pub fn overall_mean(&self) -> Duration {
         self.mean.mul_f64(1.0 + self.long_share * (self.long_factor - 1.0))
     }
 }
@@ -179,6 +179,6 @@
     /// Calls a second that healthy targets can do.
     pub fn capacity_per_s(&self) -> f64 {
         let slots = self.fleet.targets as f64 * f64::from(SLOTS);
-        slots / self.work.mean_of_all().as_secs_f64()
+        slots / self.workload.overall_mean().as_secs_f64()
     }
 }
--- a/crates/yuccarack_player/src/stories.rs
+++ b/crates/yuccarack_player/src/scenarios.rs
@@ -2,28 +2,29 @@
 
 use std::time::Duration;
 
-use crate::scenario::{Burst, Callers, Fault, Fleet, Scenario, Work};
+use crate::scenario::{Burst, Callers, Fault, Fleet, Scenario, Workload};
 
 const fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-const fn fleet(name: &'static str, targets: usize, entries: usize, link_us: u64) -> Fleet {
-    let link = Duration::from_micros(link_us);
-    Fleet { name, targets, entries, domains: 3, link, repeatable: true }
+const fn fleet(name: &'static str, targets: usize, entries: usize, link_delay_us: u64) -> Fleet {
+    let link_delay = Duration::from_micros(link_delay_us);
+    Fleet { name, targets, entries, domains: 3, link_delay, is_repeatable: true }
 }
 
 /// Hokkaido's condition service: 6 targets, reads, 12 daemons.
 pub const HOKKAIDO_READ: Fleet = fleet("hok_read", 6, 12, 1_500);
 
 /// Each of Hokkaido's two services of 3 targets, whose requests must not repeat.
-pub const HOKKAIDO_ORDER: Fleet = Fleet { repeatable: false, ..fleet("hok_order", 3, 12, 1_500) };
+pub const HOKKAIDO_ORDER: Fleet =
+    Fleet { is_repeatable: false, ..fleet("hok_order", 3, 12, 1_500) };
 
 /// Kemiaplus' contract lookup: 5 targets, reads, 11 daemons.
 pub const KEMIAPLUS_READ: Fleet = fleet("kem_read", 5, 11, 500);
 
 /// Each of Kemiaplus' two services of 3 targets, whose requests must not repeat.
-pub const KEMIAPLUS_ORDER: Fleet = Fleet { repeatable: false, ..fleet("kem_order", 3, 11, 500) };
+pub const KEMIAPLUS_ORDER: Fleet = Fleet { is_repeatable: false, ..fleet("kem_order", 3, 11, 500) };
 
 /// One service of 100 targets.
 pub const HUNDRED: Fleet = fleet("hundred", 100, 100, 1_500);
@@ -43,10 +44,15 @@
         name: "steady",
         fleet,
         load,
-        lasts: if fleet.targets > 20 { ms(3_000) } else { ms(20_000) },
+        duration: if fleet.targets > 20 { ms(3_000) } else { ms(20_000) },
         deadline: ms(500),
         callers: Callers { count: 200, heavy: 0, heavy_share: 0.0 },
-        work: Work { mean: ms(10), long_share: 0.0, long_factor: 1.0, long_slots_percent: 100 },
+        workload: Workload {
+            mean: ms(10),
+            long_share: 0.0,
+            long_factor: 1.0,
+            long_slots_percent: 100,
+        },
         burst: None,
         faults: Vec::new(),
     }
@@ -54,20 +60,24 @@
 
 /// Targets stall for some ten or hundred milliseconds at random times.
 pub fn stragglers(fleet: Fleet) -> Scenario {
-    let stalls =
-        Fault::Stalls { every: ms(3_000), shortest: ms(20), longest: ms(300), factor: 10.0 };
+    let stalls = Fault::Stalls {
+        mean_interval: ms(3_000),
+        shortest: ms(20),
+        longest: ms(300),
+        factor: 10.0,
+    };
     Scenario { name: "stragglers", faults: vec![stalls], ..steady(fleet, 0.6) }
 }
 
 /// A noisy neighbour moves from target to target every 300 ms and slows each four times.
 pub fn shifts(fleet: Fleet) -> Scenario {
-    let neighbour = Fault::Neighbour { stays: ms(300), factor: 4.0 };
+    let neighbour = Fault::NoisyNeighbour { duration: ms(300), factor: 4.0 };
     Scenario { name: "shifts", faults: vec![neighbour], ..steady(fleet, 0.6) }
 }
 
 /// Load doubles for 100 ms every second, past what the targets can do.
 pub fn bursts(fleet: Fleet) -> Scenario {
-    let burst = Burst { every: ms(1_000), lasts: ms(100), factor: 2.5 };
+    let burst = Burst { interval: ms(1_000), duration: ms(100), factor: 2.5 };
     Scenario { name: "bursts", burst: Some(burst), ..steady(fleet, 0.6) }
 }
 
@@ -80,7 +90,7 @@
 /// One target slows for 20 ms and recovers.
 pub fn blip(fleet: Fleet) -> Scenario {
     let slow = Fault::Slow { from: ms(500), until: ms(520), factor: 20.0 };
-    Scenario { name: "blip", faults: vec![slow], lasts: ms(2_000), ..steady(fleet, 0.6) }
+    Scenario { name: "blip", faults: vec![slow], duration: ms(2_000), ..steady(fleet, 0.6) }
 }
 
 /// Two of two hundred callers make eight of ten calls, at more than the targets can do.
@@ -91,8 +101,9 @@
 
 /// One call in twenty takes thirty times as long, on a route of its own.
 pub fn long_among_short(fleet: Fleet) -> Scenario {
-    let work = Work { mean: ms(5), long_share: 0.05, long_factor: 30.0, long_slots_percent: 60 };
-    Scenario { name: "long_among_short", work, ..steady(fleet, 0.8) }
+    let workload =
+        Workload { mean: ms(5), long_share: 0.05, long_factor: 30.0, long_slots_percent: 60 };
+    Scenario { name: "long_among_short", workload, ..steady(fleet, 0.8) }
 }
 
 /// One target fails every request at once.
@@ -102,25 +113,25 @@
 }
 
 /// One target claims to be idle and quick, and is five times slower than the others.
-pub fn liar(fleet: Fleet) -> Scenario {
+pub fn false_reports(fleet: Fleet) -> Scenario {
     let slow = Fault::Slow { from: ms(0), until: ms(30_000), factor: 5.0 };
-    Scenario { name: "liar", faults: vec![slow, Fault::Lies], ..steady(fleet, 0.5) }
+    Scenario { name: "liar", faults: vec![slow, Fault::FalseReports], ..steady(fleet, 0.5) }
 }
 
 /// Every target has just started and is slow until it has answered some requests.
 pub fn all_cold(fleet: Fleet) -> Scenario {
-    Scenario { name: "all_cold", faults: vec![Fault::Cold], ..steady(fleet, 0.5) }
+    Scenario { name: "all_cold", faults: vec![Fault::ColdStart], ..steady(fleet, 0.5) }
 }
 
 /// A third of the targets vanishes with its failure domain.
-pub fn domain_gone(fleet: Fleet) -> Scenario {
-    let gone = Fault::DomainGone { from: ms(1_000) };
-    Scenario { name: "domain_gone", faults: vec![gone], ..steady(fleet, 0.5) }
+pub fn domain_loss(fleet: Fleet) -> Scenario {
+    let loss = Fault::DomainLoss { from: ms(1_000) };
+    Scenario { name: "domain_gone", faults: vec![loss], ..steady(fleet, 0.5) }
 }
 
 /// Targets announce 10 slots and really run 4 at once without slowing down.
 pub fn overpromised(fleet: Fleet) -> Scenario {
-    let fault = Fault::Overpromised { real_slots: 4 };
+    let fault = Fault::OverstatedSlots { real_slots: 4 };
     Scenario { name: "overpromised", faults: vec![fault], ..steady(fleet, 0.6) }
 }
 
@@ -146,9 +157,9 @@
         heavy_callers(fleet),
         long_among_short(fleet),
         fails_fast(fleet),
-        liar(fleet),
+        false_reports(fleet),
         all_cold(fleet),
-        domain_gone(fleet),
+        domain_loss(fleet),
         overpromised(fleet),
         saturation(fleet, "load_0.5", 0.5),
         saturation(fleet, "load_0.9", 0.9),
--- a/crates/yuccarack_player/src/outcome.rs
+++ b/crates/yuccarack_player/src/tally.rs
@@ -34,24 +34,24 @@
     /// Bytes spent on news of load.
     pub measuring_bytes: u64,
     /// Sum of the age of news over all choices, in µs, and their number.
-    pub news_age_us: (u64, u64),
+    pub report_age_us: (u64, u64),
     /// Target seconds, for rates.
     pub target_s: f64,
     /// Pairs of an entry and a target, seconds long.
     pub pair_s: f64,
     /// Answer times of calls answered in time, in µs.
-    pub answers: Histogram<u64>,
+    pub response_times: Histogram<u64>,
     /// Calls offered and answered of heavy callers.
     pub heavy: (u64, u64),
     /// Calls offered and answered of the other callers.
     pub light: (u64, u64),
     /// Answer times of short requests only, in µs.
-    pub short_answers: Histogram<u64>,
+    pub short_response_times: Histogram<u64>,
 }
 
 /// The figures of one row of the table.
 #[derive(Clone, Debug, Serialize)]
-pub struct Outcome {
+pub struct Summary {
     /// Fleet played.
     pub fleet: &'static str,
     /// Story played.
@@ -102,7 +102,7 @@
 impl Tally {
     /// Creates an empty tally.
     pub fn new() -> Self {
-        let answers =
+        let response_times =
             Histogram::new_with_max(HIGHEST_US, 3).expect("three digits of an hour's µs fit");
         Self {
             offered: 0,
@@ -116,22 +116,22 @@
             hedges: 0,
             retries: 0,
             measuring_bytes: 0,
-            news_age_us: (0, 0),
+            report_age_us: (0, 0),
             target_s: 0.0,
             pair_s: 0.0,
-            short_answers: answers.clone(),
-            answers,
+            short_response_times: response_times.clone(),
+            response_times,
             heavy: (0, 0),
             light: (0, 0),
         }
     }
 
     /// Notes a call answered in time.
-    pub fn answered(&mut self, took: Duration, is_heavy: bool, is_long: bool) {
-        let took_us = (took.as_micros() as u64).clamp(1, HIGHEST_US);
-        self.answers.saturating_record(took_us);
+    pub fn record_response(&mut self, response_time: Duration, is_heavy: bool, is_long: bool) {
+        let response_time_us = (response_time.as_micros() as u64).clamp(1, HIGHEST_US);
+        self.response_times.saturating_record(response_time_us);
         if !is_long {
-            self.short_answers.saturating_record(took_us);
+            self.short_response_times.saturating_record(response_time_us);
         }
         if is_heavy {
             self.heavy.1 += 1;
@@ -153,26 +153,28 @@
         self.hedges += other.hedges;
         self.retries += other.retries;
         self.measuring_bytes += other.measuring_bytes;
-        self.news_age_us.0 += other.news_age_us.0;
-        self.news_age_us.1 += other.news_age_us.1;
+        self.report_age_us.0 += other.report_age_us.0;
+        self.report_age_us.1 += other.report_age_us.1;
         self.target_s += other.target_s;
         self.pair_s += other.pair_s;
         self.heavy.0 += other.heavy.0;
         self.heavy.1 += other.heavy.1;
         self.light.0 += other.light.0;
         self.light.1 += other.light.1;
-        self.answers.add(&other.answers).expect("both have the same bounds");
-        self.short_answers.add(&other.short_answers).expect("both have the same bounds");
+        self.response_times.add(&other.response_times).expect("both have the same bounds");
+        self.short_response_times
+            .add(&other.short_response_times)
+            .expect("both have the same bounds");
     }
 
     /// Answer time that `percent` of the answered calls didn't exceed.
     pub fn percentile(&self, percent: f64) -> Duration {
-        Duration::from_micros(self.answers.value_at_percentile(percent))
+        Duration::from_micros(self.response_times.value_at_percentile(percent))
     }
 
     /// Share of calls answered in time.
     pub fn in_time(&self) -> f64 {
-        share(self.answers.len(), self.offered)
+        share(self.response_times.len(), self.offered)
     }
 
     /// Calls answered in time as a share of what healthy targets could do meanwhile.
@@ -181,28 +183,28 @@
     }
 
     /// The row of the table.
-    pub fn outcome(
+    pub fn summary(
         &self,
         fleet: &'static str,
         story: &'static str,
         policy: &'static str,
-    ) -> Outcome {
+    ) -> Summary {
         let percent = |count| 100.0 * share(count, self.offered);
-        let news_age_s = self.news_age_us.0 as f64 / self.news_age_us.1.max(1) as f64 / 1e6;
+        let report_age_s = self.report_age_us.0 as f64 / self.report_age_us.1.max(1) as f64 / 1e6;
         // News polled every `t` is `t / 2` old on average.
-        let polls_per_pair_s = if news_age_s > 0.0 { 0.5 / news_age_s } else { 0.0 };
+        let polls_per_pair_s = if report_age_s > 0.0 { 0.5 / report_age_s } else { 0.0 };
         let polling_bytes = polls_per_pair_s * POLL_BYTES as f64 * self.pair_s;
-        Outcome {
+        Summary {
             fleet,
             story,
             policy,
             offered: self.offered,
             in_time_percent: 100.0 * self.in_time(),
             goodput_percent: 100.0 * self.goodput(),
-            p50_ms: ms(self.answers.value_at_percentile(50.0)),
-            p99_ms: ms(self.answers.value_at_percentile(99.0)),
-            p999_ms: ms(self.answers.value_at_percentile(99.9)),
-            short_p999_ms: ms(self.short_answers.value_at_percentile(99.9)),
+            p50_ms: ms(self.response_times.value_at_percentile(50.0)),
+            p99_ms: ms(self.response_times.value_at_percentile(99.0)),
+            p999_ms: ms(self.response_times.value_at_percentile(99.9)),
+            short_p999_ms: ms(self.short_response_times.value_at_percentile(99.9)),
             refused_percent: percent(self.refused),
             failed_percent: percent(self.failed),
             late_percent: percent(self.late),
@@ -210,7 +212,7 @@
             light_in_time_percent: 100.0 * share(self.light.1, self.light.0),
             heavy_in_time_percent: 100.0 * share(self.heavy.1, self.heavy.0),
             measuring_bytes_per_target_s: self.measuring_bytes as f64 / self.target_s,
-            news_age_ms: news_age_s * 1e3,
+            news_age_ms: report_age_s * 1e3,
             polling_bytes_per_target_s: polling_bytes / self.target_s,
         }
     }
@@ -226,6 +228,6 @@
     us as f64 / 1e3
 }
 
-fn share(part: u64, whole: u64) -> f64 {
-    if whole == 0 { 1.0 } else { part as f64 / whole as f64 }
+fn share(part: u64, total: u64) -> f64 {
+    if total == 0 { 1.0 } else { part as f64 / total as f64 }
 }
--- a/crates/yuccarack_player/src/target.rs
+++ b/crates/yuccarack_player/src/target.rs
@@ -10,25 +10,25 @@
 use crate::scenario::{Fault, SLOTS, Scenario};
 
 /// Requests after which a cold target is warm.
-const COLD_ANSWERS: f64 = 200.0;
+const WARM_UP_RESPONSES: f64 = 200.0;
 
 /// How many times slower a cold target is at first.
-const COLD_FACTOR: f64 = 5.0;
+const COLD_START_FACTOR: f64 = 5.0;
 
 /// Time in which a target that fails at once answers.
-const FAIL_FAST: Duration = Duration::from_micros(200);
+const FAIL_FAST_RESPONSE_TIME: Duration = Duration::from_micros(200);
 
 /// Speed and faults of one target.
 pub struct Target {
     pub domain: usize,
-    pub lies: bool,
-    pub gone_from: Option<Instant>,
+    pub has_false_reports: bool,
+    pub lost_at: Option<Instant>,
     slowdowns: VecDeque<Slowdown>,
-    fails: Option<(Instant, Instant)>,
+    failing_period: Option<(Instant, Instant)>,
     is_cold: bool,
     real_slots: u16,
     running: u16,
-    answers: u64,
+    responses: u64,
 }
 
 struct Slowdown {
@@ -38,31 +38,31 @@
 }
 
 /// How a run will end.
-pub enum Run {
-    Answers { at: Instant },
-    Fails { at: Instant },
+pub enum PlannedEnd {
+    Response { at: Instant },
+    Failure { at: Instant },
 }
 
 impl Target {
     pub fn new(index: usize, start: Instant, scenario: &Scenario, rng: &mut SmallRng) -> Self {
         let mut target = Self {
             domain: index % scenario.fleet.domains,
-            lies: false,
-            gone_from: None,
+            has_false_reports: false,
+            lost_at: None,
             slowdowns: VecDeque::new(),
-            fails: None,
+            failing_period: None,
             is_cold: false,
             real_slots: SLOTS,
             running: 0,
-            answers: 0,
+            responses: 0,
         };
         for fault in &scenario.faults {
-            target.suffer(index, start, scenario, fault, rng);
+            target.apply_fault(index, start, scenario, fault, rng);
         }
         target
     }
 
-    fn suffer(
+    fn apply_fault(
         &mut self,
         index: usize,
         start: Instant,
@@ -71,116 +71,122 @@
         rng: &mut SmallRng,
     ) {
         match *fault {
-            Fault::Stalls { every, shortest, longest, factor } => {
-                self.stall(start, scenario.lasts, (every, shortest, longest), factor, rng);
+            Fault::Stalls { mean_interval, shortest, longest, factor } => {
+                self.add_stalls(
+                    start,
+                    scenario.duration,
+                    (mean_interval, shortest, longest),
+                    factor,
+                    rng,
+                );
             }
-            Fault::Neighbour { stays, factor } => {
-                self.neighbour(index, start, scenario, stays, factor);
+            Fault::NoisyNeighbour { duration, factor } => {
+                self.add_neighbour_slowdowns(index, start, scenario, duration, factor);
             }
             Fault::Slow { from, until, factor } if index == 0 => {
-                self.slow(start + from, start + until, factor);
+                self.add_slowdown(start + from, start + until, factor);
             }
             Fault::FailsFast { from, until } if index == 0 => {
-                self.fails = Some((start + from, start + until));
+                self.failing_period = Some((start + from, start + until));
             }
-            Fault::Lies => self.lies = index == 0,
-            Fault::Cold => self.is_cold = true,
-            Fault::Overpromised { real_slots } => self.real_slots = real_slots,
-            Fault::DomainGone { from } if self.domain == 0 => self.gone_from = Some(start + from),
-            Fault::Slow { .. } | Fault::FailsFast { .. } | Fault::DomainGone { .. } => {}
+            Fault::FalseReports => self.has_false_reports = index == 0,
+            Fault::ColdStart => self.is_cold = true,
+            Fault::OverstatedSlots { real_slots } => self.real_slots = real_slots,
+            Fault::DomainLoss { from } if self.domain == 0 => self.lost_at = Some(start + from),
+            Fault::Slow { .. } | Fault::FailsFast { .. } | Fault::DomainLoss { .. } => {}
         }
     }
 
-    fn stall(
+    fn add_stalls(
         &mut self,
         start: Instant,
-        lasts: Duration,
-        (every, shortest, longest): (Duration, Duration, Duration),
+        duration: Duration,
+        (mean_interval, shortest, longest): (Duration, Duration, Duration),
         factor: f64,
         rng: &mut SmallRng,
     ) {
         let mut at = start;
         loop {
-            at += every.mul_f64(-(1.0 - rng.random::<f64>()).ln());
-            if at > start + lasts {
+            at += mean_interval.mul_f64(-(1.0 - rng.random::<f64>()).ln());
+            if at > start + duration {
                 return;
             }
             let until = at + rng.random_range(shortest..=longest);
-            self.slow(at, until, factor);
+            self.add_slowdown(at, until, factor);
             at = until;
         }
     }
 
-    fn neighbour(
+    fn add_neighbour_slowdowns(
         &mut self,
         index: usize,
         start: Instant,
         scenario: &Scenario,
-        stays: Duration,
+        duration: Duration,
         factor: f64,
     ) {
         // One neighbour for every ten targets, each on its own round.
         let round = scenario.fleet.targets.min(10) as u32;
-        let mut at = start + stays * (index as u32 % round);
-        while at < start + scenario.lasts {
-            self.slow(at, at + stays, factor);
-            at += stays * round;
+        let mut at = start + duration * (index as u32 % round);
+        while at < start + scenario.duration {
+            self.add_slowdown(at, at + duration, factor);
+            at += duration * round;
         }
     }
 
-    fn slow(&mut self, from: Instant, until: Instant, factor: f64) {
+    fn add_slowdown(&mut self, from: Instant, until: Instant, factor: f64) {
         self.slowdowns.push_back(Slowdown { from, until, factor });
     }
 
-    pub fn is_gone(&self, now: Instant) -> bool {
-        self.gone_from.is_some_and(|from| now >= from)
+    pub fn is_lost(&self, now: Instant) -> bool {
+        self.lost_at.is_some_and(|from| now >= from)
     }
 
     /// Starts a request; `ended` must follow.
-    pub fn start(&mut self, now: Instant, work: Duration) -> Run {
+    pub fn start(&mut self, now: Instant, service_time: Duration) -> PlannedEnd {
         self.running += 1;
-        if self.fails.is_some_and(|(from, until)| now >= from && now < until) {
-            return Run::Fails { at: now + FAIL_FAST };
+        if self.failing_period.is_some_and(|(from, until)| now >= from && now < until) {
+            return PlannedEnd::Failure { at: now + FAIL_FAST_RESPONSE_TIME };
         }
-        let crowding = (f64::from(self.running) / f64::from(self.real_slots)).max(1.0);
-        let work = work.mul_f64(crowding * self.coldness());
-        Run::Answers { at: self.end_of(now, work) }
+        let overload_factor = (f64::from(self.running) / f64::from(self.real_slots)).max(1.0);
+        let service_time = service_time.mul_f64(overload_factor * self.cold_start_factor());
+        PlannedEnd::Response { at: self.completion_time(now, service_time) }
     }
 
-    pub fn ended(&mut self) {
+    pub fn finish_run(&mut self) {
         self.running -= 1;
-        self.answers += 1;
+        self.responses += 1;
     }
 
-    fn coldness(&self) -> f64 {
+    fn cold_start_factor(&self) -> f64 {
         if !self.is_cold {
             return 1.0;
         }
-        let left = 1.0 - (self.answers as f64 / COLD_ANSWERS).min(1.0);
-        1.0 + (COLD_FACTOR - 1.0) * left
+        let work_left = 1.0 - (self.responses as f64 / WARM_UP_RESPONSES).min(1.0);
+        1.0 + (COLD_START_FACTOR - 1.0) * work_left
     }
 
     /// When work started now is done, at the speeds between now and then.
-    fn end_of(&mut self, now: Instant, work: Duration) -> Instant {
+    fn completion_time(&mut self, now: Instant, service_time: Duration) -> Instant {
         while self.slowdowns.front().is_some_and(|slowdown| slowdown.until <= now) {
             self.slowdowns.pop_front();
         }
-        let (mut at, mut left) = (now, work);
+        let (mut at, mut work_left) = (now, service_time);
         for slowdown in &self.slowdowns {
-            let quick = slowdown.from.saturating_duration_since(at);
-            if quick >= left {
+            let normal_time = slowdown.from.saturating_duration_since(at);
+            if normal_time >= work_left {
                 break;
             }
-            left -= quick;
-            at += quick;
-            let slow = slowdown.until - at;
-            let done = slow.div_f64(slowdown.factor);
-            if done >= left {
-                return at + left.mul_f64(slowdown.factor);
+            work_left -= normal_time;
+            at += normal_time;
+            let slow_time = slowdown.until - at;
+            let work_done = slow_time.div_f64(slowdown.factor);
+            if work_done >= work_left {
+                return at + work_left.mul_f64(slowdown.factor);
             }
-            left -= done;
-            at += slow;
+            work_left -= work_done;
+            at += slow_time;
         }
-        at + left
+        at + work_left
     }
 }
--- a/crates/yuccarack_player/tests/chain.rs
+++ b/crates/yuccarack_player/tests/chain.rs
@@ -17,10 +17,10 @@
 /// slots, everybody waits behind the burst for seconds after it, and the worst two seconds lose half.
 #[test]
 fn a_burst_costs_little_beyond_itself() {
-    let decided = mean("burst 2.0", Policy::Decided, Credit::worst);
-    let shortest = mean("burst 2.0", Policy::FifoShortest, Credit::worst);
-    assert!(decided > 0.8, "worst seconds {decided:.3}");
-    assert!(decided > 1.25 * shortest, "{decided:.3} against {shortest:.3}");
+    let yuccarack = mean("burst 2.0", Policy::Yuccarack, Credit::worst_share);
+    let shortest = mean("burst 2.0", Policy::FifoShortest, Credit::worst_share);
+    assert!(yuccarack > 0.8, "worst seconds {yuccarack:.3}");
+    assert!(yuccarack > 1.25 * shortest, "{yuccarack:.3} against {shortest:.3}");
 }
 
 /// Twice the requests for as long as it lasts. A queue without end holds every read until its caller
@@ -28,21 +28,21 @@
 #[test]
 fn saturation_wastes_no_runs() {
     let wasted = |credit: &Credit| credit.wasted_runs as f64 / credit.runs as f64;
-    let decided = mean("saturated", Policy::Decided, wasted);
-    assert!(decided < 0.02, "{decided:.3} of the runs are wasted");
+    let yuccarack = mean("saturated", Policy::Yuccarack, wasted);
+    assert!(yuccarack < 0.02, "{yuccarack:.3} of the runs are wasted");
     assert!(mean("saturated", Policy::FifoShortest, wasted) > 0.1);
-    let (ours, theirs) = (
-        mean("saturated", Policy::Decided, Credit::share),
-        mean("saturated", Policy::FifoShortest, Credit::share),
+    let (yuccarack, shortest_queue) = (
+        mean("saturated", Policy::Yuccarack, Credit::earned_share),
+        mean("saturated", Policy::FifoShortest, Credit::earned_share),
     );
-    assert!(ours > 1.5 * theirs, "{ours:.3} against {theirs:.3}");
+    assert!(yuccarack > 1.5 * shortest_queue, "{yuccarack:.3} against {shortest_queue:.3}");
 }
 
 /// Two fifths of the callers come back at once and three times, whatever they were told. Those that
 /// behave are served as well as without them.
 #[test]
 fn callers_that_return_at_once_push_nobody_out() {
-    assert!(mean("early", Policy::Decided, Credit::share) > 0.85);
+    assert!(mean("early", Policy::Yuccarack, Credit::earned_share) > 0.85);
 }
 
 /// The most urgent kind is served no worse than the others of its chain when nothing fits any more.
@@ -50,12 +50,12 @@
 fn deliveries_come_first_in_saturation() {
     let in_time = |kind: usize| {
         let share = |credit: &Credit, kind: usize| {
-            let ends = credit.ends[kind];
-            let all = ends.in_time + ends.late + ends.refused + ends.failed;
-            ends.in_time as f64 / all as f64
+            let counts = credit.outcomes[kind];
+            let all = counts.in_time + counts.late + counts.refused + counts.failed;
+            counts.in_time as f64 / all as f64
         };
         let load = LOADS.iter().find(|load| load.name == "saturated").expect("a load");
-        (1..=SEEDS).map(|seed| share(&play_chain(load, Policy::Decided, seed), kind)).sum::<f64>()
+        (1..=SEEDS).map(|seed| share(&play_chain(load, Policy::Yuccarack, seed), kind)).sum::<f64>()
     };
     let (read, repair, delivery) = (in_time(0), in_time(1), in_time(2));
     assert!(delivery >= read && delivery >= repair, "{delivery:.2} {read:.2} {repair:.2}");
@@ -66,10 +66,10 @@
 #[test]
 fn targets_that_are_cold_together_recover_under_their_load() {
     // They are cold from 4 to 7 s; 5 s after that the calls are served as before.
-    let recovered = |credit: &Credit| credit.share_from(Duration::from_secs(12));
-    let calm = mean("calm", Policy::Decided, recovered);
-    let decided = mean("all cold", Policy::Decided, recovered);
-    assert!(decided >= 0.9 * calm, "{decided:.3} of {calm:.3}");
+    let recovered = |credit: &Credit| credit.earned_share_from(Duration::from_secs(12));
+    let calm = mean("calm", Policy::Yuccarack, recovered);
+    let yuccarack = mean("all cold", Policy::Yuccarack, recovered);
+    assert!(yuccarack >= 0.9 * calm, "{yuccarack:.3} of {calm:.3}");
     for policy in [Policy::FifoRandom, Policy::FifoShortest] {
         let collapsed = mean("all cold", policy, recovered);
         assert!(collapsed < 0.5 * calm, "{collapsed:.3} of {calm:.3}: no collapse to prevent");
--- a/crates/yuccarack_policy/tests/loads.rs
+++ b/crates/yuccarack_policy/tests/loads.rs
@@ -5,13 +5,13 @@
 use yuccarack_player::{
     Fleet, Policy, Scenario, Tally, play,
     scenario::Fault,
-    stories::{self, HOKKAIDO_ORDER, HOKKAIDO_READ},
+    scenarios::{self, HOKKAIDO_ORDER, HOKKAIDO_READ},
 };
 
 const SEED: u64 = 42;
 
 fn shortened(scenario: Scenario) -> Scenario {
-    Scenario { lasts: Duration::from_secs(4), ..scenario }
+    Scenario { duration: Duration::from_secs(4), ..scenario }
 }
 
 fn simulate(scenario: &Scenario) -> Tally {
@@ -21,8 +21,8 @@
 /// Returns the best 99.9th percentile of those baselines whose share of requests answered in time
 /// is at most 0.01 below `in_time`.
 fn best_baseline(scenario: &Scenario, in_time: f64) -> Duration {
-    let played = Policy::ALL[1..].iter().map(|&policy| play(scenario, policy, SEED));
-    let comparable = played.filter(|tally| tally.in_time() > in_time - 0.01);
+    let tallies = Policy::ALL[1..].iter().map(|&policy| play(scenario, policy, SEED));
+    let comparable = tallies.filter(|tally| tally.in_time() > in_time - 0.01);
     comparable.map(|tally| tally.percentile(99.9)).min().unwrap_or(Duration::MAX)
 }
 
@@ -34,7 +34,7 @@
 /// must take at most half the time of the best baseline.
 #[test]
 fn stragglers() {
-    let scenario = shortened(stories::stragglers(HOKKAIDO_READ));
+    let scenario = shortened(scenarios::stragglers(HOKKAIDO_READ));
     let tally = simulate(&scenario);
     let best = best_baseline(&scenario, tally.in_time());
     let p999 = tally.percentile(99.9);
@@ -47,7 +47,7 @@
 /// avoided and chosen again within that time, or the others are overloaded.
 #[test]
 fn shifts() {
-    let scenario = shortened(stories::shifts(HOKKAIDO_READ));
+    let scenario = shortened(scenarios::shifts(HOKKAIDO_READ));
     let tally = simulate(&scenario);
     let best = best_baseline(&scenario, tally.in_time());
     let p999 = tally.percentile(99.9);
@@ -59,7 +59,7 @@
 /// run twice, and hardly any may be rejected while there is capacity.
 #[test]
 fn orders_among_stragglers_run_once() {
-    let tally = simulate(&shortened(stories::stragglers(HOKKAIDO_ORDER)));
+    let tally = simulate(&shortened(scenarios::stragglers(HOKKAIDO_ORDER)));
     assert_eq!(tally.duplicates, 0);
     assert!(tally.in_time() > 0.995, "{} in time", tally.in_time());
 }
@@ -68,7 +68,7 @@
 /// wait, so nothing may be rejected.
 #[test]
 fn bursts_are_absorbed() {
-    let tally = simulate(&shortened(stories::bursts(HOKKAIDO_READ)));
+    let tally = simulate(&shortened(scenarios::bursts(HOKKAIDO_READ)));
     assert!(tally.in_time() > 0.999, "{} in time", tally.in_time());
     assert!(tally.percentile(99.9) < Duration::from_millis(150));
 }
@@ -76,7 +76,7 @@
 /// One target is slow for 20 ms and recovers. Callers must not notice, neither then nor later.
 #[test]
 fn a_blip_passes_unnoticed() {
-    let tally = simulate(&stories::blip(HOKKAIDO_READ));
+    let tally = simulate(&scenarios::blip(HOKKAIDO_READ));
     assert!(tally.in_time() > 0.999);
     assert!(tally.percentile(99.0) < Duration::from_millis(40));
 }
@@ -85,7 +85,7 @@
 /// nearly all must be answered by the others.
 #[test]
 fn a_slow_target_is_avoided() {
-    let tally = simulate(&shortened(stories::slow_target(HOKKAIDO_ORDER)));
+    let tally = simulate(&shortened(scenarios::slow_target(HOKKAIDO_ORDER)));
     assert!(tally.in_time() > 0.999);
     assert!(tally.percentile(99.0) < Duration::from_millis(100));
 }
@@ -94,7 +94,7 @@
 /// all of it; the two must bear the rejections.
 #[test]
 fn heavy_callers_bear_the_rejections() {
-    let tally = simulate(&shortened(stories::heavy_callers(HOKKAIDO_READ)));
+    let tally = simulate(&shortened(scenarios::heavy_callers(HOKKAIDO_READ)));
     assert!(light_callers_in_time(&tally) > 0.99, "{}", light_callers_in_time(&tally));
     assert!(tally.goodput() > 0.95);
 }
@@ -102,8 +102,8 @@
 /// One call in twenty takes thirty times as long. Short calls must not queue behind long ones.
 #[test]
 fn long_requests_do_not_block_short_ones() {
-    let tally = simulate(&shortened(stories::long_among_short(HOKKAIDO_READ)));
-    let short = tally.short_answers.value_at_percentile(99.0);
+    let tally = simulate(&shortened(scenarios::long_among_short(HOKKAIDO_READ)));
+    let short = tally.short_response_times.value_at_percentile(99.0);
     assert!(short < 40_000, "99 % of short calls within {short} µs");
     assert!(tally.in_time() > 0.99);
 }
@@ -114,7 +114,7 @@
 #[test]
 fn saturation_keeps_goodput() {
     for (load, name) in [(0.5, "0.5"), (0.9, "0.9"), (1.2, "1.2"), (2.0, "2"), (5.0, "5")] {
-        let scenario = shortened(stories::saturation(HOKKAIDO_ORDER, name, load));
+        let scenario = shortened(scenarios::saturation(HOKKAIDO_ORDER, name, load));
         let tally = simulate(&scenario);
         let goodput_min = if load < 1.0 { load * 0.95 } else { 0.95 };
         assert!(tally.goodput() >= goodput_min, "{} at {load} times capacity", tally.goodput());
@@ -127,7 +127,7 @@
 /// orders.
 #[test]
 fn a_target_that_fails_fast_attracts_little_load() {
-    let tally = simulate(&shortened(stories::fails_fast(HOKKAIDO_ORDER)));
+    let tally = simulate(&shortened(scenarios::fails_fast(HOKKAIDO_ORDER)));
     assert!(tally.failed * 200 <= tally.offered, "{} of {}", tally.failed, tally.offered);
 }
 
@@ -135,7 +135,7 @@
 /// load.
 #[test]
 fn a_target_with_false_reports_attracts_little_load() {
-    let tally = simulate(&shortened(stories::liar(HOKKAIDO_READ)));
+    let tally = simulate(&shortened(scenarios::false_reports(HOKKAIDO_READ)));
     assert!(tally.in_time() > 0.999, "{} in time", tally.in_time());
 }
 
@@ -143,7 +143,7 @@
 /// calls are answered in time, the rest is rejected, and none is left without a response.
 #[test]
 fn all_cold() {
-    let tally = simulate(&shortened(stories::all_cold(HOKKAIDO_READ)));
+    let tally = simulate(&shortened(scenarios::all_cold(HOKKAIDO_READ)));
     assert!(tally.in_time() > 0.93, "{} in time", tally.in_time());
     assert!(tally.late * 1_000 <= tally.offered);
 }
@@ -152,7 +152,7 @@
 /// Calls in flight there are lost; all later ones must be served by the other targets.
 #[test]
 fn a_failure_domain_is_lost() {
-    let scenario = shortened(stories::domain_gone(HOKKAIDO_READ));
+    let scenario = shortened(scenarios::domain_loss(HOKKAIDO_READ));
     let tally = simulate(&scenario);
     assert!(tally.in_time() > 0.995, "{} in time", tally.in_time());
 }
@@ -164,7 +164,7 @@
     let fleet = Fleet { targets: 1, ..HOKKAIDO_READ };
     let from = Duration::from_secs(1);
     let fails = Fault::FailsFast { from, until: from * 2 };
-    let scenario = Scenario { faults: vec![fails], ..shortened(stories::steady(fleet, 0.9)) };
+    let scenario = Scenario { faults: vec![fails], ..shortened(scenarios::steady(fleet, 0.9)) };
     let tally = simulate(&scenario);
     let most = tally.offered / 10 + 12 * 20;
     assert!(tally.duplicates <= most, "{} of {} calls", tally.duplicates, tally.offered);
@@ -174,8 +174,9 @@
 /// The same seed must give the same run, so that results can be reproduced.
 #[test]
 fn a_run_can_be_repeated() {
-    let scenario = Scenario { lasts: Duration::from_secs(1), ..stories::shifts(HOKKAIDO_READ) };
+    let scenario =
+        Scenario { duration: Duration::from_secs(1), ..scenarios::shifts(HOKKAIDO_READ) };
     let [first, second] = [simulate(&scenario), simulate(&scenario)];
-    assert_eq!(first.answers, second.answers);
+    assert_eq!(first.response_times, second.response_times);
     assert_eq!(first.measuring_bytes, second.measuring_bytes);
 }
