--- a/crates/yuccarack_policy/src/adaptive_throttle.rs
+++ b/crates/yuccarack_policy/src/adaptive_throttle.rs
@@ -98,7 +98,7 @@
         Self { admitted_share: 1.0, baseline_failure_share: 0.0, shortage_failure_share: 0.0 }
     }
 
-    /// Returns the admitted share, from [`SHARE_MIN`] to 1.
+    /// Returns the admitted share, from 0.1 to 1.
     pub fn admitted_share(&self) -> f64 {
         self.admitted_share
     }
--- a/crates/yuccarack_policy/src/admission/mod.rs
+++ b/crates/yuccarack_policy/src/admission/mod.rs
@@ -125,8 +125,8 @@
         if self.can_start(&offer) && !self.queue.has_lone_request() {
             return AdmissionDecision::Run(self.start(now, offer));
         }
-        match self.give_up_at(now, &offer) {
-            Ok(give_up) => AdmissionDecision::Wait(self.enqueue(now, offer, give_up)),
+        match self.wait_limit(now, &offer) {
+            Ok(wait_limit) => AdmissionDecision::Wait(self.enqueue(now, offer, wait_limit)),
             Err(reason) => self.refuse(reason, offer.route),
         }
     }
@@ -190,7 +190,7 @@
 
     /// Returns when `poll` must be called next if nothing else happens before.
     pub fn next_wake(&self) -> Option<Instant> {
-        self.queue.next_give_up()
+        self.queue.next_expiry()
     }
 
     /// Rejects all waiting and all new requests; running ones continue.
--- a/crates/yuccarack_policy/src/admission/queue.rs
+++ b/crates/yuccarack_policy/src/admission/queue.rs
@@ -13,8 +13,8 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Waiting {
     pub offer: Offer,
-    pub give_up_at: Instant,
-    pub gives_up_for_deadline: bool,
+    pub expires_at: Instant,
+    pub is_limited_by_deadline: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -32,7 +32,7 @@
     by_caller: HashMap<u64, CallerQueue>,
     nonempty_since: Option<Instant>,
     /// Earliest time at which a request may have to be rejected; the actual one may be later.
-    earliest_give_up: Option<Instant>,
+    earliest_expiry: Option<Instant>,
     must_run_alone_count: usize,
 }
 
@@ -50,7 +50,7 @@
             order: VecDeque::new(),
             by_caller: HashMap::new(),
             nonempty_since: None,
-            earliest_give_up: None,
+            earliest_expiry: None,
             must_run_alone_count: 0,
         }
     }
@@ -80,9 +80,9 @@
             .or_insert(CallerQueue { count: 0, turn_at: now });
         caller.count += 1;
         self.must_run_alone_count += usize::from(waiting.offer.must_run_alone);
-        let give_up_at = waiting.give_up_at;
-        self.earliest_give_up =
-            Some(self.earliest_give_up.map_or(give_up_at, |at| at.min(give_up_at)));
+        let expires_at = waiting.expires_at;
+        self.earliest_expiry =
+            Some(self.earliest_expiry.map_or(expires_at, |at| at.min(expires_at)));
         let key = self.waiting.insert(QueueEntry { waiting, turn_at: caller.turn_at });
         self.order.push_back(key);
         key
@@ -93,7 +93,7 @@
         self.order.retain(|&queued| queued != key);
         if self.order.is_empty() {
             self.nonempty_since = None;
-            self.earliest_give_up = None;
+            self.earliest_expiry = None;
         }
         self.must_run_alone_count -= usize::from(waiting.offer.must_run_alone);
         if let Some(caller) = self.by_caller.get_mut(&waiting.offer.caller) {
@@ -157,22 +157,22 @@
 
     /// Returns when the next request may have to be rejected; `take_overdue` must be called by
     /// then.
-    pub fn next_give_up(&self) -> Option<Instant> {
-        self.earliest_give_up
+    pub fn next_expiry(&self) -> Option<Instant> {
+        self.earliest_expiry
     }
 
     pub fn take_overdue(&mut self, now: Instant) -> Vec<(WaitKey, Waiting)> {
-        if self.earliest_give_up.is_none_or(|at| now < at) {
+        if self.earliest_expiry.is_none_or(|at| now < at) {
             return Vec::new();
         }
         let overdue: Vec<_> = self
             .iter()
-            .filter(|(_, waiting)| waiting.give_up_at <= now)
+            .filter(|(_, waiting)| waiting.expires_at <= now)
             .map(|(key, _)| key)
             .collect();
         let taken: Vec<_> =
             overdue.into_iter().filter_map(|key| Some((key, self.remove(key)?))).collect();
-        self.earliest_give_up = self.iter().map(|(_, waiting)| waiting.give_up_at).min();
+        self.earliest_expiry = self.iter().map(|(_, waiting)| waiting.expires_at).min();
         taken
     }
 
--- a/crates/yuccarack_policy/src/admission/waiting.rs
+++ b/crates/yuccarack_policy/src/admission/waiting.rs
@@ -16,16 +16,16 @@
 
 /// Latest time at which a waiting request is rejected, and why.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct GiveUp {
-    at: Instant,
-    is_for_deadline: bool,
+pub(super) struct WaitLimit {
+    expires_at: Instant,
+    is_limited_by_deadline: bool,
 }
 
 impl Admission {
     /// Rejects the requests that have waited as long as they may.
     pub(super) fn refuse_overdue(&mut self, now: Instant) {
         for (key, waiting) in self.queue.take_overdue(now) {
-            let is_deadline = waiting.gives_up_for_deadline;
+            let is_deadline = waiting.is_limited_by_deadline;
             let reason = match is_deadline {
                 true => RefusalReason::DeadlineClose,
                 false => RefusalReason::WaitTooLong,
@@ -36,14 +36,14 @@
     }
 
     /// Queues a request.
-    pub(super) fn enqueue(&mut self, now: Instant, offer: Offer, give_up: GiveUp) -> WaitKey {
+    pub(super) fn enqueue(&mut self, now: Instant, offer: Offer, wait_limit: WaitLimit) -> WaitKey {
         if self.queue.len() >= usize::from(self.config.limits.queue_length_max) {
             self.evict_latest();
         }
         let waiting = Waiting {
             offer,
-            give_up_at: give_up.at,
-            gives_up_for_deadline: give_up.is_for_deadline,
+            expires_at: wait_limit.expires_at,
+            is_limited_by_deadline: wait_limit.is_limited_by_deadline,
         };
         let callers = self.queue.callers() + 1;
         let turn = self.service_times.mean().mul_f64(callers as f64 / self.limit.get() as f64);
@@ -51,19 +51,26 @@
     }
 
     /// Returns until when a request may wait, or why it may not.
-    pub(super) fn give_up_at(&self, now: Instant, offer: &Offer) -> Result<GiveUp, RefusalReason> {
+    pub(super) fn wait_limit(
+        &self,
+        now: Instant,
+        offer: &Offer,
+    ) -> Result<WaitLimit, RefusalReason> {
         self.check_queue_shares(offer)?;
         let service = self.service_times.usual(offer.route);
         let wait = self.expected_wait(offer);
-        let left = offer.deadline.saturating_duration_since(now).saturating_sub(service);
-        if wait > left {
+        let time_left = offer.deadline.saturating_duration_since(now).saturating_sub(service);
+        if wait > time_left {
             return Err(RefusalReason::DeadlineClose);
         }
         let wait_max = self.wait_max(now);
         if wait > wait_max {
             return Err(RefusalReason::WaitTooLong);
         }
-        Ok(GiveUp { at: now + left.min(wait_max), is_for_deadline: left < wait_max })
+        Ok(WaitLimit {
+            expires_at: now + time_left.min(wait_max),
+            is_limited_by_deadline: time_left < wait_max,
+        })
     }
 
     /// Returns the longest wait: what the rules allow during a burst, little once the queue stands.
@@ -145,7 +152,7 @@
     }
 }
 
-/// Returns a share of `whole` in percent, rounded up and at least one.
-fn share_of(whole: usize, percent: u8) -> usize {
-    (whole * usize::from(percent)).div_ceil(100).max(1)
+/// Returns a share of `total` in percent, rounded up and at least one.
+fn share_of(total: usize, percent: u8) -> usize {
+    (total * usize::from(percent)).div_ceil(100).max(1)
 }
--- a/crates/yuccarack_policy/src/work_queue/mod.rs
+++ b/crates/yuccarack_policy/src/work_queue/mod.rs
@@ -44,8 +44,8 @@
 
 /// Share of a target's slots that are used.
 ///
-/// Above it a target is 1.7 times slower, which costs more responses than the added slots bring: 7
-/// slots at full speed against 9 / 1.7 = 5.3.
+/// Above it a target of 8 or 9 slots is 1.7 times slower, which costs more responses than the added
+/// slots bring: 7 slots at full speed against 9 / 1.7 = 5.3.
 pub const USABLE_SLOT_SHARE: f64 = 0.8;
 
 /// Slowdown from which a request that could go to another target is passed on.
@@ -306,8 +306,8 @@
             return false;
         }
         let wait = self.estimated_wait(now, self.waiting.len());
-        let left = request.deadline.saturating_duration_since(now);
-        wait > left.mul_f64(LATE_WAIT_SHARE_MAX)
+        let time_left = request.deadline.saturating_duration_since(now);
+        wait > time_left.mul_f64(LATE_WAIT_SHARE_MAX)
     }
 
     fn is_short(&self, kind: u64) -> bool {
