--- a/crates/yuccarackd/tests/claims/main.rs
+++ b/crates/yuccarackd/tests/claims/main.rs
@@ -1,7 +1,7 @@
-//! Claims under lost answers, late writes, races, pauses and outages of the store.
+//! Claims under lost responses, late writes, races, pauses and outages of the store.
 
-mod lost_answers;
-mod store_away;
+mod lost_responses;
+mod store_unavailable;
 mod support;
 mod verdicts;
 mod walk;
--- a/crates/yuccarackd/tests/claims/store_away.rs
+++ b/crates/yuccarackd/tests/claims/store_unavailable.rs
@@ -9,30 +9,31 @@
 
 use super::support::{TestGate, eventually, heal, outcome, platform, state};
 
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(200);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// The store is down for long and refills keep coming. Each must be refused at once with a time
-/// to come back, without asking the store for each; once it is back all is well again.
+/// Guards against claims that wait for a store that is down, and against one request to the store
+/// for each of them. Each is rejected at once with a retry delay; after the outage claims succeed.
 #[tokio::test]
-async fn claims_are_refused_without_asking_a_store_that_is_down() {
-    refused_while(PlatformMode::Down).await;
+async fn claims_are_rejected_without_requests_to_a_store_that_is_down() {
+    claims_are_rejected_while(PlatformMode::Down).await;
 }
 
-/// The store takes questions and answers none. Only the first refill waits for a timeout.
+/// Guards against claims that each wait for a timeout while the store accepts requests and doesn't
+/// respond. Only the first one waits.
 #[tokio::test]
-async fn claims_are_refused_without_asking_a_store_that_hangs() {
-    refused_while(PlatformMode::BlackHole).await;
+async fn claims_are_rejected_without_requests_to_a_store_that_hangs() {
+    claims_are_rejected_while(PlatformMode::BlackHole).await;
 }
 
-async fn refused_while(mode: PlatformMode) {
+async fn claims_are_rejected_while(mode: PlatformMode) {
     let platform = platform().await;
-    let gate = TestGate::start(&platform, "tampere", ANSWER_TIMEOUT);
-    gate.mine("warm", 1).await.release();
+    let gate = TestGate::start(&platform, "tampere", RESPONSE_TIMEOUT);
+    gate.claim_granted("warm", 1).await.release();
     platform.set_faults(PlatformFaults { mode, ..Default::default() });
     let first = gate.claim("refill", 0).await;
     assert!(matches!(first, ClaimVerdict::StoreUnavailable { .. }), "{first:?}");
     for attempt in 1..2_000 {
-        // Refused without a wait for anything, a look at the store that is under way included.
+        // Rejected without any wait, even while a probe of the store is in progress.
         match gate.claim("refill", attempt).now_or_never() {
             Some(ClaimVerdict::StoreUnavailable { retry_after }) => assert!(!retry_after.is_zero()),
             other => panic!("{other:?}"),
@@ -40,26 +41,26 @@
         yield_now().await;
     }
     let failed = platform.stats().failed;
-    assert!(failed <= 10, "the store was asked {failed} times for 2,000 refused claims");
+    assert!(failed <= 10, "{failed} requests to the store for 2,000 rejected claims");
     heal(&platform);
-    let _mine = gate.mine_at_last("refill", 5_000).await;
-    eventually("what was left over is done", || state(&platform, "warm").is_none()).await;
+    let _mine = gate.claim_until_granted("refill", 5_000).await;
+    eventually("the pending release is written", || state(&platform, "warm").is_none()).await;
     gate.stop().await;
     platform.stop().await;
 }
 
-/// The store goes away while a refill runs. Its outcome is recorded once the store is back, so
-/// that a resend hears of it.
+/// Guards against an outcome that is lost when the store becomes unavailable during the run. It is
+/// recorded after the outage, so that a resend gets it.
 #[tokio::test]
-async fn an_outcome_waits_for_the_store() {
+async fn an_outcome_is_recorded_after_an_outage() {
     let platform = platform().await;
-    let gate = TestGate::start(&platform, "tampere", ANSWER_TIMEOUT);
-    let running = gate.mine("refill", 1).await.begin_dispatch().expect("there is time");
-    let unused = gate.mine("unused", 2).await;
+    let gate = TestGate::start(&platform, "tampere", RESPONSE_TIMEOUT);
+    let running = gate.claim_granted("refill", 1).await.begin_dispatch().expect("there is time");
+    let unused = gate.claim_granted("unused", 2).await;
     platform.set_faults(PlatformFaults { mode: PlatformMode::Down, ..Default::default() });
     running.record_outcome(outcome());
     unused.release();
-    eventually("the loss is seen", || gate.count("claims.store_lost") == 1).await;
+    eventually("the outage is noticed", || gate.count("claims.store_lost") == 1).await;
     heal(&platform);
     eventually("the outcome is recorded", || {
         gate.count("claims.done") == 1 && state(&platform, "unused").is_none()
@@ -71,11 +72,11 @@
     platform.stop().await;
 }
 
-/// The store is slow, not away. Claims go on, a group in each transaction.
+/// Guards against a slow store that is taken for unavailable. Claims succeed in batches.
 #[tokio::test]
-async fn a_slow_store_slows_claims_and_refuses_none() {
+async fn a_slow_store_delays_claims_and_rejects_none() {
     let platform = platform().await;
-    let gate = TestGate::start(&platform, "tampere", ANSWER_TIMEOUT);
+    let gate = TestGate::start(&platform, "tampere", RESPONSE_TIMEOUT);
     platform.set_faults(PlatformFaults { delay_ms: 60, ..Default::default() });
     let keys: Vec<String> = (0..150).map(|number| format!("refill-{number}")).collect();
     let verdicts = join_all(keys.iter().zip(0..).map(|(key, number)| gate.claim(key, number)));
@@ -87,20 +88,19 @@
     platform.stop().await;
 }
 
-/// An order has run, and the store hangs before its outcome is written. Orders that come after
-/// must be refused at once, but each waited for a timeout, and the store was asked anew all the
-/// while: a transaction without claims was taken for settled, and so the store for well, though
-/// nothing had been heard of it.
+/// Guards against claims that each wait for a timeout when the store hangs before an outcome is
+/// written. A transaction without claims was taken for resolved, which closed the breaker although
+/// the store hadn't responded.
 #[tokio::test]
-async fn an_outcome_that_gets_no_answer_shows_that_the_store_is_away() {
+async fn an_outcome_without_a_response_opens_the_breaker() {
     let platform = platform().await;
-    let gate = TestGate::start(&platform, "tampere", ANSWER_TIMEOUT);
-    let running = gate.mine("refill", 1).await.begin_dispatch().expect("there is time");
+    let gate = TestGate::start(&platform, "tampere", RESPONSE_TIMEOUT);
+    let running = gate.claim_granted("refill", 1).await.begin_dispatch().expect("there is time");
     platform.set_faults(PlatformFaults { mode: PlatformMode::BlackHole, ..Default::default() });
     let batches_before = gate.count("claims.batches");
     running.record_outcome(outcome());
-    eventually("the loss is seen", || gate.count("claims.store_lost") == 1).await;
-    sleep(ANSWER_TIMEOUT * 4).await;
+    eventually("the outage is noticed", || gate.count("claims.store_lost") == 1).await;
+    sleep(RESPONSE_TIMEOUT * 4).await;
     assert_eq!(gate.count("claims.store_back"), 0);
     assert_eq!(gate.count("claims.batches"), batches_before + 1);
     match gate.claim("other", 2).now_or_never() {
--- a/crates/yuccarackd/tests/claims/support.rs
+++ b/crates/yuccarackd/tests/claims/support.rs
@@ -1,4 +1,4 @@
-//! A platform with faults to order, and gates' keepers beside it.
+//! A platform with injected faults, and the claim trackers of gates that use it.
 
 use std::{
     net::SocketAddr,
@@ -22,10 +22,10 @@
 pub const SERVICE: &str = "refills";
 /// Fingerprint of all requests that are the same.
 pub const FINGERPRINT: u64 = 7;
-/// Longest wait for anything; generous, since nothing is measured by it.
+/// Longest wait for a condition; generous, since no duration is checked.
 const WAIT_MAX: Duration = Duration::from_secs(20);
 
-/// One gate's keeper of claims.
+/// Claim tracker of one gate.
 pub struct TestGate {
     pub tracker: ClaimTracker,
     pub counters: Counters,
@@ -34,31 +34,31 @@
 }
 
 impl TestGate {
-    /// Starts a gate that waits `answer_timeout` for the platform.
-    pub fn start(platform: &Platform, name: &str, answer_timeout: Duration) -> Self {
+    /// Starts a gate whose platform client has the timeout `response_timeout`.
+    pub fn start(platform: &Platform, name: &str, response_timeout: Duration) -> Self {
         let (tasks, stop) = (TaskTracker::new(), CancellationToken::new());
         let counters = Counters::new();
-        let client = PlatformClient::new(platform.address(), answer_timeout);
+        let client = PlatformClient::new(platform.address(), response_timeout);
         let tracker =
             ClaimTracker::start(client, name.to_owned(), counters.clone(), &tasks, stop.clone());
         Self { tracker, counters, tasks, stop }
     }
 
-    /// Claims `key` for `attempt`, giving up after a generous while.
+    /// Claims `key` for `attempt` and waits up to [`WAIT_MAX`].
     pub async fn claim(&self, key: &str, attempt: AttemptId) -> ClaimVerdict {
         self.tracker.claim(request(key, attempt)).await
     }
 
-    /// Claims `key`, which nobody holds.
-    pub async fn mine(&self, key: &str, attempt: AttemptId) -> Claim {
+    /// Claims `key`, which must be free.
+    pub async fn claim_granted(&self, key: &str, attempt: AttemptId) -> Claim {
         match self.claim(key, attempt).await {
             ClaimVerdict::Granted(claim) => claim,
-            other => panic!("{key} was to be free, and is {other:?}"),
+            other => panic!("{key} should be free, but its verdict is {other:?}"),
         }
     }
 
-    /// Claims `key` again and again until it is had.
-    pub async fn mine_at_last(&self, key: &str, attempt: AttemptId) -> Claim {
+    /// Claims `key` repeatedly until it is granted.
+    pub async fn claim_until_granted(&self, key: &str, attempt: AttemptId) -> Claim {
         let trying = async {
             loop {
                 if let ClaimVerdict::Granted(claim) = self.claim(key, attempt).await {
@@ -67,15 +67,15 @@
                 sleep(Duration::from_millis(10)).await;
             }
         };
-        timeout(WAIT_MAX, trying).await.expect("the key is free at last")
+        timeout(WAIT_MAX, trying).await.expect("the key becomes free")
     }
 
-    /// The counter of `name`.
+    /// Returns the value of the counter `name`.
     pub fn count(&self, name: &str) -> u64 {
         self.counters.snapshot().get(name).copied().unwrap_or(0)
     }
 
-    /// Stops the keeper and joins all it spawned.
+    /// Stops the tracker and joins the tasks it spawned.
     pub async fn stop(self) {
         self.stop.cancel();
         self.tasks.close();
@@ -83,24 +83,24 @@
     }
 }
 
-/// Starts a platform on a port that the kernel gives.
+/// Starts a platform on a port that the kernel chooses.
 pub async fn platform() -> Platform {
     Platform::start(SocketAddr::from(([127, 0, 0, 1], 0))).await.expect("a port is free")
 }
 
-/// A request of `key` that gives up after a generous while.
+/// Returns a claim request for `key` with a dispatch deadline in [`WAIT_MAX`].
 pub fn request(key: &str, attempt: AttemptId) -> ClaimRequest {
     ClaimRequest {
         service: SERVICE.to_owned(),
         key: key.to_owned(),
-        // Attempts are drawn from all 128 bits, more than a JSON number holds.
+        // Attempt ids use all 128 bits, more than a JSON number can represent.
         attempt: AttemptId::MAX - attempt,
         fingerprint: FINGERPRINT,
         dispatch_deadline: Instant::now() + WAIT_MAX,
     }
 }
 
-/// A small outcome.
+/// Returns an outcome with a small body.
 pub fn outcome() -> RecordedOutcome {
     RecordedOutcome {
         status: 201,
@@ -109,13 +109,13 @@
     }
 }
 
-/// The claim's row as it stands in the table.
+/// Returns the claim's row in the table.
 pub fn row(platform: &Platform, key: &str) -> Option<ClaimRow> {
     let row = platform.with_table(|table| table.row(&claim_key(SERVICE, key)))?;
     Some(serde_json::from_value(row.value).expect("the row is a claim"))
 }
 
-/// The claim's state as it stands in the table.
+/// Returns the claim's state in the table.
 pub fn state(platform: &Platform, key: &str) -> Option<ClaimState> {
     row(platform, key).map(|row| row.state)
 }
@@ -128,17 +128,17 @@
         }
     };
     if timeout(WAIT_MAX, polling).await.is_err() {
-        panic!("never came true: {what}");
+        panic!("timeout, not reached: {what}");
     }
 }
 
-/// Waits until a commit of `before` or more bytes has reached the platform.
+/// Waits until the platform has received more than `bytes_before` bytes.
 pub async fn commit_received(platform: &Platform, bytes_before: u64) {
     eventually("a commit reaches the platform", || platform.stats().received_bytes > bytes_before)
         .await;
 }
 
-/// Takes all faults away.
+/// Removes all injected faults.
 pub fn heal(platform: &Platform) {
     platform.set_faults(PlatformFaults::default());
 }
--- a/crates/yuccarackd/tests/claims/verdicts.rs
+++ b/crates/yuccarackd/tests/claims/verdicts.rs
@@ -1,4 +1,4 @@
-//! Who may run a request, with a store that is well.
+//! Verdicts on claims while the store is available.
 
 use std::time::{Duration, Instant};
 
@@ -13,15 +13,15 @@
     FINGERPRINT, SERVICE, TestGate, eventually, outcome, platform, request, state,
 };
 
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A caretaker's page sends the same repair order to two daemons at once; two crews set out if
-/// both gates run it. Cause: two claims of one key meet at the table.
+/// Guards against a request that runs at two gates because it reaches two daemons at the same time
+/// and both claim its key.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn of_two_gates_that_race_on_a_key_one_gets_it() {
+async fn one_of_two_gates_that_race_for_a_key_gets_it() {
     let platform = platform().await;
-    let sapporo = TestGate::start(&platform, "sapporo", ANSWER_TIMEOUT);
-    let kushiro = TestGate::start(&platform, "kushiro", ANSWER_TIMEOUT);
+    let sapporo = TestGate::start(&platform, "sapporo", RESPONSE_TIMEOUT);
+    let kushiro = TestGate::start(&platform, "kushiro", RESPONSE_TIMEOUT);
     let keys: Vec<String> = (0..200).map(|number| format!("order-{number}")).collect();
     let claims = keys.iter().zip(0..).map(async |(key, number)| {
         let both = tokio::join!(sapporo.claim(key, number), kushiro.claim(key, number + 1_000));
@@ -38,12 +38,12 @@
     platform.stop().await;
 }
 
-/// Refills come in a rush and each has its own key. With a transaction for each the store would
-/// be at its limit; the writer groups them.
+/// Guards against one transaction for each claim, which would overload the store when many requests
+/// with different keys arrive at the same time.
 #[tokio::test]
-async fn a_rush_of_claims_shares_transactions() {
+async fn a_burst_of_claims_shares_transactions() {
     let platform = platform().await;
-    let gate = TestGate::start(&platform, "tampere", ANSWER_TIMEOUT);
+    let gate = TestGate::start(&platform, "tampere", RESPONSE_TIMEOUT);
     let keys: Vec<String> = (0..256).map(|number| format!("refill-{number}")).collect();
     let verdicts = join_all(keys.iter().zip(0..).map(|(key, number)| gate.claim(key, number)));
     for verdict in verdicts.await {
@@ -55,13 +55,13 @@
     platform.stop().await;
 }
 
-/// One key of a group is taken already. Its caller must hear that, and the others must not suffer.
+/// Guards against a claimed key that makes the other claims of its batch fail.
 #[tokio::test]
-async fn a_taken_key_drops_out_of_its_group_alone() {
+async fn a_taken_key_does_not_affect_its_batch() {
     let platform = platform().await;
-    let gate = TestGate::start(&platform, "tampere", ANSWER_TIMEOUT);
-    let other = TestGate::start(&platform, "turku", ANSWER_TIMEOUT);
-    let held = other.mine("refill-3", 99).await.begin_dispatch().expect("there is time");
+    let gate = TestGate::start(&platform, "tampere", RESPONSE_TIMEOUT);
+    let other = TestGate::start(&platform, "turku", RESPONSE_TIMEOUT);
+    let held = other.claim_granted("refill-3", 99).await.begin_dispatch().expect("there is time");
     let keys: Vec<String> = (0..10).map(|number| format!("refill-{number}")).collect();
     let verdicts = join_all(keys.iter().zip(0..).map(|(key, number)| gate.claim(key, number)));
     for (number, verdict) in verdicts.await.into_iter().enumerate() {
@@ -76,14 +76,14 @@
     platform.stop().await;
 }
 
-/// A technician's van loses the network after sending a refill and the app sends it again, through
-/// another daemon: while it runs it isn't run again, afterwards its outcome is told.
+/// Guards against a second run of a request that is sent again through another daemon, after its
+/// caller lost the connection. The resend gets "in progress" during the run and the outcome later.
 #[tokio::test]
-async fn a_resend_hears_of_the_run_and_then_of_its_outcome() {
+async fn a_resend_gets_in_progress_and_then_the_outcome() {
     let platform = platform().await;
-    let first = TestGate::start(&platform, "tampere", ANSWER_TIMEOUT);
-    let second = TestGate::start(&platform, "turku", ANSWER_TIMEOUT);
-    let running = first.mine("refill", 1).await.begin_dispatch().expect("there is time");
+    let first = TestGate::start(&platform, "tampere", RESPONSE_TIMEOUT);
+    let second = TestGate::start(&platform, "turku", RESPONSE_TIMEOUT);
+    let running = first.claim_granted("refill", 1).await.begin_dispatch().expect("there is time");
     let during = second.claim("refill", 2).await;
     assert!(matches!(during, ClaimVerdict::InProgress), "{during:?}");
     running.record_outcome(outcome());
@@ -98,12 +98,13 @@
     platform.stop().await;
 }
 
-/// A body over 4 KiB isn't kept, the status is: the resend must still hear that it has run.
+/// Guards against a resend that isn't answered as run because the body is over 4 KiB. The status is
+/// recorded without the body.
 #[tokio::test]
-async fn a_large_body_is_left_out_of_the_record() {
+async fn a_large_body_is_not_recorded() {
     let platform = platform().await;
-    let gate = TestGate::start(&platform, "tampere", ANSWER_TIMEOUT);
-    let running = gate.mine("invoice", 1).await.begin_dispatch().expect("there is time");
+    let gate = TestGate::start(&platform, "tampere", RESPONSE_TIMEOUT);
+    let running = gate.claim_granted("invoice", 1).await.begin_dispatch().expect("there is time");
     let mut large = outcome();
     large.body = Some(vec![b'x'; 4 * 1024 + 1]);
     running.record_outcome(large);
@@ -119,13 +120,13 @@
     platform.stop().await;
 }
 
-/// An app uses one key for two different refills. The second must neither run nor get the first
-/// one's outcome, as that would tell a kitchen of drums that nobody ordered.
+/// Guards against a request that gets the outcome of another one, when a caller uses one key for
+/// two different requests.
 #[tokio::test]
-async fn a_key_of_another_request_is_refused_open_and_done() {
+async fn a_reused_key_is_refused_before_and_after_the_run() {
     let platform = platform().await;
-    let gate = TestGate::start(&platform, "tampere", ANSWER_TIMEOUT);
-    let running = gate.mine("refill", 1).await.begin_dispatch().expect("there is time");
+    let gate = TestGate::start(&platform, "tampere", RESPONSE_TIMEOUT);
+    let running = gate.claim_granted("refill", 1).await.begin_dispatch().expect("there is time");
     let mut other = request("refill", 2);
     other.fingerprint = FINGERPRINT + 1;
     let open = gate.tracker.claim(other.clone()).await;
@@ -139,43 +140,45 @@
     platform.stop().await;
 }
 
-/// The target refuses the connection, nothing of the repair order was handed over, and the
-/// caller sends it again: it must run now, as otherwise it is lost in silence.
+/// Guards against a request that is lost because its key stays claimed after the target refused the
+/// connection and nothing was sent.
 #[tokio::test]
 async fn a_released_key_can_be_claimed_again() {
     let platform = platform().await;
-    let first = TestGate::start(&platform, "sapporo", ANSWER_TIMEOUT);
-    let second = TestGate::start(&platform, "kushiro", ANSWER_TIMEOUT);
-    first.mine("repair", 1).await.release();
-    second.mine_at_last("repair", 2).await.release();
-    let shed = first.mine_at_last("repair", 3).await.begin_dispatch().expect("there is time");
+    let first = TestGate::start(&platform, "sapporo", RESPONSE_TIMEOUT);
+    let second = TestGate::start(&platform, "kushiro", RESPONSE_TIMEOUT);
+    first.claim_granted("repair", 1).await.release();
+    second.claim_until_granted("repair", 2).await.release();
+    let shed =
+        first.claim_until_granted("repair", 3).await.begin_dispatch().expect("there is time");
     shed.release_not_run();
-    let _held = second.mine_at_last("repair", 4).await;
+    let _held = second.claim_until_granted("repair", 4).await;
     first.stop().await;
     second.stop().await;
     platform.stop().await;
 }
 
-/// A caller hangs up while its order waits for a slot. The call's future is dropped with the
-/// claim in it, and the order must not stay claimed for good although it never ran.
+/// Guards against a key that stays claimed for good although nothing ran: a caller disconnects
+/// while its request waits for a slot, and the call's future is dropped with the claim.
 #[tokio::test]
-async fn a_claim_dropped_before_the_hand_over_is_released() {
+async fn a_claim_dropped_before_dispatch_is_released() {
     let platform = platform().await;
-    let gate = TestGate::start(&platform, "sapporo", ANSWER_TIMEOUT);
-    drop(gate.mine("repair", 1).await);
-    eventually("the row is gone", || state(&platform, "repair").is_none()).await;
+    let gate = TestGate::start(&platform, "sapporo", RESPONSE_TIMEOUT);
+    drop(gate.claim_granted("repair", 1).await);
+    eventually("the row is deleted", || state(&platform, "repair").is_none()).await;
     gate.stop().await;
     platform.stop().await;
 }
 
-/// A caller hangs up while its claim is on the way to the table; the claim comes back to nobody.
+/// Guards against a key that stays claimed for good because the caller disconnects while the claim
+/// is being written.
 #[tokio::test]
-async fn a_claim_that_nobody_waits_for_is_released() {
+async fn a_claim_without_a_waiting_call_is_released() {
     let platform = platform().await;
-    let gate = TestGate::start(&platform, "sapporo", ANSWER_TIMEOUT);
-    // Warms the fence row up, so that the next commit is the claim's.
-    gate.mine("warm", 1).await.release();
-    eventually("the fence is up", || state(&platform, "warm").is_none()).await;
+    let gate = TestGate::start(&platform, "sapporo", RESPONSE_TIMEOUT);
+    // Writes the fence row, so that the next commit is that of the claim.
+    gate.claim_granted("warm", 1).await.release();
+    eventually("the first claim is released", || state(&platform, "warm").is_none()).await;
     platform.set_faults(yuccarack_standins::platform::PlatformFaults {
         delay_ms: 300,
         ..Default::default()
@@ -186,20 +189,20 @@
     super::support::commit_received(&platform, bytes_before).await;
     call.abort();
     super::support::heal(&platform);
-    eventually("the row was there", || gate.count("claims.undelivered") == 1).await;
-    eventually("the row is gone", || state(&platform, "repair").is_none()).await;
+    eventually("the row was written", || gate.count("claims.undelivered") == 1).await;
+    eventually("the row is deleted", || state(&platform, "repair").is_none()).await;
     gate.stop().await;
     platform.stop().await;
 }
 
-/// A gate dies in the middle of an invoice run. Nobody knows what the target did, so no other
-/// gate may run it, now or later.
+/// Guards against a second run of a request whose gate stopped during the run. The outcome is
+/// unknown, so no other gate may ever run it.
 #[tokio::test]
-async fn a_claim_dropped_after_the_hand_over_stays_open() {
+async fn a_claim_dropped_after_dispatch_stays_open() {
     let platform = platform().await;
-    let first = TestGate::start(&platform, "tampere", ANSWER_TIMEOUT);
-    let second = TestGate::start(&platform, "turku", ANSWER_TIMEOUT);
-    drop(first.mine("invoice", 1).await.begin_dispatch().expect("there is time"));
+    let first = TestGate::start(&platform, "tampere", RESPONSE_TIMEOUT);
+    let second = TestGate::start(&platform, "turku", RESPONSE_TIMEOUT);
+    drop(first.claim_granted("invoice", 1).await.begin_dispatch().expect("there is time"));
     first.stop().await;
     for attempt in 2..20 {
         let verdict = second.claim("invoice", attempt).await;
@@ -209,57 +212,61 @@
     platform.stop().await;
 }
 
-/// A gate is frozen with a claim in its hand. Its caller gives up, the operator releases the key,
-/// a resend runs elsewhere, and the gate wakes up: it must not run the order a second time.
+/// Guards against a second run by a gate that is frozen while it holds a claim: its caller gives
+/// up, an operator releases the key, a resend runs elsewhere, and then the gate resumes.
 #[tokio::test]
-async fn a_holder_that_wakes_up_after_its_deadline_hands_nothing_over() {
+async fn a_resumed_gate_dispatches_nothing_after_its_deadline() {
     let platform = platform().await;
-    let frozen = TestGate::start(&platform, "sapporo", ANSWER_TIMEOUT);
-    let other = TestGate::start(&platform, "kushiro", ANSWER_TIMEOUT);
+    let frozen = TestGate::start(&platform, "sapporo", RESPONSE_TIMEOUT);
+    let other = TestGate::start(&platform, "kushiro", RESPONSE_TIMEOUT);
     let mut short = request("repair", 1);
     short.dispatch_deadline = Instant::now() + Duration::from_millis(500);
     let dispatch_deadline = short.dispatch_deadline;
     let ClaimVerdict::Granted(held) = frozen.tracker.claim(short).await else {
-        panic!("the key was to be free");
+        panic!("the key should be free");
     };
     tokio::time::sleep_until(dispatch_deadline.into()).await;
     operator_releases(&platform, "repair");
-    let resend = other.mine("repair", 2).await.begin_dispatch().expect("there is time");
-    assert!(held.begin_dispatch().is_none(), "the woken gate would run it too");
+    let resend = other.claim_granted("repair", 2).await.begin_dispatch().expect("there is time");
+    assert!(held.begin_dispatch().is_none(), "the resumed gate would run it too");
     frozen.stop().await;
-    assert_eq!(state(&platform, "repair"), Some(ClaimState::Open), "the resend's claim stands");
+    assert_eq!(
+        state(&platform, "repair"),
+        Some(ClaimState::Open),
+        "the resend's claim is unchanged"
+    );
     resend.record_outcome(outcome());
     other.stop().await;
     assert_eq!(state(&platform, "repair"), Some(ClaimState::Done));
     platform.stop().await;
 }
 
-/// An operator releases a key of a gate that was thought dead; a resend claims it; the old gate
-/// then records its outcome. The record of the one must not pass for the other's.
+/// Guards against the outcome of one attempt that is recorded for another: an operator releases the
+/// key of a gate that seems dead, a resend claims it, and then the first gate records its outcome.
 #[tokio::test]
-async fn a_late_record_leaves_a_later_claim_alone() {
+async fn a_late_outcome_does_not_overwrite_a_later_claim() {
     let platform = platform().await;
-    let old = TestGate::start(&platform, "tampere", ANSWER_TIMEOUT);
-    let new = TestGate::start(&platform, "turku", ANSWER_TIMEOUT);
-    let forgotten = old.mine("refill", 1).await.begin_dispatch().expect("there is time");
+    let old = TestGate::start(&platform, "tampere", RESPONSE_TIMEOUT);
+    let new = TestGate::start(&platform, "turku", RESPONSE_TIMEOUT);
+    let forgotten = old.claim_granted("refill", 1).await.begin_dispatch().expect("there is time");
     operator_releases(&platform, "refill");
-    let _running = new.mine("refill", 2).await.begin_dispatch().expect("there is time");
+    let _running = new.claim_granted("refill", 2).await.begin_dispatch().expect("there is time");
     forgotten.record_outcome(outcome());
-    eventually("the record is moot", || old.count("claims.upkeep_moot") == 1).await;
+    eventually("the late outcome is dropped", || old.count("claims.upkeep_moot") == 1).await;
     assert_eq!(state(&platform, "refill"), Some(ClaimState::Open));
     old.stop().await;
     new.stop().await;
     platform.stop().await;
 }
 
-/// A daemon is stopped right after an order has run. Its outcome must be in the table when the
-/// daemon has ended, else the order stays unknown for good.
+/// Guards against an outcome that stays unknown for good because the daemon stops right after the
+/// run, before the outcome is written.
 #[tokio::test]
-async fn a_stopping_keeper_writes_what_it_has() {
+async fn a_stopping_tracker_writes_pending_outcomes() {
     let platform = platform().await;
-    let gate = TestGate::start(&platform, "tampere", ANSWER_TIMEOUT);
-    let running = gate.mine("refill", 1).await.begin_dispatch().expect("there is time");
-    let unused = gate.mine("other", 2).await;
+    let gate = TestGate::start(&platform, "tampere", RESPONSE_TIMEOUT);
+    let running = gate.claim_granted("refill", 1).await.begin_dispatch().expect("there is time");
+    let unused = gate.claim_granted("other", 2).await;
     running.record_outcome(outcome());
     unused.release();
     gate.stop().await;
@@ -268,9 +275,9 @@
     platform.stop().await;
 }
 
-/// As `yuccarackctl claim release` does it.
+/// Releases a key as `yuccarackctl claim release` does.
 fn operator_releases(platform: &yuccarack_standins::platform::Platform, key: &str) {
     let writes = vec![Write::delete(claim_key(SERVICE, key))];
     let commit = Commit { conditions: Vec::new(), writes };
-    platform.with_table(|table| table.commit(commit)).expect("it asks for nothing");
+    platform.with_table(|table| table.commit(commit)).expect("the commit has no conditions");
 }
--- a/crates/yuccarackd/tests/claims/walk.rs
+++ b/crates/yuccarackd/tests/claims/walk.rs
@@ -1,4 +1,4 @@
-//! Random walks over claims, faults and ends, against a model of who may have run.
+//! Random sequences of claims, faults and outcomes, checked against a model of which key has run.
 
 use std::time::Duration;
 
@@ -14,8 +14,9 @@
 const STEPS_MAX: usize = 40;
 const WALKS: u64 = 100;
 const SEED: u64 = 0x1ce_c1a1;
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(25);
-/// Longer than the answer's timeout, so that such a write lands after it was given up.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(25);
+/// Delay of a late write. It exceeds the response timeout, so that the write takes effect after it
+/// was abandoned.
 const LATE_MS: u64 = 60;
 
 #[derive(Clone, Copy, Debug)]
@@ -23,11 +24,11 @@
     Claim { gate: usize, key: usize },
     HangUp,
     Settle,
-    HandOver,
+    Dispatch,
     Release,
     Done,
     Shed,
-    Die,
+    Abandon,
     LoseAnswer,
     Late,
     Down,
@@ -42,12 +43,12 @@
         let others = [
             Step::HangUp,
             Step::Settle,
-            Step::HandOver,
-            Step::HandOver,
+            Step::Dispatch,
+            Step::Dispatch,
             Step::Release,
             Step::Done,
             Step::Shed,
-            Step::Die,
+            Step::Abandon,
             Step::LoseAnswer,
             Step::LoseAnswer,
             Step::Late,
@@ -69,9 +70,9 @@
     usize::arbitrary(g) % below
 }
 
-/// What is known of one key from outside.
+/// State of one key in the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Known {
+enum KnownState {
     NeverRan,
     Running,
     Done,
@@ -81,10 +82,10 @@
 struct Walk {
     platform: Platform,
     gates: Vec<TestGate>,
-    asked: Vec<(usize, JoinHandle<ClaimVerdict>)>,
+    calls: Vec<(usize, JoinHandle<ClaimVerdict>)>,
     held: Vec<(usize, Claim)>,
     running: Vec<(usize, RunningClaim)>,
-    known: [Known; KEYS],
+    states: [KnownState; KEYS],
     attempt: u128,
 }
 
@@ -92,33 +93,33 @@
     async fn start() -> Self {
         let platform = platform().await;
         let gates = (0..GATES)
-            .map(|gate| TestGate::start(&platform, &format!("gate-{gate}"), ANSWER_TIMEOUT))
+            .map(|gate| TestGate::start(&platform, &format!("gate-{gate}"), RESPONSE_TIMEOUT))
             .collect();
         Self {
             platform,
             gates,
-            asked: Vec::new(),
+            calls: Vec::new(),
             held: Vec::new(),
             running: Vec::new(),
-            known: [Known::NeverRan; KEYS],
+            states: [KnownState::NeverRan; KEYS],
             attempt: 0,
         }
     }
 
-    async fn take(&mut self, step: Step) {
+    async fn run_step(&mut self, step: Step) {
         match step {
-            Step::Claim { gate, key } => self.ask(gate, key),
+            Step::Claim { gate, key } => self.start_claim(gate, key),
             Step::HangUp => {
-                if let Some((_, call)) = self.asked.pop() {
+                if let Some((_, call)) = self.calls.pop() {
                     call.abort();
                 }
             }
             Step::Settle => self.settle().await,
-            Step::HandOver => self.begin_dispatch(),
+            Step::Dispatch => self.dispatch(),
             Step::Release => drop(self.held.pop()),
-            Step::Done => self.end(Known::Done, |claim| claim.record_outcome(outcome())),
-            Step::Shed => self.end(Known::NeverRan, RunningClaim::release_not_run),
-            Step::Die => self.end(Known::Unknown, drop),
+            Step::Done => self.end(KnownState::Done, |claim| claim.record_outcome(outcome())),
+            Step::Shed => self.end(KnownState::NeverRan, RunningClaim::release_not_run),
+            Step::Abandon => self.end(KnownState::Unknown, drop),
             Step::LoseAnswer => {
                 self.fault(PlatformFaults { lose_answers: 1, ..Default::default() });
             }
@@ -142,44 +143,44 @@
         self.platform.set_faults(faults);
     }
 
-    fn ask(&mut self, gate: usize, key: usize) {
+    fn start_claim(&mut self, gate: usize, key: usize) {
         self.attempt += 1;
         let request = request(&name(key), self.attempt);
         let tracker = self.gates[gate].tracker.clone();
-        self.asked.push((key, tokio::spawn(async move { tracker.claim(request).await })));
+        self.calls.push((key, tokio::spawn(async move { tracker.claim(request).await })));
     }
 
     async fn settle(&mut self) {
-        // So that a call whose store is away for good doesn't wait for its deadline.
+        // Ends an outage, so that calls don't wait for their deadlines.
         heal(&self.platform);
-        for (key, call) in std::mem::take(&mut self.asked) {
+        for (key, call) in std::mem::take(&mut self.calls) {
             if let Ok(ClaimVerdict::Granted(claim)) = call.await {
                 self.held.push((key, claim));
             }
         }
     }
 
-    fn begin_dispatch(&mut self) {
+    fn dispatch(&mut self) {
         let Some((key, claim)) = self.held.pop() else { return };
         let Some(running) = claim.begin_dispatch() else { return };
-        assert_eq!(self.known[key], Known::NeverRan, "{} runs a second time", name(key));
-        self.known[key] = Known::Running;
+        assert_eq!(self.states[key], KnownState::NeverRan, "{} runs a second time", name(key));
+        self.states[key] = KnownState::Running;
         self.running.push((key, running));
     }
 
-    fn end(&mut self, known: Known, how: impl FnOnce(RunningClaim)) {
+    fn end(&mut self, state: KnownState, end: impl FnOnce(RunningClaim)) {
         if let Some((key, claim)) = self.running.pop() {
-            self.known[key] = known;
-            how(claim);
+            self.states[key] = state;
+            end(claim);
         }
     }
 
-    /// Ends the walk: with the faults over, each key stands as the model says, nothing is lost.
+    /// Ends the walk and checks that without faults each key is in the state of the model.
     async fn finish(mut self) {
         self.settle().await;
         self.held.clear();
         while !self.running.is_empty() {
-            self.end(Known::Done, |claim| claim.record_outcome(outcome()));
+            self.end(KnownState::Done, |claim| claim.record_outcome(outcome()));
         }
         for key in 0..KEYS {
             self.check(key).await;
@@ -193,18 +194,18 @@
     async fn check(&self, key: usize) {
         let gate = &self.gates[key % GATES];
         for attempt in 10_000..12_000 {
-            match (gate.claim(&name(key), attempt).await, self.known[key]) {
-                (ClaimVerdict::Granted(_), Known::NeverRan)
-                | (ClaimVerdict::Recorded(_), Known::Done) => return,
-                (ClaimVerdict::InProgress, Known::Unknown) if attempt > 10_005 => return,
+            match (gate.claim(&name(key), attempt).await, self.states[key]) {
+                (ClaimVerdict::Granted(_), KnownState::NeverRan)
+                | (ClaimVerdict::Recorded(_), KnownState::Done) => return,
+                (ClaimVerdict::InProgress, KnownState::Unknown) if attempt > 10_005 => return,
                 (ClaimVerdict::InProgress | ClaimVerdict::StoreUnavailable { .. }, _) => {}
-                (verdict, known) => {
-                    panic!("{} is {known:?}, the table says {verdict:?}", name(key))
+                (verdict, state) => {
+                    panic!("{} is {state:?}, the table has {verdict:?}", name(key))
                 }
             }
             sleep(Duration::from_millis(5)).await;
         }
-        panic!("{} never became {:?}", name(key), self.known[key]);
+        panic!("{} never became {:?}", name(key), self.states[key]);
     }
 }
 
@@ -217,19 +218,19 @@
     runtime.expect("a runtime").block_on(async {
         let mut walk = Walk::start().await;
         for step in steps {
-            walk.take(step).await;
+            walk.run_step(step).await;
         }
         walk.finish().await;
     });
     true
 }
 
-/// Orders are claimed at two gates, handed over, shed, ended or cut off, while answers of the
-/// store get lost, its writes land late and it goes away. Whatever the order of things, a key is
-/// handed over once at most, and one that never ran can be run once the faults are over.
+/// Guards against a key that is dispatched twice, and against one that never ran and can't be run
+/// after the faults. Keys are claimed at two gates, dispatched, shed, completed or abandoned, while
+/// responses of the store are lost, its writes take effect late and it is unavailable.
 #[test]
-fn whatever_happens_a_key_runs_once_and_none_is_lost() {
-    let (seed, walks) = (told("YUCCARACK_SEED", SEED), told("YUCCARACK_WALKS", WALKS));
+fn a_key_runs_at_most_once_and_no_key_is_lost() {
+    let (seed, walks) = (env_or("YUCCARACK_SEED", SEED), env_or("YUCCARACK_WALKS", WALKS));
     println!("seed {seed}, {walks} walks");
     QuickCheck::new()
         .tests(walks)
@@ -237,7 +238,7 @@
         .quickcheck(walk as fn(Vec<Step>) -> bool);
 }
 
-/// What a soak sets to walk elsewhere and longer.
-fn told(name: &str, usual: u64) -> u64 {
-    std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(usual)
+/// Returns the environment variable `name`, with which a soak test sets another seed or more walks.
+fn env_or(name: &str, default: u64) -> u64 {
+    std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
--- a/crates/yuccarackd/tests/suspects/fingerprints.rs
+++ b/crates/yuccarackd/tests/suspects/fingerprints.rs
@@ -1,4 +1,4 @@
-//! What requests are recognised by.
+//! Fingerprints of requests.
 
 use yuccarackd::coordination::suspects::fingerprint::{
     FINGERPRINT_BODY_MAX_BYTES, FingerprintParts,
@@ -15,26 +15,28 @@
     }
 }
 
-/// A caller sends its crashing order again under a fresh key: it is the same order.
+/// Guards against a crashing request that isn't recognised when it is sent again with a new key.
 #[test]
-fn a_fresh_key_hides_no_request_whose_body_is_known() {
+fn a_new_key_does_not_change_the_fingerprint_of_a_known_body() {
     let (first, second) = (order(b"2 drums", "a"), order(b"2 drums", "b"));
     assert_eq!(first.fingerprint(), second.fingerprint());
     assert_ne!(first.fingerprint(), order(b"3 drums", "a").fingerprint());
 }
 
-/// Orders whose bodies aren't known would all look alike, and one of them have the others refused.
+/// Guards against equal fingerprints of all requests whose bodies aren't known. One crash would
+/// then have all of them refused.
 #[test]
-fn the_key_tells_requests_of_unknown_bodies_apart() {
+fn the_key_distinguishes_requests_with_unknown_bodies() {
     let streamed = |key| FingerprintParts { content_length: None, ..order(b"", key) };
     assert_ne!(streamed("a").fingerprint(), streamed("b").fingerprint());
     let long = vec![b'x'; FINGERPRINT_BODY_MAX_BYTES + 1];
     assert_ne!(order(&long, "a").fingerprint(), order(&long, "b").fingerprint());
 }
 
-/// Each part counts, and none runs into the next one.
+/// Guards against a part that isn't hashed, and against bytes that move from one part to the next
+/// without a change of the fingerprint.
 #[test]
-fn parts_are_told_apart() {
+fn each_part_changes_the_fingerprint() {
     let whole = order(b"2 drums", "a");
     let others = [
         FingerprintParts { service: "refill", ..whole },
--- a/crates/yuccarackd/tests/suspects/main.rs
+++ b/crates/yuccarackd/tests/suspects/main.rs
@@ -1,4 +1,4 @@
-//! Suspects at several gates of one service, with news between them and a table with faults.
+//! Suspects at several gates of one service that exchange updates and use a table with faults.
 
 mod fingerprints;
 mod support;
--- a/crates/yuccarackd/tests/suspects/support.rs
+++ b/crates/yuccarackd/tests/suspects/support.rs
@@ -1,4 +1,4 @@
-//! Gates of one service that hear each other, beside a platform with faults to order.
+//! Gates of one service that exchange updates, and a platform with injected faults.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -23,15 +23,15 @@
 
 /// Service of all requests.
 pub const SERVICE: &str = "dosing";
-/// Answers of the platform are waited for so long.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(150);
-/// Longest wait for anything; generous, and under the 10 s for which a trial is kept whose caller
-/// hung up, so that a trial that should be given back at once isn't waited for.
+/// Longest wait for a response of the platform.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(150);
+/// Longest wait for a condition. It is shorter than the 10 s for which a trial stays open after its
+/// caller disconnected, so that a trial that should be released at once isn't waited for.
 const WAIT_MAX: Duration = Duration::from_secs(8);
-/// News that may wait.
-const NEWS_MAX: usize = 256;
+/// Most updates that wait to be delivered.
+const UPDATE_QUEUE_MAX: usize = 256;
 
-/// Gates that hear each other's news.
+/// Gates that receive each other's updates.
 pub struct Gates {
     pub platform: Platform,
     pub gates: Vec<SuspectTracker>,
@@ -58,27 +58,27 @@
         gates
     }
 
-    /// Adds a gate, which knows nothing yet, and says its number.
+    /// Adds a gate without any known suspects and returns its number.
     pub fn add(&mut self) -> usize {
         let number = self.gates.len();
-        let (news, mut said) = mpsc::channel(NEWS_MAX);
-        let (update_sender, heard) = mpsc::channel(NEWS_MAX);
+        let (outgoing_sender, mut sent_updates) = mpsc::channel(UPDATE_QUEUE_MAX);
+        let (update_sender, update_receiver) = mpsc::channel(UPDATE_QUEUE_MAX);
         self.update_senders.lock().push(update_sender);
-        let client = PlatformClient::new(self.platform.address(), ANSWER_TIMEOUT);
+        let client = PlatformClient::new(self.platform.address(), RESPONSE_TIMEOUT);
         self.gates.push(SuspectTracker::start(
             client,
             format!("gate-{number}"),
             Counters::new(),
-            news,
-            heard,
+            outgoing_sender,
+            update_receiver,
             &self.tasks,
             self.stop.clone(),
         ));
         let (update_senders, stop) = (self.update_senders.clone(), self.stop.clone());
         self.tasks.spawn(async move {
             loop {
-                let news: UrgentUpdate = tokio::select! {
-                    Some(news) = said.recv() => news,
+                let update: UrgentUpdate = tokio::select! {
+                    Some(update) = sent_updates.recv() => update,
                     () = stop.cancelled() => return,
                 };
                 for (_, update_sender) in update_senders
@@ -87,38 +87,38 @@
                     .enumerate()
                     .filter(|(update_sender, _)| *update_sender != number)
                 {
-                    update_sender.try_send(news.clone()).expect("there is room");
+                    update_sender.try_send(update.clone()).expect("there is room");
                 }
             }
         });
         number
     }
 
-    /// A target died at gate `number` with one request on it, in company.
+    /// Records a target crash at gate `number` with one request in flight that didn't run alone.
     pub async fn record_crash(&self, number: usize, fingerprint: u64) {
         self.gates[number].record_target_crash(SERVICE, vec![(fingerprint, false)]).await;
     }
 
-    /// A target died of a trial.
+    /// Records a target crash at gate `number` with only its running trials in flight.
     pub async fn crash_on_trial(&self, number: usize) {
         self.gates[number].record_target_crash(SERVICE, Vec::new()).await;
     }
 
-    /// Asks for a trial.
+    /// Requests a trial.
     pub async fn begin(&self, number: usize, fingerprint: u64) -> TrialVerdict {
         self.gates[number].begin_trial(SERVICE, fingerprint).await
     }
 
-    /// Asks for a trial, which nobody holds.
-    pub async fn granted(&self, number: usize, fingerprint: u64) -> Trial {
+    /// Requests a trial, which must be free.
+    pub async fn trial_granted(&self, number: usize, fingerprint: u64) -> Trial {
         match self.begin(number, fingerprint).await {
             TrialVerdict::Granted(trial) => trial,
-            other => panic!("the trial was to be free, and is {other:?}"),
+            other => panic!("the trial should be free, but its verdict is {other:?}"),
         }
     }
 
-    /// Asks for a trial again and again.
-    pub async fn granted_at_last(&self, number: usize, fingerprint: u64) -> Trial {
+    /// Requests a trial repeatedly until it is granted.
+    pub async fn trial_until_granted(&self, number: usize, fingerprint: u64) -> Trial {
         let trying = async {
             loop {
                 if let TrialVerdict::Granted(trial) = self.begin(number, fingerprint).await {
@@ -127,16 +127,16 @@
                 sleep(Duration::from_millis(5)).await;
             }
         };
-        timeout(WAIT_MAX, trying).await.expect("the trial is free at last")
+        timeout(WAIT_MAX, trying).await.expect("the trial becomes free")
     }
 
-    /// How gate `number` would let the request run.
+    /// Returns the verdict of gate `number` on the request.
     pub async fn verdict(&self, number: usize, fingerprint: u64) -> Verdict {
         self.gates[number].verdict(SERVICE, fingerprint).await
     }
 
-    /// Waits until all gates think so of the request.
-    pub async fn until_all(&self, what: &str, fingerprint: u64, holds: fn(&Verdict) -> bool) {
+    /// Waits until the verdict of each gate on the request matches `holds`.
+    pub async fn wait_for_all(&self, what: &str, fingerprint: u64, holds: fn(&Verdict) -> bool) {
         let polling = async {
             for number in 0..self.gates.len() {
                 while !holds(&self.verdict(number, fingerprint).await) {
@@ -145,28 +145,30 @@
             }
         };
         if timeout(WAIT_MAX, polling).await.is_err() {
-            panic!("never came true at all gates: {what}");
+            panic!("timeout, not reached at all gates: {what}");
         }
     }
 
-    /// The suspect's row as it stands in the table.
+    /// Returns the suspect's row in the table.
     pub fn row(&self, fingerprint: u64) -> Option<SuspectRow> {
         let key = suspect_key(SERVICE, fingerprint);
         let row = self.platform.with_table(|table| table.row(&key))?;
         Some(serde_json::from_value(row.value).expect("the row is a suspect"))
     }
 
-    /// Lets the time of the suspect's row run out.
-    pub fn let_expire(&self, fingerprint: u64) {
+    /// Makes the suspect's row expire.
+    pub fn expire(&self, fingerprint: u64) {
         let mut row = self.row(fingerprint).expect("there is a row");
         row.expires_at_unix_ms = 1;
-        let value = serde_json::to_value(row).expect("a row has a form");
+        let value = serde_json::to_value(row).expect("a row can be serialized");
         let writes = vec![Write::put(suspect_key(SERVICE, fingerprint), value)];
         let commit = Commit { conditions: Vec::new(), writes };
-        self.platform.with_table(|table| table.commit(commit)).expect("it asks for nothing");
+        self.platform
+            .with_table(|table| table.commit(commit))
+            .expect("the commit has no conditions");
     }
 
-    /// Stops all gates and joins all they spawned.
+    /// Stops all gates and joins the tasks they spawned.
     pub async fn stop(self) {
         self.stop.cancel();
         self.tasks.close();
@@ -183,6 +185,6 @@
         }
     };
     if timeout(WAIT_MAX, polling).await.is_err() {
-        panic!("never came true: {what}");
+        panic!("timeout, not reached: {what}");
     }
 }
--- a/crates/yuccarackd/tests/suspects/trials.rs
+++ b/crates/yuccarackd/tests/suspects/trials.rs
@@ -1,4 +1,4 @@
-//! Who may run a suspect, and what becomes of it.
+//! Trials of suspects and their outcomes.
 
 use futures_util::future::join_all;
 use yuccarack_platform::rows::SuspectState;
@@ -14,219 +14,229 @@
     matches!(verdict, Verdict::Quarantined { .. })
 }
 
-/// The page that crashed a target is reloaded in many browsers at once, each through another
-/// daemon. If two gates try it at the same moment, two more targets fall.
+/// Guards against two crashes by one suspect that is sent through several daemons at the same time,
+/// when more than one gate gets its trial.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn one_gate_of_many_gets_the_trial() {
+async fn one_of_several_gates_gets_the_trial() {
     let gates = Gates::start(4).await;
     for request in 0..50 {
         gates.record_crash(0, request).await;
-        let asked = join_all((0..4).map(|number| gates.begin(number, request))).await;
-        let granted = asked.iter().filter(|asked| matches!(asked, TrialVerdict::Granted(_)));
-        let elsewhere =
-            asked.iter().filter(|asked| matches!(asked, TrialVerdict::OnTrialElsewhere { .. }));
-        assert_eq!((granted.count(), elsewhere.count()), (1, 3), "{asked:?}");
+        let verdicts = join_all((0..4).map(|number| gates.begin(number, request))).await;
+        let granted = verdicts.iter().filter(|verdict| matches!(verdict, TrialVerdict::Granted(_)));
+        let elsewhere = verdicts
+            .iter()
+            .filter(|verdict| matches!(verdict, TrialVerdict::OnTrialElsewhere { .. }));
+        assert_eq!((granted.count(), elsewhere.count()), (1, 3), "{verdicts:?}");
     }
     gates.stop().await;
 }
 
-/// A bystander ran alone and its target lives: nothing may stay on it, at any gate or in the table.
+/// Guards against a request that stays a suspect, at a gate or in the table, after it ran alone
+/// without a crash.
 #[tokio::test]
-async fn a_trial_that_ends_well_clears_everywhere() {
+async fn a_successful_trial_clears_the_request_everywhere() {
     let gates = Gates::start(3).await;
     gates.record_crash(0, REQUEST).await;
-    gates.until_all("suspected", REQUEST, |verdict| *verdict == Verdict::Alone).await;
-    gates.granted(1, REQUEST).await.begin_dispatch().finish();
-    gates.until_all("clear", REQUEST, |verdict| *verdict == Verdict::Clear).await;
-    eventually("the row is gone", || gates.row(REQUEST).is_none()).await;
+    gates.wait_for_all("suspected", REQUEST, |verdict| *verdict == Verdict::Alone).await;
+    gates.trial_granted(1, REQUEST).await.begin_dispatch().finish();
+    gates.wait_for_all("clear", REQUEST, |verdict| *verdict == Verdict::Clear).await;
+    eventually("the row is deleted", || gates.row(REQUEST).is_none()).await;
     gates.stop().await;
 }
 
-/// The second target falls. From then on no gate runs the request, and a daemon that starts later
-/// knows it from the table.
+/// Guards against a gate that runs a request after its second crash. A daemon that starts later
+/// reads the quarantine from the table.
 #[tokio::test]
 async fn a_second_crash_quarantines_everywhere() {
     let mut gates = Gates::start(3).await;
     gates.record_crash(0, REQUEST).await;
-    let running = gates.granted(1, REQUEST).await.begin_dispatch();
+    let running = gates.trial_granted(1, REQUEST).await.begin_dispatch();
     gates.crash_on_trial(1).await;
     drop(running);
-    gates.until_all("quarantined", REQUEST, is_quarantined).await;
-    eventually("the row says so", || {
+    gates.wait_for_all("quarantined", REQUEST, is_quarantined).await;
+    eventually("the row is quarantined", || {
         gates.row(REQUEST).is_some_and(|row| row.state == SuspectState::Quarantined)
     })
     .await;
     let late = gates.add();
-    assert_eq!(gates.verdict(late, REQUEST).await, Verdict::Clear, "it has just started");
+    assert_eq!(
+        gates.verdict(late, REQUEST).await,
+        Verdict::Clear,
+        "the new daemon has an empty cache"
+    );
     gates.gates[late].watch_service(super::support::SERVICE.to_owned());
-    gates.until_all("quarantined at the new daemon too", REQUEST, is_quarantined).await;
+    gates.wait_for_all("quarantined at the new daemon too", REQUEST, is_quarantined).await;
     for number in 0..4 {
-        let asked = gates.begin(number, REQUEST).await;
-        assert!(matches!(asked, TrialVerdict::Quarantined { .. }), "{asked:?}");
+        let verdict = gates.begin(number, REQUEST).await;
+        assert!(matches!(verdict, TrialVerdict::Quarantined { .. }), "{verdict:?}");
     }
     gates.stop().await;
 }
 
-/// A caller hangs up a moment before its request crashes the target, each time. The trial must
-/// count all the same.
+/// Guards against a suspect that is never found because its caller disconnects just before each
+/// crash.
 #[tokio::test]
-async fn a_crash_after_a_hang_up_counts() {
+async fn a_crash_after_the_caller_disconnected_counts() {
     let gates = Gates::start(2).await;
     gates.record_crash(0, REQUEST).await;
-    drop(gates.granted(1, REQUEST).await.begin_dispatch());
-    let asked = gates.begin(0, REQUEST).await;
-    assert!(matches!(asked, TrialVerdict::OnTrialElsewhere { .. }), "{asked:?}");
+    drop(gates.trial_granted(1, REQUEST).await.begin_dispatch());
+    let verdict = gates.begin(0, REQUEST).await;
+    assert!(matches!(verdict, TrialVerdict::OnTrialElsewhere { .. }), "{verdict:?}");
     gates.crash_on_trial(1).await;
-    gates.until_all("quarantined", REQUEST, is_quarantined).await;
+    gates.wait_for_all("quarantined", REQUEST, is_quarantined).await;
     gates.stop().await;
 }
 
-/// The gate refuses a suspect after all, as its target is full. Another gate may try it at once.
+/// Guards against a suspect that stays on trial although its gate didn't run it, for example
+/// because its target was full. Another gate may try it at once.
 #[tokio::test]
-async fn a_trial_of_which_nothing_ran_is_given_back() {
+async fn a_trial_that_did_not_run_is_released() {
     let gates = Gates::start(2).await;
     gates.record_crash(0, REQUEST).await;
-    drop(gates.granted(1, REQUEST).await);
-    let trial = gates.granted_at_last(0, REQUEST).await;
+    drop(gates.trial_granted(1, REQUEST).await);
+    let trial = gates.trial_until_granted(0, REQUEST).await;
     trial.begin_dispatch().finish_not_run();
-    drop(gates.granted_at_last(1, REQUEST).await);
+    drop(gates.trial_until_granted(1, REQUEST).await);
     gates.stop().await;
 }
 
-/// A suspect takes the whole instance with it, daemon included: nobody is left to tell. The trial
-/// that never ended counts as the second crash.
+/// Guards against a suspect that crashes the complete instance with its daemon, so that no gate
+/// reports the crash. The trial that expired without an end counts as the second crash.
 #[tokio::test]
-async fn a_trial_that_nobody_ends_counts_as_a_crash() {
+async fn an_expired_trial_counts_as_a_crash() {
     let gates = Gates::start(3).await;
     gates.record_crash(0, REQUEST).await;
-    let _running = gates.granted(1, REQUEST).await.begin_dispatch();
-    gates.let_expire(REQUEST);
-    let asked = gates.begin(2, REQUEST).await;
-    assert!(matches!(asked, TrialVerdict::Quarantined { .. }), "{asked:?}");
-    eventually("the row says so", || {
+    let _running = gates.trial_granted(1, REQUEST).await.begin_dispatch();
+    gates.expire(REQUEST);
+    let verdict = gates.begin(2, REQUEST).await;
+    assert!(matches!(verdict, TrialVerdict::Quarantined { .. }), "{verdict:?}");
+    eventually("the row is quarantined", || {
         gates.row(REQUEST).is_some_and(|row| row.state == SuspectState::Quarantined)
     })
     .await;
     gates.stop().await;
 }
 
-/// A request is on two targets at once, in company on both, and both fall. It is no bystander.
+/// Guards against a third crash by a request that was in flight on two targets that crashed at the
+/// same time, with other requests on both.
 #[tokio::test]
-async fn two_deaths_at_once_quarantine() {
+async fn two_crashes_at_the_same_time_quarantine() {
     let gates = Gates::start(3).await;
     tokio::join!(gates.record_crash(0, REQUEST), gates.record_crash(1, REQUEST));
-    gates.until_all("quarantined", REQUEST, is_quarantined).await;
+    gates.wait_for_all("quarantined", REQUEST, is_quarantined).await;
     gates.stop().await;
 }
 
-/// Ten minutes later the quarantine is over. The request is tried alone once more, and a target
-/// that lives clears it.
+/// Guards against a request that stays quarantined for good. After the quarantine it is tried alone
+/// once more, and cleared if the target doesn't crash.
 #[tokio::test]
-async fn a_served_quarantine_leaves_one_more_trial() {
+async fn an_expired_quarantine_allows_one_more_trial() {
     let gates = Gates::start(2).await;
     gates.record_crash(0, REQUEST).await;
-    let _running = gates.granted(1, REQUEST).await.begin_dispatch();
+    let _running = gates.trial_granted(1, REQUEST).await.begin_dispatch();
     gates.crash_on_trial(1).await;
-    eventually("the row says so", || {
+    eventually("the row is quarantined", || {
         gates.row(REQUEST).is_some_and(|row| row.state == SuspectState::Quarantined)
     })
     .await;
-    gates.let_expire(REQUEST);
+    gates.expire(REQUEST);
     let mut later = gates;
     let fresh = later.add();
-    later.granted(fresh, REQUEST).await.begin_dispatch().finish();
-    eventually("the row is gone", || later.row(REQUEST).is_none()).await;
+    later.trial_granted(fresh, REQUEST).await.begin_dispatch().finish();
+    eventually("the row is deleted", || later.row(REQUEST).is_none()).await;
     later.stop().await;
 }
 
-/// The store is away, so no gate can know whether another one runs the suspect.
+/// Guards against a trial that is granted while the store is unavailable, when no gate can know
+/// whether another one runs the suspect.
 #[tokio::test]
-async fn without_the_store_there_is_no_trial() {
+async fn no_trial_is_granted_without_the_store() {
     let gates = Gates::start(2).await;
     gates.record_crash(0, REQUEST).await;
     for mode in [PlatformMode::Down, PlatformMode::BlackHole] {
         gates.platform.set_faults(PlatformFaults { mode, ..Default::default() });
-        let asked = gates.begin(1, REQUEST).await;
-        assert!(matches!(asked, TrialVerdict::StoreUnavailable { .. }), "{asked:?}");
+        let verdict = gates.begin(1, REQUEST).await;
+        assert!(matches!(verdict, TrialVerdict::StoreUnavailable { .. }), "{verdict:?}");
     }
     gates.platform.set_faults(PlatformFaults::default());
-    drop(gates.granted_at_last(1, REQUEST).await);
+    drop(gates.trial_until_granted(1, REQUEST).await);
     gates.stop().await;
 }
 
-/// The trial's write takes effect and its answer is lost. It is found to be this gate's own.
+/// Guards against a trial that isn't granted because the response to its write is lost. The row
+/// shows that the trial is this gate's own.
 #[tokio::test]
-async fn a_trial_whose_answer_is_lost_is_found() {
+async fn a_trial_with_a_lost_response_is_recognised() {
     let gates = Gates::start(2).await;
     gates.record_crash(0, REQUEST).await;
-    eventually("the death is written", || gates.row(REQUEST).is_some()).await;
+    eventually("the crash is written", || gates.row(REQUEST).is_some()).await;
     gates.platform.set_faults(PlatformFaults { lose_answers: 1, ..Default::default() });
-    let _running = gates.granted(1, REQUEST).await.begin_dispatch();
-    let asked = gates.begin(0, REQUEST).await;
-    assert!(matches!(asked, TrialVerdict::OnTrialElsewhere { .. }), "{asked:?}");
+    let _running = gates.trial_granted(1, REQUEST).await.begin_dispatch();
+    let verdict = gates.begin(0, REQUEST).await;
+    assert!(matches!(verdict, TrialVerdict::OnTrialElsewhere { .. }), "{verdict:?}");
     gates.stop().await;
 }
 
-/// The caller hangs up while the trial's write is on its way, and the write takes effect long
-/// after. The request would be on a trial that nobody runs, and then be quarantined for nothing.
+/// Guards against a request that is quarantined without a crash: its caller disconnects while the
+/// trial is being written, and the write takes effect later, so the trial expires without a run.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_trial_given_up_cannot_take_effect_late() {
+async fn an_abandoned_trial_cannot_take_effect_late() {
     let gates = Gates::start(2).await;
     gates.record_crash(0, REQUEST).await;
-    eventually("the death is written", || gates.row(REQUEST).is_some()).await;
-    // Under the answer's timeout, so that the row can be read.
+    eventually("the crash is written", || gates.row(REQUEST).is_some()).await;
+    // Shorter than the response timeout, so that the row can be read.
     let late = PlatformFaults { delay_ms: 100, late_effect: true, ..Default::default() };
     gates.platform.set_faults(late);
     let tracker = gates.gates[1].clone();
     let call =
         tokio::spawn(async move { tracker.begin_trial(super::support::SERVICE, REQUEST).await });
-    eventually("the write is on its way", || gates.platform.commits_pending() > 0).await;
+    eventually("the write is in progress", || gates.platform.commits_pending() > 0).await;
     call.abort();
     gates.platform.set_faults(PlatformFaults::default());
-    eventually("the late write has landed", || gates.platform.commits_pending() == 0).await;
-    eventually("it is a suspect on no trial", || {
+    eventually("the late write has taken effect", || gates.platform.commits_pending() == 0).await;
+    eventually("it is a suspect without a trial", || {
         let row = gates.row(REQUEST).expect("it is still a suspect");
         (row.state, row.trial) == (SuspectState::Suspected, None)
     })
     .await;
-    drop(gates.granted_at_last(0, REQUEST).await);
+    drop(gates.trial_until_granted(0, REQUEST).await);
     gates.stop().await;
 }
 
-/// The store is away when a target dies, so the death waits to be written. Meanwhile another gate
-/// has tried the bystander, and its target lives. The late word of the death must not put it on
-/// trial again.
+/// Guards against a late crash record that makes a cleared request a suspect again: the store is
+/// unavailable at the crash, and another gate tries and clears the request before the crash is
+/// written.
 #[tokio::test]
-async fn a_death_written_late_doesn_t_blame_a_cleared_request() {
+async fn a_late_crash_record_does_not_make_a_cleared_request_a_suspect() {
     let gates = Gates::start(2).await;
     let down = PlatformFaults { mode: PlatformMode::Down, ..Default::default() };
     gates.platform.set_faults(down);
     gates.record_crash(0, REQUEST).await;
-    // By now the first gate has tried to write and waits for the store.
+    // The first gate has tried to write the crash and waits to retry.
     let failed = gates.platform.stats().failed;
-    eventually("the death can't be written", || gates.platform.stats().failed > failed).await;
+    eventually("the crash can't be written", || gates.platform.stats().failed > failed).await;
     gates.platform.set_faults(PlatformFaults::default());
-    gates.until_all("suspected", REQUEST, |verdict| *verdict == Verdict::Alone).await;
-    gates.granted(1, REQUEST).await.begin_dispatch().finish();
-    gates.until_all("clear", REQUEST, |verdict| *verdict == Verdict::Clear).await;
-    // Another death, written after the first one's turn has come.
+    gates.wait_for_all("suspected", REQUEST, |verdict| *verdict == Verdict::Alone).await;
+    gates.trial_granted(1, REQUEST).await.begin_dispatch().finish();
+    gates.wait_for_all("clear", REQUEST, |verdict| *verdict == Verdict::Clear).await;
+    // Another crash, which is written after the first one was processed.
     gates.record_crash(0, REQUEST + 1).await;
-    eventually("the other death is written", || gates.row(REQUEST + 1).is_some()).await;
-    eventually("the trial's row is gone", || gates.row(REQUEST).is_none()).await;
+    eventually("the other crash is written", || gates.row(REQUEST + 1).is_some()).await;
+    eventually("the trial's row is deleted", || gates.row(REQUEST).is_none()).await;
     assert_eq!(gates.row(REQUEST), None);
     gates.stop().await;
 }
 
-/// A bystander waits at a gate for its trial to begin when another request takes the target down.
-/// It has done nothing, and must not be quarantined for it.
+/// Guards against a request that is quarantined because another one crashes the target while it
+/// waits to be dispatched on trial.
 #[tokio::test]
-async fn a_death_before_the_hand_over_is_not_the_trial_s() {
+async fn a_crash_before_dispatch_does_not_count_against_the_trial() {
     let gates = Gates::start(2).await;
     gates.record_crash(0, REQUEST).await;
-    let waiting = gates.granted(1, REQUEST).await;
+    let waiting = gates.trial_granted(1, REQUEST).await;
     gates.record_crash(1, REQUEST + 1).await;
     drop(waiting);
-    gates.granted_at_last(0, REQUEST).await.begin_dispatch().finish();
-    gates.until_all("clear", REQUEST, |verdict| *verdict == Verdict::Clear).await;
+    gates.trial_until_granted(0, REQUEST).await.begin_dispatch().finish();
+    gates.wait_for_all("clear", REQUEST, |verdict| *verdict == Verdict::Clear).await;
     gates.stop().await;
 }
