--- a/crates/yuccarack_policy/src/admission/queue.rs
+++ b/crates/yuccarack_policy/src/admission/queue.rs
@@ -59,7 +59,7 @@
         self.order.len()
     }
 
-    /// Returns whether the queue has not been empty for at least `after`.
+    /// Returns whether requests have been waiting without a break for at least `after`.
     pub fn is_standing(&self, now: Instant, after: Duration) -> bool {
         self.nonempty_since.is_some_and(|at| now.saturating_duration_since(at) >= after)
     }
