--- a/crates/yuccarackctl/src/admin_client.rs
+++ b/crates/yuccarackctl/src/admin_client.rs
@@ -1,4 +1,4 @@
-//! Asks a daemon at its admin address.
+//! HTTP client for the admin addresses of daemons.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -14,10 +14,10 @@
 
 use crate::errors::CtlError;
 
-/// Most characters of a daemon's refusal that are told on.
+/// Number of characters of an unexpected response body that are included in the error.
 const REFUSAL_CHARS_MAX: usize = 200;
 
-/// Asks daemons; each answer may take as long as it was made with.
+/// Client for the admin addresses of daemons, with a timeout per request.
 #[derive(Clone, Debug)]
 pub struct AdminClient {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -25,17 +25,18 @@
 }
 
 impl AdminClient {
-    /// Makes a client that waits `response_timeout` for each answer.
+    /// Creates a client that waits at most `response_timeout` for each complete response.
     pub fn new(response_timeout: Duration) -> Self {
         let client = Client::builder(TokioExecutor::new()).build(HttpConnector::new());
         Self { client, response_timeout }
     }
 
-    /// Reads `path` of the daemon at `address`; none for what it doesn't know.
+    /// Fetches `path` from the daemon at `address`; returns `None` for status 404.
     ///
     /// # Errors
     ///
-    /// The daemon can't be reached, refused or gave no such answer.
+    /// Returns an error if the daemon is unreachable, refuses the request or sends a body that is
+    /// not a `T`.
     pub async fn get<T: DeserializeOwned>(
         &self,
         address: SocketAddr,
@@ -51,11 +52,11 @@
         }
     }
 
-    /// Tells the daemon at `address` something that has no answer.
+    /// Sends an empty POST request for `path` to the daemon at `address`.
     ///
     /// # Errors
     ///
-    /// The daemon can't be reached or refused.
+    /// Returns an error if the daemon is unreachable or refuses the request.
     pub async fn post(&self, address: SocketAddr, path: &str) -> Result<(), CtlError> {
         let (status, body) = self.send_request(Method::POST, address, path).await?;
         match status.is_success() {
--- a/crates/yuccarackctl/src/commands/apply.rs
+++ b/crates/yuccarackctl/src/commands/apply.rs
@@ -1,4 +1,4 @@
-//! `apply`: brings a rules file into the table, and tells daemons.
+//! `apply`: commits a rules file to the platform's table and notifies daemons.
 
 use std::{net::SocketAddr, path::PathBuf, time::Duration};
 
@@ -20,13 +20,13 @@
 use super::platform_client;
 use crate::{admin_client::AdminClient, errors::CtlError, options::Common, report::Report};
 
-/// Longest wait for one daemon's answer.
+/// Timeout of a request to a daemon.
 const DAEMON_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time between two questions whether rules are in force.
+/// Interval at which daemons are polled for the rules in force.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What is to be applied, by whom.
+/// Arguments of the command.
 #[derive(Clone, Debug)]
 pub(super) struct ApplyRequest {
     pub operator: String,
@@ -35,7 +35,7 @@
     pub file: PathBuf,
 }
 
-/// The part of a daemon's status that tells which rules it has in force.
+/// Part of a daemon's status with the revisions of the rules in force.
 #[derive(Debug, Deserialize)]
 struct DaemonStatus {
     services: Vec<ServiceRevision>,
@@ -55,7 +55,7 @@
     let accepted = accept(&platform, &proposal, deadline).await?;
     let client = AdminClient::new(DAEMON_TIMEOUT);
     for daemon in &common.daemons {
-        // A hint saves a poll's delay and no more: the rules are accepted without it.
+        // The hint only makes daemons poll earlier; they also find the rules without it.
         let _ = client.post(*daemon, "/hint").await;
     }
     if !request.wait {
@@ -68,8 +68,9 @@
     Err(CtlError::NotInForce { revision: accepted.revision, daemons: pending })
 }
 
-/// Without an id of the operator's, the same file has the same id: whoever runs the same command
-/// again, since the tool was killed or its answer got lost, hears the fate of the first run.
+/// Builds the proposal from the file. The apply id defaults to a hash of the file, so that a
+/// repeated command returns the outcome of the first run after the tool was killed or a response
+/// was lost.
 fn read_proposal(request: &ApplyRequest) -> Result<Proposal, CtlError> {
     let file = &request.file;
     let text = std::fs::read(file)
@@ -81,12 +82,12 @@
     Ok(proposal)
 }
 
-/// Refuses a file that is based on a revision still to come.
+/// Rejects a file that is based on a future revision, such as a file from another platform with
+/// higher revisions.
 ///
-/// No service can be newer than such a revision, so the file would undo whatever others changed.
-/// It shows when a file comes from another platform, whose numbers are higher. The revision only
-/// rises, so the check holds when the commit comes later. Without an answer the commit goes on:
-/// the check guards against a slip, not against a race.
+/// No service can be newer than such a revision, so the file would silently overwrite the changes
+/// of others. Revisions only increase, so the result still holds at the later commit. If the
+/// revision can't be read, the commit proceeds: the check guards against mistakes, not races.
 async fn check_based_on(platform: &PlatformClient, proposal: &Proposal) -> Result<(), CtlError> {
     let Ok(rows) = platform.rows(&applied_key(&proposal.apply_id)).await else { return Ok(()) };
     let based_on = proposal.rules.based_on;
@@ -96,7 +97,7 @@
     }
 }
 
-/// Daemons that don't have the rules in force at `deadline`.
+/// Waits until all daemons have the rules in force; returns those that don't at `deadline`.
 async fn wait_in_force(
     client: &AdminClient,
     daemons: &[SocketAddr],
@@ -119,7 +120,8 @@
     }
 }
 
-/// A daemon that doesn't know a service has nothing older of it in force.
+/// Returns whether the daemon has no older rules of the changed services in force. A daemon that
+/// doesn't list a service has no older rules of it.
 async fn is_in_force_at(client: &AdminClient, daemon: SocketAddr, accepted: &AcceptedFile) -> bool {
     let status = client.get::<DaemonStatus>(daemon, "/status").await;
     let Ok(Some(status)) = status else { return false };
@@ -137,7 +139,7 @@
         text.push_str(&format!("\nset {service}"));
     }
     for service in &applied.removed {
-        text.push_str(&format!("\ntook away {service}"));
+        text.push_str(&format!("\nremoved {service}"));
     }
     for daemon in in_force_at {
         text.push_str(&format!("\nin force at {daemon}"));
--- a/crates/yuccarackctl/src/commands/check.rs
+++ b/crates/yuccarackctl/src/commands/check.rs
@@ -1,4 +1,4 @@
-//! `check`: the faults of a rules file or a routing file, without a platform.
+//! `check`: validates a rules file or a routing file without a platform.
 
 use std::path::Path;
 
@@ -7,13 +7,13 @@
 
 use crate::{errors::CtlError, report::Report};
 
-/// Field that only routing files have.
+/// Field that identifies a routing file.
 const ROUTING_FIELD: &str = "routes";
 
 pub(super) fn check(file: &Path) -> Result<Report, CtlError> {
     let unreadable = |source| FileError::Unreadable { path: file.to_owned(), source };
     let text = std::fs::read(file).map_err(unreadable)?;
-    // A file that is no JSON gets its fault from the check of rules.
+    // The syntax error of a file that isn't JSON is reported by the rules parser.
     let parsed: Value = serde_json::from_slice(&text).unwrap_or_default();
     match parsed.get(ROUTING_FIELD) {
         Some(_) => check_routing(file, &text),
--- a/crates/yuccarackctl/src/commands/claim.rs
+++ b/crates/yuccarackctl/src/commands/claim.rs
@@ -1,4 +1,4 @@
-//! `claim`: claims of requests that must not repeat.
+//! `claim`: lists, shows and releases the claims of non-repeatable requests.
 
 use serde_json::json;
 use tokio::time::{Instant, sleep};
@@ -16,10 +16,10 @@
     report::{Report, format_fields, format_table},
 };
 
-/// Wait between two tries to release.
+/// Delay between two attempts to release a claim.
 const RETRY_DELAY: std::time::Duration = std::time::Duration::from_millis(100);
 
-/// A claim as the table has it.
+/// A claim and the revision of its row in the table.
 #[derive(Clone, Debug)]
 struct StoredClaim {
     revision: Revision,
@@ -58,11 +58,11 @@
     }
 }
 
-/// Takes the claim's row away as it was seen, and no later one.
+/// Deletes the row of the claim if it is still at the revision that was read.
 ///
-/// Between the look and the release the holder may have recorded an outcome, or a new attempt may
-/// have claimed the key: releasing that one would let a request run twice. So the row must be at
-/// the revision that the operator saw. An answer that got lost is read back.
+/// The holder may have recorded an outcome since, or a new attempt may have claimed the key:
+/// releasing that claim would let a request run twice. A commit whose response was lost is sent
+/// again, and its conflict shows whether the row was deleted.
 async fn release(
     client: &PlatformClient,
     common: &Common,
@@ -80,8 +80,8 @@
             Ok(_) => return Ok(()),
             Err(PlatformError::Conflict { failed }) => {
                 let revision = failed.first().map_or(0, |failed| failed.revision);
-                // Nobody else takes an open claim's row away without having held it, so an absent
-                // row is the effect of the try whose answer was lost.
+                // Apart from this tool only the holder deletes the row of an open claim, so a
+                // missing row is the effect of the earlier attempt whose response was lost.
                 if is_outcome_unknown && revision == 0 {
                     return Ok(());
                 }
@@ -144,7 +144,8 @@
     ]
 }
 
-/// The attempt as callers and targets see it; the recorded body by its length only.
+/// Returns the claim as JSON, with the attempt id in the form that callers and targets see, and
+/// only the length of the recorded body.
 fn claim_json(row: &ClaimRow) -> serde_json::Value {
     json!({
         "service": row.service,
--- a/crates/yuccarackctl/src/commands/daemons.rs
+++ b/crates/yuccarackctl/src/commands/daemons.rs
@@ -1,4 +1,4 @@
-//! `status`, `targets`, `counters` and `explain`: what daemons know.
+//! `status`, `targets`, `counters` and `explain`: queries to the admin addresses of daemons.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -15,13 +15,13 @@
     report::{Report, format_fields, format_table},
 };
 
-/// Daemons that are asked at once.
+/// Number of daemons that are queried concurrently.
 const CONCURRENT_REQUESTS_MAX: usize = 32;
 
-/// What several daemons said.
+/// Results of a query to several daemons.
 struct DaemonResponses<T> {
     received: Vec<(SocketAddr, T)>,
-    /// Those that know nothing of what was asked.
+    /// Daemons that responded with status 404.
     not_found: Vec<SocketAddr>,
     failed: Vec<(SocketAddr, CtlError)>,
 }
@@ -55,7 +55,7 @@
     })
 }
 
-/// Each daemon remembers its own part only, so those that don't know the request are passed over.
+/// Each daemon records only its own steps, so daemons that don't know the request are left out.
 pub(super) async fn explain(
     common: &Common,
     members: &Members,
@@ -90,7 +90,8 @@
 }
 
 impl<T: Serialize> DaemonResponses<T> {
-    /// Counts those that know nothing of it as failed: they are no daemons, or of another version.
+    /// Counts status 404 as a failure, for paths that every daemon serves: such an address belongs
+    /// to no daemon, or to one of another version.
     fn not_found_as_failed(mut self) -> Self {
         for address in self.not_found.drain(..) {
             self.failed.push((address, CtlError::NotADaemon { address }));
@@ -98,10 +99,10 @@
         self
     }
 
-    /// What was said, and who could not be asked.
+    /// Reports the responses and the failures, with the exit code of the first failure.
     ///
-    /// Operators ask when something has failed, so some daemons are often away: those must not
-    /// hide what the others say. The exit status tells a script that a part is missing.
+    /// Operators often run these commands during an outage. Unreachable daemons must not hide the
+    /// responses of the others, and the exit code shows a script that the result is incomplete.
     fn into_report(mut self, format: impl Fn(&T) -> String) -> Result<Report, CtlError> {
         if self.received.is_empty() && !self.failed.is_empty() {
             return Err(self.failed.remove(0).1);
@@ -124,7 +125,7 @@
     }
 }
 
-/// The services as a table, all else field by field.
+/// Formats the services as a table and all other fields as lines.
 fn format_status(status: &Value) -> String {
     let mut rest = status.clone();
     let services = rest.as_object_mut().and_then(|fields| fields.remove("services"));
@@ -138,7 +139,7 @@
     format!("{}\n{}", format_fields(&rest), format_table(&header, &lines))
 }
 
-/// One line for each step of a call: when, what, and its details.
+/// Formats one line per step of a call: time, event and details.
 fn format_steps(steps: &Value) -> String {
     let Some(steps) = steps.as_array() else { return format_fields(steps) };
     let line = |step: &Value| {
@@ -154,7 +155,7 @@
     steps.iter().map(line).collect::<Vec<_>>().join("\n")
 }
 
-/// A value without the quotes of JSON.
+/// Formats a value, without the JSON quotes if it is a string.
 fn unquoted(value: &Value) -> String {
     value.as_str().map_or_else(|| value.to_string(), str::to_owned)
 }
--- a/crates/yuccarackctl/src/commands/diff.rs
+++ b/crates/yuccarackctl/src/commands/diff.rs
@@ -1,4 +1,4 @@
-//! `diff`: what applying a file would change, and whether it would conflict.
+//! `diff`: shows what applying a rules file would change and where it would conflict.
 
 use std::path::Path;
 
@@ -15,13 +15,13 @@
     report::Report,
 };
 
-/// What a file would do to one service.
+/// Change that a file would make to a service.
 #[derive(Debug, Serialize)]
 struct ServiceChange {
     service: String,
     change: Change,
     fields: Vec<FieldChange>,
-    /// Revision of the service's last change, if that came after the file's `based_on`.
+    /// Revision of the last change of the service, if it is after the file's `based_on`.
     conflict: Option<Revision>,
 }
 
--- a/crates/yuccarackctl/src/commands/history.rs
+++ b/crates/yuccarackctl/src/commands/history.rs
@@ -1,4 +1,4 @@
-//! `history`: the files that were applied.
+//! `history`: lists the applied rules files.
 
 use serde_json::json;
 use yuccarack_config::ids::Revision;
@@ -15,7 +15,7 @@
     report::{Report, format_table},
 };
 
-/// An accepted file with the revision of its commit.
+/// Revision of a commit and the row of the file it applied.
 type HistoryEntry = (Revision, AppliedRow);
 
 pub(super) async fn history(common: &Common, limit: usize, days: u32) -> Result<Report, CtlError> {
@@ -29,13 +29,13 @@
     Ok(Report::new(format_table(&header, &table_rows), json))
 }
 
-/// Reads day after day back from now until there are enough.
+/// Reads the history backwards day by day until it has `limit` entries or is `days` back.
 async fn read_newest(
     platform: &PlatformClient,
     limit: usize,
     days: u32,
 ) -> Result<Vec<HistoryEntry>, CtlError> {
-    // An operator's clock may be ahead of this one by some minutes, and so a day further.
+    // The clock of another operator may be some minutes ahead, and so be in the next day.
     let start_unix_ms = now_unix_ms() + HISTORY_SPAN_MS;
     let mut entries = Vec::new();
     for day in 0..=u64::from(days) {
--- a/crates/yuccarackctl/src/commands/logs.rs
+++ b/crates/yuccarackctl/src/commands/logs.rs
@@ -1,4 +1,4 @@
-//! `explain --logs` and `report`: what log lines of many daemons tell.
+//! `explain --logs` and `report`: evaluate the log files of many daemons.
 
 use std::path::{Path, PathBuf};
 
@@ -28,7 +28,7 @@
     let mut text = format!("{}\n\n{}", lines.join("\n"), trace.explanation(request));
     if omitted_lines > 0 {
         text.push_str(&format!(
-            "\n{omitted_lines} lines of other moments were left out by daemons."
+            "\n{omitted_lines} other log lines were dropped by the rate limits of daemons."
         ));
     }
     let json = json!({
@@ -55,7 +55,8 @@
     let (header, rows) = summary.rows();
     let header: Vec<&str> = header.iter().map(String::as_str).collect();
     let text = format!(
-        "{}\n\n{}\n\n{} lines were left out by daemons, {other_lines} are no lines of a daemon.",
+        "{}\n\n{}\n\n{} log lines were dropped by the rate limits of daemons; {other_lines} lines \
+         are not from a daemon.",
         format_table(&["cause", "calls"], &totals),
         format_table(&header, &rows),
         summary.omitted_lines(),
@@ -65,7 +66,7 @@
     Ok(Report::new(text, json))
 }
 
-/// One line for a person: when and where, what, and its details.
+/// Formats a log line for operators: time, instance, message and details.
 fn format_event(event: &Event) -> String {
     let time = event.ts.time();
     let clock = format!(
@@ -78,7 +79,7 @@
     let mut text = format!("{clock}  {:<24} {}", event.instance, event.msg);
     let details = match serde_json::to_value(event) {
         Ok(details) => details,
-        Err(error) => return format!("{text}  (details can't be shown: {error})"),
+        Err(error) => return format!("{text}  (details can't be formatted: {error})"),
     };
     for (name, value) in details.as_object().into_iter().flatten() {
         let is_shown_before =
--- a/crates/yuccarackctl/src/commands/mod.rs
+++ b/crates/yuccarackctl/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! What each command does.
+//! The commands, one module for each group.
 
 mod apply;
 mod check;
@@ -22,11 +22,11 @@
     report::Report,
 };
 
-/// Does what `command` asks for.
+/// Runs `command` and returns its report.
 ///
 /// # Errors
 ///
-/// See [`CtlError`]; its exit status tells a script.
+/// See [`CtlError`], which also has the exit code.
 pub async fn run(command: Command) -> Result<Report, CtlError> {
     match command {
         Command::Check { file, .. } => check::check(&file),
@@ -58,11 +58,12 @@
 
 fn platform_client(common: &Common) -> Result<PlatformClient, CtlError> {
     let address = common.platform.ok_or(CtlError::NoPlatform)?;
-    // Several tries fit into the time of the whole command.
+    // Leaves time for several attempts within the timeout of the command.
     Ok(PlatformClient::new(address, common.timeout() / 4))
 }
 
-/// The daemons named on the command line, and those that the table names.
+/// Returns the daemons given on the command line and the members of the service in the table.
+/// Malformed member rows are skipped.
 async fn resolve_daemons(common: &Common, members: &Members) -> Result<Vec<SocketAddr>, CtlError> {
     let mut daemons = common.daemons.clone();
     if let Some(service) = &members.members_of {
@@ -80,7 +81,7 @@
     }
 }
 
-/// The accepted rules of all services, as the table has them at one moment.
+/// Reads the accepted rules of all services at one revision of the table.
 async fn read_current_rules(common: &Common) -> Result<CurrentRules, CtlError> {
     let rows = platform_client(common)?.rows(RULES_PREFIX).await?;
     let services = rows.rows.into_iter().map(|row| {
@@ -93,16 +94,16 @@
     Ok(CurrentRules { revision: rows.revision, services })
 }
 
-/// All rules of the table.
+/// Rules of all services at one revision of the table.
 #[derive(Clone, Debug)]
 struct CurrentRules {
-    /// Revision of the table when they were read.
+    /// Revision of the table.
     revision: u64,
-    /// The services, removed ones included.
+    /// All services, including removed ones.
     services: Vec<CurrentService>,
 }
 
-/// One service of the table.
+/// Rules of one service, with the revision of their last change.
 #[derive(Clone, Debug)]
 struct CurrentService {
     name: String,
--- a/crates/yuccarackctl/src/commands/show.rs
+++ b/crates/yuccarackctl/src/commands/show.rs
@@ -1,4 +1,4 @@
-//! `show`: the accepted rules as a file that can be edited and applied.
+//! `show`: prints accepted rules as a file that can be edited and applied.
 
 use yuccarack_config::{ids::ServiceName, rules::RulesFile};
 use yuccarack_platform::{PlatformError, accept::read_back, rows::RulesRow};
@@ -6,7 +6,7 @@
 use super::{platform_client, read_current_rules};
 use crate::{errors::CtlError, options::Common, report::Report};
 
-/// Version of the form of a rules file.
+/// Version of the rules file format.
 const RULES_FILE_FORMAT: u32 = 1;
 
 pub(super) async fn show(common: &Common, services: &[ServiceName]) -> Result<Report, CtlError> {
@@ -31,7 +31,8 @@
     file_report(&file)
 }
 
-/// The file keeps its services and gets the revision of now, so that applying it goes back to it.
+/// Returns an applied file with `based_on` set to the current revision, so that applying it again
+/// restores its rules.
 pub(super) async fn show_applied(common: &Common, apply_id: &str) -> Result<Report, CtlError> {
     let client = platform_client(common)?;
     let not_found = |what: String| CtlError::NotFound { what };
--- a/crates/yuccarackctl/src/difference.rs
+++ b/crates/yuccarackctl/src/difference.rs
@@ -1,16 +1,16 @@
-//! What differs between two values, field by field.
+//! Field-by-field comparison of JSON values.
 
 use serde::Serialize;
 use serde_json::Value;
 
-/// One field that differs.
+/// A field with different values.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct FieldChange {
-    /// Path of the field, like `routes[0].deadline_ms`.
+    /// Path of the field, such as `routes[0].deadline_ms`.
     pub path: String,
-    /// Its value in the table, if it has one there.
+    /// Old value; `None` if the field was added.
     pub old: Option<Value>,
-    /// Its value in the file, if it has one there.
+    /// New value; `None` if the field was removed.
     pub new: Option<Value>,
 }
 
@@ -19,13 +19,13 @@
         match (&self.old, &self.new) {
             (Some(old), Some(new)) => write!(f, "{}: {old} -> {new}", self.path),
             (None, Some(new)) => write!(f, "{}: added {new}", self.path),
-            (Some(old), None) => write!(f, "{}: took away {old}", self.path),
+            (Some(old), None) => write!(f, "{}: removed {old}", self.path),
             (None, None) => write!(f, "{}", self.path),
         }
     }
 }
 
-/// All fields that differ between `old` and `new`.
+/// Returns all fields that differ between `old` and `new`, in the order of `old`, then of `new`.
 pub fn field_changes(old: &Value, new: &Value) -> Vec<FieldChange> {
     let mut changes = Vec::new();
     collect_changes("", Some(old), Some(new), &mut changes);
--- a/crates/yuccarackctl/src/errors.rs
+++ b/crates/yuccarackctl/src/errors.rs
@@ -1,4 +1,4 @@
-//! What can go wrong for an operator, and how a script learns of it.
+//! Errors of commands, with their exit codes and their JSON form for scripts.
 
 use std::{net::SocketAddr, process::ExitCode};
 
@@ -12,123 +12,139 @@
 
 use crate::logs::{ChartError, LogError};
 
-/// Codes by which a command ends.
+/// Exit codes of the tool. Scripts rely on the numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitStatus {
-    /// It was done.
+    /// The command succeeded.
     Ok = 0,
-    /// It failed.
+    /// The command failed for a reason without a code of its own.
     Failed = 1,
-    /// It was asked for in a way that has no meaning.
+    /// The command line is invalid, or a required option or confirmation is missing.
     Usage = 2,
-    /// The file has faults; nothing was applied.
+    /// The file has faults or a `based_on` in the future; nothing was applied.
     InvalidFile = 3,
-    /// Somebody changed the same thing before; nothing was applied.
+    /// The same data was changed in the meantime; nothing was written.
     Conflict = 4,
-    /// The platform is away; nothing was applied.
+    /// The platform is unavailable; nothing was written.
     PlatformUnavailable = 5,
-    /// A daemon can't be reached.
+    /// A daemon is unreachable.
     DaemonUnreachable = 6,
-    /// A write went out and its fate is unknown.
+    /// A write was sent, and whether it took effect is unknown.
     OutcomeUnknown = 7,
 }
 
-/// Why a command did not do what was asked.
+/// Error of a command.
 #[derive(Debug, Error)]
 pub enum CtlError {
-    /// The file can't be read or has faults.
+    /// The rules or routing file can't be read or has faults.
     #[error("{0}")]
     File(#[from] FileError),
-    /// A log can't be read.
+    /// A log file can't be read.
     #[error("{0}")]
     Log(#[from] LogError),
-    /// The chart can't be written.
+    /// The SVG chart can't be written.
     #[error("{0}")]
     Chart(#[from] ChartError),
-    /// The file is based on a revision that the platform hasn't come to.
-    #[error("based_on: found {based_on}, accepted 0 to {revision}, the platform's revision of now")]
+    /// The file is based on a revision that the platform has not reached.
+    #[error(
+        "based_on: found {based_on}, accepted 0 to {revision}, the current revision of the platform"
+    )]
     BasedOnFuture {
-        /// The file's `based_on`.
+        /// Value of `based_on` in the file.
         based_on: Revision,
-        /// The platform's revision.
+        /// Current revision of the platform.
         revision: Revision,
     },
-    /// The file was not accepted, or it isn't known.
+    /// The file was not accepted, or whether it was accepted is unknown.
     #[error("{0}{hint}", hint = accept_hint(.0))]
     Accept(#[from] AcceptError),
-    /// The platform did not answer a question.
-    #[error("platform: {0}")]
+    /// A request to the platform failed.
+    #[error("request to the platform failed: {0}")]
     Platform(#[from] PlatformError),
-    /// The claim's release went out and no answer came.
-    #[error("unknown whether the claim was released; run `yuccarackctl claim show` to find out")]
+    /// The release of the claim was sent, and no response arrived before the deadline.
+    #[error(
+        "no response to the release of the claim; whether it was released is unknown, check with \
+         `yuccarackctl claim show`"
+    )]
     ReleaseOutcomeUnknown,
-    /// The claim changed while it was looked at.
-    #[error("the claim changed, it is at revision {revision} now (0: it is gone)")]
+    /// The claim is at another revision than expected.
+    #[error(
+        "nothing was released: the claim has changed and is now at revision {revision} (0: it no \
+         longer exists)"
+    )]
     ClaimChanged {
-        /// Its revision now.
+        /// Current revision of the claim; 0 if it no longer exists.
         revision: Revision,
     },
-    /// The request has run, so its claim stays.
-    #[error("the request has run and its outcome is recorded; its claim can't be released")]
+    /// The request has run and its outcome is recorded, so its claim can't be released.
+    #[error("nothing was released: the request has run and its outcome is recorded in the claim")]
     ClaimDone,
-    /// A release was asked for without the operator's word.
+    /// The operator did not confirm the release with `--yes`.
     #[error(
-        "nothing was released. Make sure that the gate of instance {instance} is gone, or that the \
-         request's deadline has passed: a gate that is frozen may still hand it over. Once the \
-         target's records show that the request did not run, say so with --yes --revision {revision}"
+        "nothing was released. Make sure that the gate of instance {instance} has exited or that \
+         the request's deadline has passed: a frozen gate may still dispatch the request. If the \
+         target's records also show that the request did not run, confirm with --yes --revision \
+         {revision}"
     )]
     NotConfirmed {
         /// Instance whose gate holds the claim.
         instance: InstanceId,
-        /// The claim's revision.
+        /// Revision of the claim.
         revision: Revision,
     },
-    /// What was asked for isn't there.
-    #[error("{what} is not known")]
+    /// The named object does not exist.
+    #[error("{what} not found")]
     NotFound {
-        /// What was asked for.
+        /// Kind and name of the object, such as `service conditions`.
         what: String,
     },
-    /// A daemon can't be reached or didn't answer in time.
-    #[error("daemon {address} can't be reached")]
+    /// A daemon is unreachable or did not respond in time.
+    #[error(
+        "no response from daemon {address}; check that it runs and that this is its admin address"
+    )]
     DaemonUnreachable {
-        /// Its admin address.
+        /// Admin address of the daemon.
         address: SocketAddr,
     },
-    /// A daemon answered with something else than what was asked for.
-    #[error("daemon {address} answered with status {status}: {body}")]
+    /// A daemon refused a request or sent an unexpected response.
+    #[error("unexpected response from daemon {address}: status {status}: {body}")]
     DaemonRefused {
-        /// Its admin address.
+        /// Admin address of the daemon.
         address: SocketAddr,
-        /// Its HTTP status.
+        /// HTTP status of the response.
         status: u16,
-        /// Its words.
+        /// Start of the response body.
         body: String,
     },
-    /// What answers there doesn't know what every daemon knows.
-    #[error("{address} is no daemon's admin address, or of another version")]
+    /// The address responds, but not to a request that every daemon supports.
+    #[error(
+        "{address} is not the admin address of a daemon, or the daemon has an incompatible version"
+    )]
     NotADaemon {
-        /// The address.
+        /// Address that was queried.
         address: SocketAddr,
     },
-    /// The rules were accepted and are not everywhere in force yet.
-    #[error("accepted at revision {revision}, not seen in force yet at {}", join_addresses(.daemons))]
+    /// The rules were accepted, but some daemons did not report them in force before the deadline.
+    #[error(
+        "accepted at revision {revision}, but not yet reported in force by {}",
+        join_addresses(.daemons)
+    )]
     NotInForce {
         /// Revision of the rules.
         revision: Revision,
-        /// Daemons that don't have it in force, or can't be asked.
+        /// Admin addresses of the daemons that have older rules in force or did not respond.
         daemons: Vec<SocketAddr>,
     },
-    /// No platform was named.
+    /// The command needs a platform address, and none was given.
     #[error("name the platform with --platform ADDR or YUCCARACK_PLATFORM")]
     NoPlatform,
-    /// No daemon was named.
+    /// The command needs a daemon address, and none was given.
     #[error("name a daemon with --daemon ADDR, YUCCARACK_DAEMON or --members-of SERVICE")]
     NoDaemon,
 }
 
 impl CtlError {
-    /// The code by which the command ends.
+    /// Returns the exit code of a command that failed with this error.
     pub fn exit_status(&self) -> ExitStatus {
         match self {
             Self::File(FileError::Invalid(_)) | Self::BasedOnFuture { .. } => {
@@ -151,7 +167,7 @@
         }
     }
 
-    /// The same for scripts.
+    /// Returns the error as JSON for scripts: message, exit code and the values of the error.
     pub fn to_json(&self) -> Value {
         let mut json = json!({
             "error": self.to_string(),
@@ -208,12 +224,12 @@
     }
 }
 
-/// What an operator does next.
+/// Returns the next steps for the operator, to be appended to the message.
 fn accept_hint(error: &AcceptError) -> String {
     match error {
         AcceptError::Conflict { services, .. } => {
             let lines = services.iter().map(|conflict| {
-                format!("\n{} is at revision {}", conflict.service, conflict.revision)
+                format!("\nservice {} is at revision {}", conflict.service, conflict.revision)
             });
             let lines: String = lines.collect();
             format!(
@@ -221,8 +237,8 @@
             )
         }
         AcceptError::UnknownOutcome { apply_id, .. } => format!(
-            "\nrun the same command again: it is safe, and tells; or look for {apply_id} in \
-             `yuccarackctl history`"
+            "\nrun the same command again, which is safe and reports the outcome, or look for \
+             {apply_id} in `yuccarackctl history`"
         ),
         AcceptError::ApplyIdTaken { .. } | AcceptError::NotAccepted(_) => String::new(),
     }
--- a/crates/yuccarackctl/src/lib.rs
+++ b/crates/yuccarackctl/src/lib.rs
@@ -1,4 +1,4 @@
-//! The operators' tool: rules, daemons and claims from the command line.
+//! Commands of `yuccarackctl`, the operators' tool for rules, daemons, claims and logs.
 
 pub mod admin_client;
 pub mod commands;
--- a/crates/yuccarackctl/src/logs/cause.rs
+++ b/crates/yuccarackctl/src/logs/cause.rs
@@ -1,4 +1,4 @@
-//! Why a call failed, as far as its lines tell.
+//! Causes of failed calls, derived from log lines.
 
 use std::fmt;
 
@@ -6,50 +6,50 @@
 
 use super::{Event, EventKind};
 
-/// Words of gates whose targets have no room for a request.
+/// Refusal reasons of gates that have no capacity for a request.
 const NO_CAPACITY_REASONS: [&str; 4] = ["full", "slow", "too_late", "cannot_end_in_time"];
 
-/// Kinds of causes, for tables over many calls.
+/// Cause of a failed call, by which calls are counted.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
-    /// It was answered well.
+    /// The call was answered successfully.
     None,
-    /// Its service had no room in the time that the caller gave.
+    /// The service had no capacity before the deadline of the caller.
     Load,
-    /// Its target answered that it failed.
+    /// The target responded with a failure.
     TargetFailed,
-    /// Its target ended the connection or sent no whole answer of its own.
+    /// The target closed the connection or sent no complete response.
     TargetBroke,
-    /// Its target turned it away.
+    /// The target rejected the request without running it.
     TargetShed,
-    /// It was not answered before its time was over.
+    /// No response arrived before the deadline.
     TooSlow,
-    /// Its target leaves, or has not come yet.
+    /// The targets are draining or not ready yet.
     TargetAway,
-    /// Daemons or targets could not be reached.
+    /// Daemons or targets are unreachable.
     Unreachable,
-    /// No instance was known to serve its service.
+    /// No instance of the service is known.
     NoTarget,
-    /// The daemon knew no routes, or none for it.
+    /// The daemon has no routing table, or no route for the call.
     NoRoute,
-    /// It had crashed targets before.
+    /// The request is quarantined because it crashed targets before.
     CrashesTargets,
-    /// The caller sent what can't be taken.
+    /// The caller sent an invalid request.
     Caller,
-    /// The lines don't tell.
+    /// The cause can't be determined from the log lines.
     Untold,
 }
 
 impl Cause {
-    /// Of a line that tells how a call ended.
+    /// Returns the cause given by a line about the end of a call or of an attempt.
     pub fn from_end(end: &Event) -> Self {
         if end.event == Some(EventKind::CallAnswered) {
             return Self::None;
         }
         let is_not_run = end.outcome.as_deref() == Some("not_run");
         match (end.reason.as_deref(), end.status) {
-            // One gate without room is enough, whatever those said that were away.
+            // One gate without capacity decides, even if others were unreachable.
             (Some(_), _) if is_not_run && has_gate_without_capacity(end) => Self::Load,
             (Some(reason), _) => Self::from_reason(reason),
             (None, Some(_)) => Self::TargetFailed,
@@ -73,48 +73,52 @@
         }
     }
 
-    /// One sentence, with what an engineer does next.
+    /// Returns an explanation of the cause for operators, with what to check next.
     pub fn explanation(self) -> &'static str {
         match self {
-            Self::None => "its target answered it.",
+            Self::None => "the target answered the call.",
             Self::Load => {
-                "its service had no room for it in time: see running, limit and slowness of the \
-                 gates, and whether targets were lost at that time."
+                "the service had no capacity before the deadline: check running, limit and \
+                 slowness of the gates, and whether targets were lost at that time."
             }
             Self::TargetFailed => {
-                "its target answered that it failed: look at the target, and at calls that it made \
+                "the target responded with a failure: check the target, and the calls that it made \
                  at that time."
             }
             Self::TargetBroke => {
-                "its target, or the way to it, ended the connection without a whole answer: whether \
-                 it ran is in the target's own records."
+                "the connection to the target ended without a complete response: check the \
+                 target's own records for whether the request ran."
+            }
+            Self::TargetShed => {
+                "the target rejected the request without running it: check the target."
             }
-            Self::TargetShed => "its target turned it away without running it: look at the target.",
             Self::TooSlow => {
-                "no answer came before its time was over: a gate's line tells how long it waited \
-                 there (queued_ms) and was there in all (here_ms); without one, a link or a daemon \
-                 was silent."
+                "no response arrived before the deadline: the line of the gate has the time in its \
+                 queue (queued_ms) and the total time at it (here_ms); if there is none, check the \
+                 network and the daemon."
             }
             Self::TargetAway => {
-                "its targets were leaving, or had not said yet that they are ready."
+                "the targets were draining, or had not yet announced that they are ready."
             }
             Self::Unreachable => {
-                "the daemons or targets that it was offered to could not be reached: look for their \
-                 stops, losses and starts."
+                "the daemons or targets that the call was sent to were unreachable: check the logs \
+                 for their stops, losses and starts."
             }
-            Self::NoTarget => "no instance was known to serve its service: look at the members.",
+            Self::NoTarget => "no instance of the service was known: check the members.",
             Self::NoRoute => {
-                "the daemon knew no route for it: compare routing_version with the lines `routing \
-                 table in force` of that instance, and look for `store lost`."
+                "the daemon had no route for the call: compare routing_version with the lines \
+                 `routing table in force` of that instance, and search for `store lost`."
+            }
+            Self::CrashesTargets => {
+                "targets crashed while running the request, so it is quarantined."
             }
-            Self::CrashesTargets => "targets died with it on them, so it was held back.",
-            Self::Caller => "its caller sent what can't be taken.",
-            Self::Untold => "the lines at hand don't tell: look for `lines left out`.",
+            Self::Caller => "the caller sent an invalid request.",
+            Self::Untold => "the cause is not in these log lines: search for `lines left out`.",
         }
     }
 }
 
-/// Whether one of the gates that were asked had no room.
+/// Returns whether one of the attempted gates had no capacity.
 fn has_gate_without_capacity(end: &Event) -> bool {
     let gates = end.gates.as_deref().unwrap_or_default();
     let replies = gates.split(' ').filter_map(|gate| gate.split_once('='));
--- a/crates/yuccarackctl/src/logs/chart.rs
+++ b/crates/yuccarackctl/src/logs/chart.rs
@@ -1,4 +1,4 @@
-//! Calls by cause over time, as a picture.
+//! SVG chart of calls by cause over time.
 
 use std::{io, path::Path};
 
@@ -13,35 +13,35 @@
 
 use super::{Summary, summary::format_time};
 
-/// Size of the picture, in pixels.
+/// Width and height of the chart, in pixels.
 const CHART_SIZE_PX: (u32, u32) = (1_000, 420);
 
-/// Room for the numbers beside the axes, in pixels.
+/// Size of the label areas of the axes, in pixels.
 const AXIS_LABELS_PX: u32 = 50;
 
-/// Times that are written below the picture.
+/// Maximum number of time labels.
 const TIME_LABELS_MAX: usize = 6;
 
-/// Side of a square in the key, in pixels.
+/// Side of the colour squares in the legend, in pixels.
 const LEGEND_MARKER_PX: i32 = 10;
 
-/// A picture that can't be drawn or written.
+/// Error of drawing or writing a chart.
 #[derive(Debug, Error)]
 #[error("the chart can't be written: {0}")]
 pub struct ChartError(#[from] DrawingAreaErrorKind<io::Error>);
 
-/// Draws a bar for each piece of time, in which each cause has its part.
+/// Draws a stacked bar for each time interval, with one segment per cause.
 ///
 /// # Errors
 ///
-/// The file can't be written.
+/// Returns an error if the file can't be written.
 pub fn draw_chart(summary: &Summary, file: &Path) -> Result<(), ChartError> {
     let area = SVGBackend::new(file, CHART_SIZE_PX).into_drawing_area();
     area.fill(&WHITE)?;
     let (causes, buckets) = (summary.causes(), summary.buckets());
     let starts: Vec<i64> = buckets.keys().copied().collect();
     let (Some(first), Some(last)) = (starts.first(), starts.last()) else {
-        // Nothing failed; the picture is empty.
+        // No call failed or was slow: the chart stays empty.
         return Ok(area.present()?);
     };
     let highest = buckets.values().map(|counts| counts.values().sum::<u64>()).max().unwrap_or(0);
--- a/crates/yuccarackctl/src/logs/event.rs
+++ b/crates/yuccarackctl/src/logs/event.rs
@@ -1,112 +1,112 @@
-//! One log line of a daemon, as far as it speaks of requests.
+//! Log lines of daemons, limited to the fields about requests.
 
 use serde::{Deserialize, Serialize};
 use time::OffsetDateTime;
 
-/// What a line is about.
+/// Kind of a log line.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EventKind {
-    /// A call got its target's answer.
+    /// A call received its target's response.
     CallAnswered,
-    /// A call got an answer of the daemon's own, or its target's failure.
+    /// A call received a refusal or a target's failure.
     CallFailed,
-    /// A try ended without a good answer.
+    /// An attempt ended without a successful response of a target.
     #[serde(rename = "try_ended")]
     AttemptEnded,
-    /// A gate turned a request away or got no whole answer of its target.
+    /// A gate refused a request or received no complete response.
     GateRefused,
-    /// Lines of a kind were left out.
+    /// Lines of one kind were dropped by the rate limit.
     LinesLeftOut,
-    /// Anything that is not about one request.
+    /// Any other line; it is not about one request.
     #[serde(other)]
     Other,
 }
 
-/// One line; what it doesn't tell is unset.
+/// A log line; fields that it doesn't have are `None`.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Event {
-    /// When it was written, by the clock of its instance.
+    /// Time of the line, by the clock of its instance.
     #[serde(with = "time::serde::rfc3339")]
     pub ts: OffsetDateTime,
-    /// Who wrote it.
+    /// Instance whose daemon wrote the line.
     #[serde(default)]
     pub instance: String,
-    /// What it is about.
+    /// Kind of the line; `None` if the line has no `event`.
     #[serde(default)]
     pub event: Option<EventKind>,
-    /// Its text.
+    /// Message text.
     #[serde(default)]
     pub msg: String,
-    /// The caller's name of the request.
+    /// Request id.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub request: Option<String>,
-    /// Service that was asked for.
+    /// Service that was called.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub service: Option<String>,
-    /// Why a daemon gave an answer of its own.
+    /// Reason of a refusal.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub reason: Option<String>,
-    /// What is proved of the request.
+    /// What is known about the execution of the request, such as `not_run`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub outcome: Option<String>,
-    /// The target's status.
+    /// HTTP status of the target's response.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub status: Option<u16>,
-    /// Gates that the call was offered to, each with what it said.
+    /// Attempted gates with their replies, as `gate=reply` separated by spaces.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub gates: Option<String>,
-    /// The gate of a try.
+    /// Gate of an attempt.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub gate: Option<String>,
-    /// How a try ended.
+    /// Outcome of an attempt.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub how: Option<String>,
-    /// What came after a try.
+    /// What followed an attempt.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub next: Option<String>,
-    /// Time since the call came, in ms.
+    /// Time since the call arrived, in ms.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub took_ms: Option<u64>,
-    /// Time that it spent at a gate, in ms.
+    /// Time that the request spent at a gate, in ms.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub here_ms: Option<u64>,
-    /// Time of that until it was handed over, in ms.
+    /// Part of that time before the request was dispatched, in ms.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub queued_ms: Option<u64>,
-    /// Time that was left at a gate, in ms.
+    /// Time left until the deadline when the request reached the gate, in ms.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub left_ms: Option<u64>,
-    /// Requests that ran at a gate.
+    /// Number of running requests at a gate.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub running: Option<u64>,
-    /// Requests that waited at a gate.
+    /// Number of waiting requests at a gate.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub waiting: Option<u64>,
-    /// Most requests that a gate let run.
+    /// Concurrency limit of a gate.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub limit: Option<u64>,
-    /// How much longer work took at a target than usual.
+    /// Slowdown of a target: its service times as a multiple of the usual ones.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub slowness: Option<f64>,
-    /// When a caller was told to come back, in ms.
+    /// Delay after which the caller may retry, in ms.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
-    /// The routing table that the entry went by.
+    /// Version of the routing table that the entry used.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub routing_version: Option<u64>,
-    /// Lines that were left out.
+    /// Number of dropped lines.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub count: Option<u64>,
 }
 
 impl Event {
-    /// Whether it tells of lines that were left out, and of how many.
+    /// Returns the number of dropped lines if this line reports any.
     pub fn omitted_lines(&self) -> Option<u64> {
         self.count.filter(|_| self.event == Some(EventKind::LinesLeftOut))
     }
 
-    /// Whether it tells how a call ended.
+    /// Returns whether the line reports the end of a call.
     pub fn is_call_end(&self) -> bool {
         matches!(self.event, Some(EventKind::CallAnswered | EventKind::CallFailed))
     }
--- a/crates/yuccarackctl/src/logs/mod.rs
+++ b/crates/yuccarackctl/src/logs/mod.rs
@@ -1,4 +1,4 @@
-//! Log lines of daemons on the users' platform: read, put in order, and what they say of a request.
+//! Analysis of the log files of daemons on the users' platform: parsing, order, causes.
 
 mod cause;
 mod chart;
--- a/crates/yuccarackctl/src/logs/reader.rs
+++ b/crates/yuccarackctl/src/logs/reader.rs
@@ -1,4 +1,4 @@
-//! Reads log files of any length, plain or packed by gzip, line by line.
+//! Reader of log files, plain or gzip, line by line.
 
 use std::{
     fs::File,
@@ -11,30 +11,31 @@
 
 use super::Event;
 
-/// First bytes of a file that gzip packed.
+/// Magic number of gzip files.
 const GZIP_MAGIC: [u8; 2] = [0x1f, 0x8b];
 
-/// Longest line that is read; a daemon's have some 500 bytes, and what is longer is no line of one.
+/// Maximum length of a line; the rest of a longer one is read as another line. Lines of daemons
+/// have some 500 bytes, so a longer one is not from a daemon.
 const LINE_MAX_BYTES: u64 = 1 << 20;
 
-/// A log that can't be read.
+/// Error of reading a log file.
 #[derive(Debug, Error)]
 #[error("{path}: {error}")]
 pub struct LogError {
-    /// The file.
+    /// Path of the log file.
     pub path: PathBuf,
-    /// Why.
+    /// Underlying error.
     pub error: io::Error,
 }
 
-/// Hands each line of `path` that a daemon wrote to `take`; the number of other lines.
+/// Passes each log line of a daemon in `path` to `handle`; returns the number of other lines.
 ///
-/// Memory is that of one line, whatever the length of the file. Lines of others, as a service
-/// manager may add, are counted and left out.
+/// Only one line is held in memory, whatever the length of the file. Other lines, such as those
+/// that a service manager adds, are skipped.
 ///
 /// # Errors
 ///
-/// The file can't be read to its end.
+/// Returns an error if the file can't be read to its end.
 pub fn for_each_event(path: &Path, mut handle: impl FnMut(Event)) -> Result<u64, LogError> {
     let log_error = |error| LogError { path: path.to_owned(), error };
     let mut lines = open(path).map_err(log_error)?;
--- a/crates/yuccarackctl/src/logs/request_trace.rs
+++ b/crates/yuccarackctl/src/logs/request_trace.rs
@@ -1,27 +1,27 @@
-//! All lines of one request, in the order in which things happened.
+//! Trace of one request: its log lines from all instances, in causal order.
 
 use super::{Cause, Event, EventKind};
 
-/// What the lines tell of one request.
+/// Log lines of one request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RequestTrace {
-    /// Its lines in order.
+    /// The lines; in causal order after [`sort`](Self::sort).
     pub events: Vec<Event>,
 }
 
 impl RequestTrace {
-    /// Adds a line if it speaks of `request`.
+    /// Adds a line if it belongs to `request`.
     pub fn record(&mut self, request: &str, event: Event) {
         if event.request.as_deref() == Some(request) {
             self.events.push(event);
         }
     }
 
-    /// Puts the lines into order although the clocks of instances differ.
+    /// Sorts the lines into causal order although the clocks of instances differ.
     ///
-    /// A gate's line says how much time was left, which falls with each gate that is asked; a try's
-    /// end follows the line of its gate; the end of the call is last. Times are compared only
-    /// between lines of one instance.
+    /// The line of a gate has the time left until the deadline, which decreases with each attempted
+    /// gate. The end of an attempt follows the line of its gate, and the end of the call is last.
+    /// Timestamps decide only between lines for which these are equal.
     pub fn sort(&mut self) {
         let times_left: Vec<(String, u64)> = self
             .events
@@ -41,28 +41,30 @@
                 }
                 _ => (None, 2),
             };
-            // A try whose gate wrote nothing stands behind those of which more is known.
+            // Attempts whose gate wrote no line come after those with a known time left.
             let elapsed_rank = left_ms.map_or(u64::MAX, |left_ms| u64::MAX - 1 - left_ms);
             let is_call_end = event.is_call_end();
             (is_call_end, elapsed_rank, rank, event.ts)
         });
     }
 
-    /// The line that tells how the call ended.
+    /// Returns the line about the end of the call.
     pub fn call_end(&self) -> Option<&Event> {
         self.events.iter().rev().find(|event| event.is_call_end())
     }
 
-    /// Why it failed, if it did.
+    /// Returns the cause of the failure, or `Cause::None` if the call succeeded.
     pub fn cause(&self) -> Cause {
         match self.call_end() {
             Some(end) => self.refined_cause(end),
-            // Its entry's line was left out, or that log isn't at hand; a gate's word is all there is.
+            // The line of the entry was dropped, or its log was not given: the last line, such as
+            // that of a gate, has the best information.
             None => self.events.last().map_or(Cause::Untold, Cause::from_end),
         }
     }
 
-    /// An end that says only that time was over is told by the gate that had the request then.
+    /// Returns the cause given by the end of the call. If that says only that the deadline passed,
+    /// a gate that lost the connection to its target with the request on it gives the cause.
     fn refined_cause(&self, end: &Event) -> Cause {
         let cause = Cause::from_end(end);
         if cause != Cause::TooSlow {
@@ -74,7 +76,7 @@
         gate_events.map(Cause::from_end).find(|other| *other == Cause::TargetBroke).unwrap_or(cause)
     }
 
-    /// The cause in one sentence, with the instance where it lies if that is one.
+    /// Returns the explanation of the cause, with the instance at fault if there is a single one.
     pub fn explanation(&self, request: &str) -> String {
         let cause = self.cause();
         let at = match self.faulty_instance() {
@@ -84,11 +86,11 @@
         format!("{request}: {cause}{at}: {}", cause.explanation())
     }
 
-    /// Where the cause lies, if that is one instance: the last gate that was asked.
+    /// Returns the instance at fault if there is a single one, mostly the last attempted gate.
     fn faulty_instance(&self) -> Option<&str> {
         let end = self.call_end()?;
         match self.cause() {
-            // The whole service had no room.
+            // These concern the whole service, not one instance.
             Cause::Load | Cause::NoTarget | Cause::CrashesTargets => return None,
             Cause::NoRoute | Cause::Caller => return Some(&end.instance),
             _ => {}
--- a/crates/yuccarackctl/src/logs/summary.rs
+++ b/crates/yuccarackctl/src/logs/summary.rs
@@ -1,4 +1,4 @@
-//! Calls by cause over time.
+//! Counts of failed and slow calls by cause and time interval.
 
 use std::collections::BTreeMap;
 
@@ -7,13 +7,13 @@
 
 use super::{Cause, Event, EventKind};
 
-/// Most pieces of time that are kept; memory is theirs, whatever the length of the logs.
+/// Maximum number of time intervals, which bounds memory for logs of any length.
 const BUCKETS_MAX: usize = 2_000;
 
-/// Counts by cause.
+/// Number of calls by cause.
 pub type Counts = BTreeMap<String, u64>;
 
-/// Failed and slow calls, counted by cause in equal pieces of time.
+/// Failed and slow calls, counted by cause in equal time intervals.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Summary {
     bucket_s: i64,
@@ -24,7 +24,8 @@
 }
 
 impl Summary {
-    /// Counts in pieces of `bucket_s`; answered calls of more than `slow_ms` count as slow.
+    /// Creates a summary with intervals of `bucket_s` seconds, in which answered calls of more than
+    /// `slow_ms` count as slow.
     pub fn new(bucket_s: u32, slow_ms: u64) -> Self {
         Self {
             bucket_s: i64::from(bucket_s.max(1)),
@@ -35,7 +36,7 @@
         }
     }
 
-    /// Takes a line in.
+    /// Counts a line if it reports the end of a failed or slow call, or dropped lines.
     pub fn record(&mut self, event: &Event) {
         self.omitted_lines += event.omitted_lines().unwrap_or(0);
         if !event.is_call_end() {
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Doubles the pieces of time.
+    /// Doubles the length of the intervals and merges their counts.
     fn double_bucket_length(&mut self) {
         self.bucket_s *= 2;
         for (at, counts) in std::mem::take(&mut self.buckets) {
@@ -68,17 +69,17 @@
         }
     }
 
-    /// Length of a piece of time, in s.
+    /// Returns the length of an interval, in s.
     pub fn bucket_s(&self) -> i64 {
         self.bucket_s
     }
 
-    /// Pieces of time by their starts, in Unix s.
+    /// Returns the counts by the start of the interval, in Unix seconds.
     pub fn buckets(&self) -> &BTreeMap<i64, Counts> {
         &self.buckets
     }
 
-    /// Causes that were seen, the most frequent first.
+    /// Returns the total per cause, most frequent first.
     pub fn causes(&self) -> Vec<(String, u64)> {
         let mut totals = Counts::new();
         for (name, count) in self.buckets.values().flatten() {
@@ -89,12 +90,13 @@
         totals
     }
 
-    /// Lines that daemons left out, by their own word: what was counted is a part of all.
+    /// Returns the number of lines that daemons report as dropped. If it isn't 0, the counts are
+    /// incomplete.
     pub fn omitted_lines(&self) -> u64 {
         self.omitted_lines
     }
 
-    /// The rows of a table: time, then a column for each cause.
+    /// Returns header and rows of a table with the time and a column per cause.
     pub fn rows(&self) -> (Vec<String>, Vec<Vec<String>>) {
         let causes = self.causes();
         let mut header = vec!["time".to_owned()];
@@ -108,7 +110,7 @@
         (header, self.buckets.iter().map(row).collect())
     }
 
-    /// All of it for scripts.
+    /// Returns the summary as JSON for scripts.
     pub fn to_json(&self) -> Value {
         let buckets: Vec<Value> = self
             .buckets
@@ -123,14 +125,14 @@
     }
 }
 
-/// A moment, to the second, by UTC.
+/// Formats a Unix time as UTC date and time.
 pub fn format_time(unix_s: i64) -> String {
     match OffsetDateTime::from_unix_timestamp(unix_s) {
         Ok(at) => {
             let (date, time) = (at.date(), at.time());
             format!("{date} {:02}:{:02}:{:02}", time.hour(), time.minute(), time.second())
         }
-        // Years that no clock shows.
+        // Outside the range of years that the `time` crate supports.
         Err(_) => unix_s.to_string(),
     }
 }
--- a/crates/yuccarackctl/src/main.rs
+++ b/crates/yuccarackctl/src/main.rs
@@ -1,11 +1,11 @@
-//! Reads the command line, runs the command, prints what came of it.
+//! Entry point of `yuccarackctl`: parses the command line, runs the command and prints its report.
 
 use std::process::ExitCode;
 
 use bpaf::{Args, ParseFailure};
 use yuccarackctl::{CtlError, ExitStatus, Report, command, run};
 
-/// Columns of a help page.
+/// Width at which help pages are wrapped, in columns.
 const HELP_COLUMNS: usize = 100;
 
 #[tokio::main(flavor = "current_thread")]
--- a/crates/yuccarackctl/src/options.rs
+++ b/crates/yuccarackctl/src/options.rs
@@ -1,5 +1,8 @@
-//! The command line; its doc comments are the help pages.
-#![expect(missing_docs, reason = "a shared group of options must not get a help text twice")]
+//! Definition of the command line. The doc comments of commands and options are the help pages.
+#![expect(
+    missing_docs,
+    reason = "a doc comment on a shared option group would repeat its help text"
+)]
 
 use std::{
     net::{AddrParseError, SocketAddr},
@@ -11,24 +14,24 @@
 use thiserror::Error;
 use yuccarack_config::ids::{IdempotencyKey, InstanceId, Revision, ServiceName};
 
-/// Environment variable that names a daemon.
+/// Environment variable with the admin address of a daemon.
 const DAEMON_VARIABLE: &str = "YUCCARACK_DAEMON";
 
-/// Exit codes, told below every help page.
-const EXIT_CODES: &str = "Exit codes: 0 done, 1 failed, 2 wrong usage, 3 file refused, \
-    4 conflict, 5 platform away, 6 daemon unreachable, 7 outcome unknown.";
+/// Footer of the help page with the exit codes; the numbers are those of `ExitStatus`.
+const EXIT_CODES: &str = "Exit codes: 0 success, 1 failure, 2 usage error, 3 invalid file, \
+    4 conflict, 5 platform unavailable, 6 daemon unreachable, 7 outcome unknown.";
 
-/// Options of every command.
+/// Common options:
 #[derive(Bpaf, Clone, Debug, PartialEq, Eq)]
 pub struct Common {
-    /// Print JSON for scripts
+    /// Print the result as JSON
     pub json: bool,
     /// Address of the platform's table and object store
     #[bpaf(long, env("YUCCARACK_PLATFORM"), argument("ADDR"), optional)]
     pub platform: Option<SocketAddr>,
     #[bpaf(external(daemons))]
     pub daemons: Vec<SocketAddr>,
-    /// Longest time for the whole command, in ms
+    /// Timeout of the whole command, in ms
     #[bpaf(long, argument("MS"), fallback(10_000), display_fallback)]
     pub timeout_ms: u32,
 }
@@ -41,7 +44,7 @@
         .parse(daemons_or_environment)
 }
 
-/// A list of options has no environment variable of its own in the library.
+/// Falls back to the environment variable, which the library supports for single options only.
 fn daemons_or_environment(
     daemons: Vec<SocketAddr>,
 ) -> Result<Vec<SocketAddr>, DaemonVariableError> {
@@ -51,79 +54,79 @@
     }
 }
 
-/// The environment names a daemon by something else than an address.
+/// The environment variable does not contain a socket address.
 #[derive(Debug, Error)]
-#[error("environment variable {DAEMON_VARIABLE}: {0}")]
+#[error("environment variable {DAEMON_VARIABLE} is not a valid address: {0}")]
 struct DaemonVariableError(#[from] AddrParseError);
 
-/// Commands of the operators of yuccarack
+/// Manage the rules, daemons and claims of yuccarack
 #[derive(Bpaf, Clone, Debug, PartialEq, Eq)]
 #[bpaf(options, version, footer(EXIT_CODES))]
 pub enum Command {
-    /// Check a rules file or a routing file, whole, without applying it
+    /// Check a rules or routing file without applying it
     #[bpaf(command)]
     Check {
         #[bpaf(external)]
         common: Common,
-        /// The file
+        /// Rules or routing file
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Apply a rules file, as a whole or not at all
+    /// Apply a rules file atomically
     ///
-    /// The file counts only if none of its services changed after its `based_on`; a file without
-    /// one is based on nothing, so each of its services must be new. `show` prints a file to start
-    /// from. Running the same command again is safe at any time.
+    /// The file is accepted only if none of its services changed after its `based_on` revision. A
+    /// file without `based_on` may contain new services only. Use `show` to print a file to start
+    /// from. Repeating the same command is always safe.
     #[bpaf(command)]
     Apply {
         #[bpaf(external)]
         common: Common,
-        /// Who applies, for the history
+        /// Operator name recorded in the history
         #[bpaf(long, env("USER"), argument("NAME"), fallback("unknown".to_owned()))]
         operator: String,
-        /// Name of this attempt, to find out its fate; without it, a hash of the file
+        /// Id under which the outcome can be looked up; defaults to a hash of the file
         #[bpaf(long, argument("ID"), optional)]
         apply_id: Option<String>,
-        /// Wait until the daemons given have the rules in force
+        /// Wait until the given daemons have the rules in force
         wait: bool,
-        /// The rules file
+        /// Rules file
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Show what applying a rules file would change
+    /// Show the changes that applying a rules file would make
     #[bpaf(command)]
     Diff {
         #[bpaf(external)]
         common: Common,
-        /// The rules file
+        /// Rules file
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Print the accepted rules as a file, ready to edit and apply
+    /// Print the accepted rules as a file that can be edited and applied
     #[bpaf(command)]
     Show {
         #[bpaf(external)]
         common: Common,
-        /// Print the file that was applied under this id instead, based on the rules of now
+        /// Print the file applied under this id instead, based on the current revision
         #[bpaf(long, argument("ID"), optional)]
         applied: Option<String>,
-        /// Services to print; all without one
+        /// Services to print (default: all)
         #[bpaf(positional("SERVICE"))]
         services: Vec<ServiceName>,
     },
-    /// List the files that were applied, the newest first
+    /// List the applied rules files, newest first
     #[bpaf(command)]
     History {
         #[bpaf(external)]
         common: Common,
-        /// Most files to list
+        /// Maximum number of files to list
         #[bpaf(long, argument("N"), fallback(20), display_fallback)]
         limit: usize,
-        /// Days to look back at most
+        /// Number of days to look back
         #[bpaf(long, argument("N"), fallback(30), display_fallback)]
         days: u32,
     },
-    /// Show what daemons say of themselves
+    /// Show the status of daemons
     #[bpaf(command)]
     Status {
         #[bpaf(external)]
@@ -131,7 +134,7 @@
         #[bpaf(external)]
         members: Members,
     },
-    /// List the targets that daemons know
+    /// List the targets known to daemons
     #[bpaf(command)]
     Targets {
         #[bpaf(external)]
@@ -146,62 +149,62 @@
         common: Common,
         #[bpaf(external)]
         members: Members,
-        /// Only counters whose names start so
+        /// Show only counters whose names start with this prefix
         #[bpaf(long, argument("TEXT"), fallback(String::new()))]
         prefix: String,
     },
-    /// Show or release the claims of requests that must not repeat
+    /// Show or release the claims of non-repeatable requests
     #[bpaf(command)]
     Claim {
         #[bpaf(external)]
         claim_command: ClaimCommand,
     },
-    /// Tell what became of one request, and why
+    /// Explain the outcome of a request
     ///
-    /// With --logs, from the lines of daemons on the users' platform, whose clocks may differ;
-    /// without, from what daemons remember of it.
+    /// With --logs, the outcome is derived from log files of daemons on the users' platform, whose
+    /// clocks may differ. Otherwise the daemons are queried for the steps they recorded.
     #[bpaf(command)]
     Explain {
         #[bpaf(external)]
         common: Common,
         #[bpaf(external)]
         members: Members,
-        /// A log of a daemon, plain or packed by gzip, may be given several times
+        /// Log file of a daemon, plain or gzip, may be given several times
         #[bpaf(long, argument("FILE"))]
         logs: Vec<PathBuf>,
-        /// The request's id, as its answer's yuccarack-request-id says
+        /// Request id, from the yuccarack-request-id header of the response
         #[bpaf(positional("REQUEST"))]
         request: String,
     },
-    /// Count refused, failed and slow calls by cause over time
+    /// Count refused, failed and slow calls by cause and time interval
     #[bpaf(command)]
     Report {
         #[bpaf(external)]
         common: Common,
-        /// A log of a daemon, plain or packed by gzip, may be given several times
-        #[bpaf(long, argument("FILE"), some("name at least one log with --logs FILE"))]
+        /// Log file of a daemon, plain or gzip, may be given several times
+        #[bpaf(long, argument("FILE"), some("name at least one log file with --logs FILE"))]
         logs: Vec<PathBuf>,
-        /// Length of a piece of time, in s; doubled where there would be more than 2,000
+        /// Length of a time interval, in s; doubled until there are at most 2,000 intervals
         #[bpaf(long, argument("S"), fallback(10), display_fallback)]
         bucket_s: u32,
-        /// Answered calls that took longer count as slow, in ms
+        /// Duration above which an answered call counts as slow, in ms
         #[bpaf(long, argument("MS"), fallback(1_000), display_fallback)]
         slow_ms: u64,
-        /// Draw the same to this file, as SVG
+        /// Also write the counts as an SVG chart to this file
         #[bpaf(long, argument("FILE"), optional)]
         svg: Option<PathBuf>,
     },
 }
 
-/// Daemons found in the table.
+/// Daemon selection:
 #[derive(Bpaf, Clone, Debug, PartialEq, Eq)]
 pub struct Members {
-    /// Ask the daemons of all targets of this service too, as the table names them
+    /// Also query the daemons of all targets of this service, as listed in the platform's table
     #[bpaf(long, argument("SERVICE"), optional)]
     pub members_of: Option<ServiceName>,
 }
 
-/// Commands about claims.
+/// Claim commands:
 #[derive(Bpaf, Clone, Debug, PartialEq, Eq)]
 pub enum ClaimCommand {
     /// List the claims of a service
@@ -209,12 +212,12 @@
     List {
         #[bpaf(external)]
         common: Common,
-        /// Only claims whose outcome is open
+        /// List only open claims, whose outcome is not recorded
         open: bool,
-        /// Only claims that this instance's gate holds
+        /// List only claims held by the gate of this instance
         #[bpaf(long, argument("INSTANCE"), optional)]
         instance: Option<InstanceId>,
-        /// The service
+        /// Service
         #[bpaf(positional("SERVICE"))]
         service: ServiceName,
     },
@@ -223,44 +226,44 @@
     Show {
         #[bpaf(external)]
         common: Common,
-        /// The service
+        /// Service
         #[bpaf(positional("SERVICE"))]
         service: ServiceName,
-        /// The idempotency key
+        /// Idempotency key
         #[bpaf(positional("KEY"))]
         key: IdempotencyKey,
     },
-    /// Release an open claim, so that the request may run again
+    /// Release an open claim so that the request can run again
     ///
-    /// Only after it is known, from the target's own records, that the request did not run, and that
-    /// the gate which holds the claim is gone or the request's deadline has passed.
+    /// Release a claim only if the target's own records show that the request did not run, and if
+    /// the gate that holds the claim has exited or the request's deadline has passed.
     #[bpaf(command)]
     Release {
         #[bpaf(external)]
         common: Common,
-        /// Say that the request did not run
+        /// Confirm that the request did not run
         yes: bool,
-        /// Release only if the claim's revision is still this one
+        /// Release the claim only if it is still at this revision
         #[bpaf(long, argument("N"), optional)]
         revision: Option<Revision>,
-        /// The service
+        /// Service
         #[bpaf(positional("SERVICE"))]
         service: ServiceName,
-        /// The idempotency key
+        /// Idempotency key
         #[bpaf(positional("KEY"))]
         key: IdempotencyKey,
     },
 }
 
 impl Common {
-    /// Longest time for the whole command.
+    /// Returns the timeout of the whole command.
     pub fn timeout(&self) -> Duration {
         Duration::from_millis(u64::from(self.timeout_ms))
     }
 }
 
 impl Command {
-    /// What every command takes.
+    /// Returns the common options of the command.
     pub fn common(&self) -> &Common {
         match self {
             Self::Check { common, .. }
--- a/crates/yuccarackctl/src/report.rs
+++ b/crates/yuccarackctl/src/report.rs
@@ -1,4 +1,4 @@
-//! What a command found out, for a person and for a script.
+//! Reports of commands, as text for operators and as JSON for scripts.
 
 use std::fmt::Write;
 
@@ -9,28 +9,28 @@
 /// The result of a command.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Report {
-    /// For a person at a terminal, without a line end.
+    /// Text for a terminal, without a trailing newline.
     pub text: String,
-    /// For a script.
+    /// JSON for scripts, printed with `--json`.
     pub json: Value,
-    /// The code by which the command ends; not that of success when only a part was found out.
+    /// Exit code; an error code if only part of the information could be gathered.
     pub exit_status: ExitStatus,
 }
 
 impl Report {
-    /// Makes a report of both.
+    /// Creates a report of a successful command.
     pub fn new(text: impl Into<String>, json: Value) -> Self {
         Self { text: text.into(), json, exit_status: ExitStatus::Ok }
     }
 
-    /// Sets the code by which the command ends.
+    /// Replaces the exit code.
     pub fn with_exit_status(mut self, exit_status: ExitStatus) -> Self {
         self.exit_status = exit_status;
         self
     }
 }
 
-/// Lines of equal columns, each as wide as its widest cell.
+/// Formats a table whose columns are as wide as their widest cells.
 pub fn format_table(header: &[&str], rows: &[Vec<String>]) -> String {
     let header: Vec<String> = header.iter().map(|cell| (*cell).to_owned()).collect();
     let lines: Vec<&Vec<String>> = std::iter::once(&header).chain(rows).collect();
@@ -48,7 +48,7 @@
     lines.collect::<Vec<_>>().join("\n")
 }
 
-/// Lines `path: value` of all that `value` holds.
+/// Formats each leaf of `value` as a line `path: value`.
 pub fn format_fields(value: &Value) -> String {
     let mut lines = Vec::new();
     collect_field_lines("", value, &mut lines);
