--- a/crates/yuccarack_player/src/baseline.rs
+++ b/crates/yuccarack_player/src/baseline.rs
@@ -1,16 +1,16 @@
-//! The ways of choosing that ours is compared with.
+//! Baseline load balancing policies that the project's policies are compared with.
 
 use rand::{Rng, rngs::SmallRng};
 
 use crate::scenario::Policy;
 
-/// One entry's choice by a baseline.
+/// Target selection of one entry under a baseline policy.
 pub struct Baseline {
     policy: Policy,
     next: usize,
-    /// Requests in flight as last reported.
+    /// Requests in flight at each target as of the last report.
     reported_in_flight: Vec<u32>,
-    /// Requests this entry sent since.
+    /// Requests that this entry has sent to each target since that report.
     sent_since_report: Vec<u32>,
 }
 
@@ -24,13 +24,14 @@
         }
     }
 
-    /// Takes the reports of all targets.
+    /// Stores the reports of all targets and restarts the count of requests sent since.
     pub fn report(&mut self, in_flight: &[u32]) {
         self.reported_in_flight.copy_from_slice(in_flight);
         self.sent_since_report.fill(0);
     }
 
-    /// Chooses among the targets in `known` that weren't tried, if there are any.
+    /// Chooses among the targets in `known` that weren't attempted yet, or among all of them when
+    /// none is left.
     pub fn choose(
         &mut self,
         rng: &mut SmallRng,
--- a/crates/yuccarack_player/src/chain_table.rs
+++ b/crates/yuccarack_player/src/chain_table.rs
@@ -1,4 +1,4 @@
-//! The table of the chain of services.
+//! Results of the service chain as a table or as JSON lines.
 
 use std::io::Write;
 
@@ -7,7 +7,8 @@
 
 use crate::PlayError;
 
-/// Plays every load under every policy, `seeds` seeds from `seed` on, and writes a row for each.
+/// Plays every load under every policy with `seeds` seeds starting at `seed`, and writes a row for
+/// each request kind of callers.
 pub fn write(seed: u64, seeds: u64, as_json: bool, out: &mut impl Write) -> Result<(), PlayError> {
     if !as_json {
         writeln!(
--- a/crates/yuccarack_player/src/clock.rs
+++ b/crates/yuccarack_player/src/clock.rs
@@ -1,4 +1,4 @@
-//! The virtual clock and its events.
+//! Virtual clock with a queue of scheduled events.
 
 use std::{
     cmp::Reverse,
@@ -6,7 +6,8 @@
     time::{Duration, Instant},
 };
 
-/// Events in the order of their times; those of one time in the order they were planned.
+/// Yields events in the order of their times; events with equal times come in the order in which
+/// they were scheduled, so that a run is reproducible.
 pub struct Clock<E> {
     now: Instant,
     started_at: Instant,
@@ -47,7 +48,7 @@
         self.schedule(self.now + delay, event);
     }
 
-    /// Moves to the next event.
+    /// Advances the clock to the next event and returns it.
     pub fn next(&mut self) -> Option<E> {
         let Reverse(scheduled) = self.scheduled.pop()?;
         self.now = scheduled.at;
--- a/crates/yuccarack_player/src/entry.rs
+++ b/crates/yuccarack_player/src/entry.rs
@@ -1,4 +1,4 @@
-//! One entry: where it sends calls, and what it learns from their ends.
+//! One entry: chooses targets for calls and records the results of attempts.
 
 use std::time::{Duration, Instant};
 
@@ -18,10 +18,10 @@
     scenario::{Policy, SLOTS, Scenario},
 };
 
-/// Most tries of one request by a baseline.
+/// Highest number of attempts of one request by a baseline.
 const BASELINE_ATTEMPTS_MAX: u8 = 3;
 
-/// How a try came back to its entry.
+/// Result of an attempt as its entry sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptResult {
     Answered,
@@ -31,7 +31,7 @@
     BrokenUnknown,
 }
 
-/// One entry of the fleet.
+/// One entry of the fleet, in a failure domain.
 pub struct Entry {
     pub domain: usize,
     balancer: Balancer,
@@ -66,7 +66,7 @@
         Self { domain, balancer, targets: Vec::new() }
     }
 
-    /// Replaces the targets that the entry knows of.
+    /// Replaces the targets known to the entry.
     pub fn set_targets(&mut self, now: Instant, targets: &[usize], scenario: &Scenario) {
         self.targets = targets.to_vec();
         let Balancer::Yuccarack(balancer) = &mut self.balancer else { return };
@@ -77,7 +77,7 @@
             .collect();
     }
 
-    /// Chooses a target for a call's next try and notes that it is sent.
+    /// Chooses a target for a call's next attempt and records the attempt as sent.
     pub fn choose(
         &mut self,
         now: Instant,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Age of what is known of a target's load.
+    /// Returns the age of the latest load report of a target; `None` under a baseline.
     pub fn report_age(&self, now: Instant, target: usize) -> Option<Duration> {
         let Balancer::Yuccarack(balancer) = &self.balancer else { return None };
         balancer.chooser.report_age(now, balancer.keys[target]?)
@@ -117,7 +117,7 @@
         balancer.hedge.spend(now)
     }
 
-    /// Learns how a try ended; `None` means that the entry gave it up.
+    /// Records how an attempt ended; a `result` of `None` means that the entry cancelled it.
     pub fn record_attempt_end(
         &mut self,
         now: Instant,
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Whether a call is tried again after a try that brought no answer.
+    /// Returns whether to retry a call after an attempt without a successful response.
     pub fn should_retry(
         &mut self,
         now: Instant,
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Takes the reports of all targets, as a baseline polls them.
+    /// Passes the polled reports of all targets to a baseline; ignored by the project's policies.
     pub fn report(&mut self, in_flight: &[u32]) {
         if let Balancer::Baseline(baseline) = &mut self.balancer {
             baseline.report(in_flight);
--- a/crates/yuccarack_player/src/gate.rs
+++ b/crates/yuccarack_player/src/gate.rs
@@ -1,4 +1,5 @@
-//! What stands in front of a target: our gate, or the target's own queue.
+//! Admission in front of a target: the project's gate, or the target's own FIFO queue under a
+//! baseline.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -13,13 +14,13 @@
 
 use crate::scenario::{CONNECTIONS, Policy, SLOTS, Scenario};
 
-/// Front of one target; `A` names an attempt.
+/// Admission of one target; `A` is the key of an attempt.
 pub enum Gate<A> {
     Admission { admission: Box<Admission>, waiting: HashMap<WaitKey, A> },
     Fifo { running: usize, waiting: VecDeque<A> },
 }
 
-/// Where an attempt stands at its target.
+/// Progress of an attempt at its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptState {
     InTransit,
@@ -28,7 +29,7 @@
     Returning,
 }
 
-/// What became of an attempt that waited.
+/// How the wait of an attempt ended.
 pub enum WaitEnd<A> {
     Started(A, Option<RunKey>),
     Refused(A),
@@ -47,7 +48,7 @@
         Self::Admission { admission, waiting: HashMap::new() }
     }
 
-    /// Decides on an attempt that arrives; `None` refuses it.
+    /// Decides on an arriving attempt; `None` means that it is refused.
     pub fn offer(&mut self, now: Instant, attempt: A, offer: Offer) -> Option<AttemptState> {
         match self {
             Self::Fifo { running, waiting } => {
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Takes an attempt out, from where it stands.
+    /// Removes an attempt according to its state; `outcome` counts only for running attempts.
     pub fn remove(&mut self, now: Instant, attempt: A, state: AttemptState, outcome: RunOutcome) {
         match (self, state) {
             (Self::Fifo { running, .. }, AttemptState::Running(_)) => *running -= 1,
@@ -90,7 +91,7 @@
         }
     }
 
-    /// What waiting attempts do now.
+    /// Returns the attempts whose wait has ended by `now`.
     pub fn poll(&mut self, now: Instant) -> Vec<WaitEnd<A>> {
         match self {
             Self::Fifo { running, waiting } => {
--- a/crates/yuccarack_player/src/lib.rs
+++ b/crates/yuccarack_player/src/lib.rs
@@ -1,7 +1,8 @@
-//! Plays loads against the decisions, with a virtual clock and one service, or a chain of them.
+//! Simulates load on one service or on a chain of services against the decision code, on a virtual
+//! clock.
 //!
-//! It is a test of decisions, not a simulator of clusters: targets with slots and slowdowns,
-//! entries with links to them, callers with deadlines, and nothing else. A fixed seed gives the
+//! It tests decisions and doesn't simulate a cluster: there are targets with slots and slowdowns,
+//! entries with links to them and callers with deadlines, and nothing else. A fixed seed gives the
 //! same run every time.
 
 mod baseline;
--- a/crates/yuccarack_player/src/main.rs
+++ b/crates/yuccarack_player/src/main.rs
@@ -1,4 +1,4 @@
-//! Plays every story with every policy and prints one table, or one JSON line for each row.
+//! Plays every scenario with every policy and prints a table, or a JSON line for each row.
 
 mod chain_table;
 
@@ -12,25 +12,25 @@
 use thiserror::Error;
 use yuccarack_player::{Policy, Scenario, Summary, Tally, play, scenarios};
 
-/// Plays loads against the decisions.
+/// Simulates load scenarios and compares the decisions with baseline policies.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options)]
 struct Options {
     /// Print one JSON object for each row.
     json: bool,
-    /// First of the fixed seeds.
+    /// First seed.
     #[bpaf(fallback(1), display_fallback)]
     seed: u64,
-    /// Seeds played for each row.
+    /// Number of seeds played for each row.
     #[bpaf(fallback(1), display_fallback)]
     seeds: u64,
     /// Only this fleet: hok_read, hok_order, kem_read, kem_order or hundred.
     fleet: Option<String>,
-    /// Only this story.
+    /// Only this scenario.
     story: Option<String>,
     /// Only this policy.
     policy: Option<String>,
-    /// Play the chain of services against the decisions of routed calls instead.
+    /// Play the chain of services against the decisions on routed calls instead.
     chain: bool,
 }
 
@@ -40,7 +40,7 @@
     Write(#[from] io::Error),
     #[error("can't write a row as JSON: {0}")]
     Json(#[from] serde_json::Error),
-    #[error("a run ended early")]
+    #[error("a simulation thread panicked; its results are missing")]
     ThreadPanicked,
 }
 
@@ -75,7 +75,7 @@
     Ok(())
 }
 
-/// Plays one story with every policy, each on its own thread, and prints their rows.
+/// Plays one scenario with every selected policy, each on its own thread, and prints their rows.
 fn play_scenario(
     options: &Options,
     scenario: &Scenario,
@@ -96,7 +96,7 @@
     Ok(())
 }
 
-/// Plays one policy for all services of the kind and adds up what their callers got.
+/// Plays one policy with a different seed for each service of the fleet, and adds up the results.
 fn play_policy(options: &Options, scenario: &Scenario, services: u64, policy: Policy) -> Summary {
     let mut sum = Tally::new();
     for seed in options.seed..options.seed + options.seeds * services {
--- a/crates/yuccarack_player/src/player/arrivals.rs
+++ b/crates/yuccarack_player/src/player/arrivals.rs
@@ -1,4 +1,4 @@
-//! Calls as they arrive: how often, from whom, for how much work.
+//! Random arrivals of calls: rate, caller, entry and service time.
 
 use rand::Rng;
 
--- a/crates/yuccarack_player/src/player/domain.rs
+++ b/crates/yuccarack_player/src/player/domain_loss.rs
@@ -1,10 +1,10 @@
-//! The loss of a failure domain.
+//! Loss of a failure domain.
 
 use super::{Event, LOST_RESPONSE_TIMEOUT, Player};
 use crate::{entry::AttemptResult, gate::AttemptState};
 
 impl Player<'_> {
-    /// Cuts the first failure domain off: its attempts break, its entries' calls fail.
+    /// Cuts off the first failure domain: attempts at its targets break, calls of its entries fail.
     pub(super) fn lose_domain(&mut self) {
         self.is_domain_lost = true;
         let targets = &self.targets;
--- a/crates/yuccarack_player/src/player/gate_side.rs
+++ b/crates/yuccarack_player/src/player/gate_events.rs
@@ -1,4 +1,4 @@
-//! What happens to an attempt at its target.
+//! Handling of attempts at the gate and the target.
 
 use yuccarack_config::load::LoadReport;
 use yuccarack_policy::admission::{Offer, RunOutcome};
@@ -19,7 +19,7 @@
             return;
         }
         let target = attempt.target;
-        // The call may have ended meanwhile; then the news of it is still under way.
+        // The call may have ended meanwhile; then its cancellation is still on the way.
         let offer = match self.calls.get(attempt.call) {
             Some(call) => Offer {
                 caller: call.caller,
@@ -51,15 +51,15 @@
         }
         match self.targets[attempt.target].start(now, service_time) {
             PlannedEnd::Response { at } => {
-                self.clock.schedule(at, Event::RunEnds(key, AttemptResult::Answered))
+                self.clock.schedule(at, Event::RunEnd(key, AttemptResult::Answered))
             }
             PlannedEnd::Failure { at } => {
-                self.clock.schedule(at, Event::RunEnds(key, AttemptResult::Failed))
+                self.clock.schedule(at, Event::RunEnd(key, AttemptResult::Failed))
             }
         }
     }
 
-    pub(super) fn run_ends(&mut self, key: AttemptKey, result: AttemptResult) {
+    pub(super) fn handle_run_end(&mut self, key: AttemptKey, result: AttemptResult) {
         let now = self.clock.now();
         let Some(attempt) = self.attempts.get(key) else { return };
         if !matches!(attempt.state, AttemptState::Running(_)) {
--- a/crates/yuccarack_player/src/player/mod.rs
+++ b/crates/yuccarack_player/src/player/mod.rs
@@ -1,8 +1,8 @@
-//! The events of one run.
+//! Event loop of one simulated run on a single service.
 
 mod arrivals;
-mod domain;
-mod gate_side;
+mod domain_loss;
+mod gate_events;
 
 use std::time::{Duration, Instant};
 
@@ -19,25 +19,25 @@
     target::Target,
 };
 
-/// Time between two reports that baselines poll.
+/// Interval at which baselines poll load reports.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time between two looks of a gate at its target's load.
+/// Interval at which gates poll the load of their targets; only the cost in bytes is simulated.
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// One way within a failure domain.
+/// One-way delay within a failure domain.
 const LOCAL_LINK_DELAY: Duration = Duration::from_micros(100);
 
-/// Time after which a connection that isn't answered counts as broken.
+/// Time after which an unanswered connection attempt counts as broken.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// Time after which an answer that can't come any more counts as broken.
+/// Time after which an entry treats an attempt at a lost target as broken.
 const LOST_RESPONSE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Time after which the membership no longer names targets that are gone.
+/// Time until lost targets are removed from the membership.
 const MEMBER_REMOVAL_DELAY: Duration = Duration::from_secs(3);
 
-/// Shortest and longest request as multiples of the mean.
+/// Shortest and longest service time as multiples of the mean.
 const SERVICE_TIME_SPREAD: (f64, f64) = (0.5, 5.0);
 
 new_key_type! {
@@ -48,7 +48,7 @@
 enum Event {
     Arrive,
     ReachGate(AttemptKey),
-    RunEnds(AttemptKey, AttemptResult),
+    RunEnd(AttemptKey, AttemptResult),
     ReturnToEntry(AttemptKey, AttemptResult, Option<LoadReport>),
     Cancel(AttemptKey),
     Wake(usize),
@@ -99,7 +99,7 @@
     tally: Tally,
 }
 
-/// Plays a scenario to its end; the same seed gives the same tally.
+/// Plays a scenario to its end; equal seeds give equal tallies.
 pub fn play(scenario: &Scenario, policy: Policy, seed: u64) -> Tally {
     let mut player = Player::new(scenario, policy, seed);
     player.clock.schedule_after(Duration::ZERO, Event::Arrive);
@@ -159,7 +159,7 @@
         match event {
             Event::Arrive => self.arrive(),
             Event::ReachGate(attempt) => self.reach_gate(attempt),
-            Event::RunEnds(attempt, result) => self.run_ends(attempt, result),
+            Event::RunEnd(attempt, result) => self.handle_run_end(attempt, result),
             Event::ReturnToEntry(attempt, result, report) => {
                 self.receive_result(attempt, result, report)
             }
@@ -200,7 +200,7 @@
         }
     }
 
-    /// Sends the call's next try; `false` when there is nowhere to send it.
+    /// Sends the call's next attempt; returns `false` if no target can be chosen.
     fn send(&mut self, key: CallKey) -> bool {
         let now = self.clock.now();
         let call = &mut self.calls[key];
@@ -308,7 +308,7 @@
         }
     }
 
-    /// Ends a call and cancels what is still out for it.
+    /// Ends a call and cancels its remaining attempts.
     fn end_call(&mut self, key: CallKey) {
         let now = self.clock.now();
         let Some(call) = self.calls.remove(key) else { return };
--- a/crates/yuccarack_player/src/routed/chain.rs
+++ b/crates/yuccarack_player/src/routed/chain.rs
@@ -1,4 +1,5 @@
-//! The chain itself: requests on their way, runs, and what they call.
+//! Simulation of the service chain: requests in transit, runs at targets, and the calls that runs
+//! make.
 
 mod calls;
 mod runs;
@@ -23,42 +24,43 @@
 };
 use crate::clock::Clock;
 
-/// One way between failure domains, and within one.
+/// One-way delay between failure domains, and within one.
 const REMOTE_LINK_DELAY: Duration = Duration::from_micros(1_400);
 const LOCAL_LINK_DELAY: Duration = Duration::from_micros(200);
 
-/// Time between two shifts of a target's pace, and the part of the shifts that slow it fourfold.
+/// Mean interval at which a target's slowdown changes, share of the changes to a slow phase, and
+/// the slowdown in a slow phase.
 const SLOWDOWN_INTERVAL: Duration = Duration::from_millis(300);
 const SLOW_SHARE: f64 = 0.15;
 const SLOW_FACTOR: f64 = 4.0;
 
-/// Filled share from which a target slows, and how much.
+/// Share of running slots above which a target slows down, and the factor by which it does.
 const OVERLOAD_FILL: f64 = 0.8;
 const OVERLOAD_SLOWDOWN: f64 = 1.7;
 
-/// How much longer work takes for how long after a start.
+/// Factor on the service time after a start, and how long it lasts.
 const COLD_FACTOR: f64 = 2.0;
 const COLD_DURATION: Duration = Duration::from_secs(3);
 
-/// Time in which the requests of a cold target count that may crash it, and how long it is down then.
+/// Window in which the runs of a cold target count towards a crash, and the downtime after one.
 const CRASH_WINDOW: Duration = Duration::from_secs(1);
 const RESTART_DURATION: Duration = Duration::from_millis(500);
 
-/// Time between two looks of a gate at its target, and after the end of a cold time until the first.
+/// Interval of a gate's health checks, and the delay of the first one after the cold phase.
 const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 const HEALTH_CHECK_DELAY: Duration = Duration::from_millis(10);
 
-/// When targets start cold, or are lost.
+/// Time at which targets start cold or are lost.
 const FAULTS_START: Duration = Duration::from_secs(4);
 
-/// Times that a caller comes back: as told once, or at once and more often.
+/// Retries of a caller: one after a delay, or several at once.
 const DELAYED_RETRIES: u8 = 1;
 const IMMEDIATE_RETRIES: u8 = 3;
 
-/// When a caller comes back that was told no time.
+/// Longest delay of a retry by a caller that doesn't retry at once.
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Spread of work around its mean.
+/// Range of the random factor on the service time.
 const SERVICE_TIME_SPREAD: (f64, f64) = (0.7, 1.3);
 
 struct Gate {
@@ -67,7 +69,7 @@
     slowdown: f64,
     running: usize,
     cold_until: Option<Instant>,
-    /// Requests that it began to run in the last second while it was cold.
+    /// Start times of the runs of the last second that started while the target was cold.
     cold_runs: VecDeque<Instant>,
     is_lost: bool,
 }
@@ -78,21 +80,21 @@
     gates: Vec<SecondaryMap<GateKey, usize>>,
 }
 
-/// One attempt of a caller, or one call of a run.
+/// One request of a caller, or one call that a run makes.
 struct Request {
     kind: usize,
     entry: usize,
-    /// When its caller came first.
+    /// Arrival time of the caller's first request.
     arrived_at: Instant,
     deadline: Instant,
     history: AttemptHistory,
-    /// The gate that has it, under its key at the entry.
+    /// Gate to which it was sent, with the key of the gate at the entry.
     gate: Option<(usize, Option<GateKey>)>,
-    /// Whether it may wait there.
+    /// Whether it may wait in that gate's queue.
     may_wait: bool,
     is_running: bool,
     has_ended: bool,
-    /// The run that made it.
+    /// Request whose run made this call.
     parent: Option<RequestId>,
     retries_left: u8,
     has_immediate_retries: bool,
@@ -105,14 +107,14 @@
     Refusal(RequestId),
     Wake(usize),
     StartWork(RequestId),
-    RunEnds(RequestId),
+    RunEnd(RequestId),
     Response(RequestId, bool),
     Deadline(RequestId),
     SlowdownChange(usize),
     FaultsStart,
-    /// A crashed target is back.
+    /// A crashed target has restarted.
     Restart(usize),
-    /// A look at a target that may be warm.
+    /// The gate checks whether its target is warm.
     HealthCheck(usize),
 }
 
@@ -129,7 +131,7 @@
     credit: Credit,
 }
 
-/// Plays `load` under `policy`; one seed gives one run.
+/// Plays `load` under `policy`; equal seeds give equal runs.
 pub fn play_chain(load: &Load, policy: Policy, seed: u64) -> Credit {
     let mut chain = Chain::new(*load, policy, seed);
     while let Some(event) = chain.clock.next() {
@@ -205,7 +207,7 @@
                 self.apply_verdicts(gate, verdicts);
             }
             Event::StartWork(request_id) => self.start_work(request_id),
-            Event::RunEnds(request_id) => self.run_ends(request_id, true),
+            Event::RunEnd(request_id) => self.handle_run_end(request_id, true),
             Event::Response(request_id, is_success) => self.handle_response(request_id, is_success),
             Event::Deadline(request_id) => self.handle_deadline(request_id),
             Event::SlowdownChange(gate) => self.change_slowdown(gate),
@@ -241,7 +243,7 @@
         }
     }
 
-    /// The target of `gate` is cold from now on.
+    /// Makes the target of `gate` cold from now on.
     fn set_cold(&mut self, gate: usize) {
         let cold_until = self.clock.now() + COLD_DURATION;
         self.gates[gate].cold_until = Some(cold_until);
@@ -265,7 +267,7 @@
         }
     }
 
-    /// Notes that the target of `gate` begins to run a request; says whether it crashes of it.
+    /// Records the start of a run at the target of `gate`; returns whether it crashes the target.
     fn record_cold_run(&mut self, gate: usize) -> bool {
         let now = self.clock.now();
         let state = &mut self.gates[gate];
@@ -278,7 +280,7 @@
         state.cold_runs.len() >= threshold
     }
 
-    /// The target of `gate` crashes with all that it runs, and returns cold.
+    /// Crashes the target of `gate`: its runs fail, its queue is refused, and it restarts cold.
     fn crash(&mut self, gate: usize) {
         let state = &mut self.gates[gate];
         state.is_lost = true;
--- a/crates/yuccarack_player/src/routed/chain/calls.rs
+++ b/crates/yuccarack_player/src/routed/chain/calls.rs
@@ -1,4 +1,4 @@
-//! What callers and entries do.
+//! Callers and entries: arrivals, choice of a gate, responses, retries.
 
 use std::time::Duration;
 
@@ -131,7 +131,7 @@
         self.start_attempt(request_id);
     }
 
-    /// What the entry learns from an answer of the gate.
+    /// Records at the entry the outcome of an attempt and the load that the gate reports with it.
     pub(super) fn record_gate_outcome(
         &mut self,
         request_id: RequestId,
@@ -171,7 +171,8 @@
         self.end_attempt(request_id, RequestOutcome::Failed);
     }
 
-    /// An attempt has ended: its caller comes back, or that was all; a run goes on or fails.
+    /// Ends an attempt: its caller retries or has its outcome, or the run that made the call
+    /// continues or fails.
     pub(super) fn end_attempt(&mut self, request_id: RequestId, outcome: RequestOutcome) {
         let now = self.clock.now();
         let request = &mut self.requests[request_id];
@@ -186,7 +187,7 @@
                 }
                 RequestOutcome::Refused | RequestOutcome::Failed => {
                     self.credit.wasted_runs += 1;
-                    self.run_ends(parent, false);
+                    self.handle_run_end(parent, false);
                 }
             }
             return;
--- a/crates/yuccarack_player/src/routed/chain/runs.rs
+++ b/crates/yuccarack_player/src/routed/chain/runs.rs
@@ -1,4 +1,4 @@
-//! What gates and targets do.
+//! Gates and targets: queueing, runs and their service times.
 
 use std::time::Duration;
 
@@ -54,7 +54,7 @@
         }
     }
 
-    /// A request has a slot: it makes its call first, and works when that is answered.
+    /// Starts a run in its slot: it makes its call first, and does its own work after the response.
     pub(super) fn start_run(&mut self, request_id: RequestId) {
         let Some((gate, _)) = self.requests[request_id].gate else { return };
         self.requests[request_id].is_running = true;
@@ -99,10 +99,10 @@
         }
         let service_time =
             REQUEST_KINDS[self.requests[request_id].kind].service_time.mul_f64(factor);
-        self.clock.schedule_after(service_time, Event::RunEnds(request_id));
+        self.clock.schedule_after(service_time, Event::RunEnd(request_id));
     }
 
-    pub(super) fn run_ends(&mut self, request_id: RequestId, is_success: bool) {
+    pub(super) fn handle_run_end(&mut self, request_id: RequestId, is_success: bool) {
         if self.requests[request_id].has_ended || !self.requests[request_id].is_running {
             return;
         }
@@ -116,7 +116,7 @@
         self.clock.schedule_after(link_delay, Event::Response(request_id, is_success));
     }
 
-    /// Gives the slot of a run back.
+    /// Releases the slot of a run and starts the requests that can run now.
     pub(super) fn release_slot(&mut self, request_id: RequestId, outcome: WorkOutcome) {
         let now = self.clock.now();
         self.requests[request_id].is_running = false;
--- a/crates/yuccarack_player/src/routed/credit.rs
+++ b/crates/yuccarack_player/src/routed/credit.rs
@@ -1,51 +1,51 @@
-//! What callers got.
+//! Value of the responses that callers received, and counts of request outcomes.
 
 use std::time::Duration;
 
 use super::load::{REQUEST_KINDS, RequestKind};
 
-/// Length of the pieces of time of which the worst counts.
+/// Length of the windows over which the worst share of the value is computed.
 const WINDOW: Duration = Duration::from_secs(2);
 
-/// How requests of one kind ended, once for each caller, over all its attempts.
+/// Outcomes of the requests of one kind, counted once per caller over all its attempts.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct OutcomeCounts {
-    /// Within their aim.
+    /// Answered within their soft deadline.
     pub in_time: u64,
-    /// Answered later.
+    /// Answered after their soft deadline.
     pub late: u64,
-    /// Turned away to the last.
+    /// Refused on every attempt.
     pub refused: u64,
-    /// Failed, or without an answer in time.
+    /// Failed, or without a response by the deadline.
     pub failed: u64,
 }
 
-/// What callers got in one story under one policy.
+/// Value earned with one load under one policy; a response earns value by its kind and time.
 #[derive(Clone, Debug, Default)]
 pub struct Credit {
-    /// By kind.
+    /// Outcomes by request kind.
     pub outcomes: [OutcomeCounts; REQUEST_KINDS.len()],
-    /// Credit earned and owed by window.
+    /// Earned and attainable value of the requests that arrived in each window.
     windows: Vec<(f64, f64)>,
-    /// Runs that were wasted: their caller got nothing for them.
+    /// Runs whose caller received no response from them.
     pub wasted_runs: u64,
-    /// All runs.
+    /// Number of all runs.
     pub runs: u64,
 }
 
-/// How one request ended.
+/// Outcome of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// Answered so long after it came.
+    /// Answered, with the time since its arrival.
     Answered(Duration),
-    /// Turned away to the last.
+    /// Refused on every attempt.
     Refused,
-    /// Failed, or without an answer in time.
+    /// Failed, or without a response by the deadline.
     Failed,
 }
 
 impl Credit {
-    /// Notes the end of a request that came `at` after the start.
+    /// Records the outcome of a request that arrived `at` after the start.
     pub fn record(&mut self, kind: usize, at: Duration, outcome: RequestOutcome) {
         let RequestKind { soft_deadline, value, .. } = REQUEST_KINDS[kind];
         let counts = &mut self.outcomes[kind];
@@ -75,12 +75,13 @@
         self.windows[window].1 += value.0;
     }
 
-    /// Credit earned over credit owed.
+    /// Returns the earned share of the attainable value.
     pub fn earned_share(&self) -> f64 {
         self.earned_share_from(Duration::ZERO)
     }
 
-    /// The same of requests that came after `from`, a whole number of windows.
+    /// Returns the earned share of the requests that arrived from `from` on, a multiple of the
+    /// window length.
     pub fn earned_share_from(&self, from: Duration) -> f64 {
         let first = (from.as_micros() / WINDOW.as_micros()) as usize;
         let later = self.windows.iter().skip(first);
@@ -89,7 +90,7 @@
         earned / f64::max(attainable, f64::MIN_POSITIVE)
     }
 
-    /// The same in the two worst windows.
+    /// Returns the mean of the earned shares of the two worst windows.
     pub fn worst_share(&self) -> f64 {
         let mut shares: Vec<f64> = self
             .windows
--- a/crates/yuccarack_player/src/routed/load.rs
+++ b/crates/yuccarack_player/src/routed/load.rs
@@ -1,39 +1,41 @@
-//! A chain of three services, the requests of their callers, and what goes wrong.
+//! Configuration of the simulated chain: three services, their request kinds, and the loads and
+//! faults.
 
 use std::time::Duration;
 
-/// Services of the chain.
+/// Number of services in the chain.
 pub const SERVICES: usize = 3;
 
-/// Targets of each service; the first is called by callers only, the others by services too.
+/// Targets of each service; the first service is called by callers only, the others by services
+/// too.
 pub const TARGETS: [usize; SERVICES] = [6, 3, 3];
 
 /// Slots of a target.
 pub const SLOTS: u16 = 9;
 
-/// Failure domains; instances take turns.
+/// Number of failure domains; instances are assigned to them in turn.
 pub const DOMAINS: usize = 3;
 
 /// One kind of request.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestKind {
-    /// Its name.
+    /// Name in tables.
     pub name: &'static str,
     /// Service that runs it.
     pub service: usize,
-    /// Requests a second of callers; none for calls that only services make.
+    /// Requests per second of callers; 0 for a kind that only services call.
     pub rate_per_s: f64,
-    /// Own work at the usual pace.
+    /// Service time at a target that isn't slowed down, without the call that a run makes.
     pub service_time: Duration,
-    /// Time within which an answer is of full use.
+    /// Time within which a response has its full value.
     pub soft_deadline: Duration,
-    /// Time that its caller waits.
+    /// Time after which the caller stops waiting.
     pub deadline: Duration,
     /// Urgency; 0 is the most urgent.
     pub rank: u8,
-    /// Worth of an answer in time, and of a late one.
+    /// Value of a response within the soft deadline, and of a later one.
     pub value: (f64, f64),
-    /// Kind of the call that a run makes, and the part of the runs that make it.
+    /// Request kind that a run calls, and the share of the runs that make the call.
     pub calls: Option<(usize, f64)>,
 }
 
@@ -41,7 +43,8 @@
     Duration::from_millis(ms)
 }
 
-/// Kinds of the Hokkaido office: reads, repair orders, deliveries, and two look-ups between services.
+/// Request kinds of the Hokkaido office: reads, repair orders, deliveries, and two lookups between
+/// services.
 pub const REQUEST_KINDS: [RequestKind; 5] = [
     RequestKind {
         name: "read",
@@ -100,22 +103,23 @@
     },
 ];
 
-/// What goes wrong in a story.
+/// A load on the chain and the faults during it.
 #[derive(Clone, Copy, Debug)]
 pub struct Load {
-    /// Its name.
+    /// Name in tables.
     pub name: &'static str,
-    /// Time that is played.
+    /// Time in which requests arrive.
     pub duration: Duration,
-    /// Times the usual number of requests, and from when until when in each ten seconds.
+    /// Factor on the usual rate, and the start and end of the burst within each ten seconds.
     pub burst: Option<(f64, Duration, Duration)>,
-    /// Part of the callers that return at once, three times, whatever they were told.
+    /// Share of the callers that retry a refused request at once, up to three times.
     pub immediate_retry_share: f64,
-    /// Targets that start cold at 4 s, from the first on, in each service.
+    /// Number of targets of each service that become cold at 4 s, starting with the first.
     pub cold_targets: usize,
-    /// Targets that are gone from 4 s on, in each service but the first.
+    /// Number of targets lost from 4 s on, in each service but the first.
     pub lost_targets: usize,
-    /// Requests within one second of which a cold target crashes, to return cold; none for never.
+    /// Runs started within one second that crash a cold target, which restarts cold; `None` if it
+    /// never crashes.
     pub crash_threshold: Option<usize>,
 }
 
@@ -129,10 +133,10 @@
     crash_threshold: None,
 };
 
-/// Requests a second that a cold target bears in the stories in which it crashes at more.
+/// Requests per second that a cold target sustains in the loads in which it crashes at more.
 pub const COLD_RATE_PER_S: u32 = 7;
 
-/// All stories. Pace noise, and slowing near full slots, are in each of them.
+/// All loads. In each of them, targets slow down at random and when their slots are nearly full.
 pub const LOADS: [Load; 8] = [
     CALM,
     Load { name: "burst 1.4", burst: Some((1.4, ms(3_000), ms(8_000))), ..CALM },
--- a/crates/yuccarack_player/src/routed/mod.rs
+++ b/crates/yuccarack_player/src/routed/mod.rs
@@ -1,8 +1,8 @@
-//! Plays a chain of services against the decisions of routed calls, with a virtual clock.
+//! Simulates a chain of services against the decisions on routed calls, on a virtual clock.
 //!
-//! Targets shift their pace several times a second, slow down near full slots and after a start;
-//! requests of services call other services; callers come in bursts, and some return early. It shows
-//! what queue and placement decide, and nothing of networks, processes or faults.
+//! The slowdown of a target changes several times a second, and grows near full slots and after a
+//! start. Runs of services call other services; callers arrive in bursts, and some retry at once.
+//! Only the decisions of queue and placement are tested: networks and processes aren't simulated.
 
 mod chain;
 mod credit;
@@ -15,22 +15,22 @@
     load::{LOADS, Load, REQUEST_KINDS},
 };
 
-/// Who decides.
+/// Queueing and placement policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// This project's queue and placement.
+    /// The project's queue and placement.
     Yuccarack,
-    /// First come, first served in all slots, at a target drawn at random.
+    /// FIFO queue over all slots, at a random target.
     FifoRandom,
-    /// The same at the shorter of two queues, known without delay.
+    /// FIFO queue at the shorter of two random queues, whose lengths are known without delay.
     FifoShortest,
 }
 
 impl Policy {
-    /// All of them.
+    /// All policies, in the order of the table.
     pub const ALL: [Self; 3] = [Self::Yuccarack, Self::FifoRandom, Self::FifoShortest];
 
-    /// Its name in tables.
+    /// Returns the name in tables.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Yuccarack => "decided",
--- a/crates/yuccarack_player/src/routed/queue.rs
+++ b/crates/yuccarack_player/src/routed/queue.rs
@@ -1,4 +1,4 @@
-//! What a gate runs and lets wait, under each policy.
+//! Queue of one gate under each policy.
 
 use std::{collections::VecDeque, time::Instant};
 
@@ -12,27 +12,27 @@
 
 use super::Policy;
 
-/// Name of a request that waits or runs at a gate.
+/// Index of a request in the simulation.
 pub type RequestId = usize;
 
-/// What becomes of requests.
+/// Decision of a queue on one request.
 #[derive(Clone, Copy, Debug)]
 pub enum Verdict {
-    /// It runs.
+    /// The request starts to run.
     Run(RequestId),
-    /// It doesn't run here.
+    /// The request is refused at this gate.
     Refused(RequestId),
 }
 
-/// The queue of one gate.
+/// Queue of one gate.
 pub enum Queue {
-    /// The decisions of this project.
+    /// The project's work queue.
     Yuccarack {
         queue: Box<WorkQueue>,
         waiting: Vec<(WaitingKey, RequestId)>,
         running: Vec<(RunningKey, RequestId)>,
     },
-    /// First come, first served, in all slots; what has run out of time is dropped when its turn comes.
+    /// FIFO over all slots; a request past its deadline is dropped when it reaches the head.
     Fifo { slots: usize, running: usize, waiting: VecDeque<(RequestId, Instant)> },
 }
 
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Notes that the target is cold until `cold_until`, and what it bears by then.
+    /// Sets the end of the target's cold phase and the rate limit during it.
     pub fn set_cold_until(&mut self, cold_until: Instant, bound: Option<ColdBound>) {
         if let Self::Yuccarack { queue, .. } = self {
             queue.cold_rate_mut().set_bound(bound);
@@ -83,14 +83,14 @@
         }
     }
 
-    /// Notes that the target is warm as of `now`.
+    /// Marks the target as warm as of `now`.
     pub fn set_warm(&mut self, now: Instant) {
         if let Self::Yuccarack { queue, .. } = self {
             queue.cold_rate_mut().set_warm(now);
         }
     }
 
-    /// Ends a run; says who runs now.
+    /// Ends a run and returns the decisions that follow from the free slot.
     pub fn release(
         &mut self,
         now: Instant,
@@ -109,7 +109,7 @@
         self.poll(now)
     }
 
-    /// Takes a waiting request back.
+    /// Removes a waiting request and returns the decisions that follow.
     pub fn cancel(&mut self, now: Instant, request_id: RequestId) -> Vec<Verdict> {
         match self {
             Self::Yuccarack { queue, waiting, .. } => {
@@ -123,7 +123,7 @@
         self.poll(now)
     }
 
-    /// Requests that wait.
+    /// Returns the waiting requests.
     pub fn waiting(&self) -> Vec<RequestId> {
         match self {
             Self::Yuccarack { waiting, .. } => {
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Settles what has become due.
+    /// Returns the decisions that are due at `now`.
     pub fn poll(&mut self, now: Instant) -> Vec<Verdict> {
         match self {
             Self::Yuccarack { queue, waiting, running } => {
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Requests that run and wait.
+    /// Returns the number of running and waiting requests.
     pub fn length(&self) -> usize {
         match self {
             Self::Yuccarack { queue, .. } => queue.running() + queue.waiting(),
@@ -191,7 +191,7 @@
         }
     }
 
-    /// What the gate tells with each answer.
+    /// Returns the load that the gate reports with each response; `None` under a baseline.
     pub fn load(&self, now: Instant) -> Option<GateLoad> {
         let Self::Yuccarack { queue, .. } = self else { return None };
         Some(GateLoad {
--- a/crates/yuccarack_player/src/scenario.rs
+++ b/crates/yuccarack_player/src/scenario.rs
@@ -1,131 +1,132 @@
-//! What is played: a fleet, its callers, their work and the faults.
+//! Scenarios: a fleet, its callers, their workload and the faults.
 
 use std::time::Duration;
 
-/// How requests are spread.
+/// Load balancing policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// The decisions of this project.
+    /// The project's decisions.
     Yuccarack,
-    /// Any target.
+    /// A random target.
     Random,
-    /// One after the other at each entry.
+    /// Targets in turn, separately at each entry.
     RoundRobin,
-    /// Least in flight on reports 100 ms old, with the entry's own requests since then.
+    /// Fewest requests in flight, by reports polled every 100 ms plus the requests that the entry
+    /// has sent since.
     LeastInFlight,
-    /// The better of two random targets on the same reports.
+    /// The less loaded of two random targets, by the same reports.
     PowerOfTwo,
 }
 
 /// Targets and entries of one service.
 #[derive(Clone, Copy, Debug)]
 pub struct Fleet {
-    /// The fleet's name in tables.
+    /// Name in tables.
     pub name: &'static str,
     /// Targets of the service.
     pub targets: usize,
-    /// Entries through which callers come.
+    /// Entries that accept the calls.
     pub entries: usize,
-    /// Failure domains, over which targets and entries are spread evenly.
+    /// Failure domains, across which targets and entries are spread evenly.
     pub domains: usize,
-    /// One way between failure domains.
+    /// One-way delay between failure domains.
     pub link_delay: Duration,
     /// Whether the service's requests may run more than once.
     pub is_repeatable: bool,
 }
 
-/// Who calls.
+/// Callers and the distribution of calls among them.
 #[derive(Clone, Copy, Debug)]
 pub struct Callers {
-    /// Callers in all.
+    /// Number of callers.
     pub count: u64,
-    /// The first so many of them are heavy.
+    /// Number of heavy callers among them.
     pub heavy: u64,
     /// Share of all calls that heavy callers make.
     pub heavy_share: f64,
 }
 
-/// What calls ask for.
+/// Service times of requests.
 #[derive(Clone, Copy, Debug)]
 pub struct Workload {
-    /// Mean time of a short request on an idle target.
+    /// Mean service time of a short request on an idle target.
     pub mean: Duration,
     /// Share of calls that are long, on their own route.
     pub long_share: f64,
-    /// How many times longer a long request is.
+    /// Service time of a long request relative to that of a short one.
     pub long_factor: f64,
     /// Share of slots that the long route may fill, in percent.
     pub long_slots_percent: u8,
 }
 
-/// More load now and then.
+/// Periodic bursts of load.
 #[derive(Clone, Copy, Debug)]
 pub struct Burst {
-    /// Time between two bursts' starts.
+    /// Time between the starts of two bursts.
     pub interval: Duration,
-    /// How long one lasts.
+    /// Duration of one burst.
     pub duration: Duration,
-    /// How many times the load it is.
+    /// Factor on the load during a burst.
     pub factor: f64,
 }
 
-/// What goes wrong with targets.
+/// Fault of one target or of several.
 #[derive(Clone, Copy, Debug)]
 pub enum Fault {
-    /// Every target stalls at random times.
+    /// Every target slows down at random times.
     Stalls {
-        /// Mean time between two stalls of a target.
+        /// Mean time between stalls of a target.
         mean_interval: Duration,
         /// Shortest stall.
         shortest: Duration,
         /// Longest stall.
         longest: Duration,
-        /// How many times slower it is meanwhile.
+        /// Factor on the service time during a stall.
         factor: f64,
     },
-    /// A neighbour moves on from target to target and slows each for a while.
+    /// Other load on the hosts moves from target to target and slows each down for a while.
     NoisyNeighbour {
-        /// How long it stays.
+        /// Time that it stays at one target.
         duration: Duration,
-        /// How many times slower the target is meanwhile.
+        /// Factor on the service time meanwhile.
         factor: f64,
     },
-    /// The first target is slow for a time.
+    /// The first target is slow for a period.
     Slow {
-        /// From when.
+        /// Start of the period.
         from: Duration,
-        /// Until when.
+        /// End of the period.
         until: Duration,
-        /// How many times slower it is.
+        /// Factor on the service time meanwhile.
         factor: f64,
     },
-    /// The first target fails every request at once for a time.
+    /// The first target fails every request at once for a period.
     FailsFast {
-        /// From when.
+        /// Start of the period.
         from: Duration,
-        /// Until when.
+        /// End of the period.
         until: Duration,
     },
-    /// The first target says it is idle and quick, whatever is true.
+    /// The first target always reports that it is idle and fast.
     FalseReports,
-    /// Targets are slow until they have answered some requests.
+    /// All targets start cold and are slow until they have served some requests.
     ColdStart,
-    /// Targets slow down beyond this many requests at once.
+    /// Targets announce more slots than they can run without slowing down.
     OverstatedSlots {
-        /// Requests that a target really runs at once.
+        /// Concurrent requests above which a target slows down.
         real_slots: u16,
     },
-    /// The first failure domain is cut off from a time on.
+    /// The first failure domain is cut off for the rest of the run.
     DomainLoss {
-        /// From when.
+        /// Time of the loss.
         from: Duration,
     },
 }
 
-/// One thing to play.
+/// One simulated load with its faults.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// The story's name in tables.
+    /// Name in tables.
     pub name: &'static str,
     /// Targets and entries.
     pub fleet: Fleet,
@@ -133,30 +134,30 @@
     pub load: f64,
     /// Time in which calls arrive.
     pub duration: Duration,
-    /// Time that each call has.
+    /// Time from the arrival of a call to its deadline.
     pub deadline: Duration,
-    /// Who calls.
+    /// Callers and their shares of the calls.
     pub callers: Callers,
-    /// What they ask for.
+    /// Service times of the requests.
     pub workload: Workload,
     /// Bursts, if any.
     pub burst: Option<Burst>,
-    /// What goes wrong.
+    /// Faults during the run.
     pub faults: Vec<Fault>,
 }
 
-/// Slots of every target.
+/// Slots that every target announces.
 pub const SLOTS: u16 = 10;
 
-/// Connections that a target takes, which bounds its queue where no gate does.
+/// Connections that a target accepts; bounds its queue under a baseline, where no gate does.
 pub const CONNECTIONS: usize = 250;
 
 impl Policy {
-    /// All that are compared.
+    /// All policies, in the order of the table.
     pub const ALL: [Self; 5] =
         [Self::Yuccarack, Self::Random, Self::RoundRobin, Self::LeastInFlight, Self::PowerOfTwo];
 
-    /// The policy's name in tables.
+    /// Returns the name in tables.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Yuccarack => "yuccarack",
@@ -169,14 +170,14 @@
 }
 
 impl Workload {
-    /// Mean time over short and long requests.
+    /// Returns the mean service time over short and long requests.
     pub fn overall_mean(&self) -> Duration {
         self.mean.mul_f64(1.0 + self.long_share * (self.long_factor - 1.0))
     }
 }
 
 impl Scenario {
-    /// Calls a second that healthy targets can do.
+    /// Returns the calls per second that healthy targets can serve.
     pub fn capacity_per_s(&self) -> f64 {
         let slots = self.fleet.targets as f64 * f64::from(SLOTS);
         slots / self.workload.overall_mean().as_secs_f64()
--- a/crates/yuccarack_player/src/tally.rs
+++ b/crates/yuccarack_player/src/tally.rs
@@ -1,62 +1,62 @@
-//! What callers got.
+//! Counters and response times of simulated calls, and the summary of a run.
 
 use std::time::Duration;
 
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// Highest answer time kept, in µs.
+/// Highest response time that the histograms record, in µs.
 const HIGHEST_US: u64 = 60_000_000;
 
-/// Counts of one run or of several that belong together.
+/// Counts of one run, or the sum over several runs of one table row.
 #[derive(Clone, Debug)]
 pub struct Tally {
     /// Calls offered.
     pub offered: u64,
-    /// Calls that the healthy targets could have done.
+    /// Calls that healthy targets could have served while calls arrived.
     pub capacity: f64,
-    /// Calls answered in time while calls still came.
+    /// Calls answered in time while calls still arrived.
     pub answered_while_offered: u64,
     /// Calls refused, known not to have run.
     pub refused: u64,
     /// Calls that failed or whose outcome is unknown.
     pub failed: u64,
-    /// Calls that got nothing by their deadline.
+    /// Calls without a response by their deadline.
     pub late: u64,
-    /// Runs that a target started.
+    /// Runs started by targets.
     pub runs: u64,
     /// Runs beyond the first of their call.
     pub duplicates: u64,
-    /// Hedges sent.
+    /// Hedged attempts sent.
     pub hedges: u64,
-    /// Tries sent again.
+    /// Retries sent.
     pub retries: u64,
-    /// Bytes spent on news of load.
+    /// Bytes spent on load reports.
     pub measuring_bytes: u64,
-    /// Sum of the age of news over all choices, in µs, and their number.
+    /// Sum of the ages of the load reports over all choices, in µs, and the number of choices.
     pub report_age_us: (u64, u64),
-    /// Target seconds, for rates.
+    /// Number of targets times the duration, in seconds; the base of rates per target.
     pub target_s: f64,
-    /// Pairs of an entry and a target, seconds long.
+    /// Number of entry-target pairs times the duration, in seconds.
     pub pair_s: f64,
-    /// Answer times of calls answered in time, in µs.
+    /// Response times of calls answered in time, in µs.
     pub response_times: Histogram<u64>,
-    /// Calls offered and answered of heavy callers.
+    /// Calls of heavy callers: offered, and answered in time.
     pub heavy: (u64, u64),
-    /// Calls offered and answered of the other callers.
+    /// Calls of the other callers: offered, and answered in time.
     pub light: (u64, u64),
-    /// Answer times of short requests only, in µs.
+    /// Response times of short requests answered in time, in µs.
     pub short_response_times: Histogram<u64>,
 }
 
-/// The figures of one row of the table.
+/// One row of the table; the field names are the keys of its JSON form.
 #[derive(Clone, Debug, Serialize)]
 pub struct Summary {
-    /// Fleet played.
+    /// Name of the fleet.
     pub fleet: &'static str,
-    /// Story played.
+    /// Name of the scenario.
     pub story: &'static str,
-    /// Policy played.
+    /// Name of the policy.
     pub policy: &'static str,
     /// Calls offered.
     pub offered: u64,
@@ -76,7 +76,7 @@
     pub refused_percent: f64,
     /// Share failed, in percent.
     pub failed_percent: f64,
-    /// Share without an answer at the deadline, in percent.
+    /// Share without a response at the deadline, in percent.
     pub late_percent: f64,
     /// Runs beyond the first of their call, in percent of calls.
     pub duplicates_percent: f64,
@@ -84,26 +84,26 @@
     pub light_in_time_percent: f64,
     /// Share of heavy callers' calls answered in time, in percent.
     pub heavy_in_time_percent: f64,
-    /// Bytes a second spent on news of each target.
+    /// Bytes per second spent on load reports of each target.
     pub measuring_bytes_per_target_s: f64,
-    /// Mean age of the news behind a choice, in ms.
+    /// Mean age of the load report behind a choice, in ms.
     pub news_age_ms: f64,
-    /// Bytes a second for each target that polling at the same age would cost.
+    /// Bytes per second and target that polling would cost for load reports of the same mean age.
     pub polling_bytes_per_target_s: f64,
 }
 
-/// Bytes of one poll of a load endpoint, both ways: request line and host, status line, length
-/// and two numbers.
+/// Bytes of one poll of a load endpoint in both directions: request line and host, status line,
+/// length and two numbers.
 pub const POLL_BYTES: u64 = 200;
 
-/// Bytes of the load header on an answer.
+/// Bytes of the load header on a response.
 pub const REPORT_BYTES: u64 = 34;
 
 impl Tally {
     /// Creates an empty tally.
     pub fn new() -> Self {
-        let response_times =
-            Histogram::new_with_max(HIGHEST_US, 3).expect("three digits of an hour's µs fit");
+        let response_times = Histogram::new_with_max(HIGHEST_US, 3)
+            .expect("the highest value and three significant digits are valid");
         Self {
             offered: 0,
             capacity: 0.0,
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Notes a call answered in time.
+    /// Records a call answered in time.
     pub fn record_response(&mut self, response_time: Duration, is_heavy: bool, is_long: bool) {
         let response_time_us = (response_time.as_micros() as u64).clamp(1, HIGHEST_US);
         self.response_times.saturating_record(response_time_us);
@@ -167,22 +167,22 @@
             .expect("both have the same bounds");
     }
 
-    /// Answer time that `percent` of the answered calls didn't exceed.
+    /// Returns the response time that `percent` of the calls answered in time didn't exceed.
     pub fn percentile(&self, percent: f64) -> Duration {
         Duration::from_micros(self.response_times.value_at_percentile(percent))
     }
 
-    /// Share of calls answered in time.
+    /// Returns the share of offered calls that were answered in time.
     pub fn in_time(&self) -> f64 {
         share(self.response_times.len(), self.offered)
     }
 
-    /// Calls answered in time as a share of what healthy targets could do meanwhile.
+    /// Returns the calls answered in time while calls arrived, as a share of the healthy capacity.
     pub fn goodput(&self) -> f64 {
         self.answered_while_offered as f64 / self.capacity
     }
 
-    /// The row of the table.
+    /// Returns the row of the table for these counts.
     pub fn summary(
         &self,
         fleet: &'static str,
@@ -191,7 +191,7 @@
     ) -> Summary {
         let percent = |count| 100.0 * share(count, self.offered);
         let report_age_s = self.report_age_us.0 as f64 / self.report_age_us.1.max(1) as f64 / 1e6;
-        // News polled every `t` is `t / 2` old on average.
+        // Reports polled at an interval `t` are `t / 2` old on average.
         let polls_per_pair_s = if report_age_s > 0.0 { 0.5 / report_age_s } else { 0.0 };
         let polling_bytes = polls_per_pair_s * POLL_BYTES as f64 * self.pair_s;
         Summary {
--- a/crates/yuccarack_player/src/target.rs
+++ b/crates/yuccarack_player/src/target.rs
@@ -1,4 +1,4 @@
-//! A target: slots that work at a speed that changes.
+//! Simulated target whose service times change with its faults and its load.
 
 use std::{
     collections::VecDeque,
@@ -9,16 +9,16 @@
 
 use crate::scenario::{Fault, SLOTS, Scenario};
 
-/// Requests after which a cold target is warm.
+/// Responses after which a cold target is warm.
 const WARM_UP_RESPONSES: f64 = 200.0;
 
-/// How many times slower a cold target is at first.
+/// Factor on the service time of a target right after a cold start.
 const COLD_START_FACTOR: f64 = 5.0;
 
-/// Time in which a target that fails at once answers.
+/// Response time of a target that fails every request at once.
 const FAIL_FAST_RESPONSE_TIME: Duration = Duration::from_micros(200);
 
-/// Speed and faults of one target.
+/// State and faults of one target.
 pub struct Target {
     pub domain: usize,
     pub has_false_reports: bool,
@@ -37,7 +37,7 @@
     factor: f64,
 }
 
-/// How a run will end.
+/// How and when a started run will end.
 pub enum PlannedEnd {
     Response { at: Instant },
     Failure { at: Instant },
@@ -125,7 +125,7 @@
         duration: Duration,
         factor: f64,
     ) {
-        // One neighbour for every ten targets, each on its own round.
+        // One neighbour for every ten targets, each cycling through its own targets.
         let round = scenario.fleet.targets.min(10) as u32;
         let mut at = start + duration * (index as u32 % round);
         while at < start + scenario.duration {
@@ -142,7 +142,7 @@
         self.lost_at.is_some_and(|from| now >= from)
     }
 
-    /// Starts a request; `ended` must follow.
+    /// Starts a run; [`Self::finish_run`] must be called when it ends.
     pub fn start(&mut self, now: Instant, service_time: Duration) -> PlannedEnd {
         self.running += 1;
         if self.failing_period.is_some_and(|(from, until)| now >= from && now < until) {
@@ -166,7 +166,7 @@
         1.0 + (COLD_START_FACTOR - 1.0) * work_left
     }
 
-    /// When work started now is done, at the speeds between now and then.
+    /// Returns when work that starts now is done, given the slowdowns until then.
     fn completion_time(&mut self, now: Instant, service_time: Duration) -> Instant {
         while self.slowdowns.front().is_some_and(|slowdown| slowdown.until <= now) {
             self.slowdowns.pop_front();
--- a/crates/yuccarack_player/tests/chain.rs
+++ b/crates/yuccarack_player/tests/chain.rs
@@ -1,20 +1,20 @@
-//! The chain of services: what callers get under the decisions, against queues without any.
+//! Tests the service chain: value earned under the project's decisions, compared with FIFO queues.
 
 use std::time::Duration;
 
 use yuccarack_player::routed::{Credit, LOADS, Policy, play_chain};
 
-/// Seeds whose credits are added up; one of them differs from another by a few hundredths.
+/// Number of seeds averaged, since results of single seeds differ by a few hundredths.
 const SEEDS: u64 = 3;
 
 fn mean(load: &str, policy: Policy, of: fn(&Credit) -> f64) -> f64 {
-    let load = LOADS.iter().find(|known| known.name == load).expect("a load");
+    let load = LOADS.iter().find(|known| known.name == load).expect("the load is defined");
     let sum: f64 = (1..=SEEDS).map(|seed| of(&play_chain(load, policy, seed))).sum();
     sum / SEEDS as f64
 }
 
-/// A burst of two seconds brings twice the requests. Served in the order in which they came, in all
-/// slots, everybody waits behind the burst for seconds after it, and the worst two seconds lose half.
+/// The rate doubles for two seconds. In FIFO queues over all slots, requests wait behind the burst
+/// for seconds after its end, and the worst two seconds lose half of the value.
 #[test]
 fn a_burst_costs_little_beyond_itself() {
     let yuccarack = mean("burst 2.0", Policy::Yuccarack, Credit::worst_share);
@@ -23,8 +23,8 @@
     assert!(yuccarack > 1.25 * shortest, "{yuccarack:.3} against {shortest:.3}");
 }
 
-/// Twice the requests for as long as it lasts. A queue without end holds every read until its caller
-/// has gone, and a third of all runs are for nobody.
+/// The rate is doubled for the whole run. An unbounded queue holds every read until its caller has
+/// stopped waiting, and a third of all runs are wasted.
 #[test]
 fn saturation_wastes_no_runs() {
     let wasted = |credit: &Credit| credit.wasted_runs as f64 / credit.runs as f64;
@@ -38,14 +38,14 @@
     assert!(yuccarack > 1.5 * shortest_queue, "{yuccarack:.3} against {shortest_queue:.3}");
 }
 
-/// Two fifths of the callers come back at once and three times, whatever they were told. Those that
-/// behave are served as well as without them.
+/// Two fifths of the callers retry at once, up to three times. They must not displace the callers
+/// that wait before they retry.
 #[test]
-fn callers_that_return_at_once_push_nobody_out() {
+fn callers_that_retry_at_once_displace_nobody() {
     assert!(mean("early", Policy::Yuccarack, Credit::earned_share) > 0.85);
 }
 
-/// The most urgent kind is served no worse than the others of its chain when nothing fits any more.
+/// Under saturation, the most urgent request kind must be served no worse than the other kinds.
 #[test]
 fn deliveries_come_first_in_saturation() {
     let in_time = |kind: usize| {
@@ -54,18 +54,18 @@
             let all = counts.in_time + counts.late + counts.refused + counts.failed;
             counts.in_time as f64 / all as f64
         };
-        let load = LOADS.iter().find(|load| load.name == "saturated").expect("a load");
+        let load = LOADS.iter().find(|load| load.name == "saturated").expect("the load is defined");
         (1..=SEEDS).map(|seed| share(&play_chain(load, Policy::Yuccarack, seed), kind)).sum::<f64>()
     };
     let (read, repair, delivery) = (in_time(0), in_time(1), in_time(2));
     assert!(delivery >= read && delivery >= repair, "{delivery:.2} {read:.2} {repair:.2}");
 }
 
-/// Guards against a collapse that outlasts its cause: targets return cold under their usual load, crash of it
-/// and return cold, until the load ends.
+/// Guards against a collapse that outlasts its cause: targets that restart cold under their usual
+/// load crash again and restart cold, until the load ends.
 #[test]
 fn targets_that_are_cold_together_recover_under_their_load() {
-    // They are cold from 4 to 7 s; 5 s after that the calls are served as before.
+    // Targets are cold from 4 to 7 s; 5 s later, calls must be served as before.
     let recovered = |credit: &Credit| credit.earned_share_from(Duration::from_secs(12));
     let calm = mean("calm", Policy::Yuccarack, recovered);
     let yuccarack = mean("all cold", Policy::Yuccarack, recovered);
