--- a/crates/yuccarack_platform/examples/racing_operators.rs
+++ b/crates/yuccarack_platform/examples/racing_operators.rs
@@ -61,7 +61,9 @@
 
 #[tokio::main]
 async fn main() -> io::Result<()> {
-    println!("| edit ms | services | way | had a conflict | conflicts | most tries | mean ms |");
+    println!(
+        "| edit ms | services | conditions | had a conflict | conflicts | most attempts | mean ms |"
+    );
     println!("|---|---|---|---|---|---|---|");
     for edit_ms in EDIT_TIMES_MS {
         for services in SERVICES {
--- a/crates/yuccarack_policy/benches/decisions.rs
+++ b/crates/yuccarack_policy/benches/decisions.rs
@@ -1,4 +1,4 @@
-//! Benchmarks of the time that one choice and one admission take.
+//! Benchmarks of the duration of one choice and of one admission.
 
 use std::{
     hint::black_box,
--- a/crates/yuccarack_policy/benches/heap.rs
+++ b/crates/yuccarack_policy/benches/heap.rs
@@ -1,4 +1,4 @@
-//! Prints the heap size of a chooser for each target, in bytes.
+//! Prints the heap size of a chooser, in total and per target.
 
 use std::time::Instant;
 
@@ -27,7 +27,10 @@
         let mut chooser = Chooser::new(ChooserConfig::default(), "domain-0".into());
         chooser.set_members(now, &members);
         let bytes = dhat::HeapStats::get().curr_bytes - before;
-        println!("heap of a chooser: {size:5} targets {bytes:8} bytes {:5} a target", bytes / size);
+        println!(
+            "heap of a chooser: {size:5} targets {bytes:8} bytes {:5} per target",
+            bytes / size
+        );
         drop(chooser);
     }
 }
