--- a/crates/yuccarackd/tests/control/admin.rs
+++ b/crates/yuccarackd/tests/control/admin.rs
@@ -1,4 +1,4 @@
-//! The admin endpoint: what it takes, refuses and tells.
+//! The admin endpoint: announcements, queries and refusals.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -9,28 +9,28 @@
 
 use crate::peers::{Peer, announcement, platform, put_rules, settings, stop_all, until};
 
-/// An address that no caller of a test has.
-const ELSEWHERE: IpAddr = IpAddr::V4(std::net::Ipv4Addr::new(127, 99, 99, 99));
+/// An address from which no test sends requests.
+const UNLISTED_ADDRESS: IpAddr = IpAddr::V4(std::net::Ipv4Addr::new(127, 99, 99, 99));
 
-async fn ask(address: SocketAddr, method: Method, path: &str, body: Vec<u8>) -> Told {
+async fn request(address: SocketAddr, method: Method, path: &str, body: Vec<u8>) -> Told {
     let question = Question::new(method, path).with_body(body);
-    Asker::default().ask(address, question).await.expect("the daemon answers")
+    Asker::default().ask(address, question).await.expect("the daemon responds")
 }
 
-fn reason(told: &Told) -> String {
-    let body: Value = serde_json::from_slice(&told.body).expect("the body is JSON");
+fn reason(response: &Told) -> String {
+    let body: Value = serde_json::from_slice(&response.body).expect("the body is JSON");
     body["reason"].as_str().unwrap_or_default().to_owned()
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_target_announces_itself_and_shows() {
+async fn an_announced_target_is_shown() {
     let platform = platform().await;
     let revision = put_rules(&platform, "huts", 100);
     let peer = Peer::start(platform.address(), "hut-1", Vec::new()).await;
     let admin = peer.control.admin_address();
     let body = serde_json::to_vec(&announcement("huts", TargetState::Ready)).unwrap();
-    let told = ask(admin, Method::POST, "/announce", body).await;
-    assert_eq!(told.status, StatusCode::NO_CONTENT);
+    let response = request(admin, Method::POST, "/announce", body).await;
+    assert_eq!(response.status, StatusCode::NO_CONTENT);
     until("rules are in force", || peer.rules_revision("huts") == revision).await;
 
     let status: Value = Asker::default().get_json(admin, "/status").await.unwrap();
@@ -44,9 +44,9 @@
     assert_eq!(counters["announce.taken"], 1);
     let explained: Value = Asker::default().get_json(admin, "/explain/known").await.unwrap();
     assert_eq!(explained["id"], "known");
-    let told = ask(admin, Method::GET, "/explain/other", Vec::new()).await;
+    let response = request(admin, Method::GET, "/explain/other", Vec::new()).await;
     assert_eq!(
-        (told.status, reason(&told).as_str()),
+        (response.status, reason(&response).as_str()),
         (StatusCode::NOT_FOUND, "request_not_remembered")
     );
     stop_all(vec![peer]).await;
@@ -54,7 +54,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn announcements_that_make_no_sense_are_refused() {
+async fn invalid_announcements_are_refused() {
     let platform = platform().await;
     let peer = Peer::start(platform.address(), "hut-1", Vec::new()).await;
     let mut without_slots = announcement("huts", TargetState::Ready);
@@ -67,36 +67,39 @@
         serde_json::to_vec(&without_service).unwrap(),
     ];
     for body in bodies {
-        let told = ask(peer.control.admin_address(), Method::POST, "/announce", body).await;
-        assert!(told.status.is_client_error(), "{}", told.status);
+        let response = request(peer.control.admin_address(), Method::POST, "/announce", body).await;
+        assert!(response.status.is_client_error(), "{}", response.status);
     }
     assert!(peer.control.own_target.current().is_none());
     stop_all(vec![peer]).await;
     platform.stop().await;
 }
 
-/// Somebody on the network poses as a target, or as an operator. Neither address is named in the
-/// settings, so both are refused and show in the counters.
+/// Guards against announcements and operators' requests from an address that the settings don't
+/// list. They are refused and counted.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn calls_from_unnamed_addresses_are_refused() {
+async fn requests_from_unlisted_addresses_are_refused() {
     let platform = platform().await;
     let mut settings = settings(platform.address(), "hut-1", Vec::new());
-    settings.announce_from = vec![ELSEWHERE];
-    settings.admin_from = vec![ELSEWHERE];
+    settings.announce_from = vec![UNLISTED_ADDRESS];
+    settings.admin_from = vec![UNLISTED_ADDRESS];
     let peer = Peer::with_settings(settings).await;
     let admin = peer.control.admin_address();
     let body = serde_json::to_vec(&announcement("huts", TargetState::Ready)).unwrap();
-    let told = ask(admin, Method::POST, "/announce", body).await;
+    let response = request(admin, Method::POST, "/announce", body).await;
     assert_eq!(
-        (told.status, reason(&told).as_str()),
+        (response.status, reason(&response).as_str()),
         (StatusCode::FORBIDDEN, "address_not_accepted")
     );
     assert!(peer.control.own_target.current().is_none());
     for path in ["/status", "/targets", "/counters", "/explain/known"] {
-        let told = ask(admin, Method::GET, path, Vec::new()).await;
-        assert_eq!(told.status, StatusCode::FORBIDDEN, "{path}");
+        let response = request(admin, Method::GET, path, Vec::new()).await;
+        assert_eq!(response.status, StatusCode::FORBIDDEN, "{path}");
     }
-    assert_eq!(ask(admin, Method::POST, "/hint", Vec::new()).await.status, StatusCode::FORBIDDEN);
+    assert_eq!(
+        request(admin, Method::POST, "/hint", Vec::new()).await.status,
+        StatusCode::FORBIDDEN
+    );
     assert_eq!(peer.count("announce.refused_address"), 1);
     assert_eq!(peer.count("admin.refused_address"), 5);
     stop_all(vec![peer]).await;
--- a/crates/yuccarackd/tests/control/directory.rs
+++ b/crates/yuccarackd/tests/control/directory.rs
@@ -1,4 +1,4 @@
-//! Which news the directory takes.
+//! Which updates the directory accepts.
 
 use yuccarack_platform::rows::{MemberRow, RulesRow, TargetState};
 use yuccarackd::state::directory::Directory;
@@ -21,8 +21,8 @@
     }
 }
 
-/// An operator shortens a deadline. A peer that was frozen through it wakes and passes on what it
-/// had; callers would see the old deadline again.
+/// Guards against outdated rules that come back into force, when a peer that was frozen during a
+/// change of the rules resumes and sends the version it has.
 #[test]
 fn older_rules_never_replace_newer() {
     let directory = Directory::new();
@@ -33,8 +33,8 @@
     assert_eq!(view.rules.as_ref().unwrap().routes[0].deadline_ms, 700);
 }
 
-/// An operator takes a service away. A peer that still holds its rules passes them on; the
-/// service would be back without anybody's order.
+/// Guards against a removed service that comes back because a peer still has its rules and sends
+/// them.
 #[test]
 fn removed_rules_stay_removed() {
     let directory = Directory::new();
@@ -44,35 +44,35 @@
     assert!(directory.view("huts").unwrap().rules.is_none());
 }
 
-/// A target drains and goes. Word of its better days still travels; entries would send it work
-/// again.
+/// Guards against requests to a target that has drained and left, because an outdated update says
+/// that it is ready.
 #[test]
-fn old_news_of_a_member_are_ignored() {
+fn outdated_updates_of_a_member_are_ignored() {
     let directory = Directory::new();
-    let take = |row| !directory.merge_members("huts", vec![row]).is_empty();
-    assert!(take(member(5, 1, TargetState::Ready)));
-    assert!(take(member(5, 2, TargetState::Draining)));
-    assert!(!take(member(5, 1, TargetState::Ready)));
-    assert!(!take(member(4, 9, TargetState::Ready)));
-    assert!(take(member(5, 2, TargetState::Gone)));
-    assert!(!take(member(5, 2, TargetState::Draining)));
+    let merge = |row| !directory.merge_members("huts", vec![row]).is_empty();
+    assert!(merge(member(5, 1, TargetState::Ready)));
+    assert!(merge(member(5, 2, TargetState::Draining)));
+    assert!(!merge(member(5, 1, TargetState::Ready)));
+    assert!(!merge(member(4, 9, TargetState::Ready)));
+    assert!(merge(member(5, 2, TargetState::Gone)));
+    assert!(!merge(member(5, 2, TargetState::Draining)));
     assert!(directory.peek("huts").unwrap().members.is_empty());
-    assert!(take(member(6, 1, TargetState::Ready)));
+    assert!(merge(member(6, 1, TargetState::Ready)));
     assert_eq!(directory.peek("huts").unwrap().members.len(), 1);
 }
 
-/// The end of a member that nobody here remembers is passed around; taken in, it would be sent on
-/// and on for ever.
+/// Guards against the removal of a forgotten member that daemons send to each other without end. It
+/// must not be accepted as a change.
 #[test]
-fn the_end_of_an_unknown_member_is_no_news() {
+fn the_removal_of_an_unknown_member_changes_nothing() {
     let directory = Directory::new();
-    let taken = directory.merge_members("huts", vec![member(5, 2, TargetState::Gone)]);
-    assert!(taken.is_empty());
+    let merged = directory.merge_members("huts", vec![member(5, 2, TargetState::Gone)]);
+    assert!(merged.is_empty());
     assert!(directory.member_rows("huts").is_empty());
 }
 
 #[test]
-fn members_that_know_the_same_have_the_same_digest() {
+fn equal_members_have_the_same_digest() {
     let (one, other) = (Directory::new(), Directory::new());
     one.merge_members("huts", vec![member(5, 1, TargetState::Ready)]);
     assert_ne!(one.members_digest("huts"), other.members_digest("huts"));
--- a/crates/yuccarackd/tests/control/main.rs
+++ b/crates/yuccarackd/tests/control/main.rs
@@ -1,4 +1,4 @@
-//! What control planes know of each other, each in this process, around one platform.
+//! Control planes in this process that use one platform and exchange updates.
 
 mod admin;
 mod directory;
--- a/crates/yuccarackd/tests/control/peers.rs
+++ b/crates/yuccarackd/tests/control/peers.rs
@@ -1,4 +1,4 @@
-//! Starts control planes and waits for what they learn.
+//! Helpers that start control planes and wait for their state.
 
 use std::{
     net::{Ipv4Addr, SocketAddr},
@@ -20,12 +20,12 @@
     state::counters::Counters, transport::admin_server::Explain,
 };
 
-/// Longest wait for what has to come; far beyond what it takes.
+/// Longest wait for a condition; far longer than it normally takes.
 const WAIT_MAX: Duration = Duration::from_secs(30);
-/// Time between two looks.
-const LOOK_INTERVAL: Duration = Duration::from_millis(10);
+/// Time between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A control plane and what it was started with.
+/// A control plane and its counters.
 pub struct Peer {
     pub control: ControlPlane,
     pub counters: Counters,
@@ -37,7 +37,7 @@
         Self::with_settings(settings(platform, instance, seeds)).await
     }
 
-    /// Starts a daemon's control plane by `settings`.
+    /// Starts a daemon's control plane with `settings`.
     pub async fn with_settings(settings: DaemonSettings) -> Self {
         let counters = Counters::new();
         let logger = Logger::root(Discard, o!());
@@ -65,7 +65,7 @@
         self.control.directory.peek(service).map_or(0, |view| view.rules_revision)
     }
 
-    /// Number of members of `service` in `state` that this daemon knows.
+    /// Returns the number of members of `service` in `state` that this daemon knows.
     pub fn members(&self, service: &str, state: TargetState) -> usize {
         let view = self.control.directory.peek(service);
         let members = view.map(|view| Arc::clone(&view.members)).unwrap_or_default();
@@ -93,7 +93,7 @@
     platform.set_faults(PlatformFaults { mode, ..PlatformFaults::default() });
 }
 
-/// Puts rules into the table that differ by their deadline; gives their revision back.
+/// Writes rules with this deadline to the table and returns their revision.
 pub fn put_rules(platform: &Platform, service: &str, deadline_ms: u32) -> u64 {
     put(platform, service, &RulesRow::InForce(rules(service, deadline_ms)))
 }
@@ -104,22 +104,23 @@
 
 pub fn rules(service: &str, deadline_ms: u32) -> ServiceRules {
     let route = json!({"name": "all", "path_prefix": "/", "deadline_ms": deadline_ms});
-    serde_json::from_value(json!({"name": service, "routes": [route]})).expect("the rules fit")
+    serde_json::from_value(json!({"name": service, "routes": [route]}))
+        .expect("the rules are valid")
 }
 
 fn put(platform: &Platform, service: &str, row: &RulesRow) -> u64 {
     let write =
-        Write::put(rules_key(service), serde_json::to_value(row).expect("rules have a form"));
+        Write::put(rules_key(service), serde_json::to_value(row).expect("rules can be serialized"));
     let commit = Commit { conditions: Vec::new(), writes: vec![write] };
     platform.with_table(|table| table.commit(commit)).expect("no condition is set").revision
 }
 
-/// Waits until `holds`, or panics with `what` was waited for.
+/// Waits until `holds` returns true; panics with `what` after [`WAIT_MAX`].
 pub async fn until(what: &str, holds: impl Fn() -> bool) {
     let deadline = Instant::now() + WAIT_MAX;
     while !holds() {
-        assert!(Instant::now() < deadline, "waited in vain until {what}");
-        sleep(LOOK_INTERVAL).await;
+        assert!(Instant::now() < deadline, "timeout while waiting until {what}");
+        sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -141,7 +142,7 @@
         "seed_peers": seeds,
         "budgets": {"announce_timeout_ms": 600_000, "gossip_interval_ms": 200},
     });
-    serde_json::from_value(settings).expect("the settings fit")
+    serde_json::from_value(settings).expect("the settings are valid")
 }
 
 fn any_port() -> SocketAddr {
--- a/crates/yuccarackd/tests/control/removal.rs
+++ b/crates/yuccarackd/tests/control/removal.rs
@@ -1,4 +1,4 @@
-//! Rows of the dead are ended, and only theirs.
+//! Removal of dead members, and of no others.
 
 use std::net::SocketAddr;
 
@@ -11,11 +11,11 @@
 use crate::peers::{Peer, platform, stop_all, until};
 
 const SERVICE: &str = "huts";
-/// Judgements that show that waiting longer would change nothing.
-const JUDGEMENTS: u64 = 6;
+/// Liveness checks after which a wrong removal would have happened.
+const CHECKS: u64 = 6;
 
-/// The row of an instance at whose address nobody listens.
-fn dead(instance: &str, failure_domain: &str) -> MemberRow {
+/// Returns the row of an instance at whose address no daemon listens.
+fn dead_row(instance: &str, failure_domain: &str) -> MemberRow {
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
     MemberRow {
         instance: instance.to_owned(),
@@ -31,9 +31,9 @@
     }
 }
 
-fn put_dead(platform: &Platform, instance: &str, failure_domain: &str) {
-    let row = dead(instance, failure_domain);
-    let value = serde_json::to_value(&row).expect("a row has a form");
+fn put_dead_row(platform: &Platform, instance: &str, failure_domain: &str) {
+    let row = dead_row(instance, failure_domain);
+    let value = serde_json::to_value(&row).expect("a row can be serialized");
     let write = Write::put(member_key(SERVICE, instance), value);
     let commit = Commit { conditions: Vec::new(), writes: vec![write] };
     platform.with_table(|table| table.commit(commit)).expect("no condition is set");
@@ -44,7 +44,7 @@
     serde_json::from_value(row.value).map(|row: MemberRow| row.state).ok()
 }
 
-async fn three(platform: &Platform) -> Vec<Peer> {
+async fn start_three(platform: &Platform) -> Vec<Peer> {
     let mut peers = Vec::new();
     for number in 1..=3 {
         peers.push(Peer::ready(platform.address(), &format!("hut-{number}"), SERVICE).await);
@@ -56,19 +56,20 @@
     peers.iter().map(|peer| peer.count(counter)).sum()
 }
 
-/// An instance is lost with its daemon and says nothing. Its row would stand for ever and every
-/// entry would try it now and then; its neighbours agree that it's dead and end the row.
+/// Guards against the row of an instance that exited with its daemon without an announcement. It
+/// would stay for good, and each entry would send it requests.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn the_row_of_a_dead_instance_is_ended() {
+async fn a_dead_instance_is_removed() {
     let platform = platform().await;
-    put_dead(&platform, "hut-dead", "sapporo");
-    let peers = three(&platform).await;
-    until("all know of it", || {
+    put_dead_row(&platform, "hut-dead", "sapporo");
+    let peers = start_three(&platform).await;
+    until("all members have its row", || {
         peers.iter().all(|peer| peer.members(SERVICE, TargetState::Ready) == 4)
     })
     .await;
-    until("its row is ended", || state(&platform, "hut-dead") == Some(TargetState::Gone)).await;
-    until("all leave it out", || {
+    until("its row is marked as gone", || state(&platform, "hut-dead") == Some(TargetState::Gone))
+        .await;
+    until("all members have removed it", || {
         peers.iter().all(|peer| peer.members(SERVICE, TargetState::Ready) == 3)
     })
     .await;
@@ -79,16 +80,15 @@
     platform.stop().await;
 }
 
-/// The links to a whole failure domain are cut. Its instances live and serve others; were they
-/// taken for dead, they'd be left out by everybody. As nobody near them can be asked, their rows
-/// have to stay.
+/// Guards against the removal of live members when the connections to a complete failure domain
+/// fail. No member there can be asked as a witness, so the rows must stay.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_failure_domain_out_of_reach_is_not_taken_for_dead() {
+async fn an_unreachable_failure_domain_is_not_removed() {
     let platform = platform().await;
-    put_dead(&platform, "far-1", "kushiro");
-    put_dead(&platform, "far-2", "kushiro");
-    let peers = three(&platform).await;
-    until("they were judged", || count(&peers, "removal.unclear") >= JUDGEMENTS).await;
+    put_dead_row(&platform, "far-1", "kushiro");
+    put_dead_row(&platform, "far-2", "kushiro");
+    let peers = start_three(&platform).await;
+    until("their liveness was checked", || count(&peers, "removal.unclear") >= CHECKS).await;
     assert_eq!(count(&peers, "removal.dead"), 0);
     for instance in ["far-1", "far-2"] {
         assert_eq!(state(&platform, instance), Some(TargetState::Ready), "{instance}");
@@ -97,23 +97,23 @@
     platform.stop().await;
 }
 
-/// A daemon was cut off while a member died and its row was taken away. Back again it tells all of
-/// that member, and each that forgets it hears of it from another: it would be back for good.
+/// Guards against a removed member that comes back for good: a daemon that was cut off during the
+/// removal sends its old row, and each daemon that drops it gets it again from another one.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_member_without_a_row_does_not_come_back() {
+async fn a_removed_member_without_a_row_stays_removed() {
     let platform = platform().await;
-    let peers = three(&platform).await;
-    until("all know all", || {
+    let peers = start_three(&platform).await;
+    until("each member knows all members", || {
         peers.iter().all(|peer| peer.members(SERVICE, TargetState::Ready) == 3)
     })
     .await;
-    let old = dead("hut-old", "sapporo");
+    let old = dead_row("hut-old", "sapporo");
     peers[0].control.directory.merge_members(SERVICE, vec![old]);
-    until("all have heard of it", || {
+    until("all members have its row", || {
         peers.iter().all(|peer| peer.control.directory.member_row(SERVICE, "hut-old").is_some())
     })
     .await;
-    until("all know that it's gone", || {
+    until("all members have it as gone", || {
         peers.iter().all(|peer| {
             let row = peer.control.directory.member_row(SERVICE, "hut-old");
             row.is_some_and(|row| row.state == TargetState::Gone)
--- a/crates/yuccarackd/tests/control/urgent.rs
+++ b/crates/yuccarackd/tests/control/urgent.rs
@@ -1,4 +1,4 @@
-//! News that can't wait reach the members of a service.
+//! Urgent updates reach the members of a service.
 
 use std::time::Duration;
 
@@ -11,7 +11,8 @@
 
 use crate::peers::{Peer, platform, stop_all, until};
 
-/// A request crashes a target. Before its caller sends it again, the other members have to know.
+/// Guards against a crashing request that other members run because the update about the crash
+/// doesn't reach them before the caller sends the request again.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn suspects_reach_all_members() {
     let platform = platform().await;
@@ -19,7 +20,7 @@
     for number in 1..=4 {
         peers.push(Peer::ready(platform.address(), &format!("hut-{number}"), "huts").await);
     }
-    until("all know all", || {
+    until("each member knows all members", || {
         peers.iter().all(|peer| peer.members("huts", TargetState::Ready) == 4)
     })
     .await;
--- a/crates/yuccarackd/tests/point_7_configuration.rs
+++ b/crates/yuccarackd/tests/point_7_configuration.rs
@@ -1,4 +1,4 @@
-//! A configuration that was accepted is in force everywhere within seconds and never reverts.
+//! An accepted configuration is in force at all daemons within seconds and never reverts.
 
 use std::{collections::HashMap, fs, net::SocketAddr, time::Duration};
 
@@ -17,10 +17,10 @@
 const SERVICE: &str = "conditions";
 const OTHER: &str = "deliveries";
 
-/// Time between two looks at what is in force.
-const LOOK_INTERVAL: Duration = Duration::from_millis(5);
+/// Time between two polls of the rules in force.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Operators who race.
+/// Operators that apply rules at the same time.
 const OPERATORS: u32 = 6;
 
 fn plan(seed: u64) -> FleetPlan {
@@ -29,7 +29,7 @@
         .with_service(OTHER, 2)
 }
 
-/// Rules that differ from others in their deadline.
+/// Returns rules with the deadline `deadline_ms`, by which versions are distinguished.
 fn rules(service: &str, deadline_ms: u32) -> ServiceRules {
     let mut rules = service_rules(service);
     rules.routes[1].deadline_ms = deadline_ms;
@@ -45,14 +45,14 @@
     for node in fleet.nodes.iter().filter(|node| node.daemon.is_some()) {
         let what = format!("{} has revision {revision} of {service}", node.name());
         until(&what, || async {
-            // Nobody calls meanwhile: a daemon that serves another service hears of it, too.
+            // No calls are sent meanwhile: a daemon of another service must get the rules too.
             fleet.rules_revision(node, service).await == Some(revision)
         })
         .await;
     }
 }
 
-fn stands_in_table(fleet: &Fleet, service: &str) -> (u64, u32) {
+fn rules_in_table(fleet: &Fleet, service: &str) -> (u64, u32) {
     let row = fleet.platform.with_table(|table| table.row(&rules_key(service)));
     let row = row.expect("the service has no rules");
     let RulesRow::InForce(rules) = serde_json::from_value(row.value).expect("not a rules row")
@@ -62,13 +62,13 @@
     (row.revision, rules.routes[1].deadline_ms)
 }
 
-/// Looks at all daemons all the time; none may ever put an older version in force.
-struct Watch {
+/// Polls all daemons until it is stopped; no daemon may put an older version in force.
+struct RulesWatch {
     stop: CancellationToken,
     tasks: Vec<JoinHandle<()>>,
 }
 
-impl Watch {
+impl RulesWatch {
     fn start(fleet: &Fleet, service: &'static str) -> Self {
         let stop = CancellationToken::new();
         let daemons = fleet.nodes.iter().map(|node| node.admin_address());
@@ -79,7 +79,7 @@
     async fn stop(self, fleet: &Fleet) {
         self.stop.cancel();
         for task in self.tasks {
-            task.await.expect("a daemon went back");
+            task.await.expect("a daemon put an older version in force");
         }
         for node in &fleet.nodes {
             check_log(node);
@@ -87,7 +87,7 @@
     }
 }
 
-/// The log of a daemon has a line for each change, also for one that was gone before the next look.
+/// Checks the log of a daemon, which has a line for each change, even for one between two polls.
 fn check_log(node: &Node) {
     let log = fs::read_to_string(node.daemon.as_ref().expect("it runs").log());
     let log = log.expect("a daemon without a log");
@@ -98,7 +98,11 @@
             continue;
         };
         let before = newest.insert(service.to_owned(), revision).unwrap_or(0);
-        assert!(revision >= before, "{} went back from {before}: {line}", node.name());
+        assert!(
+            revision >= before,
+            "{} put an older version than {before} in force: {line}",
+            node.name()
+        );
     }
 }
 
@@ -110,20 +114,21 @@
         let services = status.ok().and_then(|status| status["services"].as_array().cloned());
         let entry = services.into_iter().flatten().find(|entry| entry["name"] == service);
         if let Some(revision) = entry.and_then(|entry| entry["rules_revision"].as_u64()) {
-            assert!(revision >= newest, "{admin} went back from {newest} to {revision}");
+            assert!(revision >= newest, "{admin} put revision {revision} in force after {newest}");
             newest = revision;
         }
-        sleep(LOOK_INTERVAL).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Two operators' shifts overlap: six files for one service, all based on what was in force, at the
-/// same moment. One is accepted, five hear of a conflict, and the winner's rules run everywhere.
+/// Guards against lost changes when operators apply files for one service at the same time, all
+/// based on the same revision. One is accepted, the others get a conflict, and the accepted rules
+/// come into force everywhere.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn of_operators_who_race_for_one_service_one_wins() {
+async fn one_of_several_concurrent_operators_wins() {
     let fleet = Fleet::serving(plan(71)).await;
-    let watch = Watch::start(&fleet, SERVICE);
-    let (mut base, _) = stands_in_table(&fleet, SERVICE);
+    let watch = RulesWatch::start(&fleet, SERVICE);
+    let (mut base, _) = rules_in_table(&fleet, SERVICE);
     for round in 0..4 {
         let files: Vec<_> = (0..OPERATORS)
             .map(|operator| rules_file(base, vec![rules(SERVICE, 1_000 + round * 100 + operator)]))
@@ -137,17 +142,17 @@
         assert_eq!(codes.iter().filter(|code| **code == 4).count(), ran.len() - 1, "{codes:?}");
         base = revision(&ran[won[0]]);
         let winner = u32::try_from(won[0]).unwrap();
-        assert_eq!(stands_in_table(&fleet, SERVICE), (base, 1_000 + round * 100 + winner));
+        assert_eq!(rules_in_table(&fleet, SERVICE), (base, 1_000 + round * 100 + winner));
         in_force_at_all(&fleet, SERVICE, base).await;
     }
     watch.stop(&fleet).await;
     fleet.stop().await;
 }
 
-/// Two operators change different services at the same moment, from the same base. Neither stands in
-/// the other's way, and both changes run everywhere.
+/// Guards against a conflict between two operators who change different services at the same time,
+/// based on the same revision. Both changes come into force everywhere.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn operators_of_different_services_both_win() {
+async fn concurrent_operators_of_different_services_both_win() {
     let fleet = Fleet::serving(plan(72)).await;
     for round in 0..4 {
         let base = fleet.platform.with_table(|table| table.rows("").revision);
@@ -157,38 +162,39 @@
             tokio::join!(fleet.operator.apply("one", &one), fleet.operator.apply("two", &two));
         in_force_at_all(&fleet, SERVICE, revision(&one.unwrap())).await;
         in_force_at_all(&fleet, OTHER, revision(&two.unwrap())).await;
-        assert_eq!(stands_in_table(&fleet, SERVICE).1, 1_500 + round);
-        assert_eq!(stands_in_table(&fleet, OTHER).1, 2_500 + round);
+        assert_eq!(rules_in_table(&fleet, SERVICE).1, 1_500 + round);
+        assert_eq!(rules_in_table(&fleet, OTHER).1, 2_500 + round);
     }
     fleet.stop().await;
 }
 
-/// The accepting write takes effect and its answer is lost. The tool finds out by itself that its
-/// file was accepted; a second operator with the old base gets a conflict.
+/// Guards against an accepted file that is reported as failed because the response to its write is
+/// lost. The tool must read back that the file was accepted; a second operator with the old base
+/// gets a conflict.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn an_accepting_write_whose_answer_is_lost_is_found_out() {
+async fn an_accepted_file_with_a_lost_response_is_recognised() {
     let fleet = Fleet::serving(plan(73)).await;
-    let (base, _) = stands_in_table(&fleet, SERVICE);
-    // Several, since daemons write as well and may take one.
+    let (base, _) = rules_in_table(&fleet, SERVICE);
+    // Several, since writes of daemons may use up one of them.
     fleet.platform.set_faults(PlatformFaults { lose_answers: 3, ..Default::default() });
     let file = rules_file(base, vec![rules(SERVICE, 1_234)]);
     let ran = fleet.operator.apply("unlucky", &file).await.unwrap();
     fleet.platform.set_faults(PlatformFaults::default());
     let accepted = revision(&ran);
-    assert_eq!(stands_in_table(&fleet, SERVICE), (accepted, 1_234));
+    assert_eq!(rules_in_table(&fleet, SERVICE), (accepted, 1_234));
     let late = rules_file(base, vec![rules(SERVICE, 4_321)]);
     assert_eq!(fleet.operator.apply("late", &late).await.unwrap().code, 4);
     in_force_at_all(&fleet, SERVICE, accepted).await;
     fleet.stop().await;
 }
 
-/// One daemon sleeps through two changes, another loses the store and a third its peers while they
-/// happen. All come to the newest version, and nobody's old news brings the first one back.
+/// Guards against a daemon that misses a version, and against outdated updates that bring back an
+/// older one: during two changes one daemon is frozen, one loses the store and one its peers.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn sleepers_and_laggards_come_to_the_newest_version() {
+async fn frozen_and_disconnected_daemons_get_the_newest_version() {
     let mut fleet = Fleet::serving(plan(74)).await;
-    let watch = Watch::start(&fleet, SERVICE);
-    let (mut base, _) = stands_in_table(&fleet, SERVICE);
+    let watch = RulesWatch::start(&fleet, SERVICE);
+    let (mut base, _) = rules_in_table(&fleet, SERVICE);
     for round in 0..2 {
         fleet.nodes[0].daemon().freeze();
         let away = ProxyFaults { refuse: true, ..Default::default() };
@@ -208,42 +214,42 @@
     fleet.stop().await;
 }
 
-/// One daemon's way to the store is slow, so what it reads is old by the time it arrives, while its
-/// peers have told it of a change meanwhile. The old answer must not bring the old rules back.
+/// Guards against a late response of the store that brings back older rules: one daemon's
+/// connection to the store is slow, and its peers send it a change before the response arrives.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn an_answer_of_the_store_that_is_out_of_date_reverts_nothing() {
+async fn an_outdated_response_of_the_store_reverts_nothing() {
     let plan = plan(76).with_budgets(|budgets| {
         budgets.gossip_interval_ms = 20;
         budgets.platform_timeout_ms = 5_000;
     });
     let fleet = Fleet::serving(plan).await;
-    let watch = Watch::start(&fleet, SERVICE);
-    let (mut base, _) = stands_in_table(&fleet, SERVICE);
+    let watch = RulesWatch::start(&fleet, SERVICE);
+    let (mut base, _) = rules_in_table(&fleet, SERVICE);
     let slow = ProxyFaults { delay_ms: 400, ..Default::default() };
     fleet.nodes[1].links.platform.set_faults(slow);
     let hinted = fleet.nodes[0].admin_address().to_string();
     for change in 0..6 {
         fleet.asker.post_json(fleet.nodes[1].admin_address(), "/hint", &()).await.unwrap();
-        // The question is at the store now, its answer on the way.
+        // The request has reached the store, and its response is still in transit.
         sleep(Duration::from_millis(500)).await;
         let file = rules_file(base, vec![rules(SERVICE, 1_000 + change)]);
         let ran = fleet.operator.apply_hinting("operator", &file, &[&hinted]).await.unwrap();
         base = revision(&ran);
         in_force_at_all(&fleet, SERVICE, base).await;
     }
-    // The last answer is in by then.
+    // The last response has arrived by then.
     sleep(Duration::from_millis(1_000)).await;
     in_force_at_all(&fleet, SERVICE, base).await;
     watch.stop(&fleet).await;
     fleet.stop().await;
 }
 
-/// A daemon starts while the store is down, just after a change. It must not serve by an older
-/// version or by none: it takes the newest that its peers know.
+/// Guards against a daemon that serves with an older version or without rules because it starts
+/// while the store is down, after a change. It must get the newest version of its peers.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_daemon_started_while_the_store_is_down_takes_its_peers_version() {
+async fn a_daemon_started_while_the_store_is_down_gets_its_peers_version() {
     let mut fleet = Fleet::serving(plan(75)).await;
-    let (base, _) = stands_in_table(&fleet, SERVICE);
+    let (base, _) = rules_in_table(&fleet, SERVICE);
     fleet.nodes[2].kill_daemon();
     let file = rules_file(base, vec![rules(SERVICE, 1_111)]);
     let newest = revision(&fleet.operator.apply("operator", &file).await.unwrap());
@@ -251,8 +257,9 @@
     fleet.platform.set_faults(PlatformFaults { mode: PlatformMode::Down, ..Default::default() });
     fleet.nodes[2].start_daemon().await.unwrap();
     let node = &fleet.nodes[2];
-    let look = || async { fleet.rules_revision(node, SERVICE).await.filter(|found| *found > 0) };
-    let (first, _) = found("the new daemon has some rules", look).await;
+    let first_rules =
+        || async { fleet.rules_revision(node, SERVICE).await.filter(|found| *found > 0) };
+    let (first, _) = found("the new daemon has some rules", first_rules).await;
     assert_eq!(first, newest, "the new daemon took older rules first");
     until("it serves", || fleet.read(node.call_address(), SERVICE)).await;
     fleet.stop().await;
--- a/crates/yuccarackd/tests/point_8_crashing_request.rs
+++ b/crates/yuccarackd/tests/point_8_crashing_request.rs
@@ -1,5 +1,4 @@
-//! A request that crashes its target takes two targets at most, and bystanders aren't blamed for
-//! good.
+//! A request crashes at most two targets, and requests that were in flight beside it are cleared.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -19,19 +18,19 @@
 const SERVICE: &str = "dosing";
 const TARGETS: usize = 6;
 
-/// Pause of a caller between two tries.
+/// Delay of a caller between two attempts.
 const CALLER_PAUSE: Duration = Duration::from_millis(30);
-/// Time after which a target that died is started again.
-const BACK_AFTER: Duration = Duration::from_millis(400);
+/// Delay before a crashed target is started again.
+const RESTART_DELAY: Duration = Duration::from_millis(400);
 
-/// A fleet whose targets die as processes do: connections break, the port refuses, and a new life
-/// announces itself a little later.
+/// Starts a fleet whose targets crash as processes do: connections break, the port refuses
+/// connections, and a new incarnation announces itself later.
 async fn fleet(seed: u64) -> Fleet {
     let plan = FleetPlan::new(env!("CARGO_BIN_EXE_yuccarackd"), seed);
     Fleet::serving(plan.with_service(SERVICE, TARGETS).without_target_links()).await
 }
 
-/// What a test asks with while the targets die.
+/// Access to the daemons for a test while targets crash.
 struct Callers<'a> {
     addresses: Vec<SocketAddr>,
     admin_addresses: Vec<SocketAddr>,
@@ -41,33 +40,33 @@
 }
 
 impl Callers<'_> {
-    /// Sends a request to the daemon that is next in turn.
+    /// Sends a request to the daemon number `turn`, modulo their count.
     async fn send(&self, turn: usize, question: Question, path: &str, body: &str) -> Verdict {
         let address = self.addresses[turn % self.addresses.len()];
         let question = question.with_header(headers::SERVICE, SERVICE);
         judge(path, body.as_bytes(), &self.asker.ask(address, question).await)
     }
 
-    /// Reads `path` at the daemon that is next in turn.
+    /// Reads `path` at the daemon number `turn`, modulo their count.
     async fn read(&self, turn: usize, path: &str) -> Verdict {
         self.send(turn, Question::new(Method::GET, path), path, "").await
     }
 
-    /// Targets that a request crashed.
+    /// Returns the number of crashes of targets.
     fn crashes(&self) -> usize {
         let runs = self.ledger.runs().into_iter();
         runs.filter(|run| run.state == RunState::Crashed).count()
     }
 
-    /// Requests that were laid to a death, as the daemons count them.
-    async fn blamed(&self) -> u64 {
-        let mut blamed = 0;
+    /// Returns how many requests the daemons made suspects after crashes.
+    async fn suspect_count(&self) -> u64 {
+        let mut suspect_count = 0;
         for address in &self.admin_addresses {
             let counters: BTreeMap<String, u64> =
                 self.asker.get_json(*address, "/counters").await.expect("a daemon counts");
-            blamed += counters.get("suspects.blamed").copied().unwrap_or(0);
+            suspect_count += counters.get("suspects.blamed").copied().unwrap_or(0);
         }
-        blamed
+        suspect_count
     }
 
     fn suspects(&self) -> Vec<SuspectRow> {
@@ -77,23 +76,23 @@
     }
 }
 
-/// Runs `test` while targets that crash die and come back.
-async fn while_targets_die(fleet: &mut Fleet, test: impl AsyncFnOnce(Callers<'_>)) {
+/// Runs `test` while crashed targets are restarted.
+async fn with_restarting_targets(fleet: &mut Fleet, test: impl AsyncFnOnce(Callers<'_>)) {
     let addresses = fleet.nodes.iter().map(Node::call_address).collect();
     let admin_addresses = fleet.nodes.iter().map(Node::admin_address).collect();
     let Fleet { nodes, asker, ledger, platform, .. } = fleet;
-    let dying = join_all(nodes.iter_mut().map(|node| die_and_come_back(&mut node.target)));
+    let restarts = join_all(nodes.iter_mut().map(|node| restart_after_crashes(&mut node.target)));
     let test = test(Callers { addresses, admin_addresses, asker, ledger, platform });
     tokio::select! {
         () = test => {}
-        _ = dying => {}
+        _ = restarts => {}
     }
 }
 
-async fn die_and_come_back(target: &mut Target) {
+async fn restart_after_crashes(target: &mut Target) {
     loop {
         target.crashed().await;
-        sleep(BACK_AFTER).await;
+        sleep(RESTART_DELAY).await;
         target.revive().await.expect("the port is free again");
     }
 }
@@ -102,13 +101,16 @@
     matches!(verdict, Verdict::Refused { reason, .. } if reason == wanted)
 }
 
-/// Sends `question` again and again to all daemons in turn until all of them have quarantined it;
-/// prints how often each answer came.
-async fn insist(callers: &Callers<'_>, question: impl Fn(usize) -> (Question, String)) {
+/// Sends a request to all daemons in turn until all of them have quarantined it, and prints how
+/// often each verdict occurred.
+async fn send_until_quarantined(
+    callers: &Callers<'_>,
+    question: impl Fn(usize) -> (Question, String),
+) {
     let path = format!("/read?{CRASH_MARK}");
     let mut answers: BTreeMap<String, usize> = BTreeMap::new();
     let mut quarantined_in_row = 0;
-    let insisting = async {
+    let sending = async {
         for turn in 0.. {
             let (asked, body) = question(turn);
             let verdict = callers.send(turn, asked, &path, &body).await;
@@ -122,33 +124,33 @@
             sleep(CALLER_PAUSE).await;
         }
     };
-    let insisted = timeout(WAIT_MAX, insisting).await;
+    let result = timeout(WAIT_MAX, sending).await;
     println!("{answers:#?}");
-    insisted.expect("the request is never quarantined everywhere");
+    result.expect("the request is not quarantined at all daemons");
 }
 
-/// A technician's profile page makes the portal's target crash. The page reloads itself, each time
-/// through another daemon, and takes the whole portal down, one target after the other. Two
-/// targets may fall; then it is refused everywhere, and everybody else goes on reading.
+/// Guards against a request that crashes all targets one after the other, because it is sent again
+/// through another daemon each time. At most two targets crash, then it is refused everywhere, and
+/// other callers' reads succeed.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_crashing_read_takes_two_targets_at_most() {
+async fn a_crashing_read_crashes_at_most_two_targets() {
     let mut fleet = fleet(81).await;
-    while_targets_die(&mut fleet, async |callers| {
+    with_restarting_targets(&mut fleet, async |callers| {
         let mut verdicts: BTreeMap<String, usize> = BTreeMap::new();
         let others = async {
             for turn in 0.. {
                 let verdict = callers.read(turn, &format!("/read?page={turn}")).await;
-                let is_told = matches!(verdict, Verdict::Right | Verdict::Refused { .. });
-                assert!(is_told, "another reader got {verdict:?}");
+                let is_expected = matches!(verdict, Verdict::Right | Verdict::Refused { .. });
+                assert!(is_expected, "another reader got {verdict:?}");
                 *verdicts.entry(format!("{verdict:?}")).or_default() += 1;
                 sleep(Duration::from_millis(1)).await;
             }
         };
-        let insisting = insist(&callers, |_| {
+        let sending = send_until_quarantined(&callers, |_| {
             (Question::new(Method::GET, format!("/read?{CRASH_MARK}")), String::new())
         });
         tokio::select! {
-            () = insisting => {}
+            () = sending => {}
             () = others => {}
         }
         println!("other readers: {verdicts:#?}");
@@ -162,12 +164,12 @@
     fleet.stop().await;
 }
 
-/// A long report makes its target crash after the answer has begun, so its caller gets a broken
-/// answer, and sends it again. The same two targets at most.
+/// Guards against more than two crashes by a request that crashes its target in the middle of the
+/// response, so that its caller gets a broken response and sends it again.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_crash_in_mid_answer_counts() {
+async fn a_crash_in_the_middle_of_a_response_counts() {
     let mut fleet = fleet(86).await;
-    while_targets_die(&mut fleet, async |callers| {
+    with_restarting_targets(&mut fleet, async |callers| {
         let mut body = "x".repeat(300 * 1024);
         body.push_str(CRASH_MARK);
         let mut quarantined_in_row = 0;
@@ -184,19 +186,19 @@
         }
         let crashes = callers.crashes();
         assert!((1..=2).contains(&crashes), "{crashes} targets crashed");
-        assert_eq!(quarantined_in_row, 3 * TARGETS, "it is refused by all");
+        assert_eq!(quarantined_in_row, 3 * TARGETS, "not all daemons refuse it");
     })
     .await;
     fleet.stop().await;
 }
 
-/// A refill makes its target crash, and the app sends it again under a fresh key each time, so no
-/// claim stops it. The same two targets at most.
+/// Guards against more than two crashes by an order that is sent again with a new key each time, so
+/// that no claim stops it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn fresh_keys_don_t_hide_a_crashing_order() {
+async fn new_keys_do_not_hide_a_crashing_order() {
     let mut fleet = fleet(82).await;
-    while_targets_die(&mut fleet, async |callers| {
-        insist(&callers, |turn| {
+    with_restarting_targets(&mut fleet, async |callers| {
+        send_until_quarantined(&callers, |turn| {
             let question = Question::new(Method::POST, format!("/once?{CRASH_MARK}"))
                 .with_header(headers::IDEMPOTENCY_KEY, format!("fresh-{turn}"))
                 .with_body("2 drums");
@@ -210,12 +212,12 @@
     fleet.stop().await;
 }
 
-/// A refill makes its target crash, and the app sends it again under the same key. It was handed
-/// over once, so nobody may run it again: one target falls.
+/// Guards against a second run of an order that crashed its target and is sent again with the same
+/// key. It was dispatched once, so one target crashes.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_crashing_order_under_one_key_runs_once() {
     let mut fleet = fleet(83).await;
-    while_targets_die(&mut fleet, async |callers| {
+    with_restarting_targets(&mut fleet, async |callers| {
         for turn in 0..30 {
             let question = Question::new(Method::POST, format!("/once?{CRASH_MARK}"))
                 .with_header(headers::IDEMPOTENCY_KEY, "refill")
@@ -231,12 +233,13 @@
     fleet.stop().await;
 }
 
-/// Pages that many read are on the target when one request crashes it. Their readers reload them:
-/// each must come, at the latest after a careful run of its own, and nothing may stay on them.
+/// Guards against reads that stay suspects because they were in flight when another request crashed
+/// the target. When their callers send them again, each must succeed, after a trial at the latest,
+/// and be cleared.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn bystanders_are_cleared_by_one_run() {
+async fn other_requests_in_flight_are_cleared_by_one_run() {
     let mut fleet = fleet(84).await;
-    while_targets_die(&mut fleet, async |callers| {
+    with_restarting_targets(&mut fleet, async |callers| {
         let pages: Vec<String> =
             (0..24).map(|page| format!("/read?work_ms=25&page={page}")).collect();
         let reading = join_all(pages.iter().zip(0..).map(async |(page, turn)| {
@@ -244,13 +247,13 @@
                 callers.read(turn, page).await;
             }
         }));
-        // One after the other takes a target down, until one goes down with readers on it.
+        // Crashes targets until one crashes with reads in flight.
         let mut culprits = 0;
         let crashing = async {
-            while callers.blamed().await <= culprits {
+            while callers.suspect_count().await <= culprits {
                 culprits += 1;
                 let path = format!("/read?{CRASH_MARK}&culprit={culprits}");
-                until("a target dies", || async {
+                until("a target crashes", || async {
                     is_refused_for(&callers.read(0, &path).await, "target_died")
                 })
                 .await;
@@ -260,17 +263,18 @@
             _ = reading => {}
             () = crashing => {}
         }
-        println!("{} requests are blamed for {culprits}", callers.blamed().await);
+        println!("{} suspects after {culprits} crashing requests", callers.suspect_count().await);
         for (page, first) in pages.iter().zip(0..) {
             let mut turn = first;
-            until(&format!("{page} comes"), || {
+            until(&format!("{page} is read"), || {
                 turn += 1;
                 let asked = callers.read(turn, page);
                 async { asked.await == Verdict::Right }
             })
             .await;
         }
-        // A page that came while word of the death was on its way is cleared by its next reading.
+        // A page that was read while the update about the crash was sent is cleared by its next
+        // read.
         until("only the crashing requests are suspects", || async {
             join_all(pages.iter().zip(0..).map(|(page, turn)| callers.read(turn, page))).await;
             let suspects = callers.suspects();
@@ -284,12 +288,12 @@
     fleet.stop().await;
 }
 
-/// The store is down when the first target falls. A trial can't be agreed on without it, so the
-/// request is refused as not run until the store is back; then one more target falls at most.
+/// Guards against a suspect that runs while the store is down, when no trial can be granted. It is
+/// refused as not run until the store is available again; then at most one more target crashes.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn without_the_store_a_suspect_doesn_t_run() {
+async fn a_suspect_does_not_run_without_the_store() {
     let mut fleet = fleet(85).await;
-    while_targets_die(&mut fleet, async |callers| {
+    with_restarting_targets(&mut fleet, async |callers| {
         let down = PlatformFaults { mode: PlatformMode::Down, ..Default::default() };
         callers.platform.set_faults(down);
         let path = format!("/read?{CRASH_MARK}");
@@ -300,7 +304,10 @@
         }
         assert_eq!(callers.crashes(), 1);
         callers.platform.set_faults(PlatformFaults::default());
-        insist(&callers, |_| (Question::new(Method::GET, path.clone()), String::new())).await;
+        send_until_quarantined(&callers, |_| {
+            (Question::new(Method::GET, path.clone()), String::new())
+        })
+        .await;
         assert_eq!(callers.crashes(), 2);
     })
     .await;
--- a/crates/yuccarackd/tests/point_9_reads_and_orders.rs
+++ b/crates/yuccarackd/tests/point_9_reads_and_orders.rs
@@ -1,4 +1,4 @@
-//! With the store down for long, reads take no longer and orders aren't kept waiting; under load.
+//! Reads aren't slower and orders don't wait during a long outage of the store, under load.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 /// Length of each measured load, in ms.
 const LOAD_MS: u64 = 3_000;
 
-/// Noise of a p99 on a busy machine: as many times and as much more, in µs.
+/// Tolerance of a p99 on a busy machine: a factor, and an addition in µs.
 const NOISE_TIMES: u64 = 2;
 const NOISE_US: u64 = 20_000;
 
@@ -31,7 +31,7 @@
     fleet.platform.set_faults(PlatformFaults { mode, ..Default::default() });
 }
 
-/// Reads at all daemons.
+/// Sends reads to all running daemons.
 async fn reads(fleet: &Fleet, seed: u64) -> LoadReport {
     let running = fleet.nodes.iter().filter(|node| node.daemon.is_some());
     let mix = Mix {
@@ -54,8 +54,8 @@
     run(&plan).await
 }
 
-/// An order is refused with proof and a time to come back, and at once: within its deadline there
-/// would be time for many waits on the store.
+/// Checks that each daemon refuses an order at once, as not run and with a retry delay. The
+/// deadline of the order is long enough for many timeouts of the store.
 async fn order_is_refused(fleet: &Fleet, key: &str) {
     for node in fleet.nodes.iter().filter(|node| node.daemon.is_some()) {
         let question = Question::new(Method::POST, "/once")
@@ -70,7 +70,7 @@
     }
 }
 
-/// Transactions with claims that all gates have sent.
+/// Returns the number of claim transactions that all gates have sent.
 async fn claim_batches(fleet: &Fleet) -> u64 {
     let mut batches = 0;
     for node in &fleet.nodes {
@@ -92,8 +92,8 @@
     .await
 }
 
-/// The platform's store is away for long, first refusing, then hanging. Hikers read as before, with
-/// the same answers in the same time; orders are refused at once and run after its return.
+/// Guards against reads that slow down, and orders that wait for timeouts, during a long outage in
+/// which the store first refuses requests and then hangs. Orders run again after the outage.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn reads_go_on_and_orders_are_refused_at_once() {
     let fleet = Fleet::serving(plan(91)).await;
@@ -111,17 +111,17 @@
         for number in 0..ORDERS {
             order_is_refused(&fleet, &format!("away-{mode:?}-{number}")).await;
         }
-        // All but a gate's first are refused without a question to the store.
+        // All but the first order of each gate are refused without a request to the store.
         let asked = claim_batches(&fleet).await - batches;
-        assert!(asked <= 2 * fleet.nodes.len() as u64, "the store was asked {asked} times");
+        assert!(asked <= 2 * fleet.nodes.len() as u64, "{asked} requests to the store");
         set(&fleet, PlatformMode::Up);
         order_runs(&fleet, &format!("away-{mode:?}-0")).await;
     }
     fleet.stop().await;
 }
 
-/// The platform fails together with a failure domain, twice in a row. Callers in the other domains
-/// hear nothing wrong; when both are back, everything works as before.
+/// Guards against wrong responses to callers in the other failure domains when the platform and one
+/// failure domain fail at the same time, twice in a row. Afterwards all members are ready again.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn the_store_and_a_domain_fail_together_twice() {
     let mut fleet = Fleet::serving(plan(93)).await;
@@ -146,8 +146,8 @@
         set(&fleet, PlatformMode::Up);
         for node in &mut fleet.nodes {
             if node.settings.failure_domain == lost {
-                node.target.revive().await.expect("the target doesn't come back");
-                node.start_daemon().await.expect("the daemon doesn't come back");
+                node.target.revive().await.expect("the target can't be restarted");
+                node.start_daemon().await.expect("the daemon can't be restarted");
             }
         }
         order_runs(&fleet, &format!("together-{round}")).await;
--- a/crates/yuccarackd/tests/point_9_start_without_store.rs
+++ b/crates/yuccarackd/tests/point_9_start_without_store.rs
@@ -1,4 +1,4 @@
-//! A daemon that starts while the store is down serves once a peer is known.
+//! A daemon that starts while the store is down serves calls with the data of its peers.
 
 use yuccarack_standins::{
     fleet::{Fleet, FleetPlan, service_rules, until},
@@ -7,7 +7,7 @@
 };
 
 const SERVICE: &str = "refills";
-/// Calls of which each has to get its answer.
+/// Calls that all must succeed.
 const CALLS: usize = 300;
 
 fn plan(seed: u64) -> FleetPlan {
@@ -18,15 +18,15 @@
     fleet.platform.set_faults(PlatformFaults { mode, ..PlatformFaults::default() });
 }
 
-/// Calls every daemon in turn; each call has to get its answer.
-async fn read_all(fleet: &Fleet) {
+/// Calls the daemons in turn; each call must succeed.
+async fn read_at_all_daemons(fleet: &Fleet) {
     for number in 0..CALLS {
         let node = &fleet.nodes[number % fleet.nodes.len()];
         assert!(fleet.read(node.call_address(), SERVICE).await, "{} failed", node.name());
     }
 }
 
-/// Sends orders until one runs, as a caller would that was told to come again.
+/// Sends an order until it runs, as a caller does that gets a retry delay.
 async fn order_until_it_runs(fleet: &Fleet, key: &str) {
     let address = fleet.nodes[0].call_address();
     let what = format!("the order {key} runs");
@@ -34,10 +34,10 @@
     assert_eq!(fleet.ledger.runs_of_key(key).len(), 1);
 }
 
-/// A new instance starts while the store is down; nobody has heard of it. Its daemon finds the
-/// others by its settings, serves what they know, and becomes a member like any other.
+/// Guards against a new instance that can't serve because it starts while the store is down and no
+/// peer knows it. Its daemon finds peers by its settings, gets their data and becomes a member.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_daemon_started_in_an_outage_serves() {
+async fn a_daemon_started_in_an_outage_serves_calls() {
     let mut fleet = Fleet::without_daemons(plan(92)).await.unwrap();
     fleet.nodes[0].start_daemon().await.unwrap();
     fleet.nodes[1].start_daemon().await.unwrap();
@@ -48,7 +48,7 @@
     let address = fleet.nodes[2].call_address();
     until("the new daemon serves", || async { fleet.read(address, SERVICE).await }).await;
     fleet.until_known(&fleet.nodes[0], SERVICE, 3).await;
-    read_all(&fleet).await;
+    read_at_all_daemons(&fleet).await;
     set_mode(&fleet, PlatformMode::Up);
     order_until_it_runs(&fleet, "after-the-outage").await;
     fleet.stop().await;
