--- a/crates/yuccarackctl/tests/claim_commands.rs
+++ b/crates/yuccarackctl/tests/claim_commands.rs
@@ -1,4 +1,4 @@
-//! Commands about claims of requests that must not repeat.
+//! Commands that list, show and release the claims of non-repeatable requests.
 
 mod common;
 
@@ -25,10 +25,10 @@
         claimed_at_unix_ms: 5,
         outcome: (state == ClaimState::Done).then_some(outcome),
     };
-    let value = serde_json::to_value(row).expect("a row that can be written");
+    let value = serde_json::to_value(row).expect("a serializable row");
     let write = Write::put(claim_key("supplies", key), value);
     let commit = Commit { conditions: vec![], writes: vec![write] };
-    platform.with_table(|table| table.commit(commit)).expect("no condition").revision
+    platform.with_table(|table| table.commit(commit)).expect("a commit without conditions").revision
 }
 
 fn has_claim(platform: &Platform, key: &str) -> bool {
@@ -71,8 +71,8 @@
     platform.stop().await;
 }
 
-// The delivery was booked and its answer is recorded. A release would let the caller's resend book
-// it a second time, so no word of an operator is enough.
+// Guards against running a request twice: its outcome is recorded, and after a release the caller's
+// retry would run it again. Not even `--yes` may release such a claim.
 #[tokio::test]
 async fn claim_with_an_outcome_is_not_released() {
     let platform = platform().await;
@@ -83,8 +83,8 @@
     platform.stop().await;
 }
 
-// An operator looks at a claim, asks the target's people, and releases it an hour later. Meanwhile
-// the key was released by a colleague and claimed again: that new attempt may be running.
+// Guards against releasing a newer claim of the same key: between reading the claim and releasing
+// it, the key was released by somebody else and claimed again, and that attempt may be running.
 #[tokio::test]
 async fn claim_at_another_revision_is_not_released() {
     let platform = platform().await;
--- a/crates/yuccarackctl/tests/common/mod.rs
+++ b/crates/yuccarackctl/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests of the tool share: the command line, files, a daemon that only answers.
-#![allow(dead_code, reason = "no test uses all of it")]
+//! Helpers shared by the tests: the command line, rules files, a fake daemon.
+#![allow(dead_code, reason = "each test binary uses only a part")]
 
 use std::{
     collections::BTreeMap,
@@ -23,7 +23,7 @@
 };
 use yuccarackctl::{CtlError, Report, command, run};
 
-/// An address of which the kernel chooses the port.
+/// Returns a loopback address with port 0, for which the kernel chooses a free port.
 pub fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
@@ -33,14 +33,14 @@
     Platform::start(any_port()).await.expect("a free port")
 }
 
-/// Runs the tool with `args`, separated by blanks.
+/// Runs the tool in this process with `args`, separated by whitespace.
 pub async fn ctl(args: &str) -> Result<Report, CtlError> {
     let args: Vec<&str> = args.split_whitespace().collect();
-    let command = command().run_inner(args.as_slice()).expect("a right command line");
+    let command = command().run_inner(args.as_slice()).expect("a valid command line");
     run(command).await
 }
 
-/// Writes a rules file of one service; the name tells the tests' files apart.
+/// Writes a rules file with one service and returns its path; `name` must be unique among tests.
 pub fn rules_file(name: &str, based_on: u64, service: &str, deadline_ms: u32) -> String {
     let file = json!({
         "format": 1,
@@ -53,14 +53,14 @@
     write_file(name, &file.to_string())
 }
 
-/// Writes `text` to a file of the tests' folder.
+/// Writes `text` to a file in the temporary directory of the tests and returns its path.
 pub fn write_file(name: &str, text: &str) -> String {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
-    fs::write(&path, text).expect("a writable target folder");
+    fs::write(&path, text).expect("a writable target directory");
     path.display().to_string()
 }
 
-/// What a [`FakeDaemon`] answers.
+/// Responses of a [`FakeDaemon`] and counts of its requests.
 #[derive(Default)]
 struct DaemonState {
     responses: Mutex<BTreeMap<String, Value>>,
@@ -68,14 +68,14 @@
     requests: AtomicU32,
 }
 
-/// A daemon of which only the admin address is there.
+/// A fake daemon that serves set responses at its admin address.
 pub struct FakeDaemon {
     server: Server,
     state: Arc<DaemonState>,
 }
 
 impl FakeDaemon {
-    /// Starts a daemon that knows nothing.
+    /// Starts a daemon that responds to every path with status 404.
     pub async fn start() -> Self {
         let state = Arc::new(DaemonState::default());
         let server_state = Arc::clone(&state);
@@ -87,27 +87,27 @@
         Self { server: server.expect("a listening socket"), state }
     }
 
-    /// Its admin address.
+    /// Returns the admin address.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Has it answer `value` at `path`.
+    /// Sets the response for `path`.
     pub fn set_response(&self, path: &str, value: Value) {
         self.state.responses.lock().insert(path.to_owned(), value);
     }
 
-    /// Hints it has got.
+    /// Returns the number of received hints.
     pub fn hints(&self) -> u32 {
         self.state.hints.load(Ordering::Relaxed)
     }
 
-    /// Questions it has got.
+    /// Returns the number of received requests other than hints.
     pub fn requests(&self) -> u32 {
         self.state.requests.load(Ordering::Relaxed)
     }
 
-    /// Ends it.
+    /// Stops the server and closes its connections.
     pub async fn stop(self) {
         self.server.crash().await;
     }
--- a/crates/yuccarackctl/tests/daemon_commands.rs
+++ b/crates/yuccarackctl/tests/daemon_commands.rs
@@ -1,4 +1,4 @@
-//! Commands that ask daemons: status, targets, counters, explain.
+//! Commands that query daemons: status, targets, counters, explain.
 
 mod common;
 
@@ -80,8 +80,8 @@
     daemon.stop().await;
 }
 
-// A request went through two of three daemons, and the operator doesn't know which. Each daemon
-// remembers its own part only, so all are asked, and those that know nothing are passed over.
+// Guards against an incomplete explanation: each daemon records only its own steps, and the operator
+// doesn't know which daemons a request passed. All are queried, and those without steps left out.
 #[tokio::test]
 async fn explain_queries_all_daemons_of_a_service() {
     let platform = platform().await;
@@ -109,8 +109,8 @@
     platform.stop().await;
 }
 
-// An instance died, which is why the operator asks. Its row still stands in the table, so it is
-// asked with the others; that it is away must not hide what they say.
+// Guards against losing all responses when one daemon is unreachable: the row of a crashed instance
+// is still in the table, so it is queried with the others.
 #[tokio::test]
 async fn unreachable_daemon_does_not_hide_the_others() {
     let (running, stopped) = (FakeDaemon::start().await, FakeDaemon::start().await);
--- a/crates/yuccarackctl/tests/difference.rs
+++ b/crates/yuccarackctl/tests/difference.rs
@@ -1,4 +1,4 @@
-//! Differences between two values.
+//! Field changes between two JSON values.
 
 use quickcheck::quickcheck;
 use serde_json::{Value, json};
--- a/crates/yuccarackctl/tests/exit_codes.rs
+++ b/crates/yuccarackctl/tests/exit_codes.rs
@@ -1,4 +1,4 @@
-//! The tool as a script sees it: a process, its exit code, its output.
+//! The tool as a process, as scripts run it: exit codes and output.
 
 mod common;
 
@@ -11,14 +11,14 @@
 
 use common::{any_port, platform, rules_file};
 
-/// Runs the tool as a process of its own, off the threads that serve it.
+/// Runs the tool as a process, on a blocking thread because the servers run on this runtime.
 async fn run_tool(args: String) -> Output {
     let run = move || {
         let mut command = Command::new(env!("CARGO_BIN_EXE_yuccarackctl"));
         command.env_remove("YUCCARACK_PLATFORM").env_remove("YUCCARACK_DAEMON");
-        command.args(args.split_whitespace()).output().expect("a built tool")
+        command.args(args.split_whitespace()).output().expect("the built tool")
     };
-    tokio::task::spawn_blocking(run).await.expect("a process that ends")
+    tokio::task::spawn_blocking(run).await.expect("a finished process")
 }
 
 async fn exit_code(args: String) -> i32 {
@@ -69,8 +69,9 @@
     assert_eq!(exit_code(format!("status --daemon {address}")).await, 6);
 }
 
-// The store falls silent in the middle of a commit. A script that got "failed" would apply its
-// next file on top of rules that may be in force.
+// Guards against reporting an unknown outcome as a failure: the store stops responding during a
+// commit. A script that takes it as failed would apply its next file on top of rules that may be in
+// force.
 #[tokio::test]
 async fn an_unknown_outcome_has_its_own_exit_code() {
     let server = Server::start(listen(any_port()).await.unwrap(), 16, |request| async move {
--- a/crates/yuccarackctl/tests/explain_logs.rs
+++ b/crates/yuccarackctl/tests/explain_logs.rs
@@ -1,16 +1,16 @@
-//! `explain --logs` and `report` on lines of a real run, in plain and packed logs.
+//! `explain --logs` and `report` on recorded log files, plain and gzip.
 
 use std::{fs, path::Path};
 
 use serde_json::Value;
 use yuccarackctl::{CtlError, ExitStatus, Report, command, run};
 
-/// Options that name all logs of the run; the clock of one instance stands three seconds back.
+/// Returns `--logs` options for all recorded logs; the clock of one instance is three seconds slow.
 fn log_options() -> Vec<String> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data");
-    let files = fs::read_dir(folder).expect("logs of a run");
+    let files = fs::read_dir(folder).expect("the directory of logs");
     let mut files: Vec<String> =
-        files.map(|file| file.expect("a log").path().display().to_string()).collect();
+        files.map(|file| file.expect("a directory entry").path().display().to_string()).collect();
     files.sort();
     files.into_iter().flat_map(|file| ["--logs".to_owned(), file]).collect()
 }
@@ -20,7 +20,7 @@
     let mut args = vec![name];
     args.extend(log_options.iter().map(String::as_str));
     args.extend(options);
-    run(command().run_inner(args.as_slice()).expect("a right command line")).await
+    run(command().run_inner(args.as_slice()).expect("a valid command line")).await
 }
 
 fn instances(report: &Report) -> Vec<&str> {
@@ -28,8 +28,8 @@
     events.iter().filter_map(|event| event["instance"].as_str()).collect()
 }
 
-/// An order waited for almost its whole time at a gate whose clock stands back, and was refused
-/// then. Put in order by clocks, that gate's word would come before the call.
+/// Guards against sorting by timestamps alone: an order waited until shortly before its deadline at
+/// a gate with a slow clock and was refused. By timestamps the line of that gate would come first.
 #[tokio::test]
 async fn lines_of_a_request_are_in_order_despite_clock_differences() {
     let report = ctl("explain", &["fa7edc34f5a5070b"]).await.expect("lines of the request");
@@ -38,26 +38,29 @@
     assert_eq!(report.json["cause"], "load", "{}", report.text);
 }
 
-/// A read failed at one target, found no room at two gates, and its time ended at a fourth one that
-/// wrote nothing. The lines name that one.
+/// A read failed at one target, found no capacity at two gates, and its deadline passed at a fourth
+/// gate, which wrote no line. The explanation has to name that gate.
 #[tokio::test]
 async fn gate_that_held_the_request_at_its_deadline_is_named() {
     let report = ctl("explain", &["a00a5e6feb1c9275"]).await.expect("lines of the request");
-    let explanation =
-        report.text.lines().find(|line| line.starts_with("a00a5e6feb1c9275")).expect("a cause");
+    let explanation = report
+        .text
+        .lines()
+        .find(|line| line.starts_with("a00a5e6feb1c9275"))
+        .expect("the line with the cause");
     assert!(explanation.contains("too_slow (at sidecar-sapporo-2)"), "{}", report.text);
     assert_eq!(instances(&report).last(), Some(&"sidecar-asahikawa-2"), "{}", report.text);
 }
 
 #[tokio::test]
 async fn unknown_request_and_missing_logs_are_errors() {
-    let error = ctl("explain", &["nobody"]).await.expect_err("no such request");
+    let error = ctl("explain", &["nobody"]).await.expect_err("an unknown request");
     assert_eq!(error.exit_status(), ExitStatus::Failed);
     let without_logs = command().run_inner(["report"].as_slice());
-    assert!(without_logs.is_err(), "a report of nothing");
+    assert!(without_logs.is_err(), "`report` must require --logs");
     let args = ["report", "--logs", "/nonexistent"];
     let missing_file =
-        run(command().run_inner(args.as_slice()).expect("a right command line")).await;
+        run(command().run_inner(args.as_slice()).expect("a valid command line")).await;
     assert!(matches!(missing_file, Err(CtlError::Log(_))), "{missing_file:?}");
 }
 
@@ -75,6 +78,6 @@
     assert!(totals.contains_key("load") && totals.contains_key("target_failed"), "{}", report.text);
     assert_eq!(sum, sum_of_buckets);
     assert!(report.json["lines_left_out"].as_u64() > Some(0), "{}", report.text);
-    let chart = fs::read_to_string(chart).expect("a picture");
-    assert!(chart.contains("<svg") && chart.contains("target_failed"), "no key in it");
+    let chart = fs::read_to_string(chart).expect("the chart");
+    assert!(chart.contains("<svg") && chart.contains("target_failed"), "no legend in the chart");
 }
--- a/crates/yuccarackctl/tests/links.rs
+++ b/crates/yuccarackctl/tests/links.rs
@@ -1,4 +1,4 @@
-//! Links of the pages lead to files and headings that are there.
+//! Checks that the links in the documentation point to existing files and headings.
 
 use std::{
     fs,
@@ -11,18 +11,18 @@
 
 fn pages() -> Vec<PathBuf> {
     let folders = ["", "docs", "examples"].map(|folder| repository_root().join(folder));
-    let files = folders.iter().flat_map(|folder| fs::read_dir(folder).expect("a folder"));
-    let paths = files.map(|file| file.expect("a readable folder").path());
+    let files = folders.iter().flat_map(|folder| fs::read_dir(folder).expect("a directory"));
+    let paths = files.map(|file| file.expect("a readable directory").path());
     paths.filter(|path| path.extension().is_some_and(|extension| extension == "md")).collect()
 }
 
-/// Targets of links within the repository.
+/// Returns the targets of links within the repository.
 fn links(text: &str) -> impl Iterator<Item = &str> {
     let targets = text.split("](").skip(1).filter_map(|rest| rest.split(')').next());
     targets.filter(|target| !target.contains("://"))
 }
 
-/// Names by which links reach the headings of a page.
+/// Returns the anchors of all headings of a page.
 fn anchors(text: &str) -> Vec<String> {
     let headings = text.lines().filter(|line| line.starts_with('#'));
     headings.map(|line| anchor(line.trim_start_matches('#').trim())).collect()
@@ -38,7 +38,7 @@
     let (file, heading) = target.split_once('#').unwrap_or((target, ""));
     let path = match file.is_empty() {
         true => page.to_owned(),
-        false => page.parent().expect("a page in a folder").join(file),
+        false => page.parent().expect("a page in a directory").join(file),
     };
     if heading.is_empty() {
         return path.exists();
@@ -60,6 +60,6 @@
             }
         }
     }
-    assert!(links_checked > 30, "the search finds too few links: {links_checked}");
-    assert!(broken.is_empty(), "links that lead nowhere: {broken:#?}");
+    assert!(links_checked > 30, "the search found too few links: {links_checked}");
+    assert!(broken.is_empty(), "broken links: {broken:#?}");
 }
--- a/crates/yuccarackctl/tests/pages.rs
+++ b/crates/yuccarackctl/tests/pages.rs
@@ -1,4 +1,4 @@
-//! The pages name every counter, reason, header and crate that the code has.
+//! Checks that the documentation has every counter, reason, header and crate of the code.
 
 use std::{
     collections::BTreeSet,
@@ -11,8 +11,8 @@
 }
 
 fn read_sources(folder: &Path, found: &mut Vec<String>) {
-    for entry in fs::read_dir(folder).expect("a folder of sources") {
-        let path = entry.expect("a readable folder").path();
+    for entry in fs::read_dir(folder).expect("a directory of sources") {
+        let path = entry.expect("a readable directory").path();
         if path.is_dir() {
             read_sources(&path, found);
         } else {
@@ -27,7 +27,7 @@
     found
 }
 
-/// Literals of lower-case words with a dot between them, as only counters are.
+/// Returns the literals of lower-case words separated by dots, which only counters have.
 fn counter_names(source: &str) -> impl Iterator<Item = &str> {
     let is_word = |word: &str| {
         !word.is_empty() && word.bytes().all(|byte| byte.is_ascii_lowercase() || byte == b'_')
@@ -36,17 +36,17 @@
     source.split('"').skip(1).step_by(2).filter(is_counter)
 }
 
-/// Words behind `=> "`, as an enum's spelling has them.
+/// Returns the literals after `=> "`, by which enums are written as text.
 fn match_arm_literals(source: &str) -> impl Iterator<Item = &str> {
     source.split("=> \"").skip(1).filter_map(|rest| rest.split('"').next())
 }
 
-/// Whether the page has the name, by itself or as the start of a counter with its reason.
+/// Returns whether the page has the counter, by itself or followed by a reason.
 fn has_counter(page: &str, counter: &str) -> bool {
     page.contains(&format!("`{counter}`")) || page.contains(&format!("`{counter}."))
 }
 
-/// Reasons in the first columns of the pages' tables of refusals.
+/// Returns the reasons in the first columns of the tables below the headings `Refusals`.
 fn documented_reasons(page: &str) -> Vec<&str> {
     let tables = page.split("\n## Refusals").skip(1).filter_map(|rest| rest.split("\n## ").next());
     let rows = tables.flat_map(str::lines).filter(|line| line.starts_with("| `"));
@@ -54,7 +54,8 @@
     first_cells.flat_map(|cell| cell.split('`').skip(1).step_by(2)).collect()
 }
 
-/// The operators' pages: the product's own interface, and daemons on the users' platform.
+/// Returns the operators' pages about the product's own interface and about daemons on the users'
+/// platform.
 fn operator_pages() -> String {
     let read = |name: &str| fs::read_to_string(repository_root().join(name)).expect("a page");
     format!("{}\n{}", read("docs/OPERATING.md"), read("docs/OPERATIONS.md"))
@@ -66,7 +67,7 @@
     let sources = read_daemon_sources();
     let found: BTreeSet<&str> = sources.iter().flat_map(|source| counter_names(source)).collect();
     let missing: Vec<_> = found.iter().filter(|counter| !has_counter(&page, counter)).collect();
-    assert!(found.len() > 30, "the search finds too little: {found:?}");
+    assert!(found.len() > 30, "the search found too few names: {found:?}");
     assert!(missing.is_empty(), "docs/OPERATING.md lacks the counters {missing:?}");
 }
 
@@ -75,10 +76,10 @@
     let root = repository_root();
     let page = fs::read_to_string(root.join("docs/INTERFACES.md")).expect("the page");
     let headers = root.join("crates/yuccarack_config/src/headers.rs");
-    let source = fs::read_to_string(headers).expect("the names of headers");
+    let source = fs::read_to_string(headers).expect("the source with the header names");
     let names: Vec<&str> =
         source.split("= \"").skip(1).filter_map(|rest| rest.split('"').next()).collect();
-    assert!(names.len() > 10, "the search finds too little: {names:?}");
+    assert!(names.len() > 10, "the search found too few names: {names:?}");
     let missing: Vec<_> = names.iter().filter(|name| !page.contains(*name)).collect();
     assert!(missing.is_empty(), "docs/INTERFACES.md lacks the headers {missing:?}");
 }
@@ -87,8 +88,8 @@
 fn every_crate_is_on_the_developers_page() {
     let root = repository_root();
     let page = fs::read_to_string(root.join("CONTRIBUTING.md")).expect("the page");
-    for folder in fs::read_dir(root.join("crates")).expect("the folder of crates") {
-        let name = folder.expect("a readable folder").file_name();
+    for folder in fs::read_dir(root.join("crates")).expect("the directory of crates") {
+        let name = folder.expect("a readable directory").file_name();
         let name = format!("`{}`", name.to_string_lossy());
         assert!(page.contains(&name), "CONTRIBUTING.md lacks the crate {name}");
     }
@@ -103,10 +104,13 @@
     read_sources(&root.join("yuccarackd/src/protocol"), &mut files);
     let found: BTreeSet<&str> =
         files.iter().flat_map(|source| match_arm_literals(source)).collect();
-    assert!(found.len() > 30, "the search finds too little: {found:?}");
+    assert!(found.len() > 30, "the search found too few names: {found:?}");
     let outdated: Vec<_> =
         documented_reasons(&page).into_iter().filter(|reason| !found.contains(reason)).collect();
-    assert!(outdated.is_empty(), "docs/OPERATING.md has reasons that are gone: {outdated:?}");
+    assert!(
+        outdated.is_empty(),
+        "docs/OPERATING.md has reasons that no longer exist: {outdated:?}"
+    );
     let is_documented = |reason: &&&str| {
         page.contains(&format!("`{reason}`")) || page.contains(&format!(".{reason}`"))
     };
--- a/crates/yuccarackctl/tests/rules_commands.rs
+++ b/crates/yuccarackctl/tests/rules_commands.rs
@@ -1,4 +1,4 @@
-//! Commands about rules: check, apply, diff, show, history.
+//! Commands that check, apply, compare and show rules.
 
 mod common;
 
@@ -66,7 +66,7 @@
     platform.stop().await;
 }
 
-// After years there are millions of accepted files. The history must not read them all.
+// Guards against reading the whole history, which has millions of files after years of operation.
 #[tokio::test]
 async fn history_is_limited_by_days() {
     let platform = platform().await;
@@ -94,8 +94,8 @@
     platform.stop().await;
 }
 
-// An operator applies a file from last month, which names no revision. It would undo what others
-// changed since. A file that says nothing of what it is based on is based on nothing.
+// Guards against silently overwriting newer rules: an old file without `based_on` is applied. Such a
+// file counts as based on revision 0, so it conflicts with every service that exists.
 #[tokio::test]
 async fn file_without_based_on_conflicts_with_existing_rules() {
     let platform = platform().await;
@@ -111,8 +111,8 @@
     platform.stop().await;
 }
 
-// A file comes from another platform, whose revisions are higher. Nothing here is newer than its
-// `based_on`, so it would undo everything without a conflict.
+// Guards against silently overwriting all rules: a file from another platform, whose revisions are
+// higher, is applied. No service is newer than its `based_on`, so no conflict would be found.
 #[tokio::test]
 async fn file_based_on_a_future_revision_is_rejected() {
     let platform = platform().await;
@@ -219,13 +219,13 @@
 async fn check_reports_all_faults_of_a_routing_file() {
     let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples");
     let example = folder.join("hokkaido/routing.json");
-    let report = ctl(&format!("check {}", example.display())).await.expect("an accepted file");
+    let report = ctl(&format!("check {}", example.display())).await.expect("a valid file");
     assert_eq!(report.json["routes"], 3, "{}", report.text);
     let text = std::fs::read_to_string(&example).expect("the example");
     let broken = text.replace("\"/repairs/\"", "\"/repairs\"").replace("\"supply-desk\"", "\"x\"");
     let broken = broken.replacen("\"x\"", "\"nobody\"", 1);
     let file = write_file("routing-broken.json", &broken);
-    let error = ctl(&format!("check {file}")).await.expect_err("a file with faults");
+    let error = ctl(&format!("check {file}")).await.expect_err("an invalid file");
     let error_json = error.to_json();
     assert_eq!(error_json["exit_code"], 3);
     assert_eq!(error_json["faults"].as_array().map(Vec::len), Some(2), "{error_json}");
--- a/crates/yuccarackctl/tests/with_daemons.rs
+++ b/crates/yuccarackctl/tests/with_daemons.rs
@@ -1,4 +1,4 @@
-//! The tool against real daemons: what it reads is what they say.
+//! The tool against real daemons and targets.
 
 mod common;
 
@@ -17,10 +17,10 @@
 
 use common::{ctl, platform, rules_file, write_file};
 
-/// Longest wait for anything that has to come.
+/// Maximum wait for an expected state.
 const WAIT_MAX: Duration = Duration::from_secs(30);
 
-/// One instance: a target with its daemon.
+/// An instance: a target with its daemon.
 struct Instance {
     daemon: Daemon,
     target: Target,
@@ -39,7 +39,7 @@
         let settings = DaemonSettings::parse(settings.to_string().as_bytes());
         let log = LogSettings { format: LogFormat::Json, level: LogLevel::Error };
         let logger = logging::logger(&log, name);
-        let daemon = Daemon::start(settings.expect("right settings"), logger).await;
+        let daemon = Daemon::start(settings.expect("valid settings"), logger).await;
         let daemon = daemon.expect("free ports");
         let ready: Value = serde_json::from_str(&daemon.ready_line()).expect("a line of JSON");
         let address = |field: &str| -> SocketAddr {
@@ -58,12 +58,12 @@
     }
 }
 
-/// Asks until the answer is the target's own.
+/// Sends a request repeatedly until it succeeds and returns the response.
 async fn send_until_successful(entry: SocketAddr, request: &Question) -> Told {
     let client = Asker::default();
     let deadline = Instant::now() + WAIT_MAX;
     loop {
-        let response = client.ask(entry, request.clone()).await.expect("an answer");
+        let response = client.ask(entry, request.clone()).await.expect("a response");
         if response.status.is_success() {
             return response;
         }
@@ -73,8 +73,8 @@
     }
 }
 
-// An operator brings a fleet up, follows one order through it and changes a rule: everything that
-// the tool reads comes from real daemons, so a field that was renamed on one side shows here.
+// Guards against a field that is renamed only in the tool or only in the daemons: an operator starts
+// two instances, traces an order through them and changes a rule, all against real daemons.
 #[tokio::test]
 async fn commands_read_the_responses_of_real_daemons() {
     let platform = platform().await;
@@ -126,7 +126,7 @@
     platform.stop().await;
 }
 
-/// The outcome is recorded after the answer has gone out.
+/// Waits until the outcome of the claim is recorded, which happens after the response was sent.
 async fn wait_until_done(show: &str) -> Value {
     let deadline = Instant::now() + WAIT_MAX;
     loop {
