--- a/crates/yuccarackctl/src/commands/check.rs
+++ b/crates/yuccarackctl/src/commands/check.rs
@@ -12,17 +12,17 @@
 
 pub(super) fn check(file: &Path) -> Result<Report, CtlError> {
     let unreadable = |source| FileError::Unreadable { path: file.to_owned(), source };
-    let text = std::fs::read(file).map_err(unreadable)?;
+    let content = std::fs::read(file).map_err(unreadable)?;
     // The syntax error of a file that isn't JSON is reported by the rules parser.
-    let parsed: Value = serde_json::from_slice(&text).unwrap_or_default();
+    let parsed: Value = serde_json::from_slice(&content).unwrap_or_default();
     match parsed.get(ROUTING_FIELD) {
-        Some(_) => check_routing(file, &text),
-        None => check_rules(file, &text),
+        Some(_) => check_routing(file, &content),
+        None => check_rules(file, &content),
     }
 }
 
-fn check_rules(file: &Path, text: &[u8]) -> Result<Report, CtlError> {
-    let rules = RulesFile::parse(text)?;
+fn check_rules(file: &Path, content: &[u8]) -> Result<Report, CtlError> {
+    let rules = RulesFile::parse(content)?;
     let (services, removed) = (rules.services.len(), rules.removed.len());
     Ok(Report::new(
         format!("{}: accepted, {services} service(s), {removed} removed", file.display()),
@@ -30,8 +30,8 @@
     ))
 }
 
-fn check_routing(file: &Path, text: &[u8]) -> Result<Report, CtlError> {
-    let routing = RoutingFile::parse(text)?;
+fn check_routing(file: &Path, content: &[u8]) -> Result<Report, CtlError> {
+    let routing = RoutingFile::parse(content)?;
     let (routes, services) = (routing.routes.len(), routing.services.len());
     Ok(Report::new(
         format!(
--- a/crates/yuccarackctl/src/commands/claim.rs
+++ b/crates/yuccarackctl/src/commands/claim.rs
@@ -36,24 +36,24 @@
             Ok(list_report(&claims))
         }
         ClaimCommand::Show { common, service, key } => {
-            let found = find_claim(&platform_client(&common)?, &service, &key).await?;
-            Ok(claim_report(&found, "found"))
+            let claim = find_claim(&platform_client(&common)?, &service, &key).await?;
+            Ok(claim_report(&claim, "found"))
         }
         ClaimCommand::Release { common, yes, revision, service, key } => {
             let client = platform_client(&common)?;
-            let found = find_claim(&client, &service, &key).await?;
-            if revision.is_some_and(|revision| revision != found.revision) {
-                return Err(CtlError::ClaimChanged { revision: found.revision });
+            let claim = find_claim(&client, &service, &key).await?;
+            if revision.is_some_and(|revision| revision != claim.revision) {
+                return Err(CtlError::ClaimChanged { revision: claim.revision });
             }
-            if found.row.state == ClaimState::Done {
+            if claim.row.state == ClaimState::Done {
                 return Err(CtlError::ClaimDone);
             }
             if !yes {
-                let instance = found.row.instance;
-                return Err(CtlError::NotConfirmed { instance, revision: found.revision });
+                let instance = claim.row.instance;
+                return Err(CtlError::NotConfirmed { instance, revision: claim.revision });
             }
-            release(&client, &common, &found).await?;
-            Ok(claim_report(&found, "released"))
+            release(&client, &common, &claim).await?;
+            Ok(claim_report(&claim, "released"))
         }
     }
 }
@@ -66,12 +66,12 @@
 async fn release(
     client: &PlatformClient,
     common: &Common,
-    found: &StoredClaim,
+    claim: &StoredClaim,
 ) -> Result<(), CtlError> {
     let deadline = Instant::now() + common.timeout();
-    let key = claim_key(&found.row.service, &found.row.key);
+    let key = claim_key(&claim.row.service, &claim.row.key);
     let commit = Commit {
-        conditions: vec![Condition::new(&key, Precondition::BeAt(found.revision))],
+        conditions: vec![Condition::new(&key, Precondition::BeAt(claim.revision))],
         writes: vec![Write::delete(&key)],
     };
     let mut is_outcome_unknown = false;
@@ -117,10 +117,10 @@
     Ok(StoredClaim { revision, row })
 }
 
-fn claim_report(found: &StoredClaim, result: &str) -> Report {
-    let row = claim_json(&found.row);
-    let text = format!("{result} at revision {}\n{}", found.revision, format_fields(&row));
-    Report::new(text, json!({"result": result, "revision": found.revision, "claim": row}))
+fn claim_report(claim: &StoredClaim, result: &str) -> Report {
+    let row = claim_json(&claim.row);
+    let text = format!("{result} at revision {}\n{}", claim.revision, format_fields(&row));
+    Report::new(text, json!({"result": result, "revision": claim.revision, "claim": row}))
 }
 
 fn list_report(claims: &[StoredClaim]) -> Report {
@@ -128,19 +128,19 @@
     let header = ["key", "state", "instance", "claimed_at_unix_ms", "revision"];
     let json = claims
         .iter()
-        .map(|found| json!({"revision": found.revision, "claim": claim_json(&found.row)}))
+        .map(|claim| json!({"revision": claim.revision, "claim": claim_json(&claim.row)}))
         .collect();
     Report::new(format_table(&header, &table_rows), json)
 }
 
-fn table_row(found: &StoredClaim) -> Vec<String> {
-    let row = &found.row;
+fn table_row(claim: &StoredClaim) -> Vec<String> {
+    let row = &claim.row;
     vec![
         row.key.clone(),
         state_name(row.state).to_owned(),
         row.instance.clone(),
         row.claimed_at_unix_ms.to_string(),
-        found.revision.to_string(),
+        claim.revision.to_string(),
     ]
 }
 
--- a/crates/yuccarackctl/src/commands/diff.rs
+++ b/crates/yuccarackctl/src/commands/diff.rs
@@ -46,7 +46,9 @@
         changes.push(service_change(&current_rules, service, None, rules.based_on)?);
     }
     let text = changes.iter().map(format_change).collect::<Vec<_>>().join("\n");
-    let json = json!({"based_on": rules.based_on, "revision": current_rules.revision, "services": changes});
+    let json = json!({
+        "based_on": rules.based_on, "revision": current_rules.revision, "services": changes,
+    });
     Ok(Report::new(text, json))
 }
 
--- a/crates/yuccarackctl/src/difference.rs
+++ b/crates/yuccarackctl/src/difference.rs
@@ -40,17 +40,17 @@
 ) {
     match (old, new) {
         (old, new) if old == new => {}
-        (Some(Value::Object(old_items)), Some(Value::Object(new_items))) => {
-            for name in old_items.keys() {
+        (Some(Value::Object(old_fields)), Some(Value::Object(new_fields))) => {
+            for name in old_fields.keys() {
                 collect_changes(
                     &join_path(path, name),
-                    old_items.get(name),
-                    new_items.get(name),
+                    old_fields.get(name),
+                    new_fields.get(name),
                     changes,
                 );
             }
-            for name in new_items.keys().filter(|name| !old_items.contains_key(*name)) {
-                collect_changes(&join_path(path, name), None, new_items.get(name), changes);
+            for name in new_fields.keys().filter(|name| !old_fields.contains_key(*name)) {
+                collect_changes(&join_path(path, name), None, new_fields.get(name), changes);
             }
         }
         (Some(Value::Array(old_items)), Some(Value::Array(new_items))) => {
--- a/crates/yuccarackctl/src/logs/chart.rs
+++ b/crates/yuccarackctl/src/logs/chart.rs
@@ -44,29 +44,29 @@
         // No call failed or was slow: the chart stays empty.
         return Ok(area.present()?);
     };
-    let highest = buckets.values().map(|counts| counts.values().sum::<u64>()).max().unwrap_or(0);
+    let max_calls = buckets.values().map(|counts| counts.values().sum::<u64>()).max().unwrap_or(0);
     let end = last + summary.bucket_s();
     let mut chart = ChartBuilder::on(&area)
         .margin(LEGEND_MARKER_PX)
         .x_label_area_size(AXIS_LABELS_PX)
         .y_label_area_size(AXIS_LABELS_PX)
-        .build_cartesian_2d(*first..end, 0..highest + 1)?;
+        .build_cartesian_2d(*first..end, 0..max_calls + 1)?;
     chart
         .configure_mesh()
         .disable_x_mesh()
         .x_labels(TIME_LABELS_MAX)
-        .x_label_formatter(&|at| format_time(*at))
+        .x_label_formatter(&|time| format_time(*time))
         .y_desc("calls")
         .draw()?;
     for (index, (cause, _)) in causes.iter().enumerate() {
         let colour = Palette99::pick(index).to_rgba();
-        let part = |(at, counts): (&i64, &super::summary::Counts)| {
+        let segment = |(start, counts): (&i64, &super::summary::Counts)| {
             let below = causes[..index].iter().filter_map(|(name, _)| counts.get(name));
-            let low = below.sum::<u64>();
-            let high = low + counts.get(cause).copied().unwrap_or(0);
-            Rectangle::new([(*at, low), (at + summary.bucket_s(), high)], colour.filled())
+            let bottom = below.sum::<u64>();
+            let top = bottom + counts.get(cause).copied().unwrap_or(0);
+            Rectangle::new([(*start, bottom), (start + summary.bucket_s(), top)], colour.filled())
         };
-        chart.draw_series(buckets.iter().map(part))?.label(cause).legend(move |(x, y)| {
+        chart.draw_series(buckets.iter().map(segment))?.label(cause).legend(move |(x, y)| {
             Rectangle::new(
                 [(x, y - LEGEND_MARKER_PX / 2), (x + LEGEND_MARKER_PX, y + LEGEND_MARKER_PX / 2)],
                 colour.filled(),
--- a/crates/yuccarackctl/src/logs/summary.rs
+++ b/crates/yuccarackctl/src/logs/summary.rs
@@ -52,8 +52,8 @@
             Cause::None => return,
             cause => cause.to_string(),
         };
-        let at = event.ts.unix_timestamp().div_euclid(self.bucket_s) * self.bucket_s;
-        *self.buckets.entry(at).or_default().entry(name).or_default() += 1;
+        let start = event.ts.unix_timestamp().div_euclid(self.bucket_s) * self.bucket_s;
+        *self.buckets.entry(start).or_default().entry(name).or_default() += 1;
         if self.buckets.len() > BUCKETS_MAX {
             self.double_bucket_length();
         }
@@ -62,9 +62,9 @@
     /// Doubles the length of the intervals and merges their counts.
     fn double_bucket_length(&mut self) {
         self.bucket_s *= 2;
-        for (at, counts) in std::mem::take(&mut self.buckets) {
-            let at = at.div_euclid(self.bucket_s) * self.bucket_s;
-            let merged = self.buckets.entry(at).or_default();
+        for (start, counts) in std::mem::take(&mut self.buckets) {
+            let start = start.div_euclid(self.bucket_s) * self.bucket_s;
+            let merged = self.buckets.entry(start).or_default();
             counts.into_iter().for_each(|(name, count)| *merged.entry(name).or_default() += count);
         }
     }
@@ -86,7 +86,7 @@
             *totals.entry(name.clone()).or_default() += count;
         }
         let mut totals: Vec<_> = totals.into_iter().collect();
-        totals.sort_by(|one, other| other.1.cmp(&one.1).then(one.0.cmp(&other.0)));
+        totals.sort_by(|left, right| right.1.cmp(&left.1).then(left.0.cmp(&right.0)));
         totals
     }
 
@@ -101,8 +101,8 @@
         let causes = self.causes();
         let mut header = vec!["time".to_owned()];
         header.extend(causes.iter().map(|(name, _)| name.clone()));
-        let row = |(at, counts): (&i64, &Counts)| {
-            let mut cells = vec![format_time(*at)];
+        let row = |(start, counts): (&i64, &Counts)| {
+            let mut cells = vec![format_time(*start)];
             let cell = |(name, _): &(String, u64)| counts.get(name).copied().unwrap_or(0);
             cells.extend(causes.iter().map(cell).map(|count| count.to_string()));
             cells
@@ -115,7 +115,9 @@
         let buckets: Vec<Value> = self
             .buckets
             .iter()
-            .map(|(at, counts)| json!({"from": format_time(*at), "from_unix_s": at, "calls": counts}))
+            .map(|(start, counts)| {
+                json!({"from": format_time(*start), "from_unix_s": start, "calls": counts})
+            })
             .collect();
         let totals: Counts = self.causes().into_iter().collect();
         json!({
@@ -128,8 +130,8 @@
 /// Formats a Unix time as UTC date and time.
 pub fn format_time(unix_s: i64) -> String {
     match OffsetDateTime::from_unix_timestamp(unix_s) {
-        Ok(at) => {
-            let (date, time) = (at.date(), at.time());
+        Ok(utc) => {
+            let (date, time) = (utc.date(), utc.time());
             format!("{date} {:02}:{:02}:{:02}", time.hour(), time.minute(), time.second())
         }
         // Outside the range of years that the `time` crate supports.
--- a/crates/yuccarackctl/tests/claim_commands.rs
+++ b/crates/yuccarackctl/tests/claim_commands.rs
@@ -41,18 +41,20 @@
     let address = platform.address();
     put_claim(&platform, "order-1", ClaimState::Open);
     put_claim(&platform, "order-2", ClaimState::Done);
-    let all = ctl(&format!("claim list supplies --platform {address}")).await.unwrap();
-    assert_eq!(all.json.as_array().unwrap().len(), 2);
-    let open = ctl(&format!("claim list supplies --open --platform {address}")).await.unwrap();
-    assert_eq!(open.json[0]["claim"]["key"], json!("order-1"));
+    let all_claims = ctl(&format!("claim list supplies --platform {address}")).await.unwrap();
+    assert_eq!(all_claims.json.as_array().unwrap().len(), 2);
+    let open_claims =
+        ctl(&format!("claim list supplies --open --platform {address}")).await.unwrap();
+    assert_eq!(open_claims.json[0]["claim"]["key"], json!("order-1"));
     let args = format!("claim list supplies --instance sapporo-1 --platform {address}");
     assert_eq!(ctl(&args).await.unwrap().json, json!([]));
 
-    let shown = ctl(&format!("claim show supplies order-2 --platform {address}")).await.unwrap();
-    assert_eq!(shown.json["claim"]["attempt"], json!(format!("{:032x}", 0xabc)));
-    assert_eq!(shown.json["claim"]["outcome"]["body_bytes"], json!(3));
-    let absent = ctl(&format!("claim show supplies order-3 --platform {address}")).await;
-    assert!(matches!(absent, Err(CtlError::NotFound { .. })));
+    let shown_claim =
+        ctl(&format!("claim show supplies order-2 --platform {address}")).await.unwrap();
+    assert_eq!(shown_claim.json["claim"]["attempt"], json!(format!("{:032x}", 0xabc)));
+    assert_eq!(shown_claim.json["claim"]["outcome"]["body_bytes"], json!(3));
+    let missing_claim = ctl(&format!("claim show supplies order-3 --platform {address}")).await;
+    assert!(matches!(missing_claim, Err(CtlError::NotFound { .. })));
     platform.stop().await;
 }
 
@@ -62,9 +64,9 @@
     let address = platform.address();
     put_claim(&platform, "order-1", ClaimState::Open);
     let args = format!("claim release supplies order-1 --platform {address}");
-    let unconfirmed = ctl(&args).await.unwrap_err();
-    assert_eq!(unconfirmed.exit_status(), ExitStatus::Usage);
-    assert!(unconfirmed.to_string().contains("kushiro-2"), "{unconfirmed}");
+    let error = ctl(&args).await.unwrap_err();
+    assert_eq!(error.exit_status(), ExitStatus::Usage);
+    assert!(error.to_string().contains("kushiro-2"), "{error}");
     assert!(has_claim(&platform, "order-1"));
     ctl(&format!("{args} --yes")).await.unwrap();
     assert!(!has_claim(&platform, "order-1"));
@@ -110,8 +112,8 @@
     put_claim(&platform, "order-1", ClaimState::Open);
     platform.set_faults(PlatformFaults { lose_answers: 1, ..Default::default() });
     let args = format!("claim release supplies order-1 --yes --platform {}", platform.address());
-    let released = ctl(&args).await.unwrap();
-    assert_eq!(released.json["result"], json!("released"));
+    let report = ctl(&args).await.unwrap();
+    assert_eq!(report.json["result"], json!("released"));
     assert!(!has_claim(&platform, "order-1"));
     platform.stop().await;
 }
--- a/crates/yuccarackctl/tests/daemon_commands.rs
+++ b/crates/yuccarackctl/tests/daemon_commands.rs
@@ -80,8 +80,9 @@
     daemon.stop().await;
 }
 
-// Guards against an incomplete explanation: each daemon records only its own steps, and the operator
-// doesn't know which daemons a request passed. All are queried, and those without steps left out.
+// Guards against an incomplete explanation: each daemon records only its own steps, and the
+// operator doesn't know which daemons a request passed. All are queried, and those without steps
+// are left out.
 #[tokio::test]
 async fn explain_queries_all_daemons_of_a_service() {
     let platform = platform().await;
@@ -96,13 +97,13 @@
         platform.with_table(|table| table.commit(commit)).unwrap();
     }
     let address = platform.address();
-    let found =
+    let explained =
         ctl(&format!("explain 00ff --members-of conditions --platform {address}")).await.unwrap();
-    assert_eq!(found.json.as_object().unwrap().len(), 2);
-    assert_eq!(found.json[daemons[2].address().to_string()]["role"], json!("gate"));
+    assert_eq!(explained.json.as_object().unwrap().len(), 2);
+    assert_eq!(explained.json[daemons[2].address().to_string()]["role"], json!("gate"));
 
-    let unknown = ctl(&format!("explain 01 --members-of conditions --platform {address}")).await;
-    assert!(matches!(unknown, Err(CtlError::NotFound { .. })));
+    let not_found = ctl(&format!("explain 01 --members-of conditions --platform {address}")).await;
+    assert!(matches!(not_found, Err(CtlError::NotFound { .. })));
     for daemon in daemons {
         daemon.stop().await;
     }
@@ -132,8 +133,8 @@
     let not_a_daemon = ctl(&format!("counters --daemon {address}")).await.unwrap_err();
     assert!(matches!(not_a_daemon, CtlError::NotADaemon { .. }), "{not_a_daemon}");
     daemon.set_response("/counters", json!("not a map"));
-    let refused = ctl(&format!("counters --daemon {address}")).await.unwrap_err();
-    assert_eq!(refused.exit_status(), ExitStatus::Failed);
+    let unexpected_response = ctl(&format!("counters --daemon {address}")).await.unwrap_err();
+    assert_eq!(unexpected_response.exit_status(), ExitStatus::Failed);
     daemon.stop().await;
     let unreachable = ctl(&format!("counters --daemon {address}")).await.unwrap_err();
     assert_eq!(unreachable.exit_status(), ExitStatus::DaemonUnreachable);
--- a/crates/yuccarackctl/tests/explain_logs.rs
+++ b/crates/yuccarackctl/tests/explain_logs.rs
@@ -5,7 +5,7 @@
 use serde_json::Value;
 use yuccarackctl::{CtlError, ExitStatus, Report, command, run};
 
-/// Returns `--logs` options for all recorded logs; the clock of one instance is three seconds slow.
+/// Returns `--logs` options for all recorded logs; the clock of one instance is 3 s behind.
 fn log_options() -> Vec<String> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data");
     let files = fs::read_dir(folder).expect("the directory of logs");
@@ -29,7 +29,7 @@
 }
 
 /// Guards against sorting by timestamps alone: an order waited until shortly before its deadline at
-/// a gate with a slow clock and was refused. By timestamps the line of that gate would come first.
+/// a gate whose clock is behind, and was refused. By timestamps its line would come first.
 #[tokio::test]
 async fn lines_of_a_request_are_in_order_despite_clock_differences() {
     let report = ctl("explain", &["fa7edc34f5a5070b"]).await.expect("lines of the request");
--- a/crates/yuccarackctl/tests/links.rs
+++ b/crates/yuccarackctl/tests/links.rs
@@ -30,8 +30,8 @@
 
 fn anchor(heading: &str) -> String {
     let lower = heading.to_lowercase();
-    let kept = lower.chars().filter(|c| c.is_alphanumeric() || matches!(c, ' ' | '-' | '_'));
-    kept.map(|c| if c == ' ' { '-' } else { c }).collect()
+    let allowed = lower.chars().filter(|c| c.is_alphanumeric() || matches!(c, ' ' | '-' | '_'));
+    allowed.map(|c| if c == ' ' { '-' } else { c }).collect()
 }
 
 fn is_valid_link(page: &Path, target: &str) -> bool {
--- a/crates/yuccarackctl/tests/pages.rs
+++ b/crates/yuccarackctl/tests/pages.rs
@@ -10,21 +10,21 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-fn read_sources(folder: &Path, found: &mut Vec<String>) {
+fn read_sources(folder: &Path, contents: &mut Vec<String>) {
     for entry in fs::read_dir(folder).expect("a directory of sources") {
         let path = entry.expect("a readable directory").path();
         if path.is_dir() {
-            read_sources(&path, found);
+            read_sources(&path, contents);
         } else {
-            found.push(fs::read_to_string(&path).expect("a source file"));
+            contents.push(fs::read_to_string(&path).expect("a source file"));
         }
     }
 }
 
 fn read_daemon_sources() -> Vec<String> {
-    let mut found = Vec::new();
-    read_sources(&repository_root().join("crates/yuccarackd/src"), &mut found);
-    found
+    let mut contents = Vec::new();
+    read_sources(&repository_root().join("crates/yuccarackd/src"), &mut contents);
+    contents
 }
 
 /// Returns the literals of lower-case words separated by dots, which only counters have.
@@ -65,9 +65,11 @@
 fn every_counter_is_on_the_operators_page() {
     let page = operator_pages();
     let sources = read_daemon_sources();
-    let found: BTreeSet<&str> = sources.iter().flat_map(|source| counter_names(source)).collect();
-    let missing: Vec<_> = found.iter().filter(|counter| !has_counter(&page, counter)).collect();
-    assert!(found.len() > 30, "the search found too few names: {found:?}");
+    let names_found: BTreeSet<&str> =
+        sources.iter().flat_map(|source| counter_names(source)).collect();
+    let missing: Vec<_> =
+        names_found.iter().filter(|counter| !has_counter(&page, counter)).collect();
+    assert!(names_found.len() > 30, "the search found too few names: {names_found:?}");
     assert!(missing.is_empty(), "docs/OPERATING.md lacks the counters {missing:?}");
 }
 
@@ -102,11 +104,13 @@
     let mut files = Vec::new();
     read_sources(&root.join("yuccarack_policy/src"), &mut files);
     read_sources(&root.join("yuccarackd/src/protocol"), &mut files);
-    let found: BTreeSet<&str> =
+    let names_found: BTreeSet<&str> =
         files.iter().flat_map(|source| match_arm_literals(source)).collect();
-    assert!(found.len() > 30, "the search found too few names: {found:?}");
-    let outdated: Vec<_> =
-        documented_reasons(&page).into_iter().filter(|reason| !found.contains(reason)).collect();
+    assert!(names_found.len() > 30, "the search found too few names: {names_found:?}");
+    let outdated: Vec<_> = documented_reasons(&page)
+        .into_iter()
+        .filter(|reason| !names_found.contains(reason))
+        .collect();
     assert!(
         outdated.is_empty(),
         "docs/OPERATING.md has reasons that no longer exist: {outdated:?}"
@@ -114,6 +118,6 @@
     let is_documented = |reason: &&&str| {
         page.contains(&format!("`{reason}`")) || page.contains(&format!(".{reason}`"))
     };
-    let missing: Vec<_> = found.iter().filter(|reason| !is_documented(reason)).collect();
+    let missing: Vec<_> = names_found.iter().filter(|reason| !is_documented(reason)).collect();
     assert!(missing.is_empty(), "docs/OPERATING.md lacks the reasons {missing:?}");
 }
--- a/crates/yuccarackctl/tests/rules_commands.rs
+++ b/crates/yuccarackctl/tests/rules_commands.rs
@@ -45,13 +45,13 @@
     let first = rules_file("show-first.json", 0, "conditions", 500);
     ctl(&format!("apply {first} --platform {address}")).await.unwrap();
 
-    let shown = ctl(&format!("show --platform {address}")).await.unwrap();
-    assert_eq!(shown.json["based_on"], json!(1));
-    let edited = shown.text.replace("\"deadline_ms\": 500", "\"deadline_ms\": 600");
-    let edited = write_file("show-edited.json", &edited);
-    let diff = ctl(&format!("diff {edited} --platform {address}")).await.unwrap();
+    let show_report = ctl(&format!("show --platform {address}")).await.unwrap();
+    assert_eq!(show_report.json["based_on"], json!(1));
+    let edited_file = show_report.text.replace("\"deadline_ms\": 500", "\"deadline_ms\": 600");
+    let edited_file = write_file("show-edited.json", &edited_file);
+    let diff = ctl(&format!("diff {edited_file} --platform {address}")).await.unwrap();
     assert_eq!(diff.text, "~ conditions\n    routes[0].deadline_ms: 500 -> 600");
-    ctl(&format!("apply {edited} --platform {address} --operator aiko")).await.unwrap();
+    ctl(&format!("apply {edited_file} --platform {address} --operator aiko")).await.unwrap();
 
     let history = ctl(&format!("history --platform {address} --limit 1")).await.unwrap();
     let newest = &history.json[0];
@@ -60,9 +60,10 @@
 
     let oldest = ctl(&format!("history --platform {address}")).await.unwrap().json[1].clone();
     let apply_id = oldest["applied"]["apply_id"].as_str().unwrap();
-    let back = ctl(&format!("show --platform {address} --applied {apply_id}")).await.unwrap();
-    assert_eq!(back.json["based_on"], json!(2));
-    assert_eq!(back.json["services"][0]["routes"][0]["deadline_ms"], json!(500));
+    let applied_file =
+        ctl(&format!("show --platform {address} --applied {apply_id}")).await.unwrap();
+    assert_eq!(applied_file.json["based_on"], json!(2));
+    assert_eq!(applied_file.json["services"][0]["routes"][0]["deadline_ms"], json!(500));
     platform.stop().await;
 }
 
@@ -94,8 +95,8 @@
     platform.stop().await;
 }
 
-// Guards against silently overwriting newer rules: an old file without `based_on` is applied. Such a
-// file counts as based on revision 0, so it conflicts with every service that exists.
+// Guards against silently overwriting newer rules: an old file without `based_on` is applied. Such
+// a file counts as based on revision 0, so it conflicts with every service that exists.
 #[tokio::test]
 async fn file_without_based_on_conflicts_with_existing_rules() {
     let platform = platform().await;
@@ -153,8 +154,8 @@
     let diff = ctl(&format!("diff {removal} --platform {address}")).await.unwrap();
     assert_eq!(diff.text, "- conditions");
     ctl(&format!("apply {removal} --platform {address}")).await.unwrap();
-    let shown = ctl(&format!("show --platform {address}")).await.unwrap();
-    assert_eq!(shown.json["services"], json!([]));
+    let show_report = ctl(&format!("show --platform {address}")).await.unwrap();
+    assert_eq!(show_report.json["services"], json!([]));
     let error = ctl(&format!("show conditions --platform {address}")).await.unwrap_err();
     assert!(matches!(error, CtlError::NotFound { .. }), "{error}");
     platform.stop().await;
@@ -222,9 +223,10 @@
     let report = ctl(&format!("check {}", example.display())).await.expect("a valid file");
     assert_eq!(report.json["routes"], 3, "{}", report.text);
     let text = std::fs::read_to_string(&example).expect("the example");
-    let broken = text.replace("\"/repairs/\"", "\"/repairs\"").replace("\"supply-desk\"", "\"x\"");
-    let broken = broken.replacen("\"x\"", "\"nobody\"", 1);
-    let file = write_file("routing-broken.json", &broken);
+    let invalid_text =
+        text.replace("\"/repairs/\"", "\"/repairs\"").replace("\"supply-desk\"", "\"x\"");
+    let invalid_text = invalid_text.replacen("\"x\"", "\"nobody\"", 1);
+    let file = write_file("routing-broken.json", &invalid_text);
     let error = ctl(&format!("check {file}")).await.expect_err("an invalid file");
     let error_json = error.to_json();
     assert_eq!(error_json["exit_code"], 3);
--- a/crates/yuccarackctl/tests/with_daemons.rs
+++ b/crates/yuccarackctl/tests/with_daemons.rs
@@ -24,8 +24,8 @@
 struct Instance {
     daemon: Daemon,
     target: Target,
-    call: SocketAddr,
-    admin: SocketAddr,
+    call_address: SocketAddr,
+    admin_address: SocketAddr,
 }
 
 impl Instance {
@@ -41,14 +41,15 @@
         let logger = logging::logger(&log, name);
         let daemon = Daemon::start(settings.expect("valid settings"), logger).await;
         let daemon = daemon.expect("free ports");
-        let ready: Value = serde_json::from_str(&daemon.ready_line()).expect("a line of JSON");
+        let ready_line: Value = serde_json::from_str(&daemon.ready_line()).expect("a line of JSON");
         let address = |field: &str| -> SocketAddr {
-            ready[field].as_str().expect("an address").parse().expect("an address")
+            ready_line[field].as_str().expect("an address").parse().expect("an address")
         };
-        let (call, admin) = (address("call_address"), address("admin_address"));
-        let options = TargetOptions { admin: Some(admin), ..TargetOptions::new(name, service) };
+        let (call_address, admin_address) = (address("call_address"), address("admin_address"));
+        let options =
+            TargetOptions { admin: Some(admin_address), ..TargetOptions::new(name, service) };
         let target = Target::start(options, OnCrash::CutOff, Ledger::default()).await;
-        Self { daemon, target: target.expect("free ports"), call, admin }
+        Self { daemon, target: target.expect("free ports"), call_address, admin_address }
     }
 
     async fn stop(self) {
@@ -73,15 +74,15 @@
     }
 }
 
-// Guards against a field that is renamed only in the tool or only in the daemons: an operator starts
-// two instances, traces an order through them and changes a rule, all against real daemons.
+// Guards against a field that is renamed only in the tool or only in the daemons: an operator
+// starts two instances, traces an order through them and changes a rule, all with real daemons.
 #[tokio::test]
 async fn commands_read_the_responses_of_real_daemons() {
     let platform = platform().await;
     let first = Instance::start(&platform, "sapporo-1", "supplies").await;
     let second = Instance::start(&platform, "kushiro-1", "conditions").await;
     let address = platform.address();
-    let daemons = format!("--daemon {} --daemon {}", first.admin, second.admin);
+    let daemons = format!("--daemon {} --daemon {}", first.admin_address, second.admin_address);
 
     let rules = rules_file("fleet-1.json", 0, "supplies", 5_000);
     let applied =
@@ -92,30 +93,30 @@
         .with_header("yuccarack-service", "supplies")
         .with_header("idempotency-key", "order-7")
         .with_body("firewood");
-    let response = send_until_successful(second.call, &order).await;
+    let response = send_until_successful(second.call_address, &order).await;
     let request = response.header("yuccarack-request-id");
     let explained = ctl(&format!("explain {request} {daemons}")).await.unwrap();
-    let steps = explained.json[second.admin.to_string()].to_string();
-    assert!(steps.contains("chosen") && steps.contains("sapporo-1"), "{steps}");
+    let entry_steps = explained.json[second.admin_address.to_string()].to_string();
+    assert!(entry_steps.contains("chosen") && entry_steps.contains("sapporo-1"), "{entry_steps}");
 
-    let shown = wait_until_done(&format!("claim show supplies order-7 --platform {address}")).await;
-    assert_eq!(shown["claim"]["instance"], json!("sapporo-1"));
-    assert_eq!(shown["claim"]["outcome"]["status"], json!(200));
+    let claim = wait_until_done(&format!("claim show supplies order-7 --platform {address}")).await;
+    assert_eq!(claim["claim"]["instance"], json!("sapporo-1"));
+    assert_eq!(claim["claim"]["outcome"]["status"], json!(200));
     let release = format!("claim release supplies order-7 --yes --platform {address}");
     assert!(ctl(&release).await.is_err(), "a done claim was released");
 
     let status = ctl(&format!("status {daemons}")).await.unwrap();
-    assert_eq!(status.json[first.admin.to_string()]["target_state"], json!("ready"));
+    assert_eq!(status.json[first.admin_address.to_string()]["target_state"], json!("ready"));
     let members = format!("targets --members-of supplies --platform {address}");
     let targets = ctl(&members).await.unwrap();
-    assert_eq!(targets.json[first.admin.to_string()][0]["instance"], json!("sapporo-1"));
+    assert_eq!(targets.json[first.admin_address.to_string()][0]["instance"], json!("sapporo-1"));
     let counters = ctl(&format!("counters {daemons} --prefix claims.")).await.unwrap();
-    assert_eq!(counters.json[first.admin.to_string()]["claims.mine"], json!(1));
+    assert_eq!(counters.json[first.admin_address.to_string()]["claims.mine"], json!(1));
 
-    let shown = ctl(&format!("show --platform {address}")).await.unwrap();
-    let edited = write_file("fleet-2.json", &shown.text.replace("5000", "4000"));
+    let rules_report = ctl(&format!("show --platform {address}")).await.unwrap();
+    let edited_file = write_file("fleet-2.json", &rules_report.text.replace("5000", "4000"));
     let reapply =
-        format!("apply {edited} --wait --timeout-ms 20000 --platform {address} {daemons}");
+        format!("apply {edited_file} --wait --timeout-ms 20000 --platform {address} {daemons}");
     let started_at = Instant::now();
     let changed = ctl(&reapply).await.unwrap();
     println!("in force at both daemons after {:?}", started_at.elapsed());
@@ -130,11 +131,11 @@
 async fn wait_until_done(show: &str) -> Value {
     let deadline = Instant::now() + WAIT_MAX;
     loop {
-        let shown = ctl(show).await.expect("a claim").json;
-        if shown["claim"]["state"] == json!("done") {
-            return shown;
+        let claim = ctl(show).await.expect("a claim").json;
+        if claim["claim"]["state"] == json!("done") {
+            return claim;
         }
-        assert!(Instant::now() < deadline, "still open: {shown}");
+        assert!(Instant::now() < deadline, "still open: {claim}");
         sleep(Duration::from_millis(20)).await;
     }
 }
