--- a/crates/yuccarack_player/src/baseline.rs
+++ b/crates/yuccarack_player/src/baseline.rs
@@ -25,7 +25,7 @@
     }
 
     /// Stores the reports of all targets and restarts the count of requests sent since.
-    pub fn report(&mut self, in_flight: &[u32]) {
+    pub fn record_reports(&mut self, in_flight: &[u32]) {
         self.reported_in_flight.copy_from_slice(in_flight);
         self.sent_since_report.fill(0);
     }
--- a/crates/yuccarack_player/src/entry.rs
+++ b/crates/yuccarack_player/src/entry.rs
@@ -174,9 +174,9 @@
     }
 
     /// Passes the polled reports of all targets to a baseline; ignored by the project's policies.
-    pub fn report(&mut self, in_flight: &[u32]) {
+    pub fn record_reports(&mut self, in_flight: &[u32]) {
         if let Balancer::Baseline(baseline) = &mut self.balancer {
-            baseline.report(in_flight);
+            baseline.record_reports(in_flight);
         }
     }
 }
--- a/crates/yuccarack_player/src/gate.rs
+++ b/crates/yuccarack_player/src/gate.rs
@@ -118,7 +118,7 @@
         }
     }
 
-    pub fn report(&self) -> Option<LoadReport> {
+    pub fn load_report(&self) -> Option<LoadReport> {
         match self {
             Self::Fifo { .. } => None,
             Self::Admission { admission, .. } => Some(admission.load()),
--- a/crates/yuccarack_player/src/player/gate_events.rs
+++ b/crates/yuccarack_player/src/player/gate_events.rs
@@ -90,8 +90,8 @@
             }
         }
         let Some(wake) = self.gates[target].next_wake() else { return };
-        if self.wakes[target].is_none_or(|scheduled| wake < scheduled) {
-            self.wakes[target] = Some(wake);
+        if self.scheduled_wakes[target].is_none_or(|scheduled| wake < scheduled) {
+            self.scheduled_wakes[target] = Some(wake);
             self.clock.schedule(wake, Event::Wake(target));
         }
     }
@@ -100,7 +100,7 @@
         let attempt = &mut self.attempts[key];
         attempt.state = AttemptState::Returning;
         let target = &self.targets[attempt.target];
-        let mut report = self.gates[attempt.target].report();
+        let mut report = self.gates[attempt.target].load_report();
         if report.is_some() {
             self.tally.measuring_bytes += REPORT_BYTES;
         }
--- a/crates/yuccarack_player/src/player/mod.rs
+++ b/crates/yuccarack_player/src/player/mod.rs
@@ -90,7 +90,7 @@
     rng: SmallRng,
     targets: Vec<Target>,
     gates: Vec<Gate<AttemptKey>>,
-    wakes: Vec<Option<Instant>>,
+    scheduled_wakes: Vec<Option<Instant>>,
     entries: Vec<Entry>,
     calls: SlotMap<CallKey, Call>,
     attempts: SlotMap<AttemptKey, Attempt>,
@@ -141,7 +141,7 @@
         tally.pair_s = tally.target_s * fleet.entries as f64;
         Self {
             gates: all.iter().map(|_| Gate::new(now, policy, scenario)).collect(),
-            wakes: vec![None; fleet.targets],
+            scheduled_wakes: vec![None; fleet.targets],
             polled_at: now,
             calls: SlotMap::with_key(),
             attempts: SlotMap::with_key(),
@@ -165,7 +165,7 @@
             }
             Event::Cancel(attempt) => self.cancel_at_gate(attempt),
             Event::Wake(target) => {
-                self.wakes[target] = None;
+                self.scheduled_wakes[target] = None;
                 self.poll_gate(target);
             }
             Event::Hedge(call) => self.hedge(call),
@@ -195,13 +195,13 @@
         self.clock.schedule(deadline, Event::Deadline(key));
         let now = self.clock.now();
         self.entries[entry].record_first_attempt(now);
-        if self.send(key) {
-            self.plan_hedge(key);
+        if self.send_attempt(key) {
+            self.schedule_hedge(key);
         }
     }
 
     /// Sends the call's next attempt; returns `false` if no target can be chosen.
-    fn send(&mut self, key: CallKey) -> bool {
+    fn send_attempt(&mut self, key: CallKey) -> bool {
         let now = self.clock.now();
         let call = &mut self.calls[key];
         let entry = &mut self.entries[call.entry];
@@ -238,7 +238,7 @@
         true
     }
 
-    fn plan_hedge(&mut self, key: CallKey) {
+    fn schedule_hedge(&mut self, key: CallKey) {
         let call = &self.calls[key];
         if !self.scenario.fleet.is_repeatable || call.is_long {
             return;
@@ -251,7 +251,7 @@
     fn hedge(&mut self, key: CallKey) {
         let now = self.clock.now();
         let Some(call) = self.calls.get(key) else { return };
-        if self.entries[call.entry].spend_hedge(now) && self.send(key) {
+        if self.entries[call.entry].spend_hedge(now) && self.send_attempt(key) {
             self.tally.hedges += 1;
         }
     }
@@ -289,7 +289,7 @@
         let entry = &mut self.entries[call.entry];
         if entry.should_retry(now, call.attempt_count, call.deadline, result, is_repeatable) {
             self.tally.retries += 1;
-            self.send(attempt.call);
+            self.send_attempt(attempt.call);
             return;
         }
         if call.live_attempts.is_empty() {
@@ -326,7 +326,7 @@
     fn poll_reports(&mut self) {
         self.polled_at = self.clock.now();
         let reports: Vec<_> = self.gates.iter().zip(&self.targets).map(polled_in_flight).collect();
-        self.entries.iter_mut().for_each(|entry| entry.report(&reports));
+        self.entries.iter_mut().for_each(|entry| entry.record_reports(&reports));
         let polls = self.entries.len() * self.targets.len();
         self.tally.measuring_bytes += polls as u64 * POLL_BYTES;
         if self.clock.elapsed() < self.scenario.duration {
--- a/crates/yuccarack_player/src/target.rs
+++ b/crates/yuccarack_player/src/target.rs
@@ -126,11 +126,11 @@
         factor: f64,
     ) {
         // One neighbour for every ten targets, each cycling through its own targets.
-        let round = scenario.fleet.targets.min(10) as u32;
-        let mut at = start + duration * (index as u32 % round);
+        let cycle_length = scenario.fleet.targets.min(10) as u32;
+        let mut at = start + duration * (index as u32 % cycle_length);
         while at < start + scenario.duration {
             self.add_slowdown(at, at + duration, factor);
-            at += duration * round;
+            at += duration * cycle_length;
         }
     }
 
@@ -162,8 +162,8 @@
         if !self.is_cold {
             return 1.0;
         }
-        let work_left = 1.0 - (self.responses as f64 / WARM_UP_RESPONSES).min(1.0);
-        1.0 + (COLD_START_FACTOR - 1.0) * work_left
+        let cold_share = 1.0 - (self.responses as f64 / WARM_UP_RESPONSES).min(1.0);
+        1.0 + (COLD_START_FACTOR - 1.0) * cold_share
     }
 
     /// Returns when work that starts now is done, given the slowdowns until then.
--- a/crates/yuccarack_player/tests/chain.rs
+++ b/crates/yuccarack_player/tests/chain.rs
@@ -27,10 +27,10 @@
 /// stopped waiting, and a third of all runs are wasted.
 #[test]
 fn saturation_wastes_no_runs() {
-    let wasted = |credit: &Credit| credit.wasted_runs as f64 / credit.runs as f64;
-    let yuccarack = mean("saturated", Policy::Yuccarack, wasted);
-    assert!(yuccarack < 0.02, "{yuccarack:.3} of the runs are wasted");
-    assert!(mean("saturated", Policy::FifoShortest, wasted) > 0.1);
+    let wasted_run_share = |credit: &Credit| credit.wasted_runs as f64 / credit.runs as f64;
+    let wasted_share = mean("saturated", Policy::Yuccarack, wasted_run_share);
+    assert!(wasted_share < 0.02, "{wasted_share:.3} of the runs are wasted");
+    assert!(mean("saturated", Policy::FifoShortest, wasted_run_share) > 0.1);
     let (yuccarack, shortest_queue) = (
         mean("saturated", Policy::Yuccarack, Credit::earned_share),
         mean("saturated", Policy::FifoShortest, Credit::earned_share),
@@ -66,12 +66,12 @@
 #[test]
 fn targets_that_are_cold_together_recover_under_their_load() {
     // Targets are cold from 4 to 7 s; 5 s later, calls must be served as before.
-    let recovered = |credit: &Credit| credit.earned_share_from(Duration::from_secs(12));
-    let calm = mean("calm", Policy::Yuccarack, recovered);
-    let yuccarack = mean("all cold", Policy::Yuccarack, recovered);
+    let share_after_recovery = |credit: &Credit| credit.earned_share_from(Duration::from_secs(12));
+    let calm = mean("calm", Policy::Yuccarack, share_after_recovery);
+    let yuccarack = mean("all cold", Policy::Yuccarack, share_after_recovery);
     assert!(yuccarack >= 0.9 * calm, "{yuccarack:.3} of {calm:.3}");
     for policy in [Policy::FifoRandom, Policy::FifoShortest] {
-        let collapsed = mean("all cold", policy, recovered);
+        let collapsed = mean("all cold", policy, share_after_recovery);
         assert!(collapsed < 0.5 * calm, "{collapsed:.3} of {calm:.3}: no collapse to prevent");
     }
 }
