--- a/crates/yuccarackd/src/coordination/claims/batch.rs
+++ b/crates/yuccarackd/src/coordination/claims/batch.rs
@@ -92,7 +92,7 @@
     /// Sends the reply to the call; drops it if the call no longer waits.
     pub fn send_reply(&mut self, reply: ClaimReply) {
         if let Some(sender) = self.reply_sender.take() {
-            // The call may have been cancelled; its receiver is gone then.
+            // The call may have been cancelled; its receiver is dropped then.
             let _ = sender.send(reply);
         }
     }
--- a/crates/yuccarackd/src/coordination/suspects/cache.rs
+++ b/crates/yuccarackd/src/coordination/suspects/cache.rs
@@ -55,10 +55,10 @@
     ) -> Vec<(Fingerprint, SuspectEvent)> {
         let trials: Vec<Fingerprint> = self.trials.drain().map(|(trial, _)| trial).collect();
         let mut events = Vec::with_capacity(in_flight.len() + trials.len());
-        let mut seen = HashSet::new();
+        let mut counted = HashSet::new();
         let others = in_flight.iter().copied();
         for (fingerprint, alone) in trials.into_iter().map(|trial| (trial, true)).chain(others) {
-            if !seen.insert(fingerprint) {
+            if !counted.insert(fingerprint) {
                 continue;
             }
             let phases = self.suspects.record_crash(now, &[fingerprint], alone);
--- a/crates/yuccarackd/tests/claims/verdicts.rs
+++ b/crates/yuccarackd/tests/claims/verdicts.rs
@@ -98,7 +98,7 @@
     platform.stop().await;
 }
 
-/// Guards against a resend that isn't answered as run because the body is over 4 KiB. The status is
+/// Guards against a resend that isn't reported as run because the body is over 4 KiB. The status is
 /// recorded without the body.
 #[tokio::test]
 async fn a_large_body_is_not_recorded() {
--- a/crates/yuccarackd/tests/point_7_configuration.rs
+++ b/crates/yuccarackd/tests/point_7_configuration.rs
@@ -197,9 +197,9 @@
     let (mut base, _) = rules_in_table(&fleet, SERVICE);
     for round in 0..2 {
         fleet.nodes[0].daemon().freeze();
-        let away = ProxyFaults { refuse: true, ..Default::default() };
-        fleet.nodes[1].links.platform.set_faults(away.clone());
-        fleet.nodes[2].links.control.set_faults(away);
+        let refusing = ProxyFaults { refuse: true, ..Default::default() };
+        fleet.nodes[1].links.platform.set_faults(refusing.clone());
+        fleet.nodes[2].links.control.set_faults(refusing);
         for change in 0..2 {
             let file = rules_file(base, vec![rules(SERVICE, 1_000 + 10 * round + change)]);
             base = revision(&fleet.operator.apply("operator", &file).await.unwrap());
@@ -227,13 +227,13 @@
     let (mut base, _) = rules_in_table(&fleet, SERVICE);
     let slow = ProxyFaults { delay_ms: 400, ..Default::default() };
     fleet.nodes[1].links.platform.set_faults(slow);
-    let hinted = fleet.nodes[0].admin_address().to_string();
+    let hinted_daemon = fleet.nodes[0].admin_address().to_string();
     for change in 0..6 {
         fleet.asker.post_json(fleet.nodes[1].admin_address(), "/hint", &()).await.unwrap();
         // The request has reached the store, and its response is still in transit.
         sleep(Duration::from_millis(500)).await;
         let file = rules_file(base, vec![rules(SERVICE, 1_000 + change)]);
-        let ran = fleet.operator.apply_hinting("operator", &file, &[&hinted]).await.unwrap();
+        let ran = fleet.operator.apply_hinting("operator", &file, &[&hinted_daemon]).await.unwrap();
         base = revision(&ran);
         in_force_at_all(&fleet, SERVICE, base).await;
     }
--- a/crates/yuccarackd/tests/point_8_crashing_request.rs
+++ b/crates/yuccarackd/tests/point_8_crashing_request.rs
@@ -108,16 +108,16 @@
     question: impl Fn(usize) -> (Question, String),
 ) {
     let path = format!("/read?{CRASH_MARK}");
-    let mut answers: BTreeMap<String, usize> = BTreeMap::new();
+    let mut verdict_counts: BTreeMap<String, usize> = BTreeMap::new();
     let mut quarantined_in_row = 0;
     let sending = async {
         for turn in 0.. {
-            let (asked, body) = question(turn);
-            let verdict = callers.send(turn, asked, &path, &body).await;
+            let (request, body) = question(turn);
+            let verdict = callers.send(turn, request, &path, &body).await;
             assert!(matches!(verdict, Verdict::Refused { .. }), "{verdict:?}");
             let is_quarantined = is_refused_for(&verdict, "quarantined");
             quarantined_in_row = if is_quarantined { quarantined_in_row + 1 } else { 0 };
-            *answers.entry(format!("{verdict:?}")).or_default() += 1;
+            *verdict_counts.entry(format!("{verdict:?}")).or_default() += 1;
             if quarantined_in_row == 3 * TARGETS {
                 return;
             }
@@ -125,7 +125,7 @@
         }
     };
     let result = timeout(WAIT_MAX, sending).await;
-    println!("{answers:#?}");
+    println!("{verdict_counts:#?}");
     result.expect("the request is not quarantined at all daemons");
 }
 
@@ -268,8 +268,8 @@
             let mut turn = first;
             until(&format!("{page} is read"), || {
                 turn += 1;
-                let asked = callers.read(turn, page);
-                async { asked.await == Verdict::Right }
+                let read = callers.read(turn, page);
+                async { read.await == Verdict::Right }
             })
             .await;
         }
--- a/crates/yuccarackd/tests/point_9_reads_and_orders.rs
+++ b/crates/yuccarackd/tests/point_9_reads_and_orders.rs
@@ -61,12 +61,12 @@
         let question = Question::new(Method::POST, "/once")
             .with_header(headers::IDEMPOTENCY_KEY, key)
             .with_header(headers::DEADLINE_MS, 20_000);
-        let asked = fleet.call(node.call_address(), SERVICE, question);
-        let told = tokio::time::timeout(Duration::from_secs(8), asked).await;
-        let told = told.expect("not refused at once").expect("no answer");
-        assert_eq!(told.header(headers::OUTCOME), "not_run", "{told:?}");
-        assert_eq!(told.header(headers::REASON), "store_away", "{told:?}");
-        assert!(told.header("retry-after").parse::<u64>().is_ok(), "{told:?}");
+        let call = fleet.call(node.call_address(), SERVICE, question);
+        let response = tokio::time::timeout(Duration::from_secs(8), call).await;
+        let response = response.expect("not refused at once").expect("no response");
+        assert_eq!(response.header(headers::OUTCOME), "not_run", "{response:?}");
+        assert_eq!(response.header(headers::REASON), "store_away", "{response:?}");
+        assert!(response.header("retry-after").parse::<u64>().is_ok(), "{response:?}");
     }
 }
 
@@ -112,8 +112,8 @@
             order_is_refused(&fleet, &format!("away-{mode:?}-{number}")).await;
         }
         // All but the first order of each gate are refused without a request to the store.
-        let asked = claim_batches(&fleet).await - batches;
-        assert!(asked <= 2 * fleet.nodes.len() as u64, "{asked} requests to the store");
+        let new_batches = claim_batches(&fleet).await - batches;
+        assert!(new_batches <= 2 * fleet.nodes.len() as u64, "{new_batches} requests to the store");
         set(&fleet, PlatformMode::Up);
         order_runs(&fleet, &format!("away-{mode:?}-0")).await;
     }
