--- a/crates/yuccarackd/tests/point_5_leaving_under_load.rs
+++ b/crates/yuccarackd/tests/point_5_leaving_under_load.rs
@@ -17,10 +17,10 @@
 const CALLS_AFTER: usize = 400;
 
 /// Time that requests take at most from the gate to the target.
-const ON_ITS_WAY: Duration = Duration::from_secs(1);
+const DISPATCH_MAX: Duration = Duration::from_secs(1);
 
 /// Time after which a silent target gets no new work; the announce timeout of 3 s and a second.
-const FEW_SECONDS: Duration = Duration::from_secs(4);
+const ANNOUNCE_TIMEOUT_MAX: Duration = Duration::from_secs(4);
 
 fn plan(seed: u64) -> FleetPlan {
     FleetPlan::new(env!("CARGO_BIN_EXE_yuccarackd"), seed).with_service(SERVICE, 3)
@@ -34,41 +34,48 @@
 }
 
 /// Holds up what daemons tell each other.
-fn hold_news(fleet: &Fleet) {
+fn block_control_links(fleet: &Fleet) {
     for node in &fleet.nodes {
-        let held = ProxyFaults { black_hole: true, ..Default::default() };
-        node.links.control.set_faults(held);
+        let blocked = ProxyFaults { black_hole: true, ..Default::default() };
+        node.links.control.set_faults(blocked);
     }
 }
 
 /// Checks that `name` begins no run from now on while the others serve.
-async fn gets_no_work(fleet: &Fleet, storm: Storm, name: &str) {
+async fn check_no_new_runs(fleet: &Fleet, storm: Storm, name: &str) {
     // What the gate had let in before may still be on its way to the target.
-    sleep(ON_ITS_WAY).await;
+    sleep(DISPATCH_MAX).await;
     let since = Instant::now();
     fleet.more_calls(&storm, CALLS_AFTER).await;
     let calls = storm.stop().await;
-    let late: Vec<_> = fleet.ledger.runs_since(since);
-    let on_it = late.iter().filter(|run| run.target == name).count();
-    assert_eq!(on_it, 0, "{name} got {on_it} of {} runs after it left", late.len());
-    assert!(!late.is_empty(), "nobody served any more");
+    let later_runs: Vec<_> = fleet.ledger.runs_since(since);
+    let runs_on_target = later_runs.iter().filter(|run| run.target == name).count();
+    assert_eq!(
+        runs_on_target,
+        0,
+        "{name} got {runs_on_target} of {} runs after it left",
+        later_runs.len()
+    );
+    assert!(!later_runs.is_empty(), "nobody served any more");
     assert_eq!(judge_storm(&calls, &fleet.ledger).breaches, Vec::<String>::new());
 }
 
 /// A target tells that it drains. It gets no work once its daemon has heard it, which is at once,
 /// wherever the news of it are: with the store down and with news between daemons held up.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_told_drain_holds_at_once_without_store_and_news() {
-    for (seed, store_down, news_held) in [(57, false, false), (52, true, false), (58, true, true)] {
+async fn an_announced_drain_takes_effect_at_once_without_store_and_peer_updates() {
+    for (seed, is_store_down, is_control_blocked) in
+        [(57, false, false), (52, true, false), (58, true, true)]
+    {
         let fleet = Fleet::serving(plan(seed)).await;
         let storm = storm(&fleet, seed);
         fleet.more_calls(&storm, 200).await;
-        if store_down {
+        if is_store_down {
             let mode = PlatformMode::BlackHole;
             fleet.platform.set_faults(PlatformFaults { mode, ..Default::default() });
         }
-        if news_held {
-            hold_news(&fleet);
+        if is_control_blocked {
+            block_control_links(&fleet);
         }
         let node = &fleet.nodes[1];
         node.target.drain();
@@ -76,7 +83,7 @@
             !fleet.ready_targets(node, SERVICE).await.contains(&node.name().to_owned())
         })
         .await;
-        gets_no_work(&fleet, storm, node.name()).await;
+        check_no_new_runs(&fleet, storm, node.name()).await;
         fleet.stop().await;
     }
 }
@@ -84,7 +91,7 @@
 /// A target goes away without a word: it only stops announcing itself, while its port still answers.
 /// After the announce timeout it counts as leaving, also with the store down and news held up.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn an_untold_drain_holds_after_the_announce_timeout() {
+async fn a_silent_target_counts_as_leaving_after_the_announce_timeout() {
     for (seed, is_cut_off) in [(54, false), (55, true)] {
         let fleet = Fleet::serving(plan(seed)).await;
         let storm = storm(&fleet, seed);
@@ -92,13 +99,13 @@
         if is_cut_off {
             let mode = PlatformMode::Down;
             fleet.platform.set_faults(PlatformFaults { mode, ..Default::default() });
-            hold_news(&fleet);
+            block_control_links(&fleet);
         }
         let node = &fleet.nodes[2];
         let silent = TargetFaults { stop_announcing: true, ..Default::default() };
         node.target.set_faults(silent);
-        sleep(FEW_SECONDS).await;
-        gets_no_work(&fleet, storm, node.name()).await;
+        sleep(ANNOUNCE_TIMEOUT_MAX).await;
+        check_no_new_runs(&fleet, storm, node.name()).await;
         fleet.stop().await;
     }
 }
@@ -106,7 +113,7 @@
 /// The daemon of a leaving target hears nothing, since it is frozen together with the news; other
 /// entries hold it for ready. Their calls time out or go elsewhere; the target gets none.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn a_frozen_daemon_gives_its_target_no_work() {
+async fn a_frozen_daemon_sends_its_target_no_requests() {
     let mut fleet = Fleet::serving(plan(56)).await;
     let name = fleet.nodes[1].name().to_owned();
     fleet.nodes[1].daemon().freeze();
@@ -116,7 +123,7 @@
     plan.callers = 12;
     plan.hang_up_percent = 0;
     let storm = Storm::start(&plan);
-    gets_no_work(&fleet, storm, &name).await;
+    check_no_new_runs(&fleet, storm, &name).await;
     let before = fleet.ledger.runs_of_path("").iter().filter(|run| run.target == name).count();
     fleet.nodes[1].daemon().wake();
     until("its daemon knows", || async {
--- a/crates/yuccarackd/tests/random_walk.rs
+++ b/crates/yuccarackd/tests/random_walk.rs
@@ -27,10 +27,10 @@
 const STEPS: usize = 7;
 
 /// Calls made under the faults of one step.
-const CALLS_OF_STEP: usize = 80;
+const CALLS_PER_STEP: usize = 80;
 
 /// Orders sent while faults last, which have to have their outcome at the end.
-const ORDERS_OF_STEP: usize = 2;
+const ORDERS_PER_STEP: usize = 2;
 
 /// Something that goes wrong, and what makes it well again.
 #[derive(Clone, Copy, Debug)]
@@ -43,13 +43,13 @@
     FaultyTarget(usize, u8),
     FaultyGateLink(usize, u8),
     FaultyTargetLink(usize, u8),
-    HeldNews(usize),
+    BlockedUpdates(usize),
     FaultyStoreLink(usize),
     FaultyStore(u8),
 }
 
 impl Fault {
-    fn any(random: &mut StdRng) -> Self {
+    fn random(random: &mut StdRng) -> Self {
         let node = random.random_range(0..TARGETS);
         let kind = random.random_range(0..5);
         match random.random_range(0..11) {
@@ -61,13 +61,13 @@
             5 => Self::FaultyTarget(node, kind),
             6 => Self::FaultyGateLink(node, kind),
             7 => Self::FaultyTargetLink(node, kind),
-            8 => Self::HeldNews(node),
+            8 => Self::BlockedUpdates(node),
             9 => Self::FaultyStoreLink(node),
             _ => Self::FaultyStore(kind),
         }
     }
 
-    async fn begin(self, fleet: &mut Fleet) {
+    async fn inject(self, fleet: &mut Fleet) {
         match self {
             Self::KilledDaemon(node) => fleet.nodes[node].kill_daemon(),
             Self::StoppedDaemon(node) => {
@@ -91,14 +91,14 @@
             Self::FaultyTargetLink(node, kind) => {
                 fleet.nodes[node].links.target.set_faults(link_faults(kind));
             }
-            Self::HeldNews(node) => fleet.nodes[node].links.control.set_faults(hole()),
-            Self::FaultyStoreLink(node) => fleet.nodes[node].links.platform.set_faults(hole()),
+            Self::BlockedUpdates(node) => fleet.nodes[node].links.control.set_faults(blocked()),
+            Self::FaultyStoreLink(node) => fleet.nodes[node].links.platform.set_faults(blocked()),
             Self::FaultyStore(kind) => fleet.platform.set_faults(store_faults(kind)),
         }
     }
 }
 
-fn hole() -> ProxyFaults {
+fn blocked() -> ProxyFaults {
     ProxyFaults { black_hole: true, ..Default::default() }
 }
 
@@ -145,7 +145,7 @@
 }
 
 /// Makes everything well again, whatever was wrong.
-async fn heal(fleet: &mut Fleet) {
+async fn clear_faults(fleet: &mut Fleet) {
     fleet.platform.set_faults(PlatformFaults::default());
     for node in &mut fleet.nodes {
         for link in
@@ -177,12 +177,12 @@
     let mut rules = service_rules(SERVICE);
     rules.routes[1].deadline_ms = 3_000 + number;
     let operator = fleet.operator.with_patience_ms(1_000);
-    let ran = operator.apply("walker", &rules_file(base, vec![rules])).await;
-    ran.expect("the operators' program can't be run").told["revision"].as_u64()
+    let output = operator.apply("walker", &rules_file(base, vec![rules])).await;
+    output.expect("the operators' program can't be run").told["revision"].as_u64()
 }
 
 /// No daemon may have put older rules in force than it had; each life counts for itself.
-fn check_rules_only_rise(node: &Node) {
+fn check_rules_never_regress(node: &Node) {
     let Some(daemon) = &node.daemon else { return };
     let log = fs::read_to_string(daemon.log()).expect("a daemon without a log");
     let mut newest = 0;
@@ -197,7 +197,7 @@
     }
 }
 
-async fn walk(seed: u64) {
+async fn run_walk(seed: u64) {
     let plan = FleetPlan::new(env!("CARGO_BIN_EXE_yuccarackd"), seed)
         .with_service(SERVICE, TARGETS)
         .with_budgets(|budgets| budgets.drain_notice_ms = 200);
@@ -210,11 +210,11 @@
     let mut accepted = 0;
     for step in 0..STEPS {
         for _ in 0..random.random_range(1..=2) {
-            let fault = Fault::any(&mut random);
+            let fault = Fault::random(&mut random);
             println!("step {step}: {fault:?}");
-            fault.begin(&mut fleet).await;
+            fault.inject(&mut fleet).await;
         }
-        let keys = (0..ORDERS_OF_STEP).map(|number| format!("order-{seed}-{step}-{number}"));
+        let keys = (0..ORDERS_PER_STEP).map(|number| format!("order-{seed}-{step}-{number}"));
         let keys: Vec<_> = keys.collect();
         let sent = keys.iter().map(|key| {
             let address = fleet.nodes[random.random_range(0..TARGETS)].call_address();
@@ -226,31 +226,31 @@
             let number = u32::try_from(step).expect("few steps");
             accepted = change_rules(&fleet, number).await.unwrap_or(accepted);
         }
-        fleet.more_calls(&storm, CALLS_OF_STEP).await;
+        fleet.more_calls(&storm, CALLS_PER_STEP).await;
         if random.random_range(0..3) > 0 {
-            heal(&mut fleet).await;
+            clear_faults(&mut fleet).await;
         }
     }
-    heal(&mut fleet).await;
+    clear_faults(&mut fleet).await;
     let calls = storm.stop().await;
     fleet.until_ready().await;
     fleet.until_quiet().await;
     let report = judge_storm(&calls, &fleet.ledger);
     println!("{report:?}");
     assert_eq!(report.breaches, Vec::<String>::new());
-    conclude_orders(&fleet, &orders).await;
-    conclude_rules(&fleet, accepted).await;
+    check_orders(&fleet, &orders).await;
+    check_rules(&fleet, accepted).await;
     fleet.stop().await;
 }
 
 /// Each order has its outcome, or never ran and runs now, or is an open claim that the operator
 /// sees; none is lost in silence.
-async fn conclude_orders(fleet: &Fleet, orders: &[String]) {
+async fn check_orders(fleet: &Fleet, orders: &[String]) {
     for key in orders {
-        let mut turn = 0;
+        let mut attempt = 0;
         until(&format!("{key} is settled"), || {
-            turn += 1;
-            let address = fleet.nodes[turn % TARGETS].call_address();
+            attempt += 1;
+            let address = fleet.nodes[attempt % TARGETS].call_address();
             async move { is_settled(fleet, key, &fleet.once(address, SERVICE, key).await) }
         })
         .await;
@@ -277,7 +277,7 @@
     yuccarack_platform::rows::claim_key(SERVICE, key)
 }
 
-async fn conclude_rules(fleet: &Fleet, accepted: u64) {
+async fn check_rules(fleet: &Fleet, accepted: u64) {
     let row = fleet.platform.with_table(|table| table.row(&rules_key(SERVICE)));
     let newest = row.expect("the service has rules").revision;
     assert!(newest >= accepted, "accepted at {accepted}, the table has {newest}");
@@ -286,59 +286,59 @@
             fleet.rules_revision(node, SERVICE).await == Some(newest)
         })
         .await;
-        check_rules_only_rise(node);
+        check_rules_never_regress(node);
     }
 }
 
 /// Whatever fails, in whichever order: no order runs twice, "not run" is true, no answer is wrong, no
 /// accepted rules are lost, and all is well again after it.
-async fn walks(seeds: std::ops::Range<u64>) {
+async fn run_walks(seeds: std::ops::Range<u64>) {
     for seed in seeds {
-        walk(seed).await;
+        run_walk(seed).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn first_seeds() {
-    walks(1_000..1_002).await;
+    run_walks(1_000..1_002).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn second_seeds() {
-    walks(2_000..2_002).await;
+    run_walks(2_000..2_002).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn third_seeds() {
-    walks(3_000..3_002).await;
+    run_walks(3_000..3_002).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn fourth_seeds() {
-    walks(5_000..5_002).await;
+    run_walks(5_000..5_002).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn fifth_seeds() {
-    walks(6_000..6_002).await;
+    run_walks(6_000..6_002).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn sixth_seeds() {
-    walks(7_000..7_002).await;
+    run_walks(7_000..7_002).await;
 }
 
 /// Walks on from the seed and for the time that the environment names; without, one short walk.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn soak() {
-    let number = |name| env::var(name).ok().and_then(|text| text.parse::<u64>().ok());
-    let minutes = number("YUCCARACK_WALK_MINUTES").unwrap_or(0);
-    let mut seed = number("YUCCARACK_WALK_SEED").unwrap_or(4_000);
-    let began = Instant::now();
+    let env_number = |name| env::var(name).ok().and_then(|text| text.parse::<u64>().ok());
+    let minutes = env_number("YUCCARACK_WALK_MINUTES").unwrap_or(0);
+    let mut seed = env_number("YUCCARACK_WALK_SEED").unwrap_or(4_000);
+    let started_at = Instant::now();
     loop {
-        walk(seed).await;
+        run_walk(seed).await;
         seed += 1;
-        if began.elapsed() >= Duration::from_secs(60 * minutes) {
+        if started_at.elapsed() >= Duration::from_secs(60 * minutes) {
             return;
         }
     }
--- a/crates/yuccarackd/tests/routed/soak/callers.rs
+++ b/crates/yuccarackd/tests/routed/soak/callers.rs
@@ -16,7 +16,7 @@
 use yuccarack_platform_standin::caller::{Call, KeptConnection, Told, Unanswered};
 use yuccarack_standins::client::{Asker, Question};
 
-use super::{ahead::AheadCaller, plan::Plan};
+use super::{pipelining_callers::PipeliningCaller, plan::Plan};
 use crate::support::{ORDERS, READS};
 
 /// Host of the routes that each version adds one of.
@@ -26,21 +26,21 @@
 const PAUSE: Duration = Duration::from_millis(15);
 
 /// Pause between two looks at which routes an instance knows.
-const LOOK_PAUSE: Duration = Duration::from_millis(20);
+const POLL_PAUSE: Duration = Duration::from_millis(20);
 
 /// Part of the calls that go over a new connection.
-const NEW_CONNECTIONS: f64 = 0.1;
+const NEW_CONNECTION_SHARE: f64 = 0.1;
 
 /// Part of the calls whose callers leave early, and for how long those wait, in ms; a call takes 5.
-const LEAVERS: f64 = 0.1;
-const PATIENCE_MS: std::ops::Range<u64> = 1..40;
+const ABANDONED_SHARE: f64 = 0.1;
+const ABANDON_AFTER_MS: std::ops::Range<u64> = 1..40;
 
 /// Time after its deadline for which a caller still waits for the last word.
-const LATE_MAX: Duration = Duration::from_secs(1);
+const RESPONSE_GRACE: Duration = Duration::from_secs(1);
 
 /// What a call is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum RequestKind {
     /// May run twice.
     Read,
     /// Must not.
@@ -51,13 +51,13 @@
 
 /// One call and what became of it.
 #[derive(Clone, Debug)]
-pub struct Ended {
+pub struct CallRecord {
     /// The caller's name of it.
     pub id: String,
     /// Whose daemon took it.
     pub instance: usize,
     /// What it was.
-    pub kind: Kind,
+    pub kind: RequestKind,
     /// When it was sent.
     pub sent_at: Instant,
     /// When its caller knew.
@@ -67,26 +67,26 @@
     /// Whether the daemon had said just before that it takes calls, where that was asked.
     pub was_ready: bool,
     /// Whether its caller left before it could be answered.
-    pub has_left: bool,
+    pub is_abandoned: bool,
     /// Whether it was sent behind a request whose answer closed the connection.
-    pub is_behind_close: bool,
+    pub is_after_close: bool,
 }
 
 /// A version of the routes, and when the operator wrote it.
 #[derive(Clone, Copy, Debug)]
-pub struct Written {
+pub struct RouteVersion {
     /// Number of the route that it adds.
     pub number: u64,
     /// When.
-    pub at: Instant,
+    pub written_at: Instant,
 }
 
 /// Versions written so far; clones share them.
-pub type Versions = Arc<Mutex<Vec<Written>>>;
+pub type Versions = Arc<Mutex<Vec<RouteVersion>>>;
 
 /// Where the daemon of an instance is reached.
 #[derive(Clone, Copy, Debug)]
-pub struct Doors {
+pub struct InstanceAddresses {
     /// By its callers.
     pub calls: SocketAddr,
     /// By who asks whether it takes calls.
@@ -95,40 +95,43 @@
 
 /// All callers of a walk.
 pub struct Callers {
-    tasks: JoinSet<Vec<Ended>>,
+    tasks: JoinSet<Vec<CallRecord>>,
     stop: CancellationToken,
 }
 
 impl Callers {
     /// Starts the callers of `plan` at all `doors`.
-    pub fn start(plan: &Plan, doors: &[Doors], versions: &Versions) -> Self {
+    pub fn start(plan: &Plan, addresses: &[InstanceAddresses], versions: &Versions) -> Self {
         let (seed, callers) = (plan.seed, plan.callers);
         let (mut tasks, stop) = (JoinSet::new(), CancellationToken::new());
-        for (instance, door) in doors.iter().enumerate() {
+        for (instance, address) in addresses.iter().enumerate() {
             for number in 0..callers {
                 let random = StdRng::seed_from_u64(seed ^ ((instance * callers + number) as u64));
                 let name = format!("w{seed}-{instance}-{number}");
-                let caller = Caller { name, instance, address: door.calls, kept: None };
+                let caller = Caller { name, instance, address: address.calls, connection: None };
                 tasks.spawn(caller.call_until(stop.clone(), random));
             }
         }
-        for (instance, door) in doors.iter().enumerate().filter(|_| plan.sends_ahead) {
+        for (instance, address) in
+            addresses.iter().enumerate().filter(|_| plan.has_pipelining_callers)
+        {
             let random = StdRng::seed_from_u64(seed ^ !(instance as u64));
             let name = format!("a{seed}-{instance}");
-            let caller = AheadCaller { name, instance, address: door.calls };
+            let caller = PipeliningCaller { name, instance, address: address.calls };
             tasks.spawn(caller.call_until(stop.clone(), random));
         }
-        let looker = Looker { seed, doors: doors.to_vec(), versions: Arc::clone(versions) };
-        tasks.spawn(looker.look_until(stop.clone()));
+        let poller =
+            VersionPoller { seed, addresses: addresses.to_vec(), versions: Arc::clone(versions) };
+        tasks.spawn(poller.poll_until(stop.clone()));
         Self { tasks, stop }
     }
 
     /// Lets them end their last calls; all that they were told.
-    pub async fn stop(mut self) -> Vec<Ended> {
+    pub async fn stop(mut self) -> Vec<CallRecord> {
         self.stop.cancel();
         let mut all = Vec::new();
-        while let Some(ended) = self.tasks.join_next().await {
-            all.extend(ended.expect("a caller that ended"));
+        while let Some(records) = self.tasks.join_next().await {
+            all.extend(records.expect("a caller that ended"));
         }
         all
     }
@@ -138,30 +141,31 @@
     name: String,
     instance: usize,
     address: SocketAddr,
-    kept: Option<KeptConnection>,
+    connection: Option<KeptConnection>,
 }
 
 impl Caller {
-    async fn call_until(mut self, stop: CancellationToken, mut random: StdRng) -> Vec<Ended> {
+    async fn call_until(mut self, stop: CancellationToken, mut random: StdRng) -> Vec<CallRecord> {
         let mut all = Vec::new();
         while !stop.is_cancelled() {
-            if random.random_bool(NEW_CONNECTIONS) {
-                self.kept = None;
+            if random.random_bool(NEW_CONNECTION_SHARE) {
+                self.connection = None;
             }
             let id = format!("{}-{}", self.name, all.len());
             let (kind, call) = match random.random_bool(0.5) {
-                true => (Kind::Read, Call::read(READS, "/r/1", &id)),
-                false => (Kind::Order, Call::order(ORDERS, "/o/1", &id)),
+                true => (RequestKind::Read, Call::read(READS, "/r/1", &id)),
+                false => (RequestKind::Order, Call::order(ORDERS, "/o/1", &id)),
             };
-            let patience = random.random_bool(LEAVERS).then(|| random.random_range(PATIENCE_MS));
+            let abandon_after =
+                random.random_bool(ABANDONED_SHARE).then(|| random.random_range(ABANDON_AFTER_MS));
             let sent_at = Instant::now();
-            let (result, has_left) = match patience {
-                None => (self.ask(&call).await, false),
-                Some(ms) => self.ask_and_leave(&call, Duration::from_millis(ms)).await,
+            let (result, is_abandoned) = match abandon_after {
+                None => (self.send(&call).await, false),
+                Some(ms) => self.call_or_abandon(&call, Duration::from_millis(ms)).await,
             };
             let (instance, ended_at, was_ready) = (self.instance, Instant::now(), false);
-            let is_behind_close = false;
-            all.push(Ended {
+            let is_after_close = false;
+            all.push(CallRecord {
                 id,
                 instance,
                 kind,
@@ -169,8 +173,8 @@
                 ended_at,
                 result,
                 was_ready,
-                has_left,
-                is_behind_close,
+                is_abandoned,
+                is_after_close,
             });
             sleep(PAUSE).await;
         }
@@ -178,61 +182,62 @@
     }
 
     /// Asks and closes the connection unless there is an answer soon.
-    async fn ask_and_leave(
+    async fn call_or_abandon(
         &mut self,
         call: &Call,
-        patience: Duration,
+        abandon_after: Duration,
     ) -> (Result<Told, Unanswered>, bool) {
-        match timeout(patience, self.ask(call)).await {
+        match timeout(abandon_after, self.send(call)).await {
             Ok(result) => (result, false),
             Err(_) => (Err(Unanswered::Lost), true),
         }
     }
 
-    async fn ask(&mut self, call: &Call) -> Result<Told, Unanswered> {
-        let wait = Duration::from_millis(call.left_ms) + LATE_MAX;
-        let mut kept = match self.kept.take() {
-            Some(kept) => kept,
+    async fn send(&mut self, call: &Call) -> Result<Told, Unanswered> {
+        let wait = Duration::from_millis(call.left_ms) + RESPONSE_GRACE;
+        let mut connection = match self.connection.take() {
+            Some(connection) => connection,
             None => match timeout(wait, KeptConnection::open(self.address)).await {
-                Ok(Some(kept)) => kept,
+                Ok(Some(connection)) => connection,
                 _ => return Err(Unanswered::NotSent),
             },
         };
-        let told = timeout(wait, kept.try_ask(call)).await.unwrap_or(Err(Unanswered::Lost))?;
-        if !told.header("connection").eq_ignore_ascii_case("close") {
-            self.kept = Some(kept);
+        let response =
+            timeout(wait, connection.try_ask(call)).await.unwrap_or(Err(Unanswered::Lost))?;
+        if !response.header("connection").eq_ignore_ascii_case("close") {
+            self.connection = Some(connection);
         }
-        Ok(told)
+        Ok(response)
     }
 }
 
 /// Asks instances for the routes of versions.
-struct Looker {
+struct VersionPoller {
     seed: u64,
-    doors: Vec<Doors>,
+    addresses: Vec<InstanceAddresses>,
     versions: Versions,
 }
 
-impl Looker {
-    async fn look_until(self, stop: CancellationToken) -> Vec<Ended> {
+impl VersionPoller {
+    async fn poll_until(self, stop: CancellationToken) -> Vec<CallRecord> {
         let mut random = StdRng::seed_from_u64(self.seed);
         let mut all = Vec::new();
         while !stop.is_cancelled() {
-            sleep(LOOK_PAUSE).await;
-            let Some(written) = self.any_version(&mut random) else { continue };
-            let instance = random.random_range(0..self.doors.len());
-            let door = self.doors[instance];
-            let was_ready = is_ready(door.readiness).await;
+            sleep(POLL_PAUSE).await;
+            let Some(written) = self.random_recent_version(&mut random) else { continue };
+            let instance = random.random_range(0..self.addresses.len());
+            let address = self.addresses[instance];
+            let was_ready = is_ready(address.readiness).await;
             let id = format!("v{}-{}", self.seed, all.len());
             let call = Call::read(VERSIONED, &format!("/v{written}/1"), &id);
             let mut caller =
-                Caller { name: String::new(), instance, address: door.calls, kept: None };
+                Caller { name: String::new(), instance, address: address.calls, connection: None };
             let sent_at = Instant::now();
-            let result = caller.ask(&call).await;
-            let (kind, ended_at) = (Kind::Versioned(written), Instant::now());
-            let has_left = false;
-            let is_behind_close = false;
-            all.push(Ended {
+            let result = caller.send(&call).await;
+            let (kind, ended_at) = (RequestKind::Versioned(written), Instant::now());
+            let is_abandoned = false;
+            let is_after_close = false;
+            all.push(CallRecord {
                 id,
                 instance,
                 kind,
@@ -240,15 +245,15 @@
                 ended_at,
                 result,
                 was_ready,
-                has_left,
-                is_behind_close,
+                is_abandoned,
+                is_after_close,
             });
         }
         all
     }
 
     /// One of the newest versions.
-    fn any_version(&self, random: &mut StdRng) -> Option<u64> {
+    fn random_recent_version(&self, random: &mut StdRng) -> Option<u64> {
         let versions = self.versions.lock();
         let newest = versions.len().checked_sub(1)?;
         let at = newest.saturating_sub(random.random_range(0..3));
@@ -257,7 +262,7 @@
 }
 
 async fn is_ready(address: SocketAddr) -> bool {
-    let question = Question::new(http::Method::GET, "/api/readiness");
-    let told = Asker::new(Duration::from_secs(1)).ask(address, question).await;
-    told.is_ok_and(|told| told.status == http::StatusCode::OK)
+    let request = Question::new(http::Method::GET, "/api/readiness");
+    let response = Asker::new(Duration::from_secs(1)).ask(address, request).await;
+    response.is_ok_and(|response| response.status == http::StatusCode::OK)
 }
--- a/crates/yuccarackd/tests/routed/soak/record.rs
+++ b/crates/yuccarackd/tests/routed/soak/record.rs
@@ -5,9 +5,9 @@
 use yuccarack_platform_standin::{instance::Links, target::Run};
 
 use super::{
-    callers::{Ended, Written},
-    judge::Breach,
+    callers::{CallRecord, RouteVersion},
     plan::Fault,
+    violations::Violation,
 };
 
 /// A fault, while it lasted.
@@ -27,14 +27,14 @@
     /// Its instance.
     pub instance: usize,
     /// When it knew that it was heard.
-    pub heard_at: Instant,
+    pub confirmed_at: Instant,
     /// When it took work again.
     pub until: Option<Instant>,
 }
 
 /// What the targets of one instance got.
 #[derive(Clone, Debug, Default)]
-pub struct Received {
+pub struct ReceivedRequests {
     /// Requests that began to run.
     pub runs: Vec<Run>,
     /// When requests came, run or not.
@@ -43,7 +43,7 @@
 
 /// All that is known of a walk at its end.
 #[derive(Debug, Default)]
-pub struct Record {
+pub struct WalkRecord {
     /// Failure domains in which the instances stand by turns.
     pub domains: usize,
     /// Requests a second that a cold target may get; 0 for no bound.
@@ -51,17 +51,17 @@
     /// Where proxies stand, by instance.
     pub links: Vec<Links>,
     /// Calls.
-    pub ended: Vec<Ended>,
+    pub calls: Vec<CallRecord>,
     /// What targets got, by instance.
-    pub received: Vec<Received>,
+    pub received: Vec<ReceivedRequests>,
     /// Faults.
     pub spans: Vec<Span>,
     /// Targets that left.
     pub drains: Vec<Drain>,
     /// When daemons started, by instance.
-    pub starts: Vec<Vec<Instant>>,
+    pub daemon_starts: Vec<Vec<Instant>>,
     /// Versions of the routes.
-    pub versions: Vec<Written>,
+    pub versions: Vec<RouteVersion>,
     /// What was seen to be wrong while it ran.
-    pub breaches: Vec<Breach>,
+    pub violations: Vec<Violation>,
 }
--- a/crates/yuccarackd/tests/routed/soak/walk.rs
+++ b/crates/yuccarackd/tests/routed/soak/walk.rs
@@ -15,10 +15,10 @@
 use yuccarack_standins::proxy::{Proxy, ProxyFaults};
 
 use super::{
-    callers::{Callers, Doors, VERSIONED, Versions, Written},
-    judge::Breach,
+    callers::{Callers, InstanceAddresses, RouteVersion, VERSIONED, Versions},
     plan::{Event, Fault, LinkFault, Plan},
-    record::{Drain, Received, Record, Span},
+    record::{Drain, ReceivedRequests, Span, WalkRecord},
+    violations::Violation,
 };
 use crate::support::{READS, board_routes, program};
 
@@ -26,17 +26,17 @@
 const STOP_MAX: Duration = Duration::from_secs(8);
 
 /// Time between two looks at a daemon that stops.
-const STOP_LOOK: Duration = Duration::from_millis(100);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time in which all works again after the last fault: the slowest is a target on a clock that was
 /// set back, which is believed after 4.5 s and three heartbeats.
 const RECOVERY_MAX: Duration = Duration::from_secs(15);
 
 /// Time that a target started on a clock set back lies back, in ms.
-const SET_BACK_MS: u64 = 60_000;
+const BACKDATED_MS: u64 = 60_000;
 
 /// Longest wait of a target for the answer to its word that it leaves.
-const LEAVE_MAX: Duration = Duration::from_millis(500);
+const DRAIN_RESPONSE_MAX: Duration = Duration::from_millis(500);
 
 /// Most memory of a daemon, in KiB; a debug build of four instances has some 16 MB at its peak.
 const MEMORY_MAX_KIB: u64 = 32 * 1024;
@@ -46,9 +46,9 @@
 
 /// What comes next.
 #[derive(Clone, Copy, Debug)]
-enum Step {
-    Strike(usize),
-    Heal(usize),
+enum Action {
+    Inject(usize),
+    Clear(usize),
 }
 
 /// A walk that runs.
@@ -57,14 +57,14 @@
     targets_max: u32,
     deployment: Deployment,
     versions: Versions,
-    record: Record,
+    record: WalkRecord,
     /// Place of each event's span in the record.
     spans: Vec<Option<usize>>,
 }
 
 impl Walk {
     /// Runs `plan`.
-    pub async fn run(plan: &Plan) -> Record {
+    pub async fn run(plan: &Plan) -> WalkRecord {
         let name = format!("walk{}", plan.seed);
         let services = vec!["board"; plan.instances];
         let links: Vec<Links> = (0..plan.instances).map(|at| plan.links(at)).collect();
@@ -73,16 +73,16 @@
         let mut deployment = starting.expect(&name);
         deployment.bound_cold_targets(plan.cold_per_s as f64);
         deployment.apply(&routes(plan.targets_max)).await;
-        let started = vec![vec![Instant::now()]; plan.instances];
-        let received = vec![Received::default(); plan.instances];
+        let first_starts = vec![vec![Instant::now()]; plan.instances];
+        let received = vec![ReceivedRequests::default(); plan.instances];
         let walk = Self {
             events: plan.events.clone(),
             targets_max: plan.targets_max,
             deployment,
             versions: Versions::new(Mutex::default()),
-            record: Record {
+            record: WalkRecord {
                 links,
-                starts: started,
+                daemon_starts: first_starts,
                 received,
                 domains: plan.domains,
                 cold_per_s: plan.cold_per_s,
@@ -90,51 +90,51 @@
             },
             spans: vec![None; plan.events.len()],
         };
-        walk.play(plan).await
+        walk.run_plan(plan).await
     }
 
-    async fn play(mut self, plan: &Plan) -> Record {
-        let callers = Callers::start(plan, &self.doors(), &self.versions);
-        self.walk().await;
+    async fn run_plan(mut self, plan: &Plan) -> WalkRecord {
+        let callers = Callers::start(plan, &self.addresses(), &self.versions);
+        self.inject_faults().await;
         self.check_recovery().await;
-        self.record.ended = callers.stop().await;
+        self.record.calls = callers.stop().await;
         self.check_resources();
         self.stop_all().await;
         for at in 0..self.deployment.instances.len() {
-            self.collect(at);
+            self.collect_received(at);
         }
         self.record.versions = self.versions.lock().clone();
-        if !self.record.breaches.is_empty() {
+        if !self.record.violations.is_empty() {
             println!("logs in {}", self.deployment.keep_files().display());
         }
         self.record
     }
 
-    fn doors(&self) -> Vec<Doors> {
-        let doors = |instance: &Instance| Doors {
+    fn addresses(&self) -> Vec<InstanceAddresses> {
+        let addresses = |instance: &Instance| InstanceAddresses {
             calls: instance.call_address(),
             readiness: instance.address("readiness_address"),
         };
-        self.deployment.instances.iter().map(doors).collect()
+        self.deployment.instances.iter().map(addresses).collect()
     }
 
-    async fn walk(&mut self) {
+    async fn inject_faults(&mut self) {
         let started_at = Instant::now();
         let at = |ms: u64| started_at + Duration::from_millis(ms);
-        let mut steps: Vec<(Instant, Step)> = Vec::new();
+        let mut actions: Vec<(Instant, Action)> = Vec::new();
         for (index, event) in self.events.iter().enumerate() {
-            steps.push((at(event.at_ms), Step::Strike(index)));
-            steps.push((at(event.at_ms + event.for_ms), Step::Heal(index)));
+            actions.push((at(event.at_ms), Action::Inject(index)));
+            actions.push((at(event.at_ms + event.duration_ms), Action::Clear(index)));
         }
-        while let Some(next) = (0..steps.len()).min_by_key(|index| steps[*index].0) {
-            let (due_at, step) = steps.swap_remove(next);
+        while let Some(next) = (0..actions.len()).min_by_key(|index| actions[*index].0) {
+            let (due_at, action) = actions.swap_remove(next);
             sleep_until(due_at.into()).await;
-            match step {
-                Step::Strike(index) => self.strike(index).await,
-                Step::Heal(index) if self.is_stopping(index) => {
-                    steps.push((Instant::now() + STOP_LOOK, step));
+            match action {
+                Action::Inject(index) => self.inject(index).await,
+                Action::Clear(index) if self.is_stopping(index) => {
+                    actions.push((Instant::now() + STOP_POLL_INTERVAL, action));
                 }
-                Step::Heal(index) => self.heal(index).await,
+                Action::Clear(index) => self.clear(index).await,
             }
         }
     }
@@ -152,7 +152,7 @@
         if from.is_some_and(|from| from.elapsed() > STOP_MAX) {
             // Frozen meanwhile, it had less of its time than that.
             if !self.was_frozen(at) {
-                self.record.breaches.push(Breach::NotStopped { instance: at });
+                self.record.violations.push(Violation::NotStopped { instance: at });
             }
             return false;
         }
@@ -163,8 +163,8 @@
         self.record.spans.iter().any(|span| span.fault == Fault::FrozenDaemon(at))
     }
 
-    async fn strike(&mut self, index: usize) {
-        let Event { fault, for_ms, .. } = self.events[index];
+    async fn inject(&mut self, index: usize) {
+        let Event { fault, duration_ms, .. } = self.events[index];
         self.spans[index] = Some(self.record.spans.len());
         self.record.spans.push(Span { fault, from: Instant::now(), until: None });
         let instances = &mut self.deployment.instances;
@@ -187,44 +187,44 @@
             }
             Fault::DrainedTarget(at) => self.drain(at).await,
             Fault::CrashedTarget(at) => {
-                let born = instances[at].target_born() + 1_000;
-                self.restart_target(at, born).await;
+                let started_ms = instances[at].target_born() + 1_000;
+                self.restart_target(at, started_ms).await;
             }
-            Fault::SetBackTarget(at) => {
-                let born = instances[at].target_born() - SET_BACK_MS;
-                self.restart_target(at, born).await;
+            Fault::BackdatedTarget(at) => {
+                let started_ms = instances[at].target_born() - BACKDATED_MS;
+                self.restart_target(at, started_ms).await;
             }
             Fault::FaultyTarget(at, behaviour) => instances[at].target.behave(behaviour),
             Fault::FaultyTargets(behaviour) => {
                 instances.iter().for_each(|instance| instance.target.behave(behaviour));
             }
-            Fault::StoreDoor(at, mode) => instances[at].door.set(mode),
-            Fault::StoreDoors(mode) => {
+            Fault::StoreListener(at, mode) => instances[at].door.set(mode),
+            Fault::StoreListeners(mode) => {
                 instances.iter().for_each(|instance| instance.door.set(mode));
             }
-            Fault::StoreForgets => self.deployment.store.compact(),
+            Fault::StoreCompaction => self.deployment.store.compact(),
             Fault::SlowStore(at) => instances[at].door.set_delay(Duration::from_millis(300)),
             Fault::NewRoutes => self.write_version(),
             Fault::ColdTarget(at) => {
-                instances[at].target.cool_down(Duration::from_millis(for_ms));
+                instances[at].target.cool_down(Duration::from_millis(duration_ms));
             }
             Fault::EvacuatedDomain(domain) => {
-                self.deployment.store.put("op", &evacuation_of(domain), b"{}");
+                self.deployment.store.put("op", &evacuation_key(domain), b"{}");
             }
             Fault::GateLink(at, link) => {
                 if let Some(gate) = &instances[at].proxies.gate {
-                    disturb(gate, link);
+                    set_link_fault(gate, link);
                 }
             }
             Fault::TargetLink(at, link) => {
                 if let Some(target) = &instances[at].proxies.target {
-                    disturb(target, link);
+                    set_link_fault(target, link);
                 }
             }
         }
     }
 
-    async fn heal(&mut self, index: usize) {
+    async fn clear(&mut self, index: usize) {
         let fault = self.events[index].fault;
         let instances = &mut self.deployment.instances;
         match fault {
@@ -242,11 +242,13 @@
                 instances[at].target.behave(Behaviour::Answer(Duration::from_millis(5)));
             }
             Fault::FaultyTargets(_) => {
-                let usual = Behaviour::Answer(Duration::from_millis(5));
-                instances.iter().for_each(|instance| instance.target.behave(usual));
+                let normal = Behaviour::Answer(Duration::from_millis(5));
+                instances.iter().for_each(|instance| instance.target.behave(normal));
             }
-            Fault::StoreDoor(at, _) | Fault::SlowStore(at) => open(&instances[at]),
-            Fault::StoreDoors(_) => instances.iter().for_each(open),
+            Fault::StoreListener(at, _) | Fault::SlowStore(at) => {
+                restore_store_listener(&instances[at])
+            }
+            Fault::StoreListeners(_) => instances.iter().for_each(restore_store_listener),
             Fault::GateLink(at, _) => {
                 if let Some(gate) = &instances[at].proxies.gate {
                     gate.set_faults(ProxyFaults::default());
@@ -258,13 +260,13 @@
                 }
             }
             Fault::EvacuatedDomain(domain) => {
-                self.deployment.store.delete("op", &evacuation_of(domain));
+                self.deployment.store.delete("op", &evacuation_key(domain));
             }
             Fault::ColdTarget(_)
             | Fault::CrashedTarget(_)
-            | Fault::SetBackTarget(_)
+            | Fault::BackdatedTarget(_)
             | Fault::ReloadedDaemon(_)
-            | Fault::StoreForgets
+            | Fault::StoreCompaction
             | Fault::NewRoutes => {}
         }
         if let Some(span) = self.spans[index] {
@@ -275,31 +277,31 @@
     async fn drain(&mut self, at: usize) {
         let instance = &mut self.deployment.instances[at];
         instance.stop_beating();
-        let asking = timeout(LEAVE_MAX, instance.say("draining"));
-        if asking.await == Ok(Some(StatusCode::OK)) {
-            let heard_at = Instant::now();
-            self.record.drains.push(Drain { instance: at, heard_at, until: None });
+        let response = timeout(DRAIN_RESPONSE_MAX, instance.say("draining"));
+        if response.await == Ok(Some(StatusCode::OK)) {
+            let confirmed_at = Instant::now();
+            self.record.drains.push(Drain { instance: at, confirmed_at, until: None });
         }
     }
 
     fn end_drains(&mut self, at: usize) {
         let now = Instant::now();
-        let open = |drain: &&mut Drain| drain.instance == at && drain.until.is_none();
-        self.record.drains.iter_mut().filter(open).for_each(|drain| drain.until = Some(now));
+        let is_open = |drain: &&mut Drain| drain.instance == at && drain.until.is_none();
+        self.record.drains.iter_mut().filter(is_open).for_each(|drain| drain.until = Some(now));
     }
 
-    async fn restart_target(&mut self, at: usize, born: u64) {
+    async fn restart_target(&mut self, at: usize, started_ms: u64) {
         self.end_drains(at);
-        self.collect(at);
+        self.collect_received(at);
         let instance = &mut self.deployment.instances[at];
-        while instance.restart_target_at(born).await.is_err() {
+        while instance.restart_target_at(started_ms).await.is_err() {
             // Its port is still in use.
-            sleep(STOP_LOOK).await;
+            sleep(STOP_POLL_INTERVAL).await;
         }
     }
 
     /// Keeps what the target of an instance got, before it goes.
-    fn collect(&mut self, at: usize) {
+    fn collect_received(&mut self, at: usize) {
         let target = &self.deployment.instances[at].target;
         let received = &mut self.record.received[at];
         received.runs.extend(target.runs());
@@ -313,7 +315,7 @@
         let route = |number| RouteSpec::reads(VERSIONED, format!("/v{number}/"), "board");
         routes.extend((1..=number).map(route));
         self.deployment.write(&routes);
-        versions.push(Written { number, at: Instant::now() });
+        versions.push(RouteVersion { number, written_at: Instant::now() });
     }
 
     /// Starts a daemon again that was killed or asked to stop.
@@ -326,28 +328,28 @@
             instance.kill_daemon();
         }
         instance.start_daemon().await.expect("a daemon");
-        self.record.starts[at].push(Instant::now());
+        self.record.daemon_starts[at].push(Instant::now());
     }
 
     /// All is well again, so each instance says that it is ready, and serves.
     async fn check_recovery(&mut self) {
-        let give_up_at = Instant::now() + RECOVERY_MAX;
+        let recovery_deadline = Instant::now() + RECOVERY_MAX;
         for at in 0..self.deployment.instances.len() {
-            let is_up = {
+            let is_running = {
                 let daemon = self.deployment.instances[at].daemon.as_mut();
                 daemon.is_some_and(|daemon| daemon.is_running())
             };
-            if !is_up {
-                self.record.breaches.push(Breach::Ended { instance: at });
+            if !is_running {
+                self.record.violations.push(Violation::DaemonExited { instance: at });
                 self.restart(at).await;
             }
             let instance = &self.deployment.instances[at];
-            while !(instance.is_ready().await && serves(instance).await) {
-                if Instant::now() >= give_up_at {
-                    self.record.breaches.push(Breach::NotBack { instance: at });
+            while !(instance.is_ready().await && is_serving(instance).await) {
+                if Instant::now() >= recovery_deadline {
+                    self.record.violations.push(Violation::NotRecovered { instance: at });
                     break;
                 }
-                sleep(STOP_LOOK).await;
+                sleep(STOP_POLL_INTERVAL).await;
             }
         }
     }
@@ -358,8 +360,9 @@
             let memory_kib = daemon.memory_most_kib().expect("a daemon that runs");
             let descriptors = daemon.descriptors().expect("a daemon that runs");
             if memory_kib > MEMORY_MAX_KIB || descriptors > DESCRIPTORS_MAX {
-                let breach = Breach::TooLarge { instance: at, memory_kib, descriptors };
-                self.record.breaches.push(breach);
+                let violation =
+                    Violation::ResourceLimitExceeded { instance: at, memory_kib, descriptors };
+                self.record.violations.push(violation);
             }
         }
     }
@@ -372,7 +375,7 @@
             let Some(daemon) = &mut instance.daemon else { continue };
             let status = timeout(STOP_MAX, daemon.ended()).await;
             if !matches!(status, Ok(Ok(status)) if status.success()) {
-                self.record.breaches.push(Breach::NotStopped { instance: at });
+                self.record.violations.push(Violation::NotStopped { instance: at });
             }
         }
     }
@@ -384,11 +387,11 @@
 }
 
 /// Key of the row that evacuates the failure domain of a number.
-fn evacuation_of(domain: usize) -> String {
+fn evacuation_key(domain: usize) -> String {
     format!("evacuate/{}", FAILURE_DOMAINS[domain])
 }
 
-fn disturb(proxy: &Proxy, link: LinkFault) {
+fn set_link_fault(proxy: &Proxy, link: LinkFault) {
     let none = ProxyFaults::default();
     let faults = match link {
         LinkFault::Delayed(delay) => ProxyFaults { delay_ms: delay.as_millis() as u64, ..none },
@@ -396,17 +399,19 @@
         LinkFault::OneWay(direction) => ProxyFaults { half_open: Some(direction), ..none },
         LinkFault::Silent => ProxyFaults { black_hole: true, ..none },
         LinkFault::Refused => ProxyFaults { refuse: true, ..none },
-        LinkFault::AnswersLost => ProxyFaults { swallow_answer: true, ..none },
+        LinkFault::ResponsesLost => ProxyFaults { swallow_answer: true, ..none },
     };
     proxy.set_faults(faults);
 }
 
-fn open(instance: &Instance) {
+fn restore_store_listener(instance: &Instance) {
     instance.door.set(DoorMode::Open);
     instance.door.set_delay(Duration::ZERO);
 }
 
-async fn serves(instance: &Instance) -> bool {
+async fn is_serving(instance: &Instance) -> bool {
     let call = Call::read(READS, "/r/1", "again");
-    ask(instance.call_address(), &call).await.is_some_and(|told| told.status == StatusCode::OK)
+    ask(instance.call_address(), &call)
+        .await
+        .is_some_and(|response| response.status == StatusCode::OK)
 }
