--- a/crates/yuccarackctl/src/logs/cause.rs
+++ b/crates/yuccarackctl/src/logs/cause.rs
@@ -20,13 +20,15 @@
     /// The target responded with a failure.
     TargetFailed,
     /// The target closed the connection or sent no complete response.
-    TargetBroke,
+    #[serde(rename = "target_broke")]
+    TargetDisconnected,
     /// The target rejected the request without running it.
     TargetShed,
     /// No response arrived before the deadline.
     TooSlow,
     /// The targets are draining or not ready yet.
-    TargetAway,
+    #[serde(rename = "target_away")]
+    TargetUnavailable,
     /// Daemons or targets are unreachable.
     Unreachable,
     /// No instance of the service is known.
@@ -38,7 +40,8 @@
     /// The caller sent an invalid request.
     Caller,
     /// The cause can't be determined from the log lines.
-    Untold,
+    #[serde(rename = "untold")]
+    Undetermined,
 }
 
 impl Cause {
@@ -53,23 +56,23 @@
             (Some(_), _) if is_not_run && has_gate_without_capacity(end) => Self::Load,
             (Some(reason), _) => Self::from_reason(reason),
             (None, Some(_)) => Self::TargetFailed,
-            (None, None) => Self::Untold,
+            (None, None) => Self::Undetermined,
         }
     }
 
     fn from_reason(reason: &str) -> Self {
         match reason {
             reason if NO_CAPACITY_REASONS.contains(&reason) => Self::Load,
-            "broken" | "target_died" => Self::TargetBroke,
+            "broken" | "target_died" => Self::TargetDisconnected,
             "shed" => Self::TargetShed,
             "deadline_passed" => Self::TooSlow,
-            "draining" | "leaving" | "not_ready" | "other_service" => Self::TargetAway,
+            "draining" | "leaving" | "not_ready" | "other_service" => Self::TargetUnavailable,
             "no_connection" | "unreachable" => Self::Unreachable,
             "no_target" => Self::NoTarget,
             "no_routing" | "unknown_route" => Self::NoRoute,
             "quarantined" => Self::CrashesTargets,
             "bad_request" | "body_too_large" | "caller_body_cut" => Self::Caller,
-            _ => Self::Untold,
+            _ => Self::Undetermined,
         }
     }
 
@@ -85,7 +88,7 @@
                 "the target responded with a failure: check the target, and the calls that it made \
                  at that time."
             }
-            Self::TargetBroke => {
+            Self::TargetDisconnected => {
                 "the connection to the target ended without a complete response: check the \
                  target's own records for whether the request ran."
             }
@@ -97,7 +100,7 @@
                  queue (queued_ms) and the total time at it (here_ms); if there is none, check the \
                  network and the daemon."
             }
-            Self::TargetAway => {
+            Self::TargetUnavailable => {
                 "the targets were draining, or had not yet announced that they are ready."
             }
             Self::Unreachable => {
@@ -113,7 +116,9 @@
                 "targets crashed while running the request, so it is quarantined."
             }
             Self::Caller => "the caller sent an invalid request.",
-            Self::Untold => "the cause is not in these log lines: search for `lines left out`.",
+            Self::Undetermined => {
+                "the cause is not in these log lines: search for `lines left out`."
+            }
         }
     }
 }
@@ -131,16 +136,16 @@
             Self::None => "none",
             Self::Load => "load",
             Self::TargetFailed => "target_failed",
-            Self::TargetBroke => "target_broke",
+            Self::TargetDisconnected => "target_broke",
             Self::TargetShed => "target_shed",
             Self::TooSlow => "too_slow",
-            Self::TargetAway => "target_away",
+            Self::TargetUnavailable => "target_away",
             Self::Unreachable => "unreachable",
             Self::NoTarget => "no_target",
             Self::NoRoute => "no_route",
             Self::CrashesTargets => "crashes_targets",
             Self::Caller => "caller",
-            Self::Untold => "untold",
+            Self::Undetermined => "untold",
         };
         write!(f, "{name}")
     }
--- a/crates/yuccarackctl/src/logs/request_trace.rs
+++ b/crates/yuccarackctl/src/logs/request_trace.rs
@@ -59,7 +59,7 @@
             Some(end) => self.refined_cause(end),
             // The line of the entry was dropped, or its log was not given: the last line, such as
             // that of a gate, has the best information.
-            None => self.events.last().map_or(Cause::Untold, Cause::from_end),
+            None => self.events.last().map_or(Cause::Undetermined, Cause::from_end),
         }
     }
 
@@ -73,7 +73,10 @@
         let has_unknown_outcome = |event: &&Event| event.outcome.as_deref() == Some("unknown");
         let gate_events =
             self.events.iter().filter(|event| !event.is_call_end()).filter(has_unknown_outcome);
-        gate_events.map(Cause::from_end).find(|other| *other == Cause::TargetBroke).unwrap_or(cause)
+        gate_events
+            .map(Cause::from_end)
+            .find(|other| *other == Cause::TargetDisconnected)
+            .unwrap_or(cause)
     }
 
     /// Returns the explanation of the cause, with the instance at fault if there is a single one.
--- a/crates/yuccarackd/tests/routed/explained.rs
+++ b/crates/yuccarackd/tests/routed/explained.rs
@@ -100,7 +100,7 @@
     injected.fail_by_overload().await;
     injected.collect_failures(Cause::NoRoute, |id| Call::read("nobody.example", "/", id)).await;
     injected.behave(Behaviour::LoseAnswer);
-    injected.collect_failures(Cause::TargetBroke, order).await;
+    injected.collect_failures(Cause::TargetDisconnected, order).await;
     injected.behave(Behaviour::Fail);
     injected.collect_failures(Cause::TargetFailed, order).await;
     injected.behave(Behaviour::Shed);
@@ -111,7 +111,7 @@
         instance.stop_beating();
         instance.say("draining").await;
     }
-    injected.collect_failures(Cause::TargetAway, order).await;
+    injected.collect_failures(Cause::TargetUnavailable, order).await;
     let mut routes = board_routes();
     routes.push(RouteSpec::orders("empty.example", "/e/", "nobody"));
     injected.deployment.apply(&routes).await;
