--- a/crates/yuccarackd/src/coordination/table.rs
+++ b/crates/yuccarackd/src/coordination/table.rs
@@ -159,7 +159,7 @@
         }
         match result {
             Err(error) => {
-                warn!(self.logger, "store is unavailable; rules and members come from peers only"; "error" => %error)
+                warn!(self.logger, "store is unavailable; using peers only"; "error" => %error)
             }
             Ok(_) => info!(self.logger, "store is available again"),
         }
