--- a/crates/yuccarackd/tests/point_5_leaving_under_load.rs
+++ b/crates/yuccarackd/tests/point_5_leaving_under_load.rs
@@ -1,4 +1,4 @@
-//! A target that is leaving gets no new work, under load and with its daemon frozen.
+//! A target that drains gets no new requests, under load and with its daemon frozen.
 
 use std::time::{Duration, Instant};
 
@@ -13,13 +13,13 @@
 
 const SERVICE: &str = "conditions";
 
-/// Calls made while nothing may reach the target that has left.
+/// Calls made while no request may reach the drained target.
 const CALLS_AFTER: usize = 400;
 
-/// Time that requests take at most from the gate to the target.
+/// Upper limit of a request's time from the gate to the target.
 const DISPATCH_MAX: Duration = Duration::from_secs(1);
 
-/// Time after which a silent target gets no new work; the announce timeout of 3 s and a second.
+/// Time after which a silent target gets no new requests: the announce timeout of 3 s plus 1 s.
 const ANNOUNCE_TIMEOUT_MAX: Duration = Duration::from_secs(4);
 
 fn plan(seed: u64) -> FleetPlan {
@@ -33,7 +33,7 @@
     Storm::start(&plan)
 }
 
-/// Holds up what daemons tell each other.
+/// Drops all data on the control links between daemons.
 fn block_control_links(fleet: &Fleet) {
     for node in &fleet.nodes {
         let blocked = ProxyFaults { black_hole: true, ..Default::default() };
@@ -41,9 +41,9 @@
     }
 }
 
-/// Checks that `name` begins no run from now on while the others serve.
+/// Checks that the target `name` begins no run from now on while the others serve.
 async fn check_no_new_runs(fleet: &Fleet, storm: Storm, name: &str) {
-    // What the gate had let in before may still be on its way to the target.
+    // Requests that the gate has already dispatched may still be in transit to the target.
     sleep(DISPATCH_MAX).await;
     let since = Instant::now();
     fleet.more_calls(&storm, CALLS_AFTER).await;
@@ -56,12 +56,13 @@
         "{name} got {runs_on_target} of {} runs after it left",
         later_runs.len()
     );
-    assert!(!later_runs.is_empty(), "nobody served any more");
+    assert!(!later_runs.is_empty(), "no target served requests any more");
     assert_eq!(judge_storm(&calls, &fleet.ledger).breaches, Vec::<String>::new());
 }
 
-/// A target tells that it drains. It gets no work once its daemon has heard it, which is at once,
-/// wherever the news of it are: with the store down and with news between daemons held up.
+/// Guards against a drain that depends on other daemons: a target that announces its drain gets no
+/// new requests as soon as its daemon knows, also with the store down and with the updates between
+/// daemons blocked.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn an_announced_drain_takes_effect_at_once_without_store_and_peer_updates() {
     for (seed, is_store_down, is_control_blocked) in
@@ -79,7 +80,7 @@
         }
         let node = &fleet.nodes[1];
         node.target.drain();
-        until("its daemon knows", || async {
+        until("its daemon knows that it drains", || async {
             !fleet.ready_targets(node, SERVICE).await.contains(&node.name().to_owned())
         })
         .await;
@@ -88,8 +89,9 @@
     }
 }
 
-/// A target goes away without a word: it only stops announcing itself, while its port still answers.
-/// After the announce timeout it counts as leaving, also with the store down and news held up.
+/// Guards against requests to a target that stops announcing itself without notice while its port
+/// still responds. After the announce timeout it counts as leaving, also with the store down and
+/// updates blocked.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_silent_target_counts_as_leaving_after_the_announce_timeout() {
     for (seed, is_cut_off) in [(54, false), (55, true)] {
@@ -110,8 +112,9 @@
     }
 }
 
-/// The daemon of a leaving target hears nothing, since it is frozen together with the news; other
-/// entries hold it for ready. Their calls time out or go elsewhere; the target gets none.
+/// Guards against requests to a draining target whose daemon is frozen and can't receive the drain,
+/// while other entries still consider the target ready. Their calls time out or go to other
+/// targets.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_frozen_daemon_sends_its_target_no_requests() {
     let mut fleet = Fleet::serving(plan(56)).await;
@@ -126,11 +129,14 @@
     check_no_new_runs(&fleet, storm, &name).await;
     let before = fleet.ledger.runs_of_path("").iter().filter(|run| run.target == name).count();
     fleet.nodes[1].daemon().wake();
-    until("its daemon knows", || async {
+    until("its daemon knows that it drains", || async {
         !fleet.ready_targets(&fleet.nodes[1], SERVICE).await.contains(&name)
     })
     .await;
     let after = fleet.ledger.runs_of_path("").iter().filter(|run| run.target == name).count();
-    println!("{} runs between its waking up and the news", after - before);
+    println!(
+        "{} runs between the wake-up of the daemon and its receipt of the drain",
+        after - before
+    );
     fleet.stop().await;
 }
--- a/crates/yuccarackd/tests/random_walk.rs
+++ b/crates/yuccarackd/tests/random_walk.rs
@@ -1,7 +1,8 @@
-//! Faults of all kinds, at random, together or twice, while the promises are checked.
+//! Soak test of calls by rules: injects random faults, singly and combined, and checks the
+//! guarantees to callers.
 //!
-//! `scripts/soak` walks on for longer: `YUCCARACK_WALK_SEED` names the first seed and
-//! `YUCCARACK_WALK_MINUTES` the time.
+//! `scripts/soak` runs it for longer: `YUCCARACK_WALK_SEED` sets the first seed and
+//! `YUCCARACK_WALK_MINUTES` the duration.
 
 use std::{
     env, fs,
@@ -23,16 +24,16 @@
 const SERVICE: &str = "repairs";
 const TARGETS: usize = 3;
 
-/// Steps of one walk; each has one or two faults.
+/// Steps of one walk; each injects one or two faults.
 const STEPS: usize = 7;
 
-/// Calls made under the faults of one step.
+/// Calls made during the faults of one step.
 const CALLS_PER_STEP: usize = 80;
 
-/// Orders sent while faults last, which have to have their outcome at the end.
+/// Orders sent during the faults of one step; each must have its outcome at the end.
 const ORDERS_PER_STEP: usize = 2;
 
-/// Something that goes wrong, and what makes it well again.
+/// A kind of fault and the index of the node that it affects, or the variant of the fault.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     KilledDaemon(usize),
@@ -144,7 +145,7 @@
     faults
 }
 
-/// Makes everything well again, whatever was wrong.
+/// Clears all faults and restarts stopped targets and daemons.
 async fn clear_faults(fleet: &mut Fleet) {
     fleet.platform.set_faults(PlatformFaults::default());
     for node in &mut fleet.nodes {
@@ -156,21 +157,21 @@
         }
         node.target.set_faults(TargetFaults::default());
         node.target.kill().await;
-        node.target.revive().await.expect("the target doesn't come back");
+        node.target.revive().await.expect("the target can't be restarted");
         if let Some(daemon) = &mut node.daemon {
             daemon.wake();
-            // One that was told to stop ends; one that was not goes on.
+            // A daemon that was asked to stop exits; any other goes on.
             if daemon.is_running() && !daemon.is_stopping() {
                 continue;
             }
-            daemon.ended().await.expect("its state can't be asked");
+            daemon.ended().await.expect("the daemon's exit can't be awaited");
         }
         node.kill_daemon();
-        node.start_daemon().await.expect("the daemon doesn't come back");
+        node.start_daemon().await.expect("the daemon can't be restarted");
     }
 }
 
-/// Changes the rules, and says the revision that was accepted, if any.
+/// Changes the rules and returns the accepted revision, or none if the change failed.
 async fn change_rules(fleet: &Fleet, number: u32) -> Option<u64> {
     let row = fleet.platform.with_table(|table| table.row(&rules_key(SERVICE)));
     let base = row.map_or(0, |row| row.revision);
@@ -181,17 +182,17 @@
     output.expect("the operators' program can't be run").told["revision"].as_u64()
 }
 
-/// No daemon may have put older rules in force than it had; each life counts for itself.
+/// Checks that no daemon process put older rules in force than it had; a restart begins anew.
 fn check_rules_never_regress(node: &Node) {
     let Some(daemon) = &node.daemon else { return };
-    let log = fs::read_to_string(daemon.log()).expect("a daemon without a log");
+    let log = fs::read_to_string(daemon.log()).expect("the daemon's log can't be read");
     let mut newest = 0;
     for line in log.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok()) {
         if line["msg"] == "serving" {
             newest = 0;
         }
         if let Some(revision) = line["revision"].as_u64().filter(|_| line["service"] == SERVICE) {
-            assert!(revision >= newest, "{} went back from {newest}: {line}", node.name());
+            assert!(revision >= newest, "{} regressed from revision {newest}: {line}", node.name());
             newest = revision;
         }
     }
@@ -223,7 +224,7 @@
         join_all(sent).await;
         orders.extend(keys);
         if random.random_range(0..2) == 0 {
-            let number = u32::try_from(step).expect("few steps");
+            let number = u32::try_from(step).expect("the step number exceeds u32");
             accepted = change_rules(&fleet, number).await.unwrap_or(accepted);
         }
         fleet.more_calls(&storm, CALLS_PER_STEP).await;
@@ -243,8 +244,8 @@
     fleet.stop().await;
 }
 
-/// Each order has its outcome, or never ran and runs now, or is an open claim that the operator
-/// sees; none is lost in silence.
+/// Checks that each order has its outcome, runs now because it never ran, or is an open claim that
+/// operators see; none may be lost silently.
 async fn check_orders(fleet: &Fleet, orders: &[String]) {
     for key in orders {
         let mut attempt = 0;
@@ -263,7 +264,7 @@
     match verdict {
         Verdict::Right => true,
         Verdict::Refused { outcome, .. } if outcome == "run" => true,
-        // The target's own failure, recorded.
+        // The failure of the target itself is recorded as the outcome.
         Verdict::Untyped { .. } => fleet.ledger.runs_of_key(key).len() == 1,
         Verdict::Refused { reason, .. } => {
             let row = fleet.platform.with_table(|table| table.row(&claim_key(key)));
@@ -280,7 +281,7 @@
 async fn check_rules(fleet: &Fleet, accepted: u64) {
     let row = fleet.platform.with_table(|table| table.row(&rules_key(SERVICE)));
     let newest = row.expect("the service has rules").revision;
-    assert!(newest >= accepted, "accepted at {accepted}, the table has {newest}");
+    assert!(newest >= accepted, "revision {accepted} was accepted, but the store has {newest}");
     for node in &fleet.nodes {
         until(&format!("{} has revision {newest}", node.name()), || async {
             fleet.rules_revision(node, SERVICE).await == Some(newest)
@@ -290,8 +291,8 @@
     }
 }
 
-/// Whatever fails, in whichever order: no order runs twice, "not run" is true, no answer is wrong, no
-/// accepted rules are lost, and all is well again after it.
+/// Runs one walk for each seed. Whatever fails and in whichever order: no order runs twice, "not
+/// run" is true, no response is wrong, no accepted rules are lost, and everything recovers.
 async fn run_walks(seeds: std::ops::Range<u64>) {
     for seed in seeds {
         run_walk(seed).await;
@@ -328,7 +329,7 @@
     run_walks(7_000..7_002).await;
 }
 
-/// Walks on from the seed and for the time that the environment names; without, one short walk.
+/// Runs walks from the seed and for the time that the environment sets; one short walk by default.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn soak() {
     let env_number = |name| env::var(name).ok().and_then(|text| text.parse::<u64>().ok());
--- a/crates/yuccarackd/tests/routed/soak/callers.rs
+++ b/crates/yuccarackd/tests/routed/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that keep their connections open until they end, and remember what they were told.
+//! Callers that reuse their connections and record the outcome of each call.
 
 use std::{
     net::SocketAddr,
@@ -19,88 +19,90 @@
 use super::{pipelining_callers::PipeliningCaller, plan::Plan};
 use crate::support::{ORDERS, READS};
 
-/// Host of the routes that each version adds one of.
+/// Host of the versioned routes; each version of the routing table adds one.
 pub const VERSIONED: &str = "versions.example";
 
 /// Pause of a caller between two calls.
 const PAUSE: Duration = Duration::from_millis(15);
 
-/// Pause between two looks at which routes an instance knows.
+/// Pause between two polls for the routes that an instance knows.
 const POLL_PAUSE: Duration = Duration::from_millis(20);
 
-/// Part of the calls that go over a new connection.
+/// Share of the calls that open a new connection.
 const NEW_CONNECTION_SHARE: f64 = 0.1;
 
-/// Part of the calls whose callers leave early, and for how long those wait, in ms; a call takes 5.
+/// Share of the calls whose callers disconnect early, and the range of their wait, in ms. A
+/// target's service time is 5 ms.
 const ABANDONED_SHARE: f64 = 0.1;
 const ABANDON_AFTER_MS: std::ops::Range<u64> = 1..40;
 
-/// Time after its deadline for which a caller still waits for the last word.
+/// Time after a call's deadline for which its caller still waits for a response.
 const RESPONSE_GRACE: Duration = Duration::from_secs(1);
 
-/// What a call is.
+/// Kind of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestKind {
-    /// May run twice.
+    /// Repeatable: may run twice.
     Read,
-    /// Must not.
+    /// Not repeatable: must run at most once.
     Order,
-    /// A read on the route that a version added.
+    /// A read on the route that a version of the routing table added.
     Versioned(u64),
 }
 
-/// One call and what became of it.
+/// One call and its outcome.
 #[derive(Clone, Debug)]
 pub struct CallRecord {
-    /// The caller's name of it.
+    /// Request id that the caller gave it.
     pub id: String,
-    /// Whose daemon took it.
+    /// Instance whose daemon accepted the call.
     pub instance: usize,
-    /// What it was.
+    /// Kind of the request.
     pub kind: RequestKind,
-    /// When it was sent.
+    /// Time at which the request was sent.
     pub sent_at: Instant,
-    /// When its caller knew.
+    /// Time at which the caller had its result.
     pub ended_at: Instant,
-    /// What its caller knew.
+    /// Response, or the reason why there was none.
     pub result: Result<Told, Unanswered>,
-    /// Whether the daemon had said just before that it takes calls, where that was asked.
+    /// Whether the daemon's readiness check succeeded just before the call; false without such a
+    /// check.
     pub was_ready: bool,
-    /// Whether its caller left before it could be answered.
+    /// Whether the caller disconnected before the response.
     pub is_abandoned: bool,
-    /// Whether it was sent behind a request whose answer closed the connection.
+    /// Whether the request was pipelined behind one whose response closed the connection.
     pub is_after_close: bool,
 }
 
-/// A version of the routes, and when the operator wrote it.
+/// A version of the routing table and the time at which the operator wrote it.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteVersion {
     /// Number of the route that it adds.
     pub number: u64,
-    /// When.
+    /// Time at which it was written to the store.
     pub written_at: Instant,
 }
 
-/// Versions written so far; clones share them.
+/// Versions written so far; clones share the list.
 pub type Versions = Arc<Mutex<Vec<RouteVersion>>>;
 
-/// Where the daemon of an instance is reached.
+/// Addresses of an instance's daemon.
 #[derive(Clone, Copy, Debug)]
 pub struct InstanceAddresses {
-    /// By its callers.
+    /// Listener for calls.
     pub calls: SocketAddr,
-    /// By who asks whether it takes calls.
+    /// Listener for readiness checks.
     pub readiness: SocketAddr,
 }
 
-/// All callers of a walk.
+/// All caller tasks of a walk.
 pub struct Callers {
     tasks: JoinSet<Vec<CallRecord>>,
     stop: CancellationToken,
 }
 
 impl Callers {
-    /// Starts the callers of `plan` at all `doors`.
+    /// Starts the callers of `plan` for the instances at `addresses`.
     pub fn start(plan: &Plan, addresses: &[InstanceAddresses], versions: &Versions) -> Self {
         let (seed, callers) = (plan.seed, plan.callers);
         let (mut tasks, stop) = (JoinSet::new(), CancellationToken::new());
@@ -126,12 +128,12 @@
         Self { tasks, stop }
     }
 
-    /// Lets them end their last calls; all that they were told.
+    /// Lets the callers finish their last calls and returns the records of all calls.
     pub async fn stop(mut self) -> Vec<CallRecord> {
         self.stop.cancel();
         let mut all = Vec::new();
         while let Some(records) = self.tasks.join_next().await {
-            all.extend(records.expect("a caller that ended"));
+            all.extend(records.expect("a caller task panicked"));
         }
         all
     }
@@ -181,7 +183,7 @@
         all
     }
 
-    /// Asks and closes the connection unless there is an answer soon.
+    /// Sends the call and closes the connection if no response arrives in time.
     async fn call_or_abandon(
         &mut self,
         call: &Call,
@@ -211,7 +213,7 @@
     }
 }
 
-/// Asks instances for the routes of versions.
+/// Requests the routes of recent versions from the instances.
 struct VersionPoller {
     seed: u64,
     addresses: Vec<InstanceAddresses>,
@@ -252,7 +254,7 @@
         all
     }
 
-    /// One of the newest versions.
+    /// Returns one of the three newest versions.
     fn random_recent_version(&self, random: &mut StdRng) -> Option<u64> {
         let versions = self.versions.lock();
         let newest = versions.len().checked_sub(1)?;
--- a/crates/yuccarackd/tests/routed/soak/mod.rs
+++ b/crates/yuccarackd/tests/routed/soak/mod.rs
@@ -1,8 +1,9 @@
-//! Faults of all kinds at random, in series and together, while the promises to callers are checked.
+//! Soak test of routed calls: injects random faults, singly, in series and overlapping, and checks
+//! the guarantees to callers.
 //!
-//! `scripts/soak` walks on for longer: `YUCCARACK_WALK_SEED` names the first seed,
-//! `YUCCARACK_WALK_MINUTES` the time and `YUCCARACK_WALK_INSTANCES` the size; without it odd seeds
-//! walk under pressure.
+//! `scripts/soak` runs it for longer: `YUCCARACK_WALK_SEED` sets the first seed,
+//! `YUCCARACK_WALK_MINUTES` the duration and `YUCCARACK_WALK_INSTANCES` the number of instances.
+//! Without the latter, odd seeds run under additional load.
 
 mod callers;
 mod pipelining_callers;
@@ -24,28 +25,28 @@
     walk::Walk,
 };
 
-/// Seeds of walks in steps that run with the other tests, and those that failed once:
-/// 310, a target that drained and then stayed was refused for good by its gate;
-/// 410, a slot given to a caller that had just left was lost, until the target got nothing.
+/// Seeds of the walks in steps in the regular test run. Two of them found faults: with 310, a gate
+/// kept rejecting requests for a target that drained and then stayed; with 410, a slot given to a
+/// caller that had just disconnected leaked until the target got no requests.
 const SEEDS_IN_STEPS: [u64; 6] = [1, 2, 3, 4, 310, 410];
 
-/// Seeds of walks whose faults overlap that run with the other tests, and those that failed once:
-/// 5012, the soak's own: all daemons stopped in a row, and a proxy kept the port of each open.
+/// Seeds of the walks with overlapping faults in the regular test run. The soak test found 5012:
+/// all daemons stopped in a row while a proxy kept the port of each open.
 const SEEDS: [u64; 6] = [1, 2, 3, 4, 5, 5012];
 
-/// Seeds of walks under pressure that run with the other tests, one for each of its loads.
+/// Seeds of the walks under additional load in the regular test run, one for each kind of load.
 const SEEDS_UNDER_LOAD: [u64; 3] = [3, 4, 5];
 
-/// Seeds of walks whose callers send ahead that run with the other tests.
+/// Seeds of the walks with pipelining callers in the regular test run.
 const SEEDS_PIPELINING: [u64; 3] = [6, 7, 8];
 
-/// Seeds of walks with cold targets and evacuations that run with the other tests.
+/// Seeds of the walks with cold targets and evacuations in the regular test run.
 const SEEDS_COLD: [u64; 3] = [11, 12, 13];
 
-/// Walks that run at once.
+/// Number of walks that run concurrently.
 const WALKS_AT_ONCE: usize = 3;
 
-/// Faults of a failed walk that are left out by turns, to find those that it needs.
+/// Upper limit of attempts to leave out a fault of a failed walk, to find those that it needs.
 const REDUCTIONS_MAX: usize = 16;
 
 async fn violations(plan: &Plan) -> Vec<Violation> {
@@ -59,11 +60,11 @@
             let plan = plan.clone();
             walks.spawn(async move {
                 let violations = violations(&plan).await;
-                assert!(violations.is_empty(), "{plan:#?} broke {violations:#?}");
+                assert!(violations.is_empty(), "{plan:#?} violated {violations:#?}");
             });
         }
         while let Some(walk) = walks.join_next().await {
-            walk.expect("a walk that kept its promises");
+            walk.expect("a walk violated a guarantee");
         }
     }
 }
@@ -95,8 +96,8 @@
     check_plans(SEEDS_COLD.into_iter().map(plan).collect()).await;
 }
 
-/// Runs only with `YUCCARACK_WALK_MINUTES`, as `scripts/soak` sets it. A seed that fails is told with
-/// its plan and with the faults of it that are enough; the next seeds run all the same.
+/// Runs only if `YUCCARACK_WALK_MINUTES` is set, as `scripts/soak` does. For a seed that fails it
+/// prints the plan and a reduced list of faults that still fails, then goes on with the next seed.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn soak() {
     let env_number = |name: &str| env::var(name).ok().and_then(|text| text.parse::<u64>().ok());
@@ -117,16 +118,16 @@
         let violations = find_violations(&record);
         println!("seed {seed}: {} faults, {} calls", plan.events.len(), record.calls.len());
         if !violations.is_empty() {
-            println!("{plan:#?} broke {violations:#?}");
-            println!("enough of it: {:#?}", reduce(plan).await.events);
+            println!("{plan:#?} violated {violations:#?}");
+            println!("reduced list of faults that still fails: {:#?}", reduce(plan).await.events);
             failed.push(seed);
         }
         seed += 1;
     }
-    assert!(failed.is_empty(), "seeds {failed:?} broke promises");
+    assert!(failed.is_empty(), "seeds {failed:?} violated guarantees");
 }
 
-/// Leaves out faults of a plan that fails, as long as it fails without them.
+/// Removes faults from a failing plan one at a time, as long as it still fails without them.
 async fn reduce(mut plan: Plan) -> Plan {
     let mut index = 0;
     for _ in 0..REDUCTIONS_MAX {
--- a/crates/yuccarackd/tests/routed/soak/pipelining_callers.rs
+++ b/crates/yuccarackd/tests/routed/soak/pipelining_callers.rs
@@ -1,4 +1,4 @@
-//! Callers that send requests behind each other without waiting for answers.
+//! Callers that pipeline requests: they send several without waiting for the responses.
 
 use std::{
     net::SocketAddr,
@@ -16,43 +16,43 @@
 use super::callers::{CallRecord, RequestKind};
 use crate::support::{ORDERS, READS};
 
-/// Requests that are sent at once.
+/// Number of requests that are sent at once.
 const BATCH: std::ops::RangeInclusive<usize> = 1..=6;
 
 /// Pause between two batches.
 const PAUSE: Duration = Duration::from_millis(60);
 
-/// Part of the requests that are orders.
+/// Share of the requests that are orders.
 const ORDERS_SHARE: f64 = 0.15;
 
-/// Part of the batches whose caller leaves, and for how long it waits, in ms.
+/// Share of the batches whose caller disconnects early, and the range of its wait, in ms.
 const ABANDONED_SHARE: f64 = 0.15;
 const ABANDON_AFTER_MS: std::ops::Range<u64> = 1..60;
 
-/// Time after its deadline for which a caller still waits for the last word.
+/// Time after the latest deadline of a batch for which its caller still waits for responses.
 const RESPONSE_GRACE: Duration = Duration::from_secs(1);
 
-/// What a caller knows of a request at its end.
+/// Result of a request as its caller sees it.
 enum RequestResult {
     Response(Told),
     Lost,
     NotSent,
-    /// An answer before it closed the connection.
+    /// The response to an earlier request closed the connection.
     AfterClose,
 }
 
-/// A caller that sends ahead.
+/// A caller that pipelines its requests.
 pub struct PipeliningCaller {
-    /// Its name.
+    /// Name of the caller, the prefix of its request ids.
     pub name: String,
-    /// Whose daemon it calls.
+    /// Instance whose daemon it calls.
     pub instance: usize,
-    /// Where that is.
+    /// Address of that daemon's listener for calls.
     pub address: SocketAddr,
 }
 
 impl PipeliningCaller {
-    /// Sends batches until `stop`, each over the connection of the one before while that stands.
+    /// Sends batches until `stop` is cancelled, over the same connection as long as it is open.
     pub async fn call_until(self, stop: CancellationToken, mut random: StdRng) -> Vec<CallRecord> {
         let (mut all, mut connection) = (Vec::new(), None);
         while !stop.is_cancelled() {
@@ -77,7 +77,7 @@
         (0..count).map(|at| call(at, random)).collect()
     }
 
-    /// Sends one batch and notes what became of it; returns the connection if it stands.
+    /// Sends one batch and records the outcomes; returns the connection if it is still open.
     async fn send(
         &self,
         connection: Option<PipelinedCaller>,
--- a/crates/yuccarackd/tests/routed/soak/plan.rs
+++ b/crates/yuccarackd/tests/routed/soak/plan.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in one walk, and when.
+//! Plan of a walk: its faults and their times, derived from a seed.
 
 use std::time::Duration;
 
@@ -6,47 +6,47 @@
 use yuccarack_platform_standin::{instance::Links, store::DoorMode, target::Behaviour};
 use yuccarack_standins::proxy::Direction;
 
-/// Instances of a usual walk.
+/// Instances of a walk without additional load.
 pub const INSTANCES: usize = 4;
 
-/// Time in which the faults of a usual walk strike, in ms.
+/// Period in which the faults of a walk begin, in ms.
 const FAULT_PERIOD_MS: u64 = 6_000;
 
-/// Longest time that a fault lasts, in ms.
+/// Upper limit of a fault's duration, in ms.
 const FAULT_DURATION_MAX_MS: u64 = 2_500;
 
-/// Part of the walks in which all targets fail together for a while, and for how long, in ms.
+/// Share of the walks in which all targets fail together, and the duration of that, in ms.
 const ALL_FAIL_SHARE: f64 = 0.35;
 const ALL_FAIL_MS: u64 = 2_500;
 
-/// Instances of a walk under pressure: in two failure domains, each with two daemons that ask the store
-/// and two that are told by them.
+/// Instances of a walk under additional load: two failure domains, each with two daemons that query
+/// the store and two that receive its updates from them.
 pub const INSTANCES_UNDER_LOAD: usize = 8;
 
-/// Callers of each instance, usually and in a crowd; a target has 9 slots.
+/// Callers of each instance, by default and for more callers than slots; a target has 9 slots.
 const CALLERS: usize = 2;
 const CALLERS_OVER_CAPACITY: usize = 14;
 
-/// Targets that a request may run on, usually and where each try fails.
+/// Targets that a request may run on, by default and in walks where each attempt fails.
 const TARGETS_MAX: u32 = 2;
 const TARGETS_MAX_WHEN_FAILING: u32 = 4;
 
-/// Requests a second that a cold target may get.
+/// Requests per second that a cold target may get.
 const COLD_PER_S: usize = 10;
 
-/// Longest time for which a target is cold, in ms.
+/// Upper limit of the time for which a target is cold, in ms.
 const COLD_DURATION_MAX_MS: u64 = 2_500;
 
-/// Time for which a failure domain is evacuated, in ms; beyond that in which this has to be in force.
+/// Duration of an evacuation, in ms; longer than the time in which it has to be in force.
 const EVACUATION_MS: u64 = 6_000;
 
-/// Length of a step of a walk in steps, in ms.
+/// Duration of a step, in ms, of a walk in steps.
 const STEP_DURATION_MS: u64 = 800;
 
-/// Steps of such a walk.
+/// Number of steps of a walk in steps.
 const STEPS: u64 = 6;
 
-/// Something that goes wrong at a place.
+/// A kind of fault and the instance or failure domain that it affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     KilledDaemon(usize),
@@ -55,13 +55,13 @@
     ReloadedDaemon(usize),
     DrainedTarget(usize),
     CrashedTarget(usize),
-    /// The target dies and starts again on a clock that was set back.
+    /// The target dies and restarts with its clock set back.
     BackdatedTarget(usize),
     FaultyTarget(usize, Behaviour),
-    /// All targets treat requests so; each try that is made again fails again.
+    /// All targets get the same behaviour, so that a retry on another target fails as well.
     FaultyTargets(Behaviour),
     StoreListener(usize, DoorMode),
-    /// The store treats all alike.
+    /// The store's listeners of all instances get the same mode.
     StoreListeners(DoorMode),
     StoreCompaction,
     SlowStore(usize),
@@ -70,63 +70,63 @@
     GateLink(usize, LinkFault),
     /// Between the daemon of an instance and its target.
     TargetLink(usize, LinkFault),
-    /// The target is cold for as long as the fault lasts.
+    /// The target is cold for the duration of the fault.
     ColdTarget(usize),
-    /// Operators evacuate the failure domain of this number.
+    /// Operators evacuate the failure domain of this index.
     EvacuatedDomain(usize),
 }
 
-/// Something that goes wrong with connections.
+/// A kind of fault of a network link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkFault {
-    /// Each piece takes longer.
+    /// Each chunk of data is delayed.
     Delayed(Duration),
-    /// All that are open end.
+    /// All open connections are closed.
     Reset,
-    /// Nothing is carried one way.
+    /// Data in one direction is dropped.
     OneWay(Direction),
-    /// Nothing is carried.
+    /// Data in both directions is dropped.
     Silent,
-    /// New ones end at once.
+    /// New connections are closed at once.
     Refused,
-    /// What comes back is dropped, and the connection ends.
+    /// Responses are dropped, and the connection is closed.
     ResponsesLost,
 }
 
-/// A fault in time.
+/// A fault with its time and duration.
 #[derive(Clone, Copy, Debug)]
 pub struct Event {
-    /// When it strikes, in ms from the start.
+    /// Start of the fault, in ms from the start of the walk.
     pub at_ms: u64,
-    /// How long it lasts, in ms.
+    /// Duration of the fault, in ms.
     pub duration_ms: u64,
-    /// What it is.
+    /// Kind and place of the fault.
     pub fault: Fault,
 }
 
-/// All that goes wrong in one walk.
+/// All faults and the size of one walk.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// Where it comes from; it names the walk's files too.
+    /// Seed that the plan is derived from; it names the walk's files too.
     pub seed: u64,
-    /// Instances of the deployment.
+    /// Number of instances of the deployment.
     pub instances: usize,
-    /// Failure domains that they stand in.
+    /// Number of failure domains that the instances are spread over.
     pub domains: usize,
-    /// Callers of each instance.
+    /// Number of callers of each instance.
     pub callers: usize,
-    /// Targets that a request may run on.
+    /// Upper limit of targets that a request may run on.
     pub targets_max: u32,
-    /// Requests a second that a cold target may get, as operators say; 0 for no bound.
+    /// Requests per second that a cold target may get, as set by operators; 0 for no limit.
     pub cold_per_s: usize,
-    /// Whether one more caller of each instance sends requests ahead.
+    /// Whether each instance has one more caller, which pipelines its requests.
     pub has_pipelining_callers: bool,
-    /// Faults, in no order.
+    /// Faults, in no particular order.
     pub events: Vec<Event>,
 }
 
 impl Plan {
-    /// Faults that strike at any moment, overlap and come in series, some two for each instance.
+    /// Plans faults at random times that overlap and come in series, about two for each instance.
     pub fn new(seed: u64, instances: usize) -> Self {
         let mut random = StdRng::seed_from_u64(seed);
         let count = random.random_range(instances..=instances * 3);
@@ -159,13 +159,13 @@
         }
     }
 
-    /// The plan with a caller more at each instance, which sends requests ahead.
+    /// Adds one pipelining caller for each instance.
     pub fn with_pipelining(mut self) -> Self {
         self.has_pipelining_callers = true;
         self
     }
 
-    /// The plan with targets that become cold and failure domains that are evacuated besides.
+    /// Adds targets that become cold and a failure domain that is evacuated.
     pub fn with_cold_targets(mut self) -> Self {
         let mut random = StdRng::seed_from_u64(self.seed.wrapping_mul(31));
         self.cold_per_s = COLD_PER_S;
@@ -186,8 +186,9 @@
         self
     }
 
-    /// Such faults, and one of three loads that few of them bring about: all daemons start while no
-    /// news are to be had, each try fails, or more callers than slots, some of whom leave.
+    /// Plans the same faults and adds one of three loads that they seldom cause: all daemons
+    /// restart while the store refuses connections, each attempt fails, or there are more callers
+    /// than slots, some of whom disconnect.
     pub fn under_load(seed: u64) -> Self {
         let mut plan = Self { domains: 2, ..Self::new(seed, INSTANCES_UNDER_LOAD) };
         let mut random = StdRng::seed_from_u64(seed ^ u64::MAX);
@@ -196,7 +197,8 @@
             |at_ms, duration_ms, fault| plan.events.push(Event { at_ms, duration_ms, fault });
         match seed % 3 {
             0 => {
-                // There has to be a route that is looked for while daemons know none.
+                // A versioned route has to exist, so that it is requested while daemons have no
+                // routes.
                 add(0, 50, Fault::NewRoutes);
                 add(at_ms, 3_000, Fault::StoreListeners(DoorMode::Refusing));
                 (0..INSTANCES_UNDER_LOAD)
@@ -215,7 +217,8 @@
         plan
     }
 
-    /// Steps with one or two faults each, the first kinds of faults only.
+    /// Plans steps of equal length with one or two faults each, without faults of links and targets
+    /// that restart.
     pub fn in_steps(seed: u64) -> Self {
         let mut random = StdRng::seed_from_u64(seed);
         let mut events = Vec::new();
@@ -232,7 +235,7 @@
         Self { events, ..Self::new(seed, INSTANCES) }
     }
 
-    /// Where proxies stand at an instance: on the links that are disturbed, and on no others.
+    /// Returns which links of an instance need a proxy: those that a fault affects, and no others.
     pub fn links(&self, at: usize) -> Links {
         let is_proxied = |affects: fn(Fault, usize) -> bool| {
             self.events.iter().any(|one| affects(one.fault, at))
@@ -247,7 +250,7 @@
         }
     }
 
-    /// The plan without one of its faults.
+    /// Returns the plan without the fault at `index`.
     pub fn without(&self, index: usize) -> Self {
         let mut plan = self.clone();
         plan.events.remove(index);
@@ -255,7 +258,7 @@
     }
 }
 
-/// The same signal to one daemon after another, or again and again to one.
+/// Plans the same fault for one daemon after another, or several times for one daemon.
 fn signal_series(random: &mut StdRng, instances: usize) -> Vec<Event> {
     let kind = random.random_range(0..4);
     let is_rolling = random.random_bool(0.5);
@@ -313,7 +316,7 @@
         }
     }
 
-    /// Whether it ends the daemon of `instance`, or holds it up.
+    /// Whether it stops or suspends the daemon of `instance`.
     pub fn affects_daemon(self, instance: usize) -> bool {
         match self {
             Self::KilledDaemon(at) | Self::StoppedDaemon(at) | Self::FrozenDaemon(at) => {
@@ -323,7 +326,7 @@
         }
     }
 
-    /// Whether requests on their way may be lost by it.
+    /// Whether requests in flight may be lost by it.
     pub fn may_lose_requests(self) -> bool {
         match self {
             Self::KilledDaemon(_)
@@ -347,7 +350,7 @@
         }
     }
 
-    /// Whether it keeps news of the store from `instance`.
+    /// Whether it keeps updates of the store from `instance`.
     pub fn affects_store_of(self, instance: usize) -> bool {
         match self {
             Self::StoreListener(at, _) | Self::SlowStore(at) => at == instance,
--- a/crates/yuccarackd/tests/routed/soak/record.rs
+++ b/crates/yuccarackd/tests/routed/soak/record.rs
@@ -1,4 +1,4 @@
-//! All that is known of a walk at its end.
+//! Record of a walk, from which the checks find violations.
 
 use std::time::Instant;
 
@@ -10,58 +10,58 @@
     violations::Violation,
 };
 
-/// A fault, while it lasted.
+/// A fault and the time for which it lasted.
 #[derive(Clone, Copy, Debug)]
 pub struct Span {
-    /// What it was.
+    /// Kind and place of the fault.
     pub fault: Fault,
-    /// When it struck.
+    /// Time at which it was injected.
     pub from: Instant,
-    /// When it was over; not yet without.
+    /// Time at which it was cleared; none while it lasts.
     pub until: Option<Instant>,
 }
 
-/// A target that said that it leaves, and was heard.
+/// A target whose announcement that it drains was confirmed by its daemon.
 #[derive(Clone, Copy, Debug)]
 pub struct Drain {
-    /// Its instance.
+    /// Instance of the target.
     pub instance: usize,
-    /// When it knew that it was heard.
+    /// Time at which the target received the confirmation.
     pub confirmed_at: Instant,
-    /// When it took work again.
+    /// Time at which it was ready again; none while it drains.
     pub until: Option<Instant>,
 }
 
-/// What the targets of one instance got.
+/// Requests that the targets of one instance received.
 #[derive(Clone, Debug, Default)]
 pub struct ReceivedRequests {
     /// Requests that began to run.
     pub runs: Vec<Run>,
-    /// When requests came, run or not.
+    /// Arrival times of all requests, whether they ran or not.
     pub arrivals: Vec<Instant>,
 }
 
-/// All that is known of a walk at its end.
+/// Everything recorded in a walk.
 #[derive(Debug, Default)]
 pub struct WalkRecord {
-    /// Failure domains in which the instances stand by turns.
+    /// Number of failure domains; the instances are spread over them round robin.
     pub domains: usize,
-    /// Requests a second that a cold target may get; 0 for no bound.
+    /// Requests per second that a cold target may get; 0 for no limit.
     pub cold_per_s: usize,
-    /// Where proxies stand, by instance.
+    /// Links with a proxy, by instance.
     pub links: Vec<Links>,
-    /// Calls.
+    /// All calls with their outcomes.
     pub calls: Vec<CallRecord>,
-    /// What targets got, by instance.
+    /// Requests that targets received, by instance.
     pub received: Vec<ReceivedRequests>,
-    /// Faults.
+    /// Faults with their times.
     pub spans: Vec<Span>,
-    /// Targets that left.
+    /// Targets that drained.
     pub drains: Vec<Drain>,
-    /// When daemons started, by instance.
+    /// Start times of daemons, by instance.
     pub daemon_starts: Vec<Vec<Instant>>,
-    /// Versions of the routes.
+    /// Versions of the routing table.
     pub versions: Vec<RouteVersion>,
-    /// What was seen to be wrong while it ran.
+    /// Violations detected while the walk ran.
     pub violations: Vec<Violation>,
 }
--- a/crates/yuccarackd/tests/routed/soak/violations.rs
+++ b/crates/yuccarackd/tests/routed/soak/violations.rs
@@ -1,4 +1,4 @@
-//! What the promises say of a walk that has ended.
+//! Checks of a finished walk against the guarantees to callers and operators.
 
 use std::{
     collections::HashMap,
@@ -14,76 +14,77 @@
     record::{Span, WalkRecord},
 };
 
-/// Time after which nothing reaches a target that was heard to leave, over a link without faults.
+/// Time after a confirmed drain from which no request reaches the target, over an undisturbed link.
 const LEAVING_GRACE: Duration = Duration::from_millis(20);
 
-/// The same where its link was disturbed and may have held something up.
+/// The same over a link that was disturbed and may have delayed requests.
 const LEAVING_GRACE_WITH_LINK_FAULT: Duration = Duration::from_secs(1);
 
-/// Time in which a version is in force at a calm instance: 2 s, and one for a busy machine.
+/// Time in which a version is in force at an undisturbed instance: 2 s, and one more for a busy
+/// machine.
 const IN_FORCE_MAX: Duration = Duration::from_secs(3);
 
-/// Time in which an evacuation is in force, as operators want it.
+/// Time in which an evacuation is in force, as operators require.
 const EVACUATION_IN_FORCE_MAX: Duration = Duration::from_secs(5);
 
-/// Time after trouble of the store up to which it may take longer.
+/// Time after a fault of the store for which updates may still be late.
 const STORE_RECOVERY: Duration = Duration::from_secs(5);
 
-/// Time for which a daemon that starts is not yet held to what it was told before.
+/// Time after its start for which a daemon need not have received earlier updates yet.
 const START_GRACE: Duration = Duration::from_secs(1);
 
-/// Time after a fault in which connections may still be found to be dead.
+/// Time after a fault for which dead connections may still be found.
 const FAULT_AFTEREFFECT_MAX: Duration = Duration::from_secs(4);
 
-/// Time for which a daemon that was asked to stop still takes calls.
+/// Time for which a daemon that was asked to stop still accepts calls.
 const STOP_NOTICE: Duration = Duration::from_secs(2);
 
-/// Part of the calls that may arrive at targets more than once, in percent.
+/// Share of the calls that may arrive at targets more than once, in percent.
 const EXTRA_ATTEMPTS_PERCENT: usize = 20;
 
-/// Arrivals beyond the first that may come besides.
+/// Further arrivals beyond the first that are allowed, whatever the number of calls.
 const EXTRA_ATTEMPTS_RESERVE: usize = 60;
 
-/// A promise that was broken.
+/// A violation of a guarantee.
 #[derive(Clone, Debug)]
 #[expect(dead_code, reason = "read by its debug form, in the report of a failed walk")]
 pub enum Violation {
-    /// A request that must not repeat ran more than once.
+    /// A request that must not be repeated ran more than once.
     DuplicateRun { id: String, runs: usize },
-    /// A request that ran was said not to have run.
+    /// A request that ran was reported as not run.
     FalseNotRun { id: String, status: StatusCode },
-    /// An answer is not the own one, or not whole.
+    /// The body of a response belongs to another request or is incomplete.
     WrongResponse { id: String, body: String },
-    /// A call had no answer though its daemon was well.
+    /// A call got no response though its daemon was undisturbed.
     NoResponse { id: String, instance: usize, result: Unanswered, run_count: usize },
-    /// An order didn't run, and nobody could say so, though nothing but planned work and the store
-    /// was in its way.
+    /// An order didn't run and its outcome was reported as unknown, though nothing but planned
+    /// maintenance and faults of the store affected it.
     UnknownOutcome { id: String, instance: usize, reason: String },
-    /// A target that was heard to leave got a request.
+    /// A target that drains received a request after its announcement was confirmed.
     RequestWhileLeaving { instance: usize, after: Duration },
-    /// A cold target got more requests than it may in its time.
+    /// A cold target received more requests than its rate limit allows.
     ColdRateExceeded { instance: usize, arrivals: usize, cold_for: Duration },
-    /// A target of an evacuated failure domain got a request.
+    /// A target of an evacuated failure domain received a request.
     RequestWhileEvacuated { instance: usize, after: Duration },
     /// A version was not in force in time.
     LateVersion { id: String, instance: usize, number: u64, after: Duration },
-    /// A process went back to an older version.
+    /// A process returned to an older version.
     VersionRegression { id: String, instance: usize, number: u64 },
-    /// A daemon said that it takes calls and knew no routes.
+    /// A daemon reported that it accepts calls but had no routes.
     ReadyWithoutRoutes { id: String, instance: usize },
     /// Too many requests were sent again.
     TooManyAttempts { arrivals: usize, calls: usize },
-    /// A daemon ended by itself.
+    /// A daemon exited unasked.
     DaemonExited { instance: usize },
-    /// A daemon did not stop in order and in time.
+    /// A daemon did not stop gracefully and in time.
     NotStopped { instance: usize },
     /// An instance did not serve again after the last fault.
     NotRecovered { instance: usize },
-    /// A daemon grew beyond its bounds.
+    /// A daemon exceeded its limit of memory or file descriptors.
     ResourceLimitExceeded { instance: usize, memory_kib: u64, descriptors: usize },
 }
 
-/// All breaches of a walk.
+/// Returns all violations of a walk.
 pub fn find_violations(record: &WalkRecord) -> Vec<Violation> {
     let checker = Checker { record, runs: runs_by_id(record) };
     let mut violations = record.violations.clone();
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Whether nothing that breaks connections or targets lasted shortly before or during a call.
+    /// Whether no fault of connections or targets was active shortly before or during a call.
     fn was_undisturbed(&self, call: &CallRecord) -> bool {
         let since = call.sent_at.checked_sub(FAULT_AFTEREFFECT_MAX).unwrap_or(call.sent_at);
         !self.has_fault_within(since, call.ended_at, |fault| {
@@ -167,19 +168,19 @@
         })
     }
 
-    /// Whether a daemon stops behind a proxy: the proxy's port stays open, so that a connection to a
-    /// daemon that has stopped is made and then cut, where its own port would refuse it.
+    /// Whether a daemon stops behind a proxy. The proxy's port stays open, so that a connection to
+    /// a stopped daemon is accepted and then closed, where its own port would refuse it.
     fn is_proxied_stop(&self, fault: Fault) -> bool {
         matches!(fault, Fault::StoppedDaemon(at) if self.record.links[at].is_gate_proxied)
     }
 
-    /// Whether a call may have got no answer: its daemon was killed or frozen, or stopped and had
-    /// not taken the call when its connections closed.
+    /// Whether a call may have got no response: its daemon was killed or frozen, or it was stopped
+    /// and had not accepted the call when its connections closed.
     fn may_lack_response(&self, call: &CallRecord, result: Unanswered, run_count: usize) -> bool {
         if call.is_abandoned {
             return true;
         }
-        // It counts as not read and is sent again, so it must not have been passed on.
+        // The caller counts it as not read and sends it again, so it must not have been forwarded.
         if call.is_after_close {
             return run_count == 0;
         }
@@ -196,7 +197,7 @@
         is_closing && (result == Unanswered::NotSent || run_count == 0)
     }
 
-    /// Whether a fault that `hits` lasted at some time of a call.
+    /// Whether a fault for which `affects` holds was active at some time during a call.
     fn has_fault_during_call(&self, call: &CallRecord, affects: impl Fn(Fault) -> bool) -> bool {
         self.has_fault_within(call.sent_at, call.ended_at, affects)
     }
@@ -231,7 +232,7 @@
         }
     }
 
-    /// Each whole second that a cold time touches may bring as many as the bound.
+    /// Allows the rate limit for each second of the clock that the cold period touches.
     fn check_cold_targets(&self, violations: &mut Vec<Violation>) {
         if self.record.cold_per_s == 0 {
             return;
@@ -240,8 +241,8 @@
             let (Fault::ColdTarget(instance), Some(until)) = (span.fault, span.until) else {
                 continue;
             };
-            // A link that holds requests up and lets them go together is no decision of the gate, and a
-            // target that starts anew is warm.
+            // A link that delays requests and delivers them together is outside the gate's control,
+            // and a target that restarts is warm.
             let distorts_count = |fault| match fault {
                 Fault::TargetLink(at, _)
                 | Fault::CrashedTarget(at)
@@ -261,7 +262,7 @@
         }
     }
 
-    /// Where neither a daemon of the instance nor the store was disturbed.
+    /// Checks instances whose daemon, target link and store connection were undisturbed.
     fn check_evacuations(&self, violations: &mut Vec<Violation>) {
         for span in &self.record.spans {
             let (Fault::EvacuatedDomain(domain), Some(until)) = (span.fault, span.until) else {
@@ -307,7 +308,7 @@
         }
     }
 
-    /// Whether the same process has served that version or a later one before.
+    /// Whether the same process has served this version or a later one before.
     fn has_served(&self, call: &CallRecord, number: u64) -> bool {
         let incarnation = self.incarnation(call.instance, call.sent_at);
         self.record.calls.iter().any(|other| {
@@ -326,7 +327,7 @@
         self.record.daemon_starts[instance].iter().filter(|start| **start <= at).count()
     }
 
-    /// For how long a version was not in force, where that was too long.
+    /// Returns the age of a version that is not in force, if that is too long.
     fn lateness(&self, call: &CallRecord, version: &RouteVersion) -> Option<Duration> {
         let at = call.instance;
         let after = call.sent_at.saturating_duration_since(version.written_at);
--- a/crates/yuccarackd/tests/routed/soak/walk.rs
+++ b/crates/yuccarackd/tests/routed/soak/walk.rs
@@ -1,4 +1,4 @@
-//! One walk: processes, their faults in time, and what is left to judge.
+//! Runs one walk: starts a deployment, injects the plan's faults and records what happens.
 
 use std::time::{Duration, Instant};
 
@@ -22,48 +22,50 @@
 };
 use crate::support::{READS, board_routes, program};
 
-/// Time in which a daemon that was asked to stop has ended, its 6 s and some for a busy machine.
+/// Time in which a daemon that was asked to stop has exited: its limit of 6 s, and some more for a
+/// busy machine.
 const STOP_MAX: Duration = Duration::from_secs(8);
 
-/// Time between two looks at a daemon that stops.
+/// Interval between two checks of a daemon or target that stops.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time in which all works again after the last fault: the slowest is a target on a clock that was
-/// set back, which is believed after 4.5 s and three heartbeats.
+/// Time in which everything works again after the last fault. The slowest case is a target whose
+/// clock was set back: its heartbeats are accepted after 4.5 s and three heartbeats.
 const RECOVERY_MAX: Duration = Duration::from_secs(15);
 
-/// Time that a target started on a clock set back lies back, in ms.
+/// Offset by which the clock of a target is set back, in ms.
 const BACKDATED_MS: u64 = 60_000;
 
-/// Longest wait of a target for the answer to its word that it leaves.
+/// Upper limit of a target's wait for the response to its announcement that it drains.
 const DRAIN_RESPONSE_MAX: Duration = Duration::from_millis(500);
 
-/// Most memory of a daemon, in KiB; a debug build of four instances has some 16 MB at its peak.
+/// Memory limit of a daemon, in KiB; a debug build of four instances peaks at some 16 MB.
 const MEMORY_MAX_KIB: u64 = 32 * 1024;
 
-/// Most files and sockets of a daemon: several times what a walk's callers and members need.
+/// Limit of a daemon's open files and sockets: several times what callers and members of a walk
+/// need.
 const DESCRIPTORS_MAX: usize = 600;
 
-/// What comes next.
+/// The next action on an event, given by its index.
 #[derive(Clone, Copy, Debug)]
 enum Action {
     Inject(usize),
     Clear(usize),
 }
 
-/// A walk that runs.
+/// A walk in progress.
 pub struct Walk {
     events: Vec<Event>,
     targets_max: u32,
     deployment: Deployment,
     versions: Versions,
     record: WalkRecord,
-    /// Place of each event's span in the record.
+    /// Index of each event's span in the record.
     spans: Vec<Option<usize>>,
 }
 
 impl Walk {
-    /// Runs `plan`.
+    /// Runs `plan` and returns its record.
     pub async fn run(plan: &Plan) -> WalkRecord {
         let name = format!("walk{}", plan.seed);
         let services = vec!["board"; plan.instances];
@@ -139,7 +141,7 @@
         }
     }
 
-    /// Whether the daemon that an event asked to stop, or killed, has not ended in its time yet.
+    /// Whether the daemon that an event stopped or killed still runs and has time left to stop.
     fn is_stopping(&mut self, index: usize) -> bool {
         let (Fault::StoppedDaemon(at) | Fault::KilledDaemon(at)) = self.events[index].fault else {
             return false;
@@ -150,7 +152,7 @@
         }
         let from = self.spans[index].map(|span| self.record.spans[span].from);
         if from.is_some_and(|from| from.elapsed() > STOP_MAX) {
-            // Frozen meanwhile, it had less of its time than that.
+            // A daemon that was frozen meanwhile had less time than that to stop.
             if !self.was_frozen(at) {
                 self.record.violations.push(Violation::NotStopped { instance: at });
             }
@@ -295,12 +297,12 @@
         self.collect_received(at);
         let instance = &mut self.deployment.instances[at];
         while instance.restart_target_at(started_ms).await.is_err() {
-            // Its port is still in use.
+            // The port is still in use.
             sleep(STOP_POLL_INTERVAL).await;
         }
     }
 
-    /// Keeps what the target of an instance got, before it goes.
+    /// Records the requests that an instance's target received, before it is replaced.
     fn collect_received(&mut self, at: usize) {
         let target = &self.deployment.instances[at].target;
         let received = &mut self.record.received[at];
@@ -318,7 +320,7 @@
         versions.push(RouteVersion { number, written_at: Instant::now() });
     }
 
-    /// Starts a daemon again that was killed or asked to stop.
+    /// Restarts a daemon that was killed or asked to stop.
     async fn restart(&mut self, at: usize) {
         let instance = &mut self.deployment.instances[at];
         if let Some(daemon) = &mut instance.daemon {
@@ -327,11 +329,11 @@
             }
             instance.kill_daemon();
         }
-        instance.start_daemon().await.expect("a daemon");
+        instance.start_daemon().await.expect("the daemon can't be restarted");
         self.record.daemon_starts[at].push(Instant::now());
     }
 
-    /// All is well again, so each instance says that it is ready, and serves.
+    /// Checks that each instance becomes ready and serves, now that all faults are cleared.
     async fn check_recovery(&mut self) {
         let recovery_deadline = Instant::now() + RECOVERY_MAX;
         for at in 0..self.deployment.instances.len() {
@@ -357,8 +359,8 @@
     fn check_resources(&mut self) {
         for (at, instance) in self.deployment.instances.iter().enumerate() {
             let Some(daemon) = &instance.daemon else { continue };
-            let memory_kib = daemon.memory_most_kib().expect("a daemon that runs");
-            let descriptors = daemon.descriptors().expect("a daemon that runs");
+            let memory_kib = daemon.memory_most_kib().expect("the daemon has exited");
+            let descriptors = daemon.descriptors().expect("the daemon has exited");
             if memory_kib > MEMORY_MAX_KIB || descriptors > DESCRIPTORS_MAX {
                 let violation =
                     Violation::ResourceLimitExceeded { instance: at, memory_kib, descriptors };
@@ -367,7 +369,7 @@
         }
     }
 
-    /// Asks all daemons to stop; each ends by itself and in order.
+    /// Asks all daemons to stop; each has to exit by itself with success.
     async fn stop_all(&mut self) {
         let instances = &mut self.deployment.instances;
         instances.iter().filter_map(|one| one.daemon.as_ref()).for_each(|one| one.terminate());
@@ -381,12 +383,12 @@
     }
 }
 
-/// Routes of reads and orders, each request of which may run on `targets_max` targets.
+/// Returns the routes of reads and orders, whose requests may run on `targets_max` targets each.
 fn routes(targets_max: u32) -> Vec<RouteSpec> {
     board_routes().into_iter().map(|route| RouteSpec { targets_max, ..route }).collect()
 }
 
-/// Key of the row that evacuates the failure domain of a number.
+/// Returns the key of the row that evacuates the failure domain of an index.
 fn evacuation_key(domain: usize) -> String {
     format!("evacuate/{}", FAILURE_DOMAINS[domain])
 }
--- a/crates/yuccarackd/tests/support/tables.rs
+++ b/crates/yuccarackd/tests/support/tables.rs
@@ -1,10 +1,11 @@
-//! Routing tables of any size for tests.
+//! Builds routing tables of any size for tests.
 
 use yuccarack_config::routing::{
     CallerLimits, Route, RoutedService, RoutingTable, WeightedService,
 };
 
-/// A prefix unlike those of other numbers: prefixes of real tables have no order that compresses well.
+/// Returns a prefix unlike those of other numbers, since the prefixes of real tables have no order
+/// that compresses well.
 pub fn scattered(number: u64) -> String {
     format!("/{:x}/", (number + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15))
 }
@@ -25,7 +26,7 @@
     }
 }
 
-/// A table of `count` routes.
+/// Returns a routing table with `count` routes.
 pub fn table(version: u64, count: u64) -> RoutingTable {
     let service = RoutedService {
         name: "board".to_owned(),
