--- a/crates/yuccarackd/tests/random_walk.rs
+++ b/crates/yuccarackd/tests/random_walk.rs
@@ -145,7 +145,7 @@
     faults
 }
 
-/// Clears all faults and restarts stopped targets and daemons.
+/// Clears all faults and restarts all targets and the daemons that stopped.
 async fn clear_faults(fleet: &mut Fleet) {
     fleet.platform.set_faults(PlatformFaults::default());
     for node in &mut fleet.nodes {
--- a/crates/yuccarackd/tests/routed/large_tables.rs
+++ b/crates/yuccarackd/tests/routed/large_tables.rs
@@ -18,7 +18,7 @@
 
 use crate::{
     support::{READS, program},
-    tables::scattered,
+    tables::scattered_prefix,
 };
 
 /// Two failure domains of four instances each: two relays and two followers in each.
@@ -38,7 +38,7 @@
 /// Returns `count` routes, which differ between calls with different `series`.
 fn routes(series: &str, count: usize) -> Vec<RouteSpec> {
     let route = |number: usize| {
-        let prefix = format!("/{series}{number}{}", scattered(number as u64));
+        let prefix = format!("/{series}{number}{}", scattered_prefix(number as u64));
         RouteSpec::reads(READS, prefix, "board")
     };
     (0..count).map(route).collect()
--- a/crates/yuccarackd/tests/routed/relays.rs
+++ b/crates/yuccarackd/tests/routed/relays.rs
@@ -14,7 +14,7 @@
 
 use crate::{
     support::{READS, board_routes, deployed, program},
-    tables::scattered,
+    tables::scattered_prefix,
 };
 
 /// Three failure domains of four instances each: two relays and two followers in each.
@@ -199,7 +199,7 @@
 
 /// Returns `count` routes more, whose prefixes don't compress well.
 fn with_added_routes(count: u64) -> Vec<RouteSpec> {
-    let prefix = |number: u64| format!("/added/{number}{}", scattered(number));
+    let prefix = |number: u64| format!("/added/{number}{}", scattered_prefix(number));
     let mut routes = moved_routes();
     routes.extend((0..count).map(|number| RouteSpec::reads(READS, prefix(number), "board")));
     routes
--- a/crates/yuccarackd/tests/routed/soak/callers.rs
+++ b/crates/yuccarackd/tests/routed/soak/callers.rs
@@ -131,11 +131,11 @@
     /// Lets the callers finish their last calls and returns the records of all calls.
     pub async fn stop(mut self) -> Vec<CallRecord> {
         self.stop.cancel();
-        let mut all = Vec::new();
-        while let Some(records) = self.tasks.join_next().await {
-            all.extend(records.expect("a caller task panicked"));
+        let mut records = Vec::new();
+        while let Some(task_records) = self.tasks.join_next().await {
+            records.extend(task_records.expect("a caller task panicked"));
         }
-        all
+        records
     }
 }
 
@@ -148,12 +148,12 @@
 
 impl Caller {
     async fn call_until(mut self, stop: CancellationToken, mut random: StdRng) -> Vec<CallRecord> {
-        let mut all = Vec::new();
+        let mut records = Vec::new();
         while !stop.is_cancelled() {
             if random.random_bool(NEW_CONNECTION_SHARE) {
                 self.connection = None;
             }
-            let id = format!("{}-{}", self.name, all.len());
+            let id = format!("{}-{}", self.name, records.len());
             let (kind, call) = match random.random_bool(0.5) {
                 true => (RequestKind::Read, Call::read(READS, "/r/1", &id)),
                 false => (RequestKind::Order, Call::order(ORDERS, "/o/1", &id)),
@@ -167,7 +167,7 @@
             };
             let (instance, ended_at, was_ready) = (self.instance, Instant::now(), false);
             let is_after_close = false;
-            all.push(CallRecord {
+            records.push(CallRecord {
                 id,
                 instance,
                 kind,
@@ -180,7 +180,7 @@
             });
             sleep(PAUSE).await;
         }
-        all
+        records
     }
 
     /// Sends the call and closes the connection if no response arrives in time.
@@ -223,23 +223,23 @@
 impl VersionPoller {
     async fn poll_until(self, stop: CancellationToken) -> Vec<CallRecord> {
         let mut random = StdRng::seed_from_u64(self.seed);
-        let mut all = Vec::new();
+        let mut records = Vec::new();
         while !stop.is_cancelled() {
             sleep(POLL_PAUSE).await;
-            let Some(written) = self.random_recent_version(&mut random) else { continue };
+            let Some(number) = self.random_recent_version(&mut random) else { continue };
             let instance = random.random_range(0..self.addresses.len());
             let address = self.addresses[instance];
             let was_ready = is_ready(address.readiness).await;
-            let id = format!("v{}-{}", self.seed, all.len());
-            let call = Call::read(VERSIONED, &format!("/v{written}/1"), &id);
+            let id = format!("v{}-{}", self.seed, records.len());
+            let call = Call::read(VERSIONED, &format!("/v{number}/1"), &id);
             let mut caller =
                 Caller { name: String::new(), instance, address: address.calls, connection: None };
             let sent_at = Instant::now();
             let result = caller.send(&call).await;
-            let (kind, ended_at) = (RequestKind::Versioned(written), Instant::now());
+            let (kind, ended_at) = (RequestKind::Versioned(number), Instant::now());
             let is_abandoned = false;
             let is_after_close = false;
-            all.push(CallRecord {
+            records.push(CallRecord {
                 id,
                 instance,
                 kind,
@@ -251,7 +251,7 @@
                 is_after_close,
             });
         }
-        all
+        records
     }
 
     /// Returns one of the three newest versions.
--- a/crates/yuccarackd/tests/routed/soak/pipelining_callers.rs
+++ b/crates/yuccarackd/tests/routed/soak/pipelining_callers.rs
@@ -54,15 +54,15 @@
 impl PipeliningCaller {
     /// Sends batches until `stop` is cancelled, over the same connection as long as it is open.
     pub async fn call_until(self, stop: CancellationToken, mut random: StdRng) -> Vec<CallRecord> {
-        let (mut all, mut connection) = (Vec::new(), None);
+        let (mut records, mut connection) = (Vec::new(), None);
         while !stop.is_cancelled() {
-            let calls = self.random_batch(all.len(), &mut random);
+            let calls = self.random_batch(records.len(), &mut random);
             let abandon_after =
                 random.random_bool(ABANDONED_SHARE).then(|| random.random_range(ABANDON_AFTER_MS));
-            connection = self.send(connection, &calls, abandon_after, &mut all).await;
+            connection = self.send(connection, &calls, abandon_after, &mut records).await;
             sleep(PAUSE).await;
         }
-        all
+        records
     }
 
     fn random_batch(&self, first: usize, random: &mut StdRng) -> Vec<(RequestKind, Call)> {
@@ -83,17 +83,17 @@
         connection: Option<PipelinedCaller>,
         calls: &[(RequestKind, Call)],
         abandon_after: Option<u64>,
-        all: &mut Vec<CallRecord>,
+        records: &mut Vec<CallRecord>,
     ) -> Option<PipelinedCaller> {
         let sent_at = Instant::now();
-        let mut record = |call: &(RequestKind, Call), known: RequestResult| {
-            let is_after_close = matches!(known, RequestResult::AfterClose);
-            let result = match known {
+        let mut record = |call: &(RequestKind, Call), outcome: RequestResult| {
+            let is_after_close = matches!(outcome, RequestResult::AfterClose);
+            let result = match outcome {
                 RequestResult::Response(response) => Ok(response),
                 RequestResult::Lost => Err(Unanswered::Lost),
                 RequestResult::NotSent | RequestResult::AfterClose => Err(Unanswered::NotSent),
             };
-            all.push(CallRecord {
+            records.push(CallRecord {
                 id: call.1.id.clone(),
                 instance: self.instance,
                 kind: call.0,
--- a/crates/yuccarackd/tests/routed/soak/plan.rs
+++ b/crates/yuccarackd/tests/routed/soak/plan.rs
@@ -238,7 +238,7 @@
     /// Returns which links of an instance need a proxy: those that a fault affects, and no others.
     pub fn links(&self, at: usize) -> Links {
         let is_proxied = |affects: fn(Fault, usize) -> bool| {
-            self.events.iter().any(|one| affects(one.fault, at))
+            self.events.iter().any(|event| affects(event.fault, at))
         };
         Links {
             is_gate_proxied: is_proxied(
--- a/crates/yuccarackd/tests/routed/soak/violations.rs
+++ b/crates/yuccarackd/tests/routed/soak/violations.rs
@@ -301,7 +301,7 @@
                 violations.push(Violation::VersionRegression { id, instance, number });
                 continue;
             }
-            let version = self.record.versions.iter().find(|one| one.number == number);
+            let version = self.record.versions.iter().find(|version| version.number == number);
             if let Some(after) = version.and_then(|version| self.lateness(call, version)) {
                 violations.push(Violation::LateVersion { id, instance, number, after });
             }
--- a/crates/yuccarackd/tests/routed/soak/walk.rs
+++ b/crates/yuccarackd/tests/routed/soak/walk.rs
@@ -372,7 +372,10 @@
     /// Asks all daemons to stop; each has to exit by itself with success.
     async fn stop_all(&mut self) {
         let instances = &mut self.deployment.instances;
-        instances.iter().filter_map(|one| one.daemon.as_ref()).for_each(|one| one.terminate());
+        instances
+            .iter()
+            .filter_map(|instance| instance.daemon.as_ref())
+            .for_each(|daemon| daemon.terminate());
         for (at, instance) in instances.iter_mut().enumerate() {
             let Some(daemon) = &mut instance.daemon else { continue };
             let status = timeout(STOP_MAX, daemon.ended()).await;
--- a/crates/yuccarackd/tests/support/tables.rs
+++ b/crates/yuccarackd/tests/support/tables.rs
@@ -6,7 +6,7 @@
 
 /// Returns a prefix unlike those of other numbers, since the prefixes of real tables have no order
 /// that compresses well.
-pub fn scattered(number: u64) -> String {
+pub fn scattered_prefix(number: u64) -> String {
     format!("/{:x}/", (number + 1).wrapping_mul(0x9E37_79B9_7F4A_7C15))
 }
 
@@ -14,7 +14,7 @@
     Route {
         name: format!("r-{number}"),
         host: "reads.example".to_owned(),
-        path_prefix: scattered(number),
+        path_prefix: scattered_prefix(number),
         is_repeatable: true,
         is_upload: false,
         split: vec![WeightedService { service: "board".to_owned(), weight: 1 }],
