--- a/crates/yuccarack_platform/tests/accept.rs
+++ b/crates/yuccarack_platform/tests/accept.rs
@@ -27,7 +27,7 @@
 };
 use yuccarack_standins::{
     platform::{Platform, PlatformFaults, PlatformMode, Table},
-    server::{Answer, Server, answer, json_answer, json_question, listen},
+    server::{HandlerResult, Server, listen, read_json, respond, respond_json},
 };
 
 const ANY_PORT: ([u8; 4], u16) = ([127, 0, 0, 1], 0);
@@ -179,11 +179,11 @@
 }
 
 impl LateStore {
-    async fn serve(self, request: Request<Incoming>) -> Answer {
+    async fn serve(self, request: Request<Incoming>) -> HandlerResult {
         match (request.method().clone(), request.uri().query()) {
-            (Method::PUT, _) => answer(StatusCode::NO_CONTENT, Bytes::new()),
+            (Method::PUT, _) => respond(StatusCode::NO_CONTENT, Bytes::new()),
             (Method::POST, _) => {
-                let commit: Commit = json_question(request.into_body()).await?;
+                let commit: Commit = read_json(request.into_body()).await?;
                 let table = Arc::clone(&self.table);
                 self.pending_commits.lock().expect("an unpoisoned lock").spawn(async move {
                     sleep(Duration::from_millis(400)).await;
@@ -199,8 +199,8 @@
             (_, query) => {
                 let key = query.unwrap_or_default().replace("key=", "").replace("%2F", "/");
                 match self.table.lock().expect("an unpoisoned lock").row(&key) {
-                    Some(row) => json_answer(StatusCode::OK, &row),
-                    None => answer(StatusCode::NOT_FOUND, Bytes::new()),
+                    Some(row) => respond_json(StatusCode::OK, &row),
+                    None => respond(StatusCode::NOT_FOUND, Bytes::new()),
                 }
             }
         }
@@ -264,9 +264,9 @@
     let listener = listen(SocketAddr::from(ANY_PORT)).await.unwrap();
     let server = Server::start(listener, 16, |request: http::Request<_>| async move {
         match *request.method() {
-            Method::PUT => answer(StatusCode::NO_CONTENT, Bytes::new()),
+            Method::PUT => respond(StatusCode::NO_CONTENT, Bytes::new()),
             Method::POST => std::future::pending().await,
-            _ => answer(StatusCode::SERVICE_UNAVAILABLE, Bytes::new()),
+            _ => respond(StatusCode::SERVICE_UNAVAILABLE, Bytes::new()),
         }
     })
     .unwrap();
--- a/crates/yuccarack_platform/tests/transfer.rs
+++ b/crates/yuccarack_platform/tests/transfer.rs
@@ -12,16 +12,16 @@
     PlatformClient,
     transfer::{PROGRESS_INTERVAL, PROGRESS_MIN_BYTES, TransferError, read_full},
 };
-use yuccarack_standins::server::{Cut, Server, listen};
+use yuccarack_standins::server::{ConnectionAborted, Server, listen};
 
 /// Error of a broken connection.
 #[derive(Debug, PartialEq)]
 struct BrokenConnection;
 
-/// Returns a body of `pieces` frames of `piece_bytes` each, with `pause` before each.
+/// Returns a body of `pieces` frames of `chunk_bytes` each, with `pause` before each.
 fn body(
     pieces: usize,
-    piece_bytes: usize,
+    chunk_bytes: usize,
     pause: Duration,
 ) -> impl Body<Data = Bytes, Error = BrokenConnection> + Unpin {
     let pieces = stream::unfold(0, move |sent| async move {
@@ -29,7 +29,7 @@
             return None;
         }
         sleep(pause).await;
-        Some((Ok(Frame::data(Bytes::from(vec![b'x'; piece_bytes]))), sent + 1))
+        Some((Ok(Frame::data(Bytes::from(vec![b'x'; chunk_bytes]))), sent + 1))
     });
     StreamBody::new(pieces).boxed_unsync()
 }
@@ -91,7 +91,7 @@
         let pieces = stream::unfold(Bytes::from(text), |mut rest| async move {
             sleep(Duration::from_millis(20)).await;
             let piece = rest.split_to(rest.len().min(2 * 1024));
-            (!piece.is_empty()).then_some((Ok::<_, Cut>(Frame::data(piece)), rest))
+            (!piece.is_empty()).then_some((Ok::<_, ConnectionAborted>(Frame::data(piece)), rest))
         });
         Ok(Response::new(StreamBody::new(pieces).boxed_unsync()))
     });
--- a/crates/yuccarack_standins/src/bin/yuccarack-load.rs
+++ b/crates/yuccarack_standins/src/bin/yuccarack-load.rs
@@ -4,7 +4,7 @@
 
 use bpaf::Bpaf;
 use http::Method;
-use yuccarack_standins::load::{LoadPlan, Mix, run};
+use yuccarack_standins::load::{LoadPlan, RequestKind, run_load};
 
 /// Exit code when an answer was wrong, cut, missing or untyped.
 const EXIT_UNSOUND: u8 = 1;
@@ -46,32 +46,33 @@
 
 impl Options {
     fn plan(&self) -> Option<LoadPlan> {
-        let mix = self.kinds.iter().map(|kind| self.mix(kind)).collect::<Option<Vec<_>>>()?;
+        let kinds =
+            self.kinds.iter().map(|kind| self.parse_kind(kind)).collect::<Option<Vec<_>>>()?;
         Some(LoadPlan {
             addresses: self.to.clone(),
             per_second: self.rate,
             duration_ms: self.duration_ms,
             seed: self.seed,
-            mix,
+            kinds,
             deadline_ms: self.deadline_ms,
             caller: self.caller.clone(),
         })
     }
 
-    fn mix(&self, kind: &str) -> Option<Mix> {
+    fn parse_kind(&self, kind: &str) -> Option<RequestKind> {
         let mut parts = kind.split(':');
         let service = parts.next()?.to_owned();
         let method: Method = parts.next()?.parse().ok()?;
         let path = parts.next()?.to_owned();
-        let keyed = parts.next() == Some("keyed");
+        let has_idempotency_key = parts.next() == Some("keyed");
         let is_get = method == Method::GET;
-        Some(Mix {
+        Some(RequestKind {
             service,
             method,
             path,
             body_bytes: if is_get { 0 } else { self.body_bytes },
-            answer_bytes: if is_get { self.answer_bytes } else { 0 },
-            keyed,
+            response_bytes: if is_get { self.answer_bytes } else { 0 },
+            has_idempotency_key,
         })
     }
 }
@@ -83,12 +84,12 @@
         eprintln!("a kind of request is SERVICE:METHOD:/path or SERVICE:METHOD:/path:keyed");
         return ExitCode::from(EXIT_UNSOUND + 1);
     };
-    let report = run(&plan).await;
+    let report = run_load(&plan).await;
     match serde_json::to_string(&report) {
         Ok(json) if options.json => println!("{json}"),
         _ => println!("{report}"),
     }
-    if report.is_sound() {
+    if report.has_only_correct_or_refused() {
         return ExitCode::SUCCESS;
     }
     ExitCode::from(EXIT_UNSOUND)
--- a/crates/yuccarack_standins/src/bin/yuccarack-platform.rs
+++ b/crates/yuccarack_standins/src/bin/yuccarack-platform.rs
@@ -5,7 +5,7 @@
 use bpaf::Bpaf;
 use yuccarack_standins::{
     platform::Platform,
-    process::{Ready, say_ready, until_ended},
+    process::{ReadyLine, print_ready_line, wait_for_shutdown},
 };
 
 /// Stand-in of the platform's table and object store
@@ -21,8 +21,8 @@
 async fn main() -> io::Result<()> {
     let options = options().run();
     let platform = Platform::start(options.listen).await?;
-    say_ready(&Ready { listening: platform.address(), control: None })?;
-    until_ended().await?;
+    print_ready_line(&ReadyLine { listening: platform.address(), control: None })?;
+    wait_for_shutdown().await?;
     platform.stop().await;
     Ok(())
 }
--- a/crates/yuccarack_standins/src/bin/yuccarack-proxy.rs
+++ b/crates/yuccarack_standins/src/bin/yuccarack-proxy.rs
@@ -4,7 +4,7 @@
 
 use bpaf::Bpaf;
 use yuccarack_standins::{
-    process::{Ready, say_ready, until_ended},
+    process::{ReadyLine, print_ready_line, wait_for_shutdown},
     proxy::Proxy,
 };
 
@@ -28,8 +28,8 @@
     let options = options().run();
     let proxy = Proxy::start(options.listen, options.upstream).await?;
     let control = proxy.serve_control(options.control).await?;
-    say_ready(&Ready { listening: proxy.address(), control: Some(control.address()) })?;
-    until_ended().await?;
+    print_ready_line(&ReadyLine { listening: proxy.address(), control: Some(control.address()) })?;
+    wait_for_shutdown().await?;
     control.stop().await;
     proxy.stop().await;
     Ok(())
--- a/crates/yuccarack_standins/src/bin/yuccarack-target.rs
+++ b/crates/yuccarack_standins/src/bin/yuccarack-target.rs
@@ -4,8 +4,8 @@
 
 use bpaf::Bpaf;
 use yuccarack_standins::{
-    process::{Ready, say_ready, until_ended},
-    target::{Ledger, OnCrash, Target, TargetOptions},
+    process::{ReadyLine, print_ready_line, wait_for_shutdown},
+    target::{CrashMode, RunLog, Target, TargetOptions},
 };
 
 /// Time without a request after which a draining target ends.
@@ -95,16 +95,16 @@
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> io::Result<()> {
     let options = options().run();
-    let ledger = match &options.record_file {
-        Some(path) => Ledger::with_file(path)?,
-        None => Ledger::default(),
+    let run_log = match &options.record_file {
+        Some(path) => RunLog::with_file(path)?,
+        None => RunLog::default(),
     };
-    let target = Target::start(options.target_options(), OnCrash::AbortProcess, ledger).await?;
+    let target = Target::start(options.target_options(), CrashMode::AbortProcess, run_log).await?;
     let control = Some(target.control_address());
-    say_ready(&Ready { listening: target.address(), control })?;
-    until_ended().await?;
+    print_ready_line(&ReadyLine { listening: target.address(), control })?;
+    wait_for_shutdown().await?;
     target.drain();
-    target.quiet(QUIET_BEFORE_END).await;
+    target.wait_idle(QUIET_BEFORE_END).await;
     target.stop().await;
     Ok(())
 }
--- a/crates/yuccarack_standins/src/client.rs
+++ b/crates/yuccarack_standins/src/client.rs
@@ -17,20 +17,20 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Longest time that a question of a test may take.
-pub const ANSWER_TIMEOUT: Duration = Duration::from_secs(30);
+pub const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Why there is no whole answer.
 #[derive(Debug, Error)]
-pub enum AskError {
+pub enum ClientError {
     /// No connection could be made; nothing was sent.
     #[error("no connection")]
     Unreachable,
     /// The connection broke before the answer's head.
     #[error("no answer")]
-    NoAnswer,
+    NoResponse,
     /// The head came and the body was cut.
     #[error("the answer of status {status} was cut")]
-    CutBody {
+    TruncatedBody {
         /// The answer's status.
         status: StatusCode,
     },
@@ -39,7 +39,7 @@
     TimedOut,
     /// The question has no form.
     #[error("the question can't be written")]
-    Unwritable,
+    InvalidRequest,
     /// The answer isn't what was asked for.
     #[error("the answer can't be read")]
     Malformed,
@@ -47,7 +47,7 @@
 
 /// A whole answer.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct ClientResponse {
     /// Its status.
     pub status: StatusCode,
     /// Its headers.
@@ -56,7 +56,7 @@
     pub body: Bytes,
 }
 
-impl Told {
+impl ClientResponse {
     /// The value of the header of `name`, empty when there is none.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or_default()
@@ -65,14 +65,14 @@
 
 /// A question on its way to becoming a request.
 #[derive(Clone, Debug)]
-pub struct Question {
+pub struct ClientRequest {
     method: Method,
     path: String,
     headers: Vec<(String, String)>,
     body: Bytes,
 }
 
-impl Question {
+impl ClientRequest {
     /// Asks for `path` with `method`.
     pub fn new(method: Method, path: impl Into<String>) -> Self {
         Self { method, path: path.into(), headers: Vec::new(), body: Bytes::new() }
@@ -103,20 +103,20 @@
 
 /// Asks over pooled connections; it never sends a question twice.
 #[derive(Clone, Debug)]
-pub struct Asker {
+pub struct HttpClient {
     client: Client<HttpConnector, Full<Bytes>>,
-    answer_timeout: Duration,
+    response_timeout: Duration,
 }
 
-impl Default for Asker {
+impl Default for HttpClient {
     fn default() -> Self {
-        Self::new(ANSWER_TIMEOUT)
+        Self::new(RESPONSE_TIMEOUT)
     }
 }
 
-impl Asker {
-    /// Makes a client that waits `answer_timeout` for each whole answer.
-    pub fn new(answer_timeout: Duration) -> Self {
+impl HttpClient {
+    /// Makes a client that waits `response_timeout` for each whole answer.
+    pub fn new(response_timeout: Duration) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
@@ -124,25 +124,30 @@
             .pool_timer(TokioTimer::new())
             .retry_canceled_requests(false)
             .build(connector);
-        Self { client, answer_timeout }
+        Self { client, response_timeout }
     }
 
     /// Asks `question` of `address`.
     ///
     /// # Errors
     ///
-    /// Any [`AskError`] but a malformed answer.
-    pub async fn ask(&self, address: SocketAddr, question: Question) -> Result<Told, AskError> {
+    /// Any [`ClientError`] but a malformed answer.
+    pub async fn send(
+        &self,
+        address: SocketAddr,
+        question: ClientRequest,
+    ) -> Result<ClientResponse, ClientError> {
         let mut request = Request::builder()
             .method(question.method)
             .uri(format!("http://{address}{}", question.path));
         for (name, value) in &question.headers {
             request = request.header(name, value);
         }
-        let request = request.body(Full::new(question.body)).map_err(|_| AskError::Unwritable)?;
-        match timeout(self.answer_timeout, self.exchange(request)).await {
+        let request =
+            request.body(Full::new(question.body)).map_err(|_| ClientError::InvalidRequest)?;
+        match timeout(self.response_timeout, self.exchange(request)).await {
             Ok(result) => result,
-            Err(_) => Err(AskError::TimedOut),
+            Err(_) => Err(ClientError::TimedOut),
         }
     }
 
@@ -150,47 +155,48 @@
     ///
     /// # Errors
     ///
-    /// Any [`AskError`].
+    /// Any [`ClientError`].
     pub async fn get_json<T: DeserializeOwned>(
         &self,
         address: SocketAddr,
         path: &str,
-    ) -> Result<T, AskError> {
-        let told = self.ask(address, Question::new(Method::GET, path)).await?;
-        serde_json::from_slice(&told.body).map_err(|_| AskError::Malformed)
+    ) -> Result<T, ClientError> {
+        let told = self.send(address, ClientRequest::new(Method::GET, path)).await?;
+        serde_json::from_slice(&told.body).map_err(|_| ClientError::Malformed)
     }
 
     /// Posts `value` as JSON to `path` of `address`.
     ///
     /// # Errors
     ///
-    /// Any [`AskError`]; an answer that isn't a success counts as malformed.
+    /// Any [`ClientError`]; an answer that isn't a success counts as malformed.
     pub async fn post_json<T: Serialize>(
         &self,
         address: SocketAddr,
         path: &str,
         value: &T,
-    ) -> Result<(), AskError> {
-        let body = serde_json::to_vec(value).map_err(|_| AskError::Unwritable)?;
-        let question = Question::new(Method::POST, path)
+    ) -> Result<(), ClientError> {
+        let body = serde_json::to_vec(value).map_err(|_| ClientError::InvalidRequest)?;
+        let question = ClientRequest::new(Method::POST, path)
             .with_header("content-type", "application/json")
             .with_body(body);
-        let told = self.ask(address, question).await?;
+        let told = self.send(address, question).await?;
         if told.status.is_success() {
             return Ok(());
         }
-        Err(AskError::Malformed)
+        Err(ClientError::Malformed)
     }
 
-    async fn exchange(&self, request: Request<Full<Bytes>>) -> Result<Told, AskError> {
+    async fn exchange(&self, request: Request<Full<Bytes>>) -> Result<ClientResponse, ClientError> {
         let answer = match self.client.request(request).await {
             Ok(answer) => answer,
-            Err(error) if error.is_connect() => return Err(AskError::Unreachable),
-            Err(_) => return Err(AskError::NoAnswer),
+            Err(error) if error.is_connect() => return Err(ClientError::Unreachable),
+            Err(_) => return Err(ClientError::NoResponse),
         };
         let (head, body) = answer.into_parts();
         let status = head.status;
-        let body = body.collect().await.map_err(|_| AskError::CutBody { status })?.to_bytes();
-        Ok(Told { status, headers: head.headers, body })
+        let body =
+            body.collect().await.map_err(|_| ClientError::TruncatedBody { status })?.to_bytes();
+        Ok(ClientResponse { status, headers: head.headers, body })
     }
 }
--- a/crates/yuccarack_standins/src/echo.rs
+++ b/crates/yuccarack_standins/src/echo.rs
@@ -7,13 +7,13 @@
 use xxhash_rust::xxh3::Xxh3Default;
 
 /// Length of the hash at the end of an answer, in bytes.
-pub const CHECK_BYTES: usize = 16;
+pub const HASH_BYTES: usize = 16;
 
 /// Hash over a request, fed with its body piece by piece.
 #[derive(Clone)]
-pub struct Check(Xxh3Default);
+pub struct EchoHash(Xxh3Default);
 
-impl Check {
+impl EchoHash {
     /// Starts with the path and query of the request.
     pub fn new(path: &str) -> Self {
         let mut hash = Xxh3Default::new();
@@ -32,13 +32,13 @@
     }
 
     /// The end of the answer.
-    pub fn tail(&self) -> Bytes {
+    pub fn hex_suffix(&self) -> Bytes {
         Bytes::from(format!("{:016x}", self.value()))
     }
 }
 
 /// The number that the query of `path` gives `name`.
-pub fn number(path: &str, name: &str) -> Option<u64> {
+pub fn query_number(path: &str, name: &str) -> Option<u64> {
     let (_, query) = path.split_once('?')?;
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     pairs.filter(|(key, _)| *key == name).find_map(|(_, value)| value.parse().ok())
@@ -46,19 +46,19 @@
 
 /// The filler that `path` asks for with `answer_bytes`.
 pub fn filler(path: &str) -> Bytes {
-    let length = number(path, "answer_bytes").unwrap_or(0);
-    let seed = Check::new(path).value().to_be_bytes();
+    let length = query_number(path, "answer_bytes").unwrap_or(0);
+    let seed = EchoHash::new(path).value().to_be_bytes();
     seed.iter().copied().cycle().take(usize::try_from(length).unwrap_or(0)).collect()
 }
 
 /// The whole answer to a request of `path` with `body`.
-pub fn expected(path: &str, body: &[u8]) -> Bytes {
-    let mut check = Check::new(path);
+pub fn expected_body(path: &str, body: &[u8]) -> Bytes {
+    let mut check = EchoHash::new(path);
     check.update(body);
     let filler = filler(path);
-    let mut whole = BytesMut::with_capacity(filler.len() + body.len() + CHECK_BYTES);
+    let mut whole = BytesMut::with_capacity(filler.len() + body.len() + HASH_BYTES);
     whole.put(filler);
     whole.put(body);
-    whole.put(check.tail());
+    whole.put(check.hex_suffix());
     whole.freeze()
 }
--- a/crates/yuccarack_standins/src/fleet/mod.rs
+++ b/crates/yuccarack_standins/src/fleet/mod.rs
@@ -23,17 +23,17 @@
 
 pub use self::{
     node::{Links, Node},
-    operator::{Operator, Ran, route, rules_file, service_rules},
+    operator::{CommandOutput, Operator, route, rules_file, service_rules},
     plan::{DOMAINS, FleetPlan},
     process::Daemon,
-    storm::{Storm, StormCall, StormPlan, StormReport, judge_storm},
-    wait::{WAIT_MAX, found, until},
+    storm::{StressCall, StressLoad, StressPlan, StressReport, check_stress_calls},
+    wait::{WAIT_MAX, wait_for, wait_until},
 };
 use crate::{
-    client::{AskError, Asker, Question, Told},
-    load::{Verdict, judge},
+    client::{ClientError, ClientRequest, ClientResponse, HttpClient},
+    load::{Verdict, classify_response},
     platform::Platform,
-    target::Ledger,
+    target::RunLog,
 };
 
 /// Fleets of this process so far.
@@ -57,11 +57,11 @@
     /// The platform; its faults hit everybody.
     pub platform: Platform,
     /// All runs on all targets.
-    pub ledger: Ledger,
+    pub run_log: RunLog,
     /// The instances, in the order of the plan.
     pub nodes: Vec<Node>,
     /// A caller.
-    pub asker: Asker,
+    pub client: HttpClient,
     /// An operator.
     pub operator: Operator,
     folder: PathBuf,
@@ -90,21 +90,21 @@
         println!("seed {}", plan.seed);
         let folder = folder()?;
         let platform = Platform::start(SocketAddr::from((Ipv4Addr::LOCALHOST, 0))).await?;
-        let ledger = Ledger::default();
+        let run_log = RunLog::default();
         let mut nodes: Vec<Node> = Vec::new();
         for number in 0..plan.targets.len() {
             let peers = nodes.iter().take(SEED_PEERS);
             let peers = peers.map(|peer| peer.links.control.address()).collect();
             let platform = platform.address();
-            nodes.push(Node::start(&plan, number, platform, peers, &ledger, &folder).await?);
+            nodes.push(Node::start(&plan, number, platform, peers, &run_log, &folder).await?);
         }
         let operator = Operator {
             program: plan.operator_program.clone(),
             platform: platform.address(),
             folder: folder.clone(),
-            patience_ms: OPERATOR_PATIENCE_MS,
+            timeout_ms: OPERATOR_PATIENCE_MS,
         };
-        Ok(Self { platform, ledger, nodes, asker: Asker::default(), operator, folder })
+        Ok(Self { platform, run_log, nodes, client: HttpClient::default(), operator, folder })
     }
 
     /// Applies the rules of `services` as the first file.
@@ -115,7 +115,7 @@
     pub async fn apply(&self, services: Vec<ServiceRules>) {
         let ran = self.operator.apply("first", &rules_file(0, services)).await;
         let ran = ran.expect("the operators' program can't be run; is it built?");
-        assert_eq!(ran.code, 0, "not accepted: {} {}", ran.told, ran.complaint);
+        assert_eq!(ran.exit_code, 0, "not accepted: {} {}", ran.stdout_json, ran.stderr);
     }
 
     /// Starts a fleet of `plan` with the usual rules for all its services, ready for calls.
@@ -123,11 +123,11 @@
     /// # Panics
     ///
     /// It doesn't get ready.
-    pub async fn serving(plan: FleetPlan) -> Self {
+    pub async fn start_ready(plan: FleetPlan) -> Self {
         let mut services: Vec<_> = plan.targets.iter().map(|target| &target.service).collect();
         services.dedup();
         let rules = services.into_iter().map(|service| service_rules(service)).collect();
-        Self::serving_with(plan, rules).await
+        Self::start_ready_with(plan, rules).await
     }
 
     /// Starts a fleet of `plan` with the rules `services`, ready for calls.
@@ -135,34 +135,38 @@
     /// # Panics
     ///
     /// It doesn't get ready.
-    pub async fn serving_with(plan: FleetPlan, services: Vec<ServiceRules>) -> Self {
+    pub async fn start_ready_with(plan: FleetPlan, services: Vec<ServiceRules>) -> Self {
         let fleet = Self::start(plan).await.expect("the fleet doesn't start");
         fleet.apply(services).await;
-        fleet.until_ready().await;
+        fleet.wait_ready().await;
         fleet
     }
 
     /// Waits until each daemon serves a call of each service, and knows all targets of its own.
-    pub async fn until_ready(&self) {
+    pub async fn wait_ready(&self) {
         for node in self.nodes.iter().filter(|node| node.daemon.is_some()) {
             for service in self.services() {
                 let what = format!("{} serves {service}", node.name());
-                until(&what, || async { self.read(node.call_address(), service).await }).await;
-                self.until_known(node, service, self.count_of(service)).await;
+                wait_until(&what, || async {
+                    self.read_succeeds(node.call_address(), service).await
+                })
+                .await;
+                self.wait_targets_known(node, service, self.count_of(service)).await;
             }
         }
     }
 
     /// Waits until the daemon of `node` knows `count` ready targets of `service`.
-    pub async fn until_known(&self, node: &Node, service: &str, count: usize) {
+    pub async fn wait_targets_known(&self, node: &Node, service: &str, count: usize) {
         let what = format!("{} knows {count} ready targets of {service}", node.name());
-        until(&what, || async { self.ready_targets(node, service).await.len() == count }).await;
+        wait_until(&what, || async { self.ready_targets(node, service).await.len() == count })
+            .await;
     }
 
     /// Instances of `service` that the daemon of `node` takes for ready.
     pub async fn ready_targets(&self, node: &Node, service: &str) -> Vec<String> {
         let rows: Result<Vec<MemberRow>, _> =
-            self.asker.get_json(node.admin_address(), "/targets").await;
+            self.client.get_json(node.admin_address(), "/targets").await;
         let ready = rows.unwrap_or_default().into_iter();
         ready
             .filter(|row| row.service == service && row.state == TargetState::Ready)
@@ -172,7 +176,7 @@
 
     /// Revision of the rules of `service` that the daemon of `node` has in force.
     pub async fn rules_revision(&self, node: &Node, service: &str) -> Option<u64> {
-        let status: Value = self.asker.get_json(node.admin_address(), "/status").await.ok()?;
+        let status: Value = self.client.get_json(node.admin_address(), "/status").await.ok()?;
         let services = status["services"].as_array()?;
         let found = services.iter().find(|entry| entry["name"] == service)?;
         found["rules_revision"].as_u64()
@@ -180,7 +184,7 @@
 
     /// Counters of the daemon of `node`.
     pub async fn counters(&self, node: &Node) -> BTreeMap<String, u64> {
-        self.asker.get_json(node.admin_address(), "/counters").await.unwrap_or_default()
+        self.client.get_json(node.admin_address(), "/counters").await.unwrap_or_default()
     }
 
     /// Asks for a call of `service` at the daemon at `address`.
@@ -192,28 +196,28 @@
         &self,
         address: SocketAddr,
         service: &str,
-        question: Question,
-    ) -> Result<Told, AskError> {
-        self.asker.ask(address, question.with_header(headers::SERVICE, service)).await
+        question: ClientRequest,
+    ) -> Result<ClientResponse, ClientError> {
+        self.client.send(address, question.with_header(headers::SERVICE, service)).await
     }
 
     /// Prints what the daemons remember of `request`, and its runs.
-    pub async fn explain(&self, request: &str) {
-        println!("{request} ran as {:?}", self.ledger.runs_of_request(request));
+    pub async fn print_explanation(&self, request: &str) {
+        println!("{request} ran as {:?}", self.run_log.runs_of_request(request));
         for node in &self.nodes {
             let path = format!("/explain/{request}");
-            let told: Result<Value, _> = self.asker.get_json(node.admin_address(), &path).await;
+            let told: Result<Value, _> = self.client.get_json(node.admin_address(), &path).await;
             println!("{} says {}", node.name(), told.unwrap_or_default());
         }
     }
 
     /// Sends a request that must not repeat, and judges its answer.
-    pub async fn once(&self, address: SocketAddr, service: &str, key: &str) -> Verdict {
-        self.once_to(address, service, key, "/once").await
+    pub async fn send_once(&self, address: SocketAddr, service: &str, key: &str) -> Verdict {
+        self.send_once_to(address, service, key, "/once").await
     }
 
     /// Sends a request for `path` that must not repeat, and judges its answer.
-    pub async fn once_to(
+    pub async fn send_once_to(
         &self,
         address: SocketAddr,
         service: &str,
@@ -221,43 +225,44 @@
         path: &str,
     ) -> Verdict {
         let body = format!("order {key}");
-        let question = Question::new(Method::POST, path)
+        let question = ClientRequest::new(Method::POST, path)
             .with_header(headers::IDEMPOTENCY_KEY, key)
             .with_header(headers::DEADLINE_MS, ONCE_DEADLINE_MS)
             .with_body(body.clone());
-        judge(path, body.as_bytes(), &self.call(address, service, question).await)
+        classify_response(path, body.as_bytes(), &self.call(address, service, question).await)
     }
 
     /// Whether a call of `service` that may repeat gets its answer at `address`.
-    pub async fn read(&self, address: SocketAddr, service: &str) -> bool {
-        let question = Question::new(Method::GET, "/read");
-        judge("/read", b"", &self.call(address, service, question).await) == Verdict::Right
+    pub async fn read_succeeds(&self, address: SocketAddr, service: &str) -> bool {
+        let question = ClientRequest::new(Method::GET, "/read");
+        classify_response("/read", b"", &self.call(address, service, question).await)
+            == Verdict::Correct
     }
 
     /// Callers of `service` at all daemons.
-    pub fn storm_plan(&self, service: &str, seed: u64) -> StormPlan {
-        StormPlan {
+    pub fn stress_plan(&self, service: &str, seed: u64) -> StressPlan {
+        StressPlan {
             seed,
             service: service.to_owned(),
             addresses: self.nodes.iter().map(Node::call_address).collect(),
             callers: 24,
             once_percent: 40,
-            hang_up_percent: 5,
+            disconnect_percent: 5,
             deadline_ms: 1_500,
         }
     }
 
     /// Waits until the callers of `storm` have made `count` more calls.
-    pub async fn more_calls(&self, storm: &Storm, count: usize) {
+    pub async fn wait_more_calls(&self, storm: &StressLoad, count: usize) {
         let enough = storm.calls_made() + count;
         let what = format!("{count} more calls were made");
-        until(&what, || async { storm.calls_made() >= enough }).await;
+        wait_until(&what, || async { storm.calls_made() >= enough }).await;
     }
 
     /// Waits until no target runs anything any more.
-    pub async fn until_quiet(&self) {
+    pub async fn wait_idle(&self) {
         for node in &self.nodes {
-            node.target.quiet(QUIET).await;
+            node.target.wait_idle(QUIET).await;
         }
     }
 
--- a/crates/yuccarack_standins/src/fleet/node.rs
+++ b/crates/yuccarack_standins/src/fleet/node.rs
@@ -15,7 +15,7 @@
 };
 use crate::{
     proxy::Proxy,
-    target::{Ledger, OnCrash, Target, TargetOptions},
+    target::{CrashMode, RunLog, Target, TargetOptions},
 };
 
 /// First of the ports of a daemon.
@@ -62,7 +62,7 @@
         number: usize,
         platform: SocketAddr,
         seed_peers: Vec<SocketAddr>,
-        ledger: &Ledger,
+        run_log: &RunLog,
         folder: &Path,
     ) -> io::Result<Self> {
         let options = &plan.targets[number];
@@ -101,7 +101,7 @@
             log: Default::default(),
             budgets: plan.budgets.clone(),
         };
-        let target = Target::start(options, OnCrash::CutOff, ledger.clone()).await?;
+        let target = Target::start(options, CrashMode::CloseConnections, run_log.clone()).await?;
         links.target.set_upstream(target.address());
         let program = plan.program.clone();
         let folder = folder.to_owned();
--- a/crates/yuccarack_standins/src/fleet/operator.rs
+++ b/crates/yuccarack_standins/src/fleet/operator.rs
@@ -11,13 +11,13 @@
 
 /// What one command came to.
 #[derive(Clone, Debug)]
-pub struct Ran {
+pub struct CommandOutput {
     /// Its exit code.
-    pub code: i32,
+    pub exit_code: i32,
     /// What it printed, as JSON.
-    pub told: Value,
+    pub stdout_json: Value,
     /// What it said besides.
-    pub complaint: String,
+    pub stderr: String,
 }
 
 /// An operator with a platform address.
@@ -26,7 +26,7 @@
     pub(super) program: PathBuf,
     pub(super) platform: SocketAddr,
     pub(super) folder: PathBuf,
-    pub(super) patience_ms: u32,
+    pub(super) timeout_ms: u32,
 }
 
 impl Operator {
@@ -35,9 +35,9 @@
         Self { platform, ..self.clone() }
     }
 
-    /// The same operator with `patience_ms` for a whole command.
-    pub fn with_patience_ms(&self, patience_ms: u32) -> Self {
-        Self { patience_ms, ..self.clone() }
+    /// The same operator with `timeout_ms` for a whole command.
+    pub fn with_timeout_ms(&self, timeout_ms: u32) -> Self {
+        Self { timeout_ms, ..self.clone() }
     }
 
     /// Runs a command with `--json`.
@@ -45,14 +45,14 @@
     /// # Errors
     ///
     /// The program can't be run.
-    pub async fn run(&self, arguments: &[&str]) -> io::Result<Ran> {
+    pub async fn run(&self, arguments: &[&str]) -> io::Result<CommandOutput> {
         let mut command = std::process::Command::new(&self.program);
         command.args(arguments).arg("--json").arg("--platform").arg(self.platform.to_string());
-        command.arg("--timeout-ms").arg(self.patience_ms.to_string()).stdin(Stdio::null());
+        command.arg("--timeout-ms").arg(self.timeout_ms.to_string()).stdin(Stdio::null());
         let output = spawn_blocking(move || command.output()).await??;
-        let told = serde_json::from_slice(&output.stdout).unwrap_or(Value::Null);
-        let complaint = String::from_utf8_lossy(&output.stderr).into_owned();
-        Ok(Ran { code: output.status.code().unwrap_or(-1), told, complaint })
+        let stdout_json = serde_json::from_slice(&output.stdout).unwrap_or(Value::Null);
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
+        Ok(CommandOutput { exit_code: output.status.code().unwrap_or(-1), stdout_json, stderr })
     }
 
     /// Applies `file`.
@@ -60,8 +60,8 @@
     /// # Errors
     ///
     /// The file can't be written or the program can't be run.
-    pub async fn apply(&self, name: &str, file: &RulesFile) -> io::Result<Ran> {
-        self.apply_hinting(name, file, &[]).await
+    pub async fn apply(&self, name: &str, file: &RulesFile) -> io::Result<CommandOutput> {
+        self.apply_with_hints(name, file, &[]).await
     }
 
     /// Applies `file` and hints the daemons at the admin addresses `hinted`.
@@ -69,12 +69,12 @@
     /// # Errors
     ///
     /// The file can't be written or the program can't be run.
-    pub async fn apply_hinting(
+    pub async fn apply_with_hints(
         &self,
         name: &str,
         file: &RulesFile,
         hinted: &[&str],
-    ) -> io::Result<Ran> {
+    ) -> io::Result<CommandOutput> {
         let path = self.folder.join(format!("{name}.rules.json"));
         fs::write(&path, serde_json::to_vec_pretty(file)?)?;
         let path = path.to_string_lossy();
--- a/crates/yuccarack_standins/src/fleet/process.rs
+++ b/crates/yuccarack_standins/src/fleet/process.rs
@@ -90,7 +90,7 @@
     /// # Errors
     ///
     /// The process has ended.
-    pub fn memory_most_kib(&self) -> io::Result<u64> {
+    pub fn peak_memory_kib(&self) -> io::Result<u64> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))?;
         let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
         let number = line.and_then(|line| line.split_whitespace().next());
@@ -102,7 +102,7 @@
     /// # Errors
     ///
     /// The process has ended.
-    pub fn processor_time(&self) -> io::Result<Duration> {
+    pub fn cpu_time(&self) -> io::Result<Duration> {
         let mut run_ns = 0;
         for thread in std::fs::read_dir(format!("/proc/{}/task", self.child.id()))? {
             let schedule = std::fs::read_to_string(thread?.path().join("schedstat"))?;
@@ -117,7 +117,7 @@
     /// # Errors
     ///
     /// The process has ended.
-    pub fn descriptors(&self) -> io::Result<usize> {
+    pub fn open_descriptors(&self) -> io::Result<usize> {
         Ok(std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))?.count())
     }
 
@@ -133,12 +133,12 @@
     }
 
     /// Freezes it.
-    pub fn freeze(&self) {
+    pub fn pause(&self) {
         self.signal(Signal::STOP);
     }
 
     /// Lets it go on.
-    pub fn wake(&self) {
+    pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
@@ -168,7 +168,7 @@
     /// # Errors
     ///
     /// Its state can't be asked.
-    pub async fn ended(&mut self) -> io::Result<ExitStatus> {
+    pub async fn wait_exit(&mut self) -> io::Result<ExitStatus> {
         loop {
             if let Some(status) = self.child.try_wait()? {
                 return Ok(status);
--- a/crates/yuccarack_standins/src/fleet/storm.rs
+++ b/crates/yuccarack_standins/src/fleet/storm.rs
@@ -9,9 +9,9 @@
 use yuccarack_config::headers;
 
 use crate::{
-    client::{Asker, Question},
-    load::{Verdict, judge},
-    target::{Ledger, Run, RunState},
+    client::{ClientRequest, HttpClient},
+    load::{Verdict, classify_response},
+    target::{Run, RunLog, RunState},
 };
 
 /// Longest body of a call in a storm, in bytes.
@@ -25,7 +25,7 @@
 
 /// What the callers of a storm do.
 #[derive(Clone, Debug)]
-pub struct StormPlan {
+pub struct StressPlan {
     /// Seed of all they do.
     pub seed: u64,
     /// Service that they call.
@@ -37,14 +37,14 @@
     /// Share of calls that must not repeat, in percent.
     pub once_percent: u8,
     /// Share of calls whose caller hangs up early, in percent.
-    pub hang_up_percent: u8,
+    pub disconnect_percent: u8,
     /// Deadline of each call, in ms.
     pub deadline_ms: u64,
 }
 
 /// One call as its caller saw it.
 #[derive(Clone, Debug)]
-pub struct StormCall {
+pub struct StressCall {
     /// Name that the caller gave the request.
     pub request: String,
     /// Its idempotency key, empty for a call that may repeat.
@@ -55,28 +55,28 @@
 
 /// Callers that go on until they are told to stop.
 #[derive(Debug)]
-pub struct Storm {
+pub struct StressLoad {
     stop: CancellationToken,
     tasks: TaskTracker,
-    calls: Arc<parking_lot::Mutex<Vec<StormCall>>>,
+    calls: Arc<parking_lot::Mutex<Vec<StressCall>>>,
 }
 
 /// What a storm came to.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct StormReport {
+pub struct StressReport {
     /// Calls made.
     pub calls: usize,
     /// Calls with a right answer.
-    pub right: usize,
+    pub correct: usize,
     /// Calls that were told they did not run.
     pub not_run: usize,
     /// Breaches of what must always hold, in words.
-    pub breaches: Vec<String>,
+    pub violations: Vec<String>,
 }
 
-impl Storm {
+impl StressLoad {
     /// Lets the callers of `plan` loose.
-    pub fn start(plan: &StormPlan) -> Self {
+    pub fn start(plan: &StressPlan) -> Self {
         let storm = Self {
             stop: CancellationToken::new(),
             tasks: TaskTracker::new(),
@@ -86,7 +86,7 @@
             let caller = Caller {
                 plan: plan.clone(),
                 // A frozen daemon answers nothing; a caller goes on after its deadline.
-                asker: Asker::new(Duration::from_millis(plan.deadline_ms) + PATIENCE),
+                asker: HttpClient::new(Duration::from_millis(plan.deadline_ms) + PATIENCE),
                 random: StdRng::seed_from_u64(plan.seed ^ (number << 32)),
                 calls: Arc::clone(&storm.calls),
             };
@@ -101,7 +101,7 @@
     }
 
     /// Stops the callers after their present calls, and says what all of them saw.
-    pub async fn stop(self) -> Vec<StormCall> {
+    pub async fn stop(self) -> Vec<StressCall> {
         self.stop.cancel();
         self.tasks.close();
         self.tasks.wait().await;
@@ -110,10 +110,10 @@
 }
 
 struct Caller {
-    plan: StormPlan,
-    asker: Asker,
+    plan: StressPlan,
+    asker: HttpClient,
     random: StdRng,
-    calls: Arc<parking_lot::Mutex<Vec<StormCall>>>,
+    calls: Arc<parking_lot::Mutex<Vec<StressCall>>>,
 }
 
 impl Caller {
@@ -126,7 +126,7 @@
             for _ in 0..sends {
                 let verdict = self.send(&key, &path, &body).await;
                 // A caller that has its answer doesn't ask again, nor one that was told to stop.
-                if verdict == Some(Verdict::Right) || stop.is_cancelled() {
+                if verdict == Some(Verdict::Correct) || stop.is_cancelled() {
                     break;
                 }
             }
@@ -167,7 +167,7 @@
     async fn send(&mut self, key: &str, path: &str, body: &[u8]) -> Option<Verdict> {
         let request = format!("{:032x}", self.random.random::<u128>());
         let method = if body.is_empty() { Method::GET } else { Method::POST };
-        let mut question = Question::new(method, path)
+        let mut question = ClientRequest::new(method, path)
             .with_header(headers::SERVICE, &self.plan.service)
             .with_header(headers::REQUEST_ID, &request)
             .with_header(headers::DEADLINE_MS, self.plan.deadline_ms)
@@ -176,48 +176,50 @@
             question = question.with_header(headers::IDEMPOTENCY_KEY, key);
         }
         let address = self.plan.addresses[self.random.random_range(0..self.plan.addresses.len())];
-        let asked = self.asker.ask(address, question);
-        let verdict = if self.random.random_range(0..100) < self.plan.hang_up_percent {
+        let asked = self.asker.send(address, question);
+        let verdict = if self.random.random_range(0..100) < self.plan.disconnect_percent {
             let patience = Duration::from_millis(self.random.random_range(1..40));
-            timeout(patience, asked).await.ok().map(|told| judge(path, body, &told))
+            timeout(patience, asked).await.ok().map(|told| classify_response(path, body, &told))
         } else {
-            Some(judge(path, body, &asked.await))
+            Some(classify_response(path, body, &asked.await))
         };
-        let call = StormCall { request, key: key.to_owned(), verdict: verdict.clone() };
+        let call = StressCall { request, key: key.to_owned(), verdict: verdict.clone() };
         self.calls.lock().push(call);
         verdict
     }
 }
 
 /// Holds what callers were told against what ran.
-pub fn judge_storm(calls: &[StormCall], ledger: &Ledger) -> StormReport {
-    let runs = ledger.runs();
+pub fn check_stress_calls(calls: &[StressCall], run_log: &RunLog) -> StressReport {
+    let runs = run_log.runs();
     let by_request = grouped(&runs, |run| &run.request);
     let by_key = grouped(&runs, |run| &run.key);
-    let mut report = StormReport { calls: calls.len(), ..Default::default() };
+    let mut report = StressReport { calls: calls.len(), ..Default::default() };
     for (key, runs) in by_key.iter().filter(|(key, _)| !key.is_empty()) {
         if runs.len() > 1 {
-            report.breaches.push(format!("{key} ran {} times: {runs:?}", runs.len()));
+            report.violations.push(format!("{key} ran {} times: {runs:?}", runs.len()));
         }
     }
     for call in calls {
         let ran = by_request.get(call.request.as_str()).map_or(&[][..], Vec::as_slice);
         let of_key = by_key.get(call.key.as_str()).filter(|_| !call.key.is_empty());
         match &call.verdict {
-            Some(Verdict::Right) => {
-                report.right += 1;
+            Some(Verdict::Correct) => {
+                report.correct += 1;
                 let ran = of_key.map_or(ran, Vec::as_slice);
                 if !ran.iter().any(|run| run.state == RunState::Finished) {
-                    report.breaches.push(format!("{call:?} was answered, runs {ran:?}"));
+                    report.violations.push(format!("{call:?} was answered, runs {ran:?}"));
                 }
             }
             Some(Verdict::Refused { outcome, .. }) if outcome == "not_run" => {
                 report.not_run += 1;
                 if !ran.is_empty() {
-                    report.breaches.push(format!("{call:?} was told not_run, runs {ran:?}"));
+                    report.violations.push(format!("{call:?} was told not_run, runs {ran:?}"));
                 }
             }
-            Some(Verdict::Wrong) => report.breaches.push(format!("{call:?} got a wrong answer")),
+            Some(Verdict::WrongBody) => {
+                report.violations.push(format!("{call:?} got a wrong answer"))
+            }
             _ => {}
         }
     }
--- a/crates/yuccarack_standins/src/fleet/wait.rs
+++ b/crates/yuccarack_standins/src/fleet/wait.rs
@@ -15,7 +15,7 @@
 /// # Panics
 ///
 /// Nothing is found within [`WAIT_MAX`]; `what` is named.
-pub async fn found<T, F>(what: &str, mut look: impl FnMut() -> F) -> (T, Duration)
+pub async fn wait_for<T, F>(what: &str, mut look: impl FnMut() -> F) -> (T, Duration)
 where
     F: Future<Output = Option<T>>,
 {
@@ -36,7 +36,7 @@
 /// # Panics
 ///
 /// It doesn't hold within [`WAIT_MAX`]; `what` is named.
-pub async fn until<F>(what: &str, mut holds: impl FnMut() -> F) -> Duration
+pub async fn wait_until<F>(what: &str, mut holds: impl FnMut() -> F) -> Duration
 where
     F: Future<Output = bool>,
 {
@@ -44,5 +44,5 @@
         let holds = holds();
         async { holds.await.then_some(()) }
     };
-    found(what, look).await.1
+    wait_for(what, look).await.1
 }
--- a/crates/yuccarack_standins/src/link_rate.rs
+++ b/crates/yuccarack_standins/src/link_rate.rs
@@ -25,14 +25,14 @@
     }
 
     /// Largest piece that is handed over at once, so that transfers take turns; none without a limit.
-    pub fn piece_bytes(&self) -> Option<usize> {
+    pub fn chunk_bytes(&self) -> Option<usize> {
         const TURNS_PER_S: u64 = 100;
         let bytes_per_s = self.state.lock().bytes_per_s?;
         Some(usize::try_from((bytes_per_s / TURNS_PER_S).max(1)).unwrap_or(usize::MAX))
     }
 
     /// Waits until `bytes` have passed the link behind all that was handed over before.
-    pub async fn pass(&self, bytes: usize) {
+    pub async fn transmit(&self, bytes: usize) {
         let Some(passed_at) = self.passed_at(bytes) else { return };
         sleep_until(passed_at).await;
     }
--- a/crates/yuccarack_standins/src/load/judge.rs
+++ b/crates/yuccarack_standins/src/load/judge.rs
@@ -3,7 +3,7 @@
 use yuccarack_config::headers;
 
 use crate::{
-    client::{AskError, Told},
+    client::{ClientError, ClientResponse},
     echo,
 };
 
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// The whole answer to the request that was sent.
-    Right,
+    Correct,
     /// A typed refusal or loss.
     Refused {
         /// What is proved of the request.
@@ -20,24 +20,28 @@
         reason: String,
     },
     /// A success with another body than the one expected.
-    Wrong,
+    WrongBody,
     /// An answer that is neither a success nor typed.
     Untyped {
         /// Its HTTP status.
         status: u16,
     },
     /// The answer's body was cut, and the caller can see it.
-    Cut,
+    Truncated,
     /// No answer, or no connection.
-    Missing,
+    NoResponse,
 }
 
 /// Judges the answer to the request of `path` with `body`.
-pub fn judge(path: &str, body: &[u8], told: &Result<Told, AskError>) -> Verdict {
+pub fn classify_response(
+    path: &str,
+    body: &[u8],
+    told: &Result<ClientResponse, ClientError>,
+) -> Verdict {
     let told = match told {
         Ok(told) => told,
-        Err(AskError::CutBody { .. }) => return Verdict::Cut,
-        Err(_) => return Verdict::Missing,
+        Err(ClientError::TruncatedBody { .. }) => return Verdict::Truncated,
+        Err(_) => return Verdict::NoResponse,
     };
     let outcome = told.header(headers::OUTCOME);
     let reason = told.header(headers::REASON);
@@ -47,8 +51,8 @@
     if !told.status.is_success() {
         return Verdict::Untyped { status: told.status.as_u16() };
     }
-    if told.body == echo::expected(path, body) {
-        return Verdict::Right;
+    if told.body == echo::expected_body(path, body) {
+        return Verdict::Correct;
     }
-    Verdict::Wrong
+    Verdict::WrongBody
 }
--- a/crates/yuccarack_standins/src/load/mod.rs
+++ b/crates/yuccarack_standins/src/load/mod.rs
@@ -17,14 +17,14 @@
 use yuccarack_config::headers;
 
 pub use self::{
-    judge::{Verdict, judge},
+    judge::{Verdict, classify_response},
     report::{LoadReport, Tally},
 };
-use crate::client::{Asker, Question};
+use crate::client::{ClientRequest, HttpClient};
 
 /// One kind of request among the load.
 #[derive(Clone, Debug)]
-pub struct Mix {
+pub struct RequestKind {
     /// Service that it is for.
     pub service: String,
     /// Method.
@@ -34,9 +34,9 @@
     /// Length of its body, in bytes.
     pub body_bytes: usize,
     /// Length of the filler that it asks for, in bytes.
-    pub answer_bytes: usize,
+    pub response_bytes: usize,
     /// Whether each request gets an idempotency key of its own.
-    pub keyed: bool,
+    pub has_idempotency_key: bool,
 }
 
 /// What to send.
@@ -51,7 +51,7 @@
     /// Seed of bodies, times and choice of kind.
     pub seed: u64,
     /// Kinds of requests, each as likely.
-    pub mix: Vec<Mix>,
+    pub kinds: Vec<RequestKind>,
     /// Deadline that each request says, in ms.
     pub deadline_ms: Option<u64>,
     /// Name under which the caller is counted.
@@ -59,10 +59,10 @@
 }
 
 /// Sends the load of `plan` and judges every answer.
-pub async fn run(plan: &LoadPlan) -> LoadReport {
+pub async fn run_load(plan: &LoadPlan) -> LoadReport {
     let sender = Sender {
         plan: plan.clone(),
-        asker: Asker::default(),
+        asker: HttpClient::default(),
         tally: Arc::default(),
         tasks: TaskTracker::new(),
         runtime: Handle::current(),
@@ -84,7 +84,7 @@
 /// Sends each request at its time.
 struct Sender {
     plan: LoadPlan,
-    asker: Asker,
+    asker: HttpClient,
     tally: Arc<Mutex<Tally>>,
     tasks: TaskTracker,
     runtime: Handle,
@@ -102,7 +102,7 @@
             if due_s * 1_000.0 > plan.duration_ms as f64 {
                 break;
             }
-            let mix = &plan.mix[random.random_range(0..plan.mix.len())];
+            let mix = &plan.kinds[random.random_range(0..plan.kinds.len())];
             let question = question(plan, mix, &mut random);
             let address = plan.addresses[number % plan.addresses.len()];
             let due = start + Duration::from_secs_f64(due_s);
@@ -111,29 +111,29 @@
         }
     }
 
-    fn send(&self, address: SocketAddr, question: Question, due: Instant) {
+    fn send(&self, address: SocketAddr, question: ClientRequest, due: Instant) {
         let asker = self.asker.clone();
         let tally = Arc::clone(&self.tally);
         let asking = async move {
             let (path, body) = (question.path().to_owned(), question.body().clone());
-            let told = asker.ask(address, question).await;
+            let told = asker.send(address, question).await;
             let time = due.elapsed();
             // From the time that it was due, so that a stalled sender hides nothing.
-            tally.lock().count(&judge(&path, &body, &told), time);
+            tally.lock().count(&classify_response(&path, &body, &told), time);
         };
         self.tasks.spawn_on(asking, &self.runtime);
     }
 }
 
-fn question(plan: &LoadPlan, mix: &Mix, random: &mut StdRng) -> Question {
+fn question(plan: &LoadPlan, mix: &RequestKind, random: &mut StdRng) -> ClientRequest {
     let name = random.random::<u64>();
     let mut path = format!("{}?n={name:016x}", mix.path);
-    if mix.answer_bytes > 0 {
-        path.push_str(&format!("&answer_bytes={}", mix.answer_bytes));
+    if mix.response_bytes > 0 {
+        path.push_str(&format!("&answer_bytes={}", mix.response_bytes));
     }
     let mut body = vec![0; mix.body_bytes];
     random.fill(&mut body[..]);
-    let mut question = Question::new(mix.method.clone(), path)
+    let mut question = ClientRequest::new(mix.method.clone(), path)
         .with_header(headers::SERVICE, &mix.service)
         .with_body(body);
     if let Some(deadline_ms) = plan.deadline_ms {
@@ -142,7 +142,7 @@
     if let Some(caller) = &plan.caller {
         question = question.with_header(headers::CALLER, caller);
     }
-    if mix.keyed {
+    if mix.has_idempotency_key {
         question = question.with_header(headers::IDEMPOTENCY_KEY, format!("load-{name:016x}"));
     }
     question
--- a/crates/yuccarack_standins/src/load/report.rs
+++ b/crates/yuccarack_standins/src/load/report.rs
@@ -76,7 +76,7 @@
     /// Counts one answer that took `time`.
     pub fn count(&mut self, verdict: &Verdict, time: Duration) {
         match verdict {
-            Verdict::Right => {
+            Verdict::Correct => {
                 self.right += 1;
                 let time_us = u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
                 self.times_us.saturating_record(time_us);
@@ -84,10 +84,10 @@
             Verdict::Refused { outcome, reason } => {
                 *self.refused.entry(format!("{outcome} {reason}")).or_default() += 1;
             }
-            Verdict::Wrong => self.wrong += 1,
+            Verdict::WrongBody => self.wrong += 1,
             Verdict::Untyped { status } => *self.untyped.entry(*status).or_default() += 1,
-            Verdict::Cut => self.cut += 1,
-            Verdict::Missing => self.missing += 1,
+            Verdict::Truncated => self.cut += 1,
+            Verdict::NoResponse => self.missing += 1,
         }
     }
 }
@@ -116,7 +116,7 @@
     }
 
     /// Whether no answer was wrong, cut, missing or untyped.
-    pub fn is_sound(&self) -> bool {
+    pub fn has_only_correct_or_refused(&self) -> bool {
         self.wrong == 0 && self.cut == 0 && self.missing == 0 && self.untyped.is_empty()
     }
 }
--- a/crates/yuccarack_standins/src/measure/daemons.rs
+++ b/crates/yuccarack_standins/src/measure/daemons.rs
@@ -18,7 +18,7 @@
 use yuccarack_config::headers;
 
 use super::MeasurePlan;
-use crate::client::{Asker, Question};
+use crate::client::{ClientRequest, HttpClient};
 
 /// Time between two announcements of a target.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(1);
@@ -45,7 +45,7 @@
 /// All daemons of a measurement.
 pub(super) struct Daemons {
     all: Vec<Daemon>,
-    asker: Asker,
+    asker: HttpClient,
     tasks: TaskTracker,
     stop: CancellationToken,
     load_tasks: TaskTracker,
@@ -69,7 +69,7 @@
         std::fs::create_dir_all(&folder)?;
         let mut daemons = Self {
             all: Vec::new(),
-            asker: Asker::new(ANSWER_TIMEOUT),
+            asker: HttpClient::new(ANSWER_TIMEOUT),
             tasks: TaskTracker::new(),
             stop: CancellationToken::new(),
             load_tasks: TaskTracker::new(),
@@ -84,7 +84,7 @@
         Ok(daemons)
     }
 
-    pub(super) fn asker(&self) -> &Asker {
+    pub(super) fn asker(&self) -> &HttpClient {
         &self.asker
     }
 
@@ -109,9 +109,9 @@
     }
 
     async fn call(&self, address: SocketAddr, service: usize) -> bool {
-        let question =
-            Question::new(Method::GET, "/").with_header(headers::SERVICE, service_name(service));
-        self.asker.ask(address, question).await.is_ok_and(|told| told.status.is_success())
+        let question = ClientRequest::new(Method::GET, "/")
+            .with_header(headers::SERVICE, service_name(service));
+        self.asker.send(address, question).await.is_ok_and(|told| told.status.is_success())
     }
 
     /// Calls each daemon's services in turn, `rate` times a second, until told to stop.
@@ -129,10 +129,10 @@
                         () = stop.cancelled() => return,
                         _ = ticks.tick() => {}
                     }
-                    let question = Question::new(Method::GET, "/")
+                    let question = ClientRequest::new(Method::GET, "/")
                         .with_header(headers::SERVICE, service_name(service));
                     // Only the cost is looked at here; answers are checked by other tests.
-                    let _ = asker.ask(address, question).await;
+                    let _ = asker.send(address, question).await;
                 }
             });
         }
--- a/crates/yuccarack_standins/src/measure/mod.rs
+++ b/crates/yuccarack_standins/src/measure/mod.rs
@@ -26,7 +26,7 @@
 };
 use crate::{
     platform::Platform,
-    server::{Server, answer, listen},
+    server::{Server, listen, respond},
 };
 
 /// Time from the last start to the first measurement, for what starts cost to pass.
@@ -115,7 +115,7 @@
     let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
     let platform = Platform::start(any).await?;
     let target = Server::start(listen(any).await?, CONNECTIONS_MAX, |_| async {
-        answer(StatusCode::OK, Bytes::from_static(b"ok"))
+        respond(StatusCode::OK, Bytes::from_static(b"ok"))
     })?;
     for service in 0..plan.daemons.div_ceil(plan.members) {
         put_rules(&platform, &service_name(service), 1_000);
--- a/crates/yuccarack_standins/src/platform/mod.rs
+++ b/crates/yuccarack_standins/src/platform/mod.rs
@@ -15,7 +15,9 @@
 use yuccarack_platform::messages::Commit;
 
 pub use self::table::Table;
-use crate::server::{Answer, Cut, Server, answer, json_answer, json_question, listen};
+use crate::server::{
+    ConnectionAborted, HandlerResult, Server, listen, read_json, respond, respond_json,
+};
 
 /// Connections that the platform takes at once.
 const CONNECTIONS_MAX: usize = 10_000;
@@ -118,7 +120,7 @@
     }
 
     /// Commits that have come and not taken effect yet, or whose answers are still on their way.
-    pub fn commits_pending(&self) -> usize {
+    pub fn pending_commits(&self) -> usize {
         self.shared.commits.len()
     }
 
@@ -136,17 +138,17 @@
 }
 
 impl Shared {
-    async fn serve(self: Arc<Self>, request: Request<Incoming>) -> Answer {
+    async fn serve(self: Arc<Self>, request: Request<Incoming>) -> HandlerResult {
         let path = request.uri().path().to_owned();
         match (request.method(), path.as_str()) {
             (&Method::POST, "/faults") => {
-                let faults = json_question(request.into_body()).await?;
+                let faults = read_json(request.into_body()).await?;
                 *self.faults.lock() = faults;
-                return answer(StatusCode::NO_CONTENT, Bytes::new());
+                return respond(StatusCode::NO_CONTENT, Bytes::new());
             }
             (&Method::GET, "/stats") => {
                 let stats = self.stats.lock().clone();
-                return json_answer(StatusCode::OK, &stats);
+                return respond_json(StatusCode::OK, &stats);
             }
             _ => {}
         }
@@ -155,7 +157,7 @@
             PlatformMode::Up => {}
             PlatformMode::Down => {
                 self.stats.lock().failed += 1;
-                return answer(StatusCode::SERVICE_UNAVAILABLE, "the stand-in is down");
+                return respond(StatusCode::SERVICE_UNAVAILABLE, "the stand-in is down");
             }
             PlatformMode::BlackHole => {
                 self.stats.lock().failed += 1;
@@ -173,11 +175,11 @@
         self: Arc<Self>,
         request: Request<Incoming>,
         faults: &PlatformFaults,
-    ) -> Answer {
-        let bytes = request.into_body().collect().await.map_err(|_| Cut)?.to_bytes();
+    ) -> HandlerResult {
+        let bytes = request.into_body().collect().await.map_err(|_| ConnectionAborted)?.to_bytes();
         self.stats.lock().received_bytes += bytes.len() as u64;
         let Ok(commit) = serde_json::from_slice::<Commit>(&bytes) else {
-            return answer(StatusCode::BAD_REQUEST, "not a commit");
+            return respond(StatusCode::BAD_REQUEST, "not a commit");
         };
         let shared = Arc::clone(&self);
         let (delay_ms, late_effect) = (faults.delay_ms, faults.late_effect);
@@ -192,10 +194,10 @@
             }
             answer
         });
-        committing.await.map_err(|_| Cut)?
+        committing.await.map_err(|_| ConnectionAborted)?
     }
 
-    fn apply(&self, commit: Commit) -> Answer {
+    fn apply(&self, commit: Commit) -> HandlerResult {
         let written = commit.writes.len() as u64;
         let result = self.table.lock().commit(commit);
         let mut stats = self.stats.lock();
@@ -207,26 +209,27 @@
                 if faults.lose_answers > 0 {
                     faults.lose_answers -= 1;
                     stats.failed += 1;
-                    return Err(Cut);
+                    return Err(ConnectionAborted);
                 }
-                json_answer(StatusCode::OK, &committed)
+                respond_json(StatusCode::OK, &committed)
             }
             Err(conflicted) => {
                 stats.conflicts += 1;
-                json_answer(StatusCode::CONFLICT, &conflicted)
+                respond_json(StatusCode::CONFLICT, &conflicted)
             }
         }
     }
 
-    async fn read_or_put(&self, request: Request<Incoming>, path: &str) -> Answer {
+    async fn read_or_put(&self, request: Request<Incoming>, path: &str) -> HandlerResult {
         let query = request.uri().query().unwrap_or_default().to_owned();
         if request.method() == Method::PUT && path.starts_with("/objects/") {
-            let bytes = request.into_body().collect().await.map_err(|_| Cut)?.to_bytes();
+            let bytes =
+                request.into_body().collect().await.map_err(|_| ConnectionAborted)?.to_bytes();
             let mut stats = self.stats.lock();
             stats.writes += 1;
             stats.received_bytes += bytes.len() as u64;
             self.objects.lock().insert(path.to_owned(), bytes);
-            return answer(StatusCode::NO_CONTENT, Bytes::new());
+            return respond(StatusCode::NO_CONTENT, Bytes::new());
         }
         let found = match path {
             "/table/row" => {
@@ -242,11 +245,11 @@
         let mut stats = self.stats.lock();
         stats.reads += 1;
         let Some(found) = found else {
-            return answer(StatusCode::NOT_FOUND, "nothing there");
+            return respond(StatusCode::NOT_FOUND, "nothing there");
         };
-        let found = found.map_err(|_| Cut)?;
+        let found = found.map_err(|_| ConnectionAborted)?;
         stats.sent_bytes += found.len() as u64;
-        answer(StatusCode::OK, found)
+        respond(StatusCode::OK, found)
     }
 }
 
--- a/crates/yuccarack_standins/src/process.rs
+++ b/crates/yuccarack_standins/src/process.rs
@@ -10,7 +10,7 @@
 
 wire_data! {
     /// The line that a stand-in prints when it serves.
-    pub struct Ready {
+    pub struct ReadyLine {
         /// Address it listens on.
         pub listening: SocketAddr,
         /// Address for its faults, when that is another one.
@@ -24,7 +24,7 @@
 /// # Errors
 ///
 /// Nothing can be written to the standard output.
-pub fn say_ready(ready: &Ready) -> io::Result<()> {
+pub fn print_ready_line(ready: &ReadyLine) -> io::Result<()> {
     let line = serde_json::to_string(ready)?;
     let mut out = io::stdout().lock();
     writeln!(out, "{line}")?;
@@ -36,7 +36,7 @@
 /// # Errors
 ///
 /// The signals can't be listened for.
-pub async fn until_ended() -> io::Result<()> {
+pub async fn wait_for_shutdown() -> io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
     tokio::select! {
--- a/crates/yuccarack_standins/src/proxy.rs
+++ b/crates/yuccarack_standins/src/proxy.rs
@@ -20,7 +20,7 @@
 
 use crate::{
     link_rate::LinkRate,
-    server::{Answer, Server, answer, json_question, listen},
+    server::{HandlerResult, Server, listen, read_json, respond},
 };
 
 /// Largest piece that is carried at once, in bytes.
@@ -92,11 +92,11 @@
 }
 
 /// What a carrier does with a piece.
-enum Fate {
+enum ForwardDecision {
     /// It passes up to this many bytes, and the connection is cut after them when `cut`.
     Pass { bytes: usize, cut: bool },
     /// It isn't carried; the connection stays open.
-    Lose,
+    Drop,
 }
 
 impl Proxy {
@@ -138,8 +138,8 @@
     }
 
     /// Cuts all connections that are open now.
-    pub fn cut_now(&self) {
-        self.shared.cut_now();
+    pub fn cut_connections(&self) {
+        self.shared.cut_connections();
     }
 
     /// Serves `POST /faults` and `POST /cut` on `address`.
@@ -177,11 +177,11 @@
         *self.faults.lock() = faults;
         self.changed.notify_waiters();
         if refuse {
-            self.cut_now();
+            self.cut_connections();
         }
     }
 
-    fn cut_now(&self) {
+    fn cut_connections(&self) {
         let mut cut = self.cut.lock();
         cut.cancel();
         *cut = CancellationToken::new();
@@ -195,30 +195,30 @@
     }
 
     /// Decides about a piece of `length` after `carried` bytes on the same way.
-    fn fate(&self, direction: Direction, length: usize, carried: u64) -> Fate {
+    fn decide(&self, direction: Direction, length: usize, carried: u64) -> ForwardDecision {
         let mut faults = self.faults.lock();
         if faults.black_hole || faults.half_open == Some(direction) {
-            return Fate::Lose;
+            return ForwardDecision::Drop;
         }
-        if faults.swallow_answer && direction == Direction::Downstream && faults.hit() {
-            return Fate::Pass { bytes: 0, cut: true };
+        if faults.swallow_answer && direction == Direction::Downstream && faults.take_hit() {
+            return ForwardDecision::Pass { bytes: 0, cut: true };
         }
         match faults.cut_after_bytes {
             Some(cut) if cut.direction == direction && carried + length as u64 > cut.bytes => {
                 let bytes = usize::try_from(cut.bytes.saturating_sub(carried)).unwrap_or(length);
-                if !faults.hit() {
-                    return Fate::Pass { bytes: length, cut: false };
+                if !faults.take_hit() {
+                    return ForwardDecision::Pass { bytes: length, cut: false };
                 }
-                Fate::Pass { bytes, cut: true }
+                ForwardDecision::Pass { bytes, cut: true }
             }
-            _ => Fate::Pass { bytes: length, cut: false },
+            _ => ForwardDecision::Pass { bytes: length, cut: false },
         }
     }
 }
 
 impl ProxyFaults {
     /// Whether a fault with a count hits once more.
-    fn hit(&mut self) -> bool {
+    fn take_hit(&mut self) -> bool {
         match &mut self.times {
             None => true,
             Some(0) => false,
@@ -247,26 +247,26 @@
                 () = cut.cancelled() => {}
                 () = shared.end.cancelled() => {}
                 // A broken connection shows at both ends; there is no one else to tell.
-                _ = carry(stream, &shared) => {}
+                _ = forward(stream, &shared) => {}
             }
         });
     }
 }
 
-async fn carry(caller: TcpStream, shared: &Shared) -> io::Result<()> {
+async fn forward(caller: TcpStream, shared: &Shared) -> io::Result<()> {
     let upstream = *shared.upstream.lock();
     let callee = TcpStream::connect(upstream).await?;
     caller.set_nodelay(true)?;
     callee.set_nodelay(true)?;
     let (caller_read, caller_write) = caller.into_split();
     let (callee_read, callee_write) = callee.into_split();
-    let there = carry_one_way(caller_read, callee_write, Direction::Upstream, shared);
-    let back = carry_one_way(callee_read, caller_write, Direction::Downstream, shared);
+    let there = forward_one_way(caller_read, callee_write, Direction::Upstream, shared);
+    let back = forward_one_way(callee_read, caller_write, Direction::Downstream, shared);
     tokio::try_join!(there, back)?;
     Ok(())
 }
 
-async fn carry_one_way(
+async fn forward_one_way(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     direction: Direction,
@@ -276,23 +276,23 @@
     let mut carried = 0;
     loop {
         let rate = shared.rate(direction);
-        let most = rate.piece_bytes().unwrap_or(PIECE_BYTES).min(PIECE_BYTES);
+        let most = rate.chunk_bytes().unwrap_or(PIECE_BYTES).min(PIECE_BYTES);
         let length = from.read(&mut piece[..most]).await?;
-        rate.pass(length).await;
+        rate.transmit(length).await;
         let delay_ms = shared.faults.lock().delay_ms;
         if delay_ms > 0 {
             sleep(Duration::from_millis(delay_ms)).await;
         }
         if length == 0 {
             // An end of the stream is lost like any piece while the way is closed.
-            while matches!(shared.fate(direction, 0, carried), Fate::Lose) {
+            while matches!(shared.decide(direction, 0, carried), ForwardDecision::Drop) {
                 shared.changed.notified().await;
             }
             return to.shutdown().await;
         }
-        match shared.fate(direction, length, carried) {
-            Fate::Lose => {}
-            Fate::Pass { bytes, cut } => {
+        match shared.decide(direction, length, carried) {
+            ForwardDecision::Drop => {}
+            ForwardDecision::Pass { bytes, cut } => {
                 to.write_all(&piece[..bytes]).await?;
                 carried += bytes as u64;
                 if cut {
@@ -304,17 +304,17 @@
     }
 }
 
-async fn control(shared: &Shared, request: Request<Incoming>) -> Answer {
+async fn control(shared: &Shared, request: Request<Incoming>) -> HandlerResult {
     match (request.method(), request.uri().path()) {
         (&Method::POST, "/faults") => {
-            let faults = json_question(request.into_body()).await?;
+            let faults = read_json(request.into_body()).await?;
             shared.set_faults(faults);
-            answer(StatusCode::NO_CONTENT, Bytes::new())
+            respond(StatusCode::NO_CONTENT, Bytes::new())
         }
         (&Method::POST, "/cut") => {
-            shared.cut_now();
-            answer(StatusCode::NO_CONTENT, Bytes::new())
+            shared.cut_connections();
+            respond(StatusCode::NO_CONTENT, Bytes::new())
         }
-        _ => answer(StatusCode::NOT_FOUND, "nothing there"),
+        _ => respond(StatusCode::NOT_FOUND, "nothing there"),
     }
 }
--- a/crates/yuccarack_standins/src/server.rs
+++ b/crates/yuccarack_standins/src/server.rs
@@ -29,15 +29,15 @@
 const LISTEN_PAUSE: Duration = Duration::from_millis(10);
 
 /// Body of an answer; an error cuts the connection in mid-body.
-pub type AnswerBody = UnsyncBoxBody<Bytes, Cut>;
+pub type ResponseBody = UnsyncBoxBody<Bytes, ConnectionAborted>;
 
 /// An answer, or none and a cut connection.
-pub type Answer = Result<Response<AnswerBody>, Cut>;
+pub type HandlerResult = Result<Response<ResponseBody>, ConnectionAborted>;
 
 /// Says that the connection is cut instead of answered.
 #[derive(Clone, Copy, Debug, Error)]
 #[error("the stand-in cuts the connection")]
-pub struct Cut;
+pub struct ConnectionAborted;
 
 /// A running server; its owner ends it by [`Server::crash`] or [`Server::stop`].
 #[derive(Debug)]
@@ -69,7 +69,7 @@
     ) -> io::Result<Self>
     where
         H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
-        F: Future<Output = Answer> + Send + 'static,
+        F: Future<Output = HandlerResult> + Send + 'static,
     {
         let server = Self {
             address: listener.local_addr()?,
@@ -107,7 +107,7 @@
     }
 
     /// Most connections that were open at once.
-    pub fn connections_most(&self) -> usize {
+    pub fn peak_connections(&self) -> usize {
         self.connections.most.load(Ordering::Relaxed)
     }
 
@@ -156,7 +156,7 @@
     _open: OpenConnection,
 ) where
     H: Fn(Request<Incoming>) -> F + Send + Sync + 'static,
-    F: Future<Output = Answer> + Send + 'static,
+    F: Future<Output = HandlerResult> + Send + 'static,
 {
     if stream.set_nodelay(true).is_err() {
         return;
@@ -180,7 +180,7 @@
 }
 
 /// A whole body.
-pub fn whole(bytes: impl Into<Bytes>) -> AnswerBody {
+pub fn full_body(bytes: impl Into<Bytes>) -> ResponseBody {
     Full::new(bytes.into()).map_err(|never| match never {}).boxed_unsync()
 }
 
@@ -189,8 +189,8 @@
 /// # Errors
 ///
 /// Never in practice; the type is that of all answers.
-pub fn answer(status: StatusCode, body: impl Into<Bytes>) -> Answer {
-    Response::builder().status(status).body(whole(body)).map_err(|_| Cut)
+pub fn respond(status: StatusCode, body: impl Into<Bytes>) -> HandlerResult {
+    Response::builder().status(status).body(full_body(body)).map_err(|_| ConnectionAborted)
 }
 
 /// An answer of 200 with `value` as JSON.
@@ -198,13 +198,13 @@
 /// # Errors
 ///
 /// The value has no form in JSON.
-pub fn json_answer<T: Serialize>(status: StatusCode, value: &T) -> Answer {
-    let body = serde_json::to_vec(value).map_err(|_| Cut)?;
+pub fn respond_json<T: Serialize>(status: StatusCode, value: &T) -> HandlerResult {
+    let body = serde_json::to_vec(value).map_err(|_| ConnectionAborted)?;
     Response::builder()
         .status(status)
         .header(http::header::CONTENT_TYPE, "application/json")
-        .body(whole(body))
-        .map_err(|_| Cut)
+        .body(full_body(body))
+        .map_err(|_| ConnectionAborted)
 }
 
 /// Reads a whole body and takes it as JSON.
@@ -212,9 +212,9 @@
 /// # Errors
 ///
 /// The caller hung up or sent something else.
-pub async fn json_question<T: DeserializeOwned>(body: Incoming) -> Result<T, Cut> {
-    let bytes = body.collect().await.map_err(|_| Cut)?.to_bytes();
-    serde_json::from_slice(&bytes).map_err(|_| Cut)
+pub async fn read_json<T: DeserializeOwned>(body: Incoming) -> Result<T, ConnectionAborted> {
+    let bytes = body.collect().await.map_err(|_| ConnectionAborted)?.to_bytes();
+    serde_json::from_slice(&bytes).map_err(|_| ConnectionAborted)
 }
 
 /// Listens on `address`.
--- a/crates/yuccarack_standins/src/target/announce.rs
+++ b/crates/yuccarack_standins/src/target/announce.rs
@@ -10,7 +10,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::{Announcement, Inner, LOAD_PATH};
-use crate::client::Asker;
+use crate::client::HttpClient;
 
 /// Longest wait for the daemon's answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
@@ -18,7 +18,7 @@
 /// Announces until `end`.
 pub(super) async fn announce(inner: Arc<Inner>, address: SocketAddr, end: CancellationToken) {
     let Some(admin) = inner.options.admin else { return };
-    let asker = Asker::new(ANSWER_TIMEOUT);
+    let asker = HttpClient::new(ANSWER_TIMEOUT);
     let interval = Duration::from_millis(inner.options.announce_interval_ms);
     loop {
         if !inner.faults.lock().stop_announcing && !inner.away.load(Ordering::Relaxed) {
--- a/crates/yuccarack_standins/src/target/calls.rs
+++ b/crates/yuccarack_standins/src/target/calls.rs
@@ -15,10 +15,10 @@
 use tokio::time::{sleep, sleep_until, timeout};
 use yuccarack_config::headers;
 
-use super::{CRASH_MARK, Inner, OnCrash, OpenRun, Run, RunState, TargetFaults, unix_ms};
+use super::{CRASH_MARKER, CrashMode, Inner, Run, RunGuard, RunState, TargetFaults, unix_ms};
 use crate::{
-    echo::{self, CHECK_BYTES, Check},
-    server::{Answer, Cut, answer, whole},
+    echo::{self, EchoHash, HASH_BYTES},
+    server::{ConnectionAborted, HandlerResult, full_body, respond},
 };
 
 /// Longest body that a target reads before it begins; a longer one runs while it arrives.
@@ -28,7 +28,7 @@
 const CUT_DELAY: Duration = Duration::from_millis(20);
 
 /// Serves one call.
-pub(super) async fn call(inner: Arc<Inner>, request: Request<Incoming>) -> Answer {
+pub(super) async fn call(inner: Arc<Inner>, request: Request<Incoming>) -> HandlerResult {
     let faults = inner.faults.lock().clone();
     let inside = Inside::new(Arc::clone(&inner));
     let shed_above = inner.options.shed_above.map_or(u64::MAX, u64::from);
@@ -38,20 +38,23 @@
     let (head, body) = request.into_parts();
     let mut reading = Reading::new(&head, body);
     reading.first_part().await?;
-    let slot = inner.slots.acquire().await.map_err(|_| Cut)?;
-    let mut run = inner.ledger.begin(run(&inner, &head, &reading));
+    let slot = inner.slots.acquire().await.map_err(|_| ConnectionAborted)?;
+    let mut run = inner.run_log.begin(run(&inner, &head, &reading));
     if reading.has_mark() {
         return crash(&inner, run).await;
     }
     if let Some(status) = faults.fail_fast {
         run.end(RunState::Finished);
-        return answer(StatusCode::from_u16(status).map_err(|_| Cut)?, "the stand-in fails");
+        return respond(
+            StatusCode::from_u16(status).map_err(|_| ConnectionAborted)?,
+            "the stand-in fails",
+        );
     }
-    run.otherwise(RunState::Cancelled);
+    run.set_state_on_drop(RunState::Cancelled);
     let deadline_ms = number(&head.headers, headers::DEADLINE_MS).unwrap_or(u64::MAX >> 16);
     if timeout(Duration::from_millis(deadline_ms), work(&inner, &faults, &reading)).await.is_err() {
         run.end(RunState::Late);
-        return answer(StatusCode::GATEWAY_TIMEOUT, "the stand-in gave up at the deadline");
+        return respond(StatusCode::GATEWAY_TIMEOUT, "the stand-in gave up at the deadline");
     }
     drop(slot);
     if let Some(length) = faults.cut_answers_after {
@@ -62,35 +65,35 @@
         run.end(RunState::Finished);
         let body = reading.pieces.concat();
         return Response::builder()
-            .body(whole(echo::expected(&reading.path, &body)))
-            .map_err(|_| Cut);
+            .body(full_body(echo::expected_body(&reading.path, &body)))
+            .map_err(|_| ConnectionAborted);
     }
     reading.streamed_answer(run, inside)
 }
 
-fn shed(inner: &Inner) -> Answer {
+fn shed(inner: &Inner) -> HandlerResult {
     inner.stats.lock().shed += 1;
     Response::builder()
         .status(StatusCode::SERVICE_UNAVAILABLE)
         .header(headers::NOT_RUN, "true")
-        .body(whole("the stand-in sheds"))
-        .map_err(|_| Cut)
+        .body(full_body("the stand-in sheds"))
+        .map_err(|_| ConnectionAborted)
 }
 
 /// Ends the process, or hangs until the owner cuts all connections.
-async fn crash(inner: &Inner, mut run: OpenRun) -> Answer {
-    if inner.on_crash == OnCrash::AbortProcess {
+async fn crash(inner: &Inner, mut run: RunGuard) -> HandlerResult {
+    if inner.on_crash == CrashMode::AbortProcess {
         run.end(RunState::Crashed);
         std::process::abort();
     }
-    run.otherwise(RunState::Crashed);
+    run.set_state_on_drop(RunState::Crashed);
     inner.away.store(true, Ordering::Relaxed);
     inner.crashed.notify_one();
     std::future::pending().await
 }
 
 async fn work(inner: &Inner, faults: &TargetFaults, reading: &Reading) {
-    let ms = echo::number(&reading.path, "work_ms").unwrap_or_else(|| service_ms(inner));
+    let ms = echo::query_number(&reading.path, "work_ms").unwrap_or_else(|| service_ms(inner));
     let cold =
         inner.started_at.lock().elapsed().as_millis() < u128::from(inner.options.cold_for_ms);
     let cold_ms = if cold { inner.options.cold_extra_ms } else { 0 };
@@ -135,7 +138,7 @@
     length: Option<u64>,
     body: Incoming,
     pieces: Vec<Bytes>,
-    check: Check,
+    check: EchoHash,
     ended: bool,
 }
 
@@ -143,18 +146,18 @@
     fn new(head: &Parts, body: Incoming) -> Self {
         let path = head.uri.path_and_query().map_or_else(|| "/".to_owned(), ToString::to_string);
         let length = number(&head.headers, http::header::CONTENT_LENGTH.as_str());
-        let check = Check::new(&path);
+        let check = EchoHash::new(&path);
         Self { path, length, body, pieces: Vec::new(), check, ended: false }
     }
 
-    async fn first_part(&mut self) -> Result<(), Cut> {
+    async fn first_part(&mut self) -> Result<(), ConnectionAborted> {
         let mut size = 0;
         while size <= READ_FIRST_BYTES {
             let Some(frame) = self.body.frame().await else {
                 self.ended = true;
                 return Ok(());
             };
-            let Ok(piece) = frame.map_err(|_| Cut)?.into_data() else { continue };
+            let Ok(piece) = frame.map_err(|_| ConnectionAborted)?.into_data() else { continue };
             size += piece.len();
             self.check.update(&piece);
             self.pieces.push(piece);
@@ -163,32 +166,32 @@
     }
 
     fn has_mark(&self) -> bool {
-        self.path.contains(CRASH_MARK) || is_marked(&self.pieces.concat())
+        self.path.contains(CRASH_MARKER) || is_marked(&self.pieces.concat())
     }
 
     /// The echo's first `length` bytes, then a cut; its whole length is told unless the query says
     /// `chunked=1`.
-    fn cut_answer(self, length: u64) -> Answer {
-        let answer = echo::expected(&self.path, &self.pieces.concat());
+    fn cut_answer(self, length: u64) -> HandlerResult {
+        let answer = echo::expected_body(&self.path, &self.pieces.concat());
         let whole_length = answer.len();
         let kept = answer.slice(..whole_length.min(usize::try_from(length).unwrap_or(usize::MAX)));
         // Time for the first piece to go out; cut at once, nothing of the answer would.
         let cut = async {
             sleep(CUT_DELAY).await;
-            Err(Cut)
+            Err(ConnectionAborted)
         };
         let pieces = stream::once(ready(Ok(Frame::data(kept)))).chain(stream::once(cut));
         let mut answer = Response::builder();
-        if echo::number(&self.path, "chunked") != Some(1) {
+        if echo::query_number(&self.path, "chunked") != Some(1) {
             answer = answer.header(http::header::CONTENT_LENGTH, whole_length + 1);
         }
-        answer.body(BodyExt::boxed_unsync(StreamBody::new(pieces))).map_err(|_| Cut)
+        answer.body(BodyExt::boxed_unsync(StreamBody::new(pieces))).map_err(|_| ConnectionAborted)
     }
 
     /// The echo of a body that is still arriving.
-    fn streamed_answer(self, run: OpenRun, inside: Inside) -> Answer {
+    fn streamed_answer(self, run: RunGuard, inside: Inside) -> HandlerResult {
         let filler = echo::filler(&self.path);
-        let length = self.length.map(|body| body + (filler.len() + CHECK_BYTES) as u64);
+        let length = self.length.map(|body| body + (filler.len() + HASH_BYTES) as u64);
         let mut first = self.pieces;
         first.insert(0, filler);
         first.reverse();
@@ -198,12 +201,12 @@
         if let Some(length) = length {
             answer = answer.header(http::header::CONTENT_LENGTH, length);
         }
-        answer.body(BodyExt::boxed_unsync(StreamBody::new(pieces))).map_err(|_| Cut)
+        answer.body(BodyExt::boxed_unsync(StreamBody::new(pieces))).map_err(|_| ConnectionAborted)
     }
 }
 
 fn is_marked(body: &[u8]) -> bool {
-    let mark = CRASH_MARK.as_bytes();
+    let mark = CRASH_MARKER.as_bytes();
     body.windows(mark.len()).any(|part| part == mark)
 }
 
@@ -211,20 +214,20 @@
 struct Streaming {
     first: Vec<Bytes>,
     body: Incoming,
-    check: Check,
-    run: Option<OpenRun>,
+    check: EchoHash,
+    run: Option<RunGuard>,
     /// Counts the request as inside for as long as it streams.
     inside: Inside,
 }
 
 impl Streaming {
-    async fn next(mut self) -> Option<(Result<Frame<Bytes>, Cut>, Self)> {
+    async fn next(mut self) -> Option<(Result<Frame<Bytes>, ConnectionAborted>, Self)> {
         if let Some(piece) = self.first.pop() {
             return Some((Ok(Frame::data(piece)), self));
         }
         self.run.as_ref()?;
         while let Some(frame) = self.body.frame().await {
-            let Ok(frame) = frame else { return Some((Err(Cut), self)) };
+            let Ok(frame) = frame else { return Some((Err(ConnectionAborted), self)) };
             let Ok(piece) = frame.into_data() else { continue };
             if is_marked(&piece) {
                 let run = self.run.take()?;
@@ -235,7 +238,7 @@
             return Some((Ok(Frame::data(piece)), self));
         }
         self.run.take()?.end(RunState::Finished);
-        Some((Ok(Frame::data(self.check.tail())), self))
+        Some((Ok(Frame::data(self.check.hex_suffix())), self))
     }
 }
 
--- a/crates/yuccarack_standins/src/target/load.rs
+++ b/crates/yuccarack_standins/src/target/load.rs
@@ -10,7 +10,7 @@
 use yuccarack_config::wire_data;
 
 use super::{Inner, TargetFaults};
-use crate::server::{Answer, Cut, json_answer};
+use crate::server::{ConnectionAborted, HandlerResult, respond_json};
 
 /// Size of one piece of noise, in bytes.
 const NOISE_PIECE_BYTES: u64 = 16 * 1024;
@@ -26,7 +26,7 @@
 }
 
 /// Answers one question for the load.
-pub(super) async fn report(inner: &std::sync::Arc<Inner>) -> Answer {
+pub(super) async fn report(inner: &std::sync::Arc<Inner>) -> HandlerResult {
     let faults = inner.faults.lock().clone();
     inner.stats.lock().load_requests += 1;
     let open = OpenQuestion { inner: std::sync::Arc::clone(inner), asked_at: Instant::now() };
@@ -38,7 +38,7 @@
     }
     let load = TargetLoad { in_flight: in_flight(inner, &faults), slots: inner.options.slots };
     inner.stats.lock().load_bytes += serde_json::to_vec(&load).map_or(0, |body| body.len() as u64);
-    json_answer(StatusCode::OK, &load)
+    respond_json(StatusCode::OK, &load)
 }
 
 fn in_flight(inner: &Inner, faults: &TargetFaults) -> u64 {
@@ -58,7 +58,7 @@
 }
 
 /// Noise without end in sight; what is taken is counted piece by piece.
-fn noise(open: OpenQuestion, length: u64) -> Answer {
+fn noise(open: OpenQuestion, length: u64) -> HandlerResult {
     let pieces = stream::unfold((open, length), |(open, left)| async move {
         let piece = left.min(NOISE_PIECE_BYTES);
         if piece == 0 {
@@ -68,7 +68,9 @@
         let bytes = Bytes::from(vec![b'x'; usize::try_from(piece).unwrap_or(0)]);
         Some((Ok(Frame::data(bytes)), (open, left - piece)))
     });
-    Response::builder().body(BodyExt::boxed_unsync(StreamBody::new(pieces))).map_err(|_| Cut)
+    Response::builder()
+        .body(BodyExt::boxed_unsync(StreamBody::new(pieces)))
+        .map_err(|_| ConnectionAborted)
 }
 
 /// Counts for how long a question is open.
--- a/crates/yuccarack_standins/src/target/mod.rs
+++ b/crates/yuccarack_standins/src/target/mod.rs
@@ -29,12 +29,12 @@
 
 pub use self::{
     options::{Announcement, TargetFaults, TargetOptions, TargetStats},
-    record::{Ledger, OpenRun, Run, RunState, unix_ms},
+    record::{Run, RunGuard, RunLog, RunState, unix_ms},
 };
-use crate::server::{Answer, Server, answer, json_answer, json_question, listen};
+use crate::server::{HandlerResult, Server, listen, read_json, respond, respond_json};
 
 /// What makes a target crash, anywhere in a request's path or body.
-pub const CRASH_MARK: &str = "crash-the-target";
+pub const CRASH_MARKER: &str = "crash-the-target";
 
 /// Path of the load endpoint.
 pub const LOAD_PATH: &str = "/load";
@@ -47,11 +47,11 @@
 
 /// What a marked request does to the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OnCrash {
+pub enum CrashMode {
     /// The process ends at once.
     AbortProcess,
-    /// All connections are cut and the target stays away until [`Target::revive`].
-    CutOff,
+    /// All connections are cut and the target stays away until [`Target::restart`].
+    CloseConnections,
 }
 
 /// A target; its owner ends it with [`Target::stop`].
@@ -69,8 +69,8 @@
 #[derive(Debug)]
 struct Inner {
     options: TargetOptions,
-    on_crash: OnCrash,
-    ledger: Ledger,
+    on_crash: CrashMode,
+    run_log: RunLog,
     faults: Mutex<TargetFaults>,
     stats: Mutex<TargetStats>,
     stalled_until: Mutex<Instant>,
@@ -86,17 +86,17 @@
 }
 
 impl Target {
-    /// Starts a target that writes its runs to `ledger`.
+    /// Starts a target that writes its runs to `run_log`.
     ///
     /// # Errors
     ///
     /// An address can't be bound.
     pub async fn start(
         options: TargetOptions,
-        on_crash: OnCrash,
-        ledger: Ledger,
+        on_crash: CrashMode,
+        run_log: RunLog,
     ) -> io::Result<Self> {
-        let inner = Arc::new(Inner::new(options, on_crash, ledger));
+        let inner = Arc::new(Inner::new(options, on_crash, run_log));
         let calls = serve_calls(&inner, inner.options.listen).await?;
         let for_control = Arc::clone(&inner);
         let control_listener = listen(inner.options.control_listen).await?;
@@ -136,7 +136,7 @@
     pub fn stats(&self) -> TargetStats {
         let mut stats = self.inner.stats.lock().clone();
         stats.connections_most =
-            self.calls.as_ref().map_or(0, |calls| calls.connections_most() as u64);
+            self.calls.as_ref().map_or(0, |calls| calls.peak_connections() as u64);
         stats
     }
 
@@ -147,7 +147,7 @@
     }
 
     /// Waits until no request has been inside for `quiet`.
-    pub async fn quiet(&self, quiet: Duration) {
+    pub async fn wait_idle(&self, quiet: Duration) {
         let mut quiet_since = Instant::now();
         while quiet_since.elapsed() < quiet {
             if self.inner.stats.lock().inside > 0 {
@@ -158,12 +158,12 @@
     }
 
     /// Whether a marked request or [`Target::kill`] has ended it.
-    pub fn is_away(&self) -> bool {
+    pub fn is_down(&self) -> bool {
         self.inner.away.load(Ordering::Relaxed)
     }
 
     /// Waits until a marked request has crashed it, then cuts all its connections.
-    pub async fn crashed(&mut self) {
+    pub async fn wait_crashed(&mut self) {
         self.inner.crashed.notified().await;
         self.kill().await;
     }
@@ -181,7 +181,7 @@
     /// # Errors
     ///
     /// The address can't be bound again.
-    pub async fn revive(&mut self) -> io::Result<()> {
+    pub async fn restart(&mut self) -> io::Result<()> {
         self.inner.boot_id.fetch_add(1, Ordering::Relaxed);
         self.inner.draining.store(false, Ordering::Relaxed);
         *self.inner.started_at.lock() = Instant::now();
@@ -210,11 +210,11 @@
 }
 
 impl Inner {
-    fn new(options: TargetOptions, on_crash: OnCrash, ledger: Ledger) -> Self {
+    fn new(options: TargetOptions, on_crash: CrashMode, run_log: RunLog) -> Self {
         let now = Instant::now();
         Self {
             on_crash,
-            ledger,
+            run_log,
             faults: Mutex::default(),
             stats: Mutex::default(),
             stalled_until: Mutex::new(now),
@@ -252,23 +252,23 @@
     })
 }
 
-async fn control(inner: &Inner, request: Request<Incoming>) -> Answer {
+async fn control(inner: &Inner, request: Request<Incoming>) -> HandlerResult {
     match (request.method(), request.uri().path()) {
         (&Method::POST, "/faults") => {
-            let faults = json_question(request.into_body()).await?;
+            let faults = read_json(request.into_body()).await?;
             inner.set_faults(faults);
-            answer(StatusCode::NO_CONTENT, Bytes::new())
+            respond(StatusCode::NO_CONTENT, Bytes::new())
         }
         (&Method::POST, "/drain") => {
             inner.draining.store(true, Ordering::Relaxed);
             inner.changed.notify_one();
-            answer(StatusCode::NO_CONTENT, Bytes::new())
+            respond(StatusCode::NO_CONTENT, Bytes::new())
         }
-        (&Method::GET, "/record") => json_answer(StatusCode::OK, &inner.ledger.runs()),
+        (&Method::GET, "/record") => respond_json(StatusCode::OK, &inner.run_log.runs()),
         (&Method::GET, "/stats") => {
             let stats = inner.stats.lock().clone();
-            json_answer(StatusCode::OK, &stats)
+            respond_json(StatusCode::OK, &stats)
         }
-        _ => answer(StatusCode::NOT_FOUND, "nothing there"),
+        _ => respond(StatusCode::NOT_FOUND, "nothing there"),
     }
 }
--- a/crates/yuccarack_standins/src/target/record.rs
+++ b/crates/yuccarack_standins/src/target/record.rs
@@ -55,7 +55,7 @@
 
 /// Runs of one or more targets; clones share them.
 #[derive(Clone, Debug, Default)]
-pub struct Ledger {
+pub struct RunLog {
     shared: Arc<Shared>,
 }
 
@@ -65,17 +65,17 @@
     file: Mutex<Option<File>>,
 }
 
-impl Ledger {
-    /// Makes a ledger that also writes a line for each begin and each end to the file at `path`.
+impl RunLog {
+    /// Makes a log that also writes a line for each begin and each end to the file at `path`.
     ///
     /// # Errors
     ///
     /// The file can't be opened.
     pub fn with_file(path: &Path) -> io::Result<Self> {
-        let ledger = Self::default();
+        let run_log = Self::default();
         let file = File::options().create(true).append(true).open(path)?;
-        *ledger.shared.file.lock() = Some(file);
-        Ok(ledger)
+        *run_log.shared.file.lock() = Some(file);
+        Ok(run_log)
     }
 
     /// All runs so far, in the order of their begin.
@@ -106,11 +106,15 @@
     }
 
     /// Writes down that `run` begins, before any of it does.
-    pub fn begin(&self, run: Run) -> OpenRun {
+    pub fn begin(&self, run: Run) -> RunGuard {
         self.write_line(&run);
         let mut runs = self.shared.runs.lock();
         runs.push((run, Instant::now()));
-        OpenRun { ledger: self.clone(), place: runs.len() - 1, otherwise: RunState::Cancelled }
+        RunGuard {
+            run_log: self.clone(),
+            index: runs.len() - 1,
+            state_on_drop: RunState::Cancelled,
+        }
     }
 
     fn runs_that(&self, fits: impl Fn(&Run) -> bool) -> Vec<Run> {
@@ -140,27 +144,27 @@
 
 /// A run that has begun; dropped without an end, it counts as cancelled.
 #[derive(Debug)]
-pub struct OpenRun {
-    ledger: Ledger,
-    place: usize,
-    otherwise: RunState,
+pub struct RunGuard {
+    run_log: RunLog,
+    index: usize,
+    state_on_drop: RunState,
 }
 
-impl OpenRun {
+impl RunGuard {
     /// Writes down how the run ended; only the first end counts.
     pub fn end(&self, state: RunState) {
-        self.ledger.end(self.place, state);
+        self.run_log.end(self.index, state);
     }
 
     /// Says what a drop without an end stands for.
-    pub fn otherwise(&mut self, state: RunState) {
-        self.otherwise = state;
+    pub fn set_state_on_drop(&mut self, state: RunState) {
+        self.state_on_drop = state;
     }
 }
 
-impl Drop for OpenRun {
+impl Drop for RunGuard {
     fn drop(&mut self) {
-        self.end(self.otherwise);
+        self.end(self.state_on_drop);
     }
 }
 
--- a/crates/yuccarackctl/tests/common/mod.rs
+++ b/crates/yuccarackctl/tests/common/mod.rs
@@ -19,7 +19,7 @@
 use serde_json::{Value, json};
 use yuccarack_standins::{
     platform::Platform,
-    server::{Answer, Server, answer, json_answer, listen},
+    server::{HandlerResult, Server, listen, respond, respond_json},
 };
 use yuccarackctl::{CtlError, Report, command, run};
 
@@ -114,16 +114,16 @@
 }
 
 impl DaemonState {
-    fn serve(&self, request: &Request<Incoming>) -> Answer {
+    fn serve(&self, request: &Request<Incoming>) -> HandlerResult {
         let path = request.uri().path();
         if request.method() == Method::POST && path == "/hint" {
             self.hints.fetch_add(1, Ordering::Relaxed);
-            return answer(StatusCode::NO_CONTENT, Bytes::new());
+            return respond(StatusCode::NO_CONTENT, Bytes::new());
         }
         self.requests.fetch_add(1, Ordering::Relaxed);
         match self.responses.lock().get(path) {
-            Some(value) => json_answer(StatusCode::OK, value),
-            None => answer(StatusCode::NOT_FOUND, Bytes::new()),
+            Some(value) => respond_json(StatusCode::OK, value),
+            None => respond(StatusCode::NOT_FOUND, Bytes::new()),
         }
     }
 }
--- a/crates/yuccarackctl/tests/exit_codes.rs
+++ b/crates/yuccarackctl/tests/exit_codes.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use http::{Method, StatusCode};
 use serde_json::Value;
-use yuccarack_standins::server::{Server, answer, listen};
+use yuccarack_standins::server::{Server, listen, respond};
 
 use common::{any_port, platform, rules_file};
 
@@ -77,9 +77,9 @@
     let server = Server::start(listen(any_port()).await.unwrap(), 16, |request| async move {
         let request: http::Request<hyper::body::Incoming> = request;
         match *request.method() {
-            Method::PUT => answer(StatusCode::NO_CONTENT, Bytes::new()),
+            Method::PUT => respond(StatusCode::NO_CONTENT, Bytes::new()),
             Method::POST => std::future::pending().await,
-            _ => answer(StatusCode::SERVICE_UNAVAILABLE, Bytes::new()),
+            _ => respond(StatusCode::SERVICE_UNAVAILABLE, Bytes::new()),
         }
     })
     .unwrap();
--- a/crates/yuccarackctl/tests/with_daemons.rs
+++ b/crates/yuccarackctl/tests/with_daemons.rs
@@ -9,9 +9,9 @@
 use tokio::time::{Instant, sleep};
 use yuccarack_config::settings::{DaemonSettings, LogFormat, LogLevel, LogSettings};
 use yuccarack_standins::{
-    client::{Asker, Question, Told},
+    client::{ClientRequest, ClientResponse, HttpClient},
     platform::Platform,
-    target::{Ledger, OnCrash, Target, TargetOptions},
+    target::{CrashMode, RunLog, Target, TargetOptions},
 };
 use yuccarackd::{daemon::Daemon, logging};
 
@@ -48,7 +48,7 @@
         let (call_address, admin_address) = (address("call_address"), address("admin_address"));
         let options =
             TargetOptions { admin: Some(admin_address), ..TargetOptions::new(name, service) };
-        let target = Target::start(options, OnCrash::CutOff, Ledger::default()).await;
+        let target = Target::start(options, CrashMode::CloseConnections, RunLog::default()).await;
         Self { daemon, target: target.expect("free ports"), call_address, admin_address }
     }
 
@@ -60,11 +60,11 @@
 }
 
 /// Sends a request repeatedly until it succeeds and returns the response.
-async fn send_until_successful(entry: SocketAddr, request: &Question) -> Told {
-    let client = Asker::default();
+async fn send_until_successful(entry: SocketAddr, request: &ClientRequest) -> ClientResponse {
+    let client = HttpClient::default();
     let deadline = Instant::now() + WAIT_MAX;
     loop {
-        let response = client.ask(entry, request.clone()).await.expect("a response");
+        let response = client.send(entry, request.clone()).await.expect("a response");
         if response.status.is_success() {
             return response;
         }
@@ -89,7 +89,7 @@
         ctl(&format!("apply {rules} --wait --platform {address} {daemons}")).await.unwrap();
     assert_eq!(applied.json["in_force_at"].as_array().unwrap().len(), 2);
 
-    let order = Question::new(Method::POST, "/deliveries")
+    let order = ClientRequest::new(Method::POST, "/deliveries")
         .with_header("yuccarack-service", "supplies")
         .with_header("idempotency-key", "order-7")
         .with_body("firewood");
--- a/crates/yuccarackd/src/coordination/routed/entry/call.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/call.rs
@@ -69,7 +69,7 @@
         forwarding::strip_hop_by_hop(&mut map);
         forwarding::strip_internal_headers(&mut map);
         // Only daemons set these headers, so values from the caller are dropped or replaced.
-        map.remove(headers::MEANT_FOR);
+        map.remove(headers::INTENDED_TARGET);
         forwarding::set_header(&mut map, headers::CALLER_SERVICE, caller_service);
         Self { method: parts.method, uri, headers: map }
     }
--- a/crates/yuccarackd/src/coordination/routed/entry/head.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/head.rs
@@ -33,7 +33,7 @@
         let map = &parts.headers;
         let request_id =
             single_value(map, &headers::REQUEST_ID).ok_or_else(bad)?.ok_or_else(bad)?;
-        let left = single_value(map, &headers::TIME_LEFT_MS).ok_or_else(bad)?;
+        let left = single_value(map, &headers::REMAINING_MS).ok_or_else(bad)?;
         let deadline = match left {
             None => None,
             Some(text) => Some(now + parse_time_left(text).ok_or_else(bad)?),
--- a/crates/yuccarackd/src/coordination/routed/gate/exchange.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/exchange.rs
@@ -50,7 +50,7 @@
         };
         self.gate.parts.metrics.observe_first_byte(dispatched_at.elapsed());
         self.record_slowdown(&response);
-        if headers::proves_not_run(response.status(), response.headers()) {
+        if headers::confirms_not_run(response.status(), response.headers()) {
             return Err(
                 Refusal::not_run(Reason::Shed).with_retry_after(super::UNAVAILABLE_RETRY_AFTER)
             );
--- a/crates/yuccarackd/src/coordination/routed/gate/request.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/request.rs
@@ -82,9 +82,9 @@
         *request.uri_mut() = self.parts.uri.clone();
         let map = request.headers_mut();
         map.clone_from(&self.parts.headers);
-        forwarding::set_header(map, headers::MEANT_FOR, target);
+        forwarding::set_header(map, headers::INTENDED_TARGET, target);
         let left_ms = self.deadline.remaining(Instant::now()).as_millis();
-        forwarding::set_header(map, headers::TIME_LEFT_MS, &left_ms.to_string());
+        forwarding::set_header(map, headers::REMAINING_MS, &left_ms.to_string());
         request
     }
 }
--- a/crates/yuccarackd/src/coordination/routed/store_client.rs
+++ b/crates/yuccarackd/src/coordination/routed/store_client.rs
@@ -40,7 +40,7 @@
         loop {
             self.counters.add("store.reads");
             let after = snapshot.rows.last().map(|row| row.key.as_str());
-            let request = store::read(table, after);
+            let request = store::read_rows(table, after);
             let page = self.send(request, RESPONSE_TIMEOUT, &on_bytes).await;
             let page = page.and_then(|(status, body)| store::decode_rows(status, &body));
             let page = self.count_failure("store.reads_failed", page)?;
@@ -63,7 +63,7 @@
     /// [`FeedError`].
     pub async fn row(&self, table: &str, key: &str) -> Result<Option<FeedRow>, FeedError> {
         self.counters.add("store.reads");
-        let response = self.send(store::row_of(table, key), RESPONSE_TIMEOUT, |_| ()).await;
+        let response = self.send(store::read_row(table, key), RESPONSE_TIMEOUT, |_| ()).await;
         let rows = response.and_then(|(status, body)| store::decode_rows(status, &body));
         let rows = self.count_failure("store.reads_failed", rows)?;
         Ok(rows.rows.into_iter().find(|row| row.key == key))
@@ -84,7 +84,7 @@
     ) -> Result<FeedRows, FeedError> {
         self.counters.add("store.feeds");
         let wait_ms = u32::try_from(wait.as_millis()).unwrap_or(u32::MAX);
-        let request = store::changes(table, after, wait_ms);
+        let request = store::read_changes(table, after, wait_ms);
         let response = self.send(request, wait + RESPONSE_TIMEOUT, on_bytes).await;
         let rows = response.and_then(|(status, body)| store::decode_rows(status, &body));
         self.count_failure("store.feeds_failed", rows)
@@ -97,9 +97,9 @@
     /// [`FeedError`].
     pub async fn write(&self, write: &FeedWrite) -> Result<Revision, FeedError> {
         self.counters.add("store.writes");
-        let request = store::write(write)?;
+        let request = store::write_row(write)?;
         let response = self.send(request, RESPONSE_TIMEOUT, |_| ()).await;
-        let written = response.and_then(|(status, body)| store::decode_written(status, &body));
+        let written = response.and_then(|(status, body)| store::decode_write(status, &body));
         self.count_failure("store.writes_failed", written)
     }
 
--- a/crates/yuccarackd/tests/calls.rs
+++ b/crates/yuccarackd/tests/calls.rs
@@ -10,8 +10,8 @@
 };
 use yuccarack_config::headers;
 use yuccarack_standins::{
-    client::Question,
-    fleet::{Fleet, FleetPlan, until},
+    client::ClientRequest,
+    fleet::{Fleet, FleetPlan, wait_until},
     target::{Run, RunState},
 };
 
@@ -25,7 +25,7 @@
 
 async fn fleet(seed: u64) -> Fleet {
     let plan = FleetPlan::new(env!("CARGO_BIN_EXE_yuccarackd"), seed).with_service(SERVICE, 1);
-    Fleet::serving(plan).await
+    Fleet::start_ready(plan).await
 }
 
 /// Sends raw bytes and returns everything received until the daemon closes the connection.
@@ -44,13 +44,13 @@
 
 /// Returns the runs of `path`, without the requests to `/ready` that the fleet sends at its start.
 fn runs_of_path(fleet: &Fleet, path: &str) -> Vec<Run> {
-    fleet.ledger.runs_of_path(path)
+    fleet.run_log.runs_of_path(path)
 }
 
 /// Waits for a counter, as the daemon counts the end of a connection slightly later than its peer
 /// sees it.
 async fn wait_until_counted(fleet: &Fleet, name: &str) {
-    until("the refusal is counted", || async {
+    wait_until("the refusal is counted", || async {
         fleet.counters(&fleet.nodes[0]).await.get(name) == Some(&1)
     })
     .await;
@@ -152,21 +152,21 @@
     let plan = FleetPlan::new(env!("CARGO_BIN_EXE_yuccarackd"), 37)
         .with_service(SERVICE, 1)
         .with_service("repairs", 1);
-    let fleet = Fleet::serving(plan).await;
+    let fleet = Fleet::start_ready(plan).await;
     fleet.nodes[0].target.drain();
     // The target still serves until its daemon has received its announcement.
-    until("the daemon has no ready target", || async {
+    wait_until("the daemon has no ready target", || async {
         fleet.ready_targets(&fleet.nodes[0], SERVICE).await.is_empty()
     })
     .await;
     let upload = || {
-        Question::new(Method::POST, "/read")
+        ClientRequest::new(Method::POST, "/read")
             .with_header(headers::SERVICE, SERVICE)
             .with_body(vec![b'x'; UPLOAD_BYTES])
     };
     for node in &fleet.nodes {
         for number in 0..UPLOADS {
-            let response = fleet.asker.ask(node.call_address(), upload()).await;
+            let response = fleet.client.send(node.call_address(), upload()).await;
             let response = response.unwrap_or_else(|error| {
                 panic!("upload {number} at {} got no response: {error}", node.name())
             });
--- a/crates/yuccarackd/tests/catch_up.rs
+++ b/crates/yuccarackd/tests/catch_up.rs
@@ -13,10 +13,10 @@
 use tokio_util::{sync::CancellationToken, task::TaskTracker};
 use yuccarack_platform::{PlatformClient, transfer::PROGRESS_MIN_BYTES};
 use yuccarack_platform_standin::{
-    deployment::wait,
-    store::{Door, DoorMode, Store},
+    deployment::wait_until,
+    store::{Store, StoreServer, StoreServerMode},
 };
-use yuccarack_standins::server::{Cut, Server, answer, listen};
+use yuccarack_standins::server::{ConnectionAborted, Server, listen, respond};
 use yuccarackd::{
     coordination::routed::{
         catch_up::CatchUp,
@@ -102,9 +102,9 @@
             let is_failing = requested_changes.len() <= failures;
             async move {
                 match requested.as_str() {
-                    _ if is_failing => Err(Cut),
-                    "all" => answer(StatusCode::OK, encode_update(true)),
-                    _ => answer(StatusCode::OK, encode_update(false)),
+                    _ if is_failing => Err(ConnectionAborted),
+                    "all" => respond(StatusCode::OK, encode_update(true)),
+                    _ => respond(StatusCode::OK, encode_update(false)),
                 }
             }
         });
@@ -126,7 +126,7 @@
     peers: Peers,
     transfers: Transfers,
     sync_state: SyncState,
-    door: Door,
+    door: StoreServer,
     catch_up: CatchUp,
 }
 
@@ -148,7 +148,7 @@
         counters: counters.clone(),
         events: events.clone(),
     });
-    let door = Store::new().open_door().await.expect("a door");
+    let door = Store::new().start_server().await.expect("a door");
     let platform = PlatformClient::new(door.address(), Duration::from_secs(1));
     let follower = StoreFollower {
         store: StoreClient::new(platform, counters.clone()),
@@ -170,7 +170,7 @@
 #[tokio::test]
 async fn a_failed_fetch_is_retried_without_another_notice() {
     let daemon = start_fetching(UpdateSource::Relay).await;
-    daemon.door.set(DoorMode::Refusing);
+    daemon.door.set_mode(StoreServerMode::Unavailable);
     let peer = Peer::start(2).await;
     daemon.peers.note_version(peer.server.address(), 9);
     let mut versions = daemon.routing.subscribe();
@@ -203,7 +203,7 @@
             !requested_changes.is_empty()
                 && requested_changes.iter().all(|requested| requested == "small")
         );
-        assert_eq!(daemon.door.questions(), 0);
+        assert_eq!(daemon.door.requests(), 0);
     };
     let mut versions = daemon.routing.subscribe();
     let fetching = async {
@@ -232,7 +232,7 @@
         () = daemon.catch_up.run() => {}
         () = delivery => {}
     }
-    assert_eq!((peer.requested_changes().len(), daemon.door.questions()), (0, 0));
+    assert_eq!((peer.requested_changes().len(), daemon.door.requests()), (0, 0));
     peer.server.crash().await;
 }
 
@@ -250,7 +250,7 @@
         let query = request.headers()[UPDATE_REQUEST].to_str().unwrap_or("").to_owned();
         let base = if query.starts_with("4;") { 4 } else { 0 };
         let update = encode_update_of(&other, Some(base));
-        async move { answer(StatusCode::OK, update) }
+        async move { respond(StatusCode::OK, update) }
     })
     .expect("a server");
     daemon.peers.note_version(peer.address(), 9);
@@ -274,7 +274,7 @@
     daemon.peers.note_sender(peer.server.address());
     tokio::select! {
         () = daemon.peers.run(CancellationToken::new()) => {}
-        () = wait("a query", || async { !peer.queries().is_empty() }) => {}
+        () = wait_until("a query", || async { !peer.queries().is_empty() }) => {}
     }
     let queries = peer.queries();
     assert!(!queries.is_empty() && queries.iter().all(|query| query == "0;7;0"));
--- a/crates/yuccarackd/tests/control/admin.rs
+++ b/crates/yuccarackd/tests/control/admin.rs
@@ -5,19 +5,19 @@
 use http::{Method, StatusCode};
 use serde_json::Value;
 use yuccarack_platform::rows::TargetState;
-use yuccarack_standins::client::{Asker, Question, Told};
+use yuccarack_standins::client::{ClientRequest, ClientResponse, HttpClient};
 
 use crate::peers::{Peer, announcement, platform, put_rules, settings, stop_all, until};
 
 /// An address from which no test sends requests.
 const UNLISTED_ADDRESS: IpAddr = IpAddr::V4(std::net::Ipv4Addr::new(127, 99, 99, 99));
 
-async fn request(address: SocketAddr, method: Method, path: &str, body: Vec<u8>) -> Told {
-    let question = Question::new(method, path).with_body(body);
-    Asker::default().ask(address, question).await.expect("the daemon responds")
+async fn request(address: SocketAddr, method: Method, path: &str, body: Vec<u8>) -> ClientResponse {
+    let question = ClientRequest::new(method, path).with_body(body);
+    HttpClient::default().send(address, question).await.expect("the daemon responds")
 }
 
-fn reason(response: &Told) -> String {
+fn reason(response: &ClientResponse) -> String {
     let body: Value = serde_json::from_slice(&response.body).expect("the body is JSON");
     body["reason"].as_str().unwrap_or_default().to_owned()
 }
@@ -33,16 +33,16 @@
     assert_eq!(response.status, StatusCode::NO_CONTENT);
     until("rules are in force", || peer.rules_revision("huts") == revision).await;
 
-    let status: Value = Asker::default().get_json(admin, "/status").await.unwrap();
+    let status: Value = HttpClient::default().get_json(admin, "/status").await.unwrap();
     assert_eq!(status["instance"], "hut-1");
     assert_eq!(status["target_state"], "ready");
     assert_eq!(status["store"], "reachable");
     assert_eq!(status["services"][0]["rules_revision"], revision);
-    let targets: Value = Asker::default().get_json(admin, "/targets").await.unwrap();
+    let targets: Value = HttpClient::default().get_json(admin, "/targets").await.unwrap();
     assert_eq!(targets[0]["instance"], "hut-1");
-    let counters: Value = Asker::default().get_json(admin, "/counters").await.unwrap();
+    let counters: Value = HttpClient::default().get_json(admin, "/counters").await.unwrap();
     assert_eq!(counters["announce.taken"], 1);
-    let explained: Value = Asker::default().get_json(admin, "/explain/known").await.unwrap();
+    let explained: Value = HttpClient::default().get_json(admin, "/explain/known").await.unwrap();
     assert_eq!(explained["id"], "known");
     let response = request(admin, Method::GET, "/explain/other", Vec::new()).await;
     assert_eq!(
--- a/crates/yuccarackd/tests/point_1_measuring.rs
+++ b/crates/yuccarackd/tests/point_1_measuring.rs
@@ -4,7 +4,7 @@
 
 use yuccarack_config::rules::MeasuringRules;
 use yuccarack_standins::{
-    fleet::{Fleet, FleetPlan, service_rules, until},
+    fleet::{Fleet, FleetPlan, service_rules, wait_until},
     target::{TargetFaults, TargetStats},
 };
 
@@ -27,7 +27,7 @@
         .with_service(SERVICE, 1);
     let mut rules = service_rules(SERVICE);
     rules.measuring = budget();
-    Fleet::serving_with(plan, vec![rules]).await
+    Fleet::start_ready_with(plan, vec![rules]).await
 }
 
 /// Returns the cost of load requests for the target under `faults`, and the time that they took.
@@ -36,7 +36,7 @@
     target.set_faults(faults);
     let before = target.stats();
     let started_at = Instant::now();
-    until("the load requests have arrived", || async {
+    wait_until("the load requests have arrived", || async {
         target.stats().load_requests >= before.load_requests + MIN_LOAD_REQUESTS
     })
     .await;
--- a/crates/yuccarackd/tests/point_2_whole_answers.rs
+++ b/crates/yuccarackd/tests/point_2_whole_answers.rs
@@ -6,9 +6,9 @@
 use tokio::{task::JoinSet, time::timeout};
 use yuccarack_config::headers;
 use yuccarack_standins::{
-    client::Question,
-    fleet::{Fleet, FleetPlan, Storm, judge_storm, until},
-    load::{Verdict, judge},
+    client::ClientRequest,
+    fleet::{Fleet, FleetPlan, StressLoad, check_stress_calls, wait_until},
+    load::{Verdict, classify_response},
     proxy::{CutAfter, Direction, ProxyFaults},
     target::{RunState, TargetFaults},
 };
@@ -36,11 +36,11 @@
 /// may get no response; a response that arrives is complete and belongs to its call.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn ten_thousand_calls_under_faults_get_no_wrong_response() {
-    let fleet = Fleet::serving(plan(21)).await;
-    let mut plan = fleet.storm_plan(SERVICE, 21);
+    let fleet = Fleet::start_ready(plan(21)).await;
+    let mut plan = fleet.stress_plan(SERVICE, 21);
     plan.callers = 48;
     plan.once_percent = 0;
-    let storm = Storm::start(&plan);
+    let storm = StressLoad::start(&plan);
     let cut = |direction, bytes| ProxyFaults {
         cut_after_bytes: Some(CutAfter { direction, bytes }),
         times: Some(20),
@@ -64,17 +64,17 @@
         node.links.target.set_faults(link_faults[(round + 2) % link_faults.len()].clone());
         let other = &fleet.nodes[(round + 1) % 3];
         other.target.set_faults(target_faults[round % target_faults.len()].clone());
-        fleet.more_calls(&storm, TOTAL_CALLS / 20).await;
+        fleet.wait_more_calls(&storm, TOTAL_CALLS / 20).await;
         node.links.gate.set_faults(ProxyFaults::default());
         node.links.target.set_faults(ProxyFaults::default());
         other.target.set_faults(TargetFaults::default());
     }
     let calls = storm.stop().await;
-    fleet.until_quiet().await;
-    let report = judge_storm(&calls, &fleet.ledger);
+    fleet.wait_idle().await;
+    let report = check_stress_calls(&calls, &fleet.run_log);
     println!("{report:?}");
-    assert_eq!(report.breaches, Vec::<String>::new());
-    assert!(report.calls >= TOTAL_CALLS && report.right > TOTAL_CALLS / 4, "{report:?}");
+    assert_eq!(report.violations, Vec::<String>::new());
+    assert!(report.calls >= TOTAL_CALLS && report.correct > TOTAL_CALLS / 4, "{report:?}");
     fleet.stop().await;
 }
 
@@ -82,17 +82,17 @@
 /// response without a content length.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_truncated_response_without_a_length_is_detected() {
-    let fleet = Fleet::serving(plan(22)).await;
+    let fleet = Fleet::start_ready(plan(22)).await;
     for node in &fleet.nodes {
         let fault = TargetFaults { cut_answers_after: Some(5_000), ..Default::default() };
         node.target.set_faults(fault);
     }
     for node in fleet.nodes.iter().cycle().take(12) {
         let path = "/read?answer_bytes=9000&chunked=1";
-        let request = Question::new(Method::GET, path);
+        let request = ClientRequest::new(Method::GET, path);
         let response = fleet.call(node.call_address(), SERVICE, request).await;
-        let verdict = judge(path, b"", &response);
-        assert!(!matches!(verdict, Verdict::Right | Verdict::Wrong), "{verdict:?}");
+        let verdict = classify_response(path, b"", &response);
+        assert!(!matches!(verdict, Verdict::Correct | Verdict::WrongBody), "{verdict:?}");
     }
     fleet.stop().await;
 }
@@ -101,25 +101,25 @@
 /// both directions, several at once. They arrive complete and the memory use stays small.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn large_bodies_arrive_complete_and_are_not_buffered() {
-    let mut fleet = Fleet::serving(plan(23)).await;
+    let mut fleet = Fleet::start_ready(plan(23)).await;
     let mut calls = JoinSet::new();
     for number in 0..LARGE_CALLS {
         let address = fleet.nodes[number % 3].call_address();
-        let asker = fleet.asker.clone();
+        let asker = fleet.client.clone();
         calls.spawn(async move {
             let path = format!("/read?n={number}");
             let body = vec![b'a' + u8::try_from(number).unwrap(); LARGE_BYTES];
-            let request = Question::new(Method::POST, &path)
+            let request = ClientRequest::new(Method::POST, &path)
                 .with_header(headers::SERVICE, SERVICE)
                 .with_header(headers::DEADLINE_MS, 25_000)
                 .with_body(body.clone());
-            judge(&path, &body, &asker.ask(address, request).await)
+            classify_response(&path, &body, &asker.send(address, request).await)
         });
     }
     let verdicts = calls.join_all().await;
-    assert_eq!(verdicts, vec![Verdict::Right; LARGE_CALLS]);
+    assert_eq!(verdicts, vec![Verdict::Correct; LARGE_CALLS]);
     for node in &mut fleet.nodes {
-        let kib = node.daemon().memory_most_kib().unwrap();
+        let kib = node.daemon().peak_memory_kib().unwrap();
         println!("{}: {kib} KiB", node.name());
         assert!(kib < MEMORY_MAX_KIB, "{} used {kib} KiB of memory", node.name());
     }
@@ -130,14 +130,17 @@
 /// notified while it works on the request, and stops.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_disconnected_caller_frees_the_target() {
-    let fleet = Fleet::serving(plan(24)).await;
+    let fleet = Fleet::start_ready(plan(24)).await;
     for (number, node) in fleet.nodes.iter().enumerate() {
         let path = format!("/read?hangup={number}&work_ms=20000");
-        let request = Question::new(Method::GET, &path).with_header(headers::DEADLINE_MS, 25_000);
+        let request =
+            ClientRequest::new(Method::GET, &path).with_header(headers::DEADLINE_MS, 25_000);
         let mut call = Box::pin(fleet.call(node.call_address(), SERVICE, request));
         let running = async {
-            until("the request runs", || async { !fleet.ledger.runs_of_path(&path).is_empty() })
-                .await;
+            wait_until("the request runs", || async {
+                !fleet.run_log.runs_of_path(&path).is_empty()
+            })
+            .await;
         };
         tokio::select! {
             response = &mut call => panic!("response before the disconnect: {response:?}"),
@@ -145,8 +148,8 @@
         }
         assert!(timeout(Duration::from_millis(50), &mut call).await.is_err());
         drop(call);
-        until("the target has stopped", || async {
-            let runs = fleet.ledger.runs_of_path(&path);
+        wait_until("the target has stopped", || async {
+            let runs = fleet.run_log.runs_of_path(&path);
             runs.iter().all(|run| run.state == RunState::Cancelled)
         })
         .await;
--- a/crates/yuccarackd/tests/point_3_not_run_is_true.rs
+++ b/crates/yuccarackd/tests/point_3_not_run_is_true.rs
@@ -2,7 +2,7 @@
 
 use yuccarack_config::rules::RetryRules;
 use yuccarack_standins::{
-    fleet::{Fleet, FleetPlan, Storm, judge_storm, service_rules, until},
+    fleet::{Fleet, FleetPlan, StressLoad, check_stress_calls, service_rules, wait_until},
     platform::{PlatformFaults, PlatformMode},
     proxy::{CutAfter, Direction, ProxyFaults},
     target::TargetFaults,
@@ -18,12 +18,12 @@
 }
 
 /// Stops the callers and checks every outcome that was reported to them.
-async fn stop_and_check(fleet: Fleet, storm: Storm) {
+async fn stop_and_check(fleet: Fleet, storm: StressLoad) {
     let calls = storm.stop().await;
-    fleet.until_quiet().await;
-    let report = judge_storm(&calls, &fleet.ledger);
-    assert_eq!(report.breaches, Vec::<String>::new());
-    assert!(report.right > 0 && report.not_run > 0, "too few outcomes to check: {report:?}");
+    fleet.wait_idle().await;
+    let report = check_stress_calls(&calls, &fleet.run_log);
+    assert_eq!(report.violations, Vec::<String>::new());
+    assert!(report.correct > 0 && report.not_run > 0, "too few outcomes to check: {report:?}");
     fleet.stop().await;
 }
 
@@ -32,8 +32,8 @@
 /// gate must not forward its "not run" if the first gate may have run the request.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn broken_links_never_turn_a_run_into_not_run() {
-    let fleet = Fleet::serving(plan(31)).await;
-    let storm = Storm::start(&fleet.storm_plan(SERVICE, 31));
+    let fleet = Fleet::start_ready(plan(31)).await;
+    let storm = StressLoad::start(&fleet.stress_plan(SERVICE, 31));
     let cut = |direction, bytes| ProxyFaults {
         cut_after_bytes: Some(CutAfter { direction, bytes }),
         times: Some(8),
@@ -52,9 +52,9 @@
         let links = &fleet.nodes[round % 3].links;
         let link = if round % 2 == 0 { &links.gate } else { &links.target };
         link.set_faults(fault.clone());
-        fleet.more_calls(&storm, CALLS_BETWEEN_FAULTS).await;
+        fleet.wait_more_calls(&storm, CALLS_BETWEEN_FAULTS).await;
         link.set_faults(ProxyFaults::default());
-        link.cut_now();
+        link.cut_connections();
     }
     // Link failures alone may cause no refusal to check: on a busy machine most calls end as
     // unknown.
@@ -63,10 +63,10 @@
 }
 
 /// Lets all targets shed every request for some time, so that there are refusals to check.
-async fn shed_everywhere(fleet: &Fleet, storm: &Storm) {
+async fn shed_everywhere(fleet: &Fleet, storm: &StressLoad) {
     let shed = TargetFaults { refuse_all: true, ..Default::default() };
     fleet.nodes.iter().for_each(|node| node.target.set_faults(shed.clone()));
-    fleet.more_calls(storm, CALLS_BETWEEN_FAULTS).await;
+    fleet.wait_more_calls(storm, CALLS_BETWEEN_FAULTS).await;
     fleet.nodes.iter().for_each(|node| node.target.set_faults(TargetFaults::default()));
 }
 
@@ -77,23 +77,23 @@
 async fn a_later_refusal_does_not_hide_an_earlier_run() {
     let mut rules = service_rules(SERVICE);
     rules.retry = RetryRules { budget_percent: 100, tries_max: 3 };
-    let fleet = Fleet::serving_with(plan(34), vec![rules]).await;
+    let fleet = Fleet::start_ready_with(plan(34), vec![rules]).await;
     let swallow = ProxyFaults { swallow_answer: true, ..Default::default() };
     fleet.nodes[0].links.gate.set_faults(swallow);
     let shed = TargetFaults { refuse_all: true, ..Default::default() };
     fleet.nodes[1].target.set_faults(shed.clone());
     fleet.nodes[2].target.set_faults(shed);
-    let mut plan = fleet.storm_plan(SERVICE, 34);
+    let mut plan = fleet.stress_plan(SERVICE, 34);
     // Not the first entry, whose own gate needs no link.
     plan.addresses.remove(0);
-    plan.hang_up_percent = 0;
-    let storm = Storm::start(&plan);
-    fleet.more_calls(&storm, 4 * CALLS_BETWEEN_FAULTS).await;
+    plan.disconnect_percent = 0;
+    let storm = StressLoad::start(&plan);
+    fleet.wait_more_calls(&storm, 4 * CALLS_BETWEEN_FAULTS).await;
     let calls = storm.stop().await;
-    fleet.until_quiet().await;
-    let report = judge_storm(&calls, &fleet.ledger);
-    assert_eq!(report.breaches, Vec::<String>::new());
-    assert!(report.not_run > 0 && !fleet.ledger.runs().is_empty(), "{report:?}");
+    fleet.wait_idle().await;
+    let report = check_stress_calls(&calls, &fleet.run_log);
+    assert_eq!(report.violations, Vec::<String>::new());
+    assert!(report.not_run > 0 && !fleet.run_log.runs().is_empty(), "{report:?}");
     fleet.stop().await;
 }
 
@@ -101,22 +101,22 @@
 /// a call and restarted. The survivors report only confirmed outcomes.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn crashes_never_turn_a_run_into_not_run() {
-    let mut fleet = Fleet::serving(plan(32)).await;
-    let storm = Storm::start(&fleet.storm_plan(SERVICE, 32));
+    let mut fleet = Fleet::start_ready(plan(32)).await;
+    let storm = StressLoad::start(&fleet.stress_plan(SERVICE, 32));
     for round in 0..6 {
         let victim = round % 3;
-        fleet.more_calls(&storm, CALLS_BETWEEN_FAULTS).await;
+        fleet.wait_more_calls(&storm, CALLS_BETWEEN_FAULTS).await;
         if round < 3 {
             fleet.nodes[victim].kill_daemon();
-            fleet.more_calls(&storm, CALLS_BETWEEN_FAULTS).await;
+            fleet.wait_more_calls(&storm, CALLS_BETWEEN_FAULTS).await;
             fleet.nodes[victim].start_daemon().await.unwrap();
         } else {
             fleet.nodes[victim].target.kill().await;
-            fleet.more_calls(&storm, CALLS_BETWEEN_FAULTS).await;
-            fleet.nodes[victim].target.revive().await.unwrap();
+            fleet.wait_more_calls(&storm, CALLS_BETWEEN_FAULTS).await;
+            fleet.nodes[victim].target.restart().await.unwrap();
         }
         let address = fleet.nodes[victim].call_address();
-        until("the victim serves again", || fleet.read(address, SERVICE)).await;
+        wait_until("the victim serves again", || fleet.read_succeeds(address, SERVICE)).await;
     }
     // Crashes alone cause few refusals: a request that one gate refuses is retried at another,
     // large bodies included.
@@ -128,8 +128,8 @@
 /// and the store is unavailable at times.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn refusals_under_overload_are_true() {
-    let fleet = Fleet::serving(plan(33)).await;
-    let storm = Storm::start(&fleet.storm_plan(SERVICE, 33));
+    let fleet = Fleet::start_ready(plan(33)).await;
+    let storm = StressLoad::start(&fleet.stress_plan(SERVICE, 33));
     let faults = [
         TargetFaults { refuse_all: true, ..Default::default() },
         TargetFaults { fail_fast: Some(500), ..Default::default() },
@@ -139,7 +139,7 @@
     for (round, fault) in faults.iter().cycle().take(8).enumerate() {
         let target = &fleet.nodes[round % 3].target;
         target.set_faults(fault.clone());
-        fleet.more_calls(&storm, CALLS_BETWEEN_FAULTS).await;
+        fleet.wait_more_calls(&storm, CALLS_BETWEEN_FAULTS).await;
         target.set_faults(TargetFaults::default());
         let mode = if round % 4 < 2 { PlatformMode::Down } else { PlatformMode::Up };
         fleet.platform.set_faults(PlatformFaults { mode, ..Default::default() });
--- a/crates/yuccarackd/tests/point_4_at_most_once.rs
+++ b/crates/yuccarackd/tests/point_4_at_most_once.rs
@@ -12,8 +12,8 @@
     rows::{ClaimRow, ClaimState},
 };
 use yuccarack_standins::{
-    client::Question,
-    fleet::{Fleet, FleetPlan, found, until},
+    client::ClientRequest,
+    fleet::{Fleet, FleetPlan, wait_for, wait_until},
     load::Verdict,
     platform::{PlatformFaults, PlatformMode},
     proxy::ProxyFaults,
@@ -32,19 +32,19 @@
 /// once.
 async fn wait_for_single_run(fleet: &Fleet, key: &str, path: &str) {
     let mut turn = 0;
-    until(&format!("{key} succeeds"), || {
+    wait_until(&format!("{key} succeeds"), || {
         turn += 1;
         let address = fleet.nodes[turn % fleet.nodes.len()].call_address();
         async move {
-            let verdict = fleet.once_to(address, SERVICE, key, path).await;
-            if verdict != Verdict::Right {
+            let verdict = fleet.send_once_to(address, SERVICE, key, path).await;
+            if verdict != Verdict::Correct {
                 println!("{key} at {address}: {verdict:?}");
             }
-            verdict == Verdict::Right
+            verdict == Verdict::Correct
         }
     })
     .await;
-    assert_eq!(fleet.ledger.runs_of_key(key).len(), 1, "runs of {key}");
+    assert_eq!(fleet.run_log.runs_of_key(key).len(), 1, "runs of {key}");
 }
 
 fn find_claim(fleet: &Fleet, key: &str) -> Option<ClaimRow> {
@@ -54,7 +54,7 @@
 }
 
 async fn wait_until_claimed(fleet: &Fleet, key: &str) -> ClaimRow {
-    found(&format!("{key} is claimed"), || async { find_claim(fleet, key) }).await.0
+    wait_for(&format!("{key} is claimed"), || async { find_claim(fleet, key) }).await.0
 }
 
 fn is_refused_with_outcome(verdict: &Verdict, expected: &str) -> bool {
@@ -65,15 +65,15 @@
 /// time. One of them runs it; the others report it as in progress or return its outcome.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn the_same_order_sent_to_three_daemons_runs_once() {
-    let fleet = Fleet::serving(plan(41)).await;
+    let fleet = Fleet::start_ready(plan(41)).await;
     for number in 0..30 {
         let key = format!("same-{number}");
         let path = "/once?work_ms=20";
         let [a, b, c] = [0, 1, 2].map(|node| fleet.nodes[node].call_address());
         tokio::join!(
-            fleet.once_to(a, SERVICE, &key, path),
-            fleet.once_to(b, SERVICE, &key, path),
-            fleet.once_to(c, SERVICE, &key, path),
+            fleet.send_once_to(a, SERVICE, &key, path),
+            fleet.send_once_to(b, SERVICE, &key, path),
+            fleet.send_once_to(c, SERVICE, &key, path),
         );
         wait_for_single_run(&fleet, &key, path).await;
     }
@@ -85,13 +85,13 @@
 /// stays open for the operator to see.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_gate_killed_during_a_run_leaves_one_run_and_an_open_claim() {
-    let mut fleet = Fleet::serving(plan(42)).await;
+    let mut fleet = Fleet::start_ready(plan(42)).await;
     let (key, path) = ("killed-mid-run", "/once?work_ms=1500");
     let first = fleet.nodes[0].call_address();
-    let send = fleet.once_to(first, SERVICE, key, path);
+    let send = fleet.send_once_to(first, SERVICE, key, path);
     let killed = async {
-        let running = || async { fleet.ledger.runs_of_key(key).pop() };
-        let (run, _) = found("the order runs", running).await;
+        let running = || async { fleet.run_log.runs_of_key(key).pop() };
+        let (run, _) = wait_for("the order runs", running).await;
         run.target
     };
     let victim = tokio::select! {
@@ -101,13 +101,13 @@
     fleet.node(&victim).kill_daemon();
     let others: Vec<_> = fleet.nodes.iter().filter(|node| node.daemon.is_some()).collect();
     for node in others.iter().cycle().take(6) {
-        let verdict = fleet.once_to(node.call_address(), SERVICE, key, path).await;
+        let verdict = fleet.send_once_to(node.call_address(), SERVICE, key, path).await;
         assert!(is_refused_with_outcome(&verdict, "unknown"), "{verdict:?}");
     }
-    assert_eq!(fleet.ledger.runs_of_key(key).len(), 1);
+    assert_eq!(fleet.run_log.runs_of_key(key).len(), 1);
     assert_eq!(find_claim(&fleet, key).map(|row| row.state), Some(ClaimState::Open));
     let show_result = fleet.operator.run(&["claim", "show", SERVICE, key]).await.unwrap();
-    assert_eq!(show_result.code, 0, "{}", show_result.complaint);
+    assert_eq!(show_result.exit_code, 0, "{}", show_result.stderr);
     fleet.stop().await;
 }
 
@@ -116,34 +116,34 @@
 /// the operator has released the claim the order runs, once.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn an_order_whose_gate_is_killed_after_the_claim_runs_after_its_release() {
-    let mut fleet = Fleet::serving(plan(43)).await;
+    let mut fleet = Fleet::start_ready(plan(43)).await;
     let key = "killed-after-claim";
     // The claim takes effect at once and its response is delayed, which leaves time to kill the
     // gate.
     fleet.platform.set_faults(PlatformFaults { delay_ms: 400, ..Default::default() });
     let first = fleet.nodes[0].call_address();
     let row = tokio::select! {
-        verdict = fleet.once(first, SERVICE, key) => panic!("early response: {verdict:?}"),
+        verdict = fleet.send_once(first, SERVICE, key) => panic!("early response: {verdict:?}"),
         row = wait_until_claimed(&fleet, key) => row,
     };
     fleet.node(&row.instance).kill_daemon();
     fleet.platform.set_faults(PlatformFaults::default());
     let other = fleet.nodes.iter().find(|node| node.daemon.is_some()).unwrap().call_address();
-    until("the claim is reported as open", || async {
-        is_refused_with_outcome(&fleet.once(other, SERVICE, key).await, "unknown")
+    wait_until("the claim is reported as open", || async {
+        is_refused_with_outcome(&fleet.send_once(other, SERVICE, key).await, "unknown")
     })
     .await;
-    assert_eq!(fleet.ledger.runs_of_key(key).len(), 0);
+    assert_eq!(fleet.run_log.runs_of_key(key).len(), 0);
     let release_result =
         fleet.operator.run(&["claim", "release", "--yes", SERVICE, key]).await.unwrap();
-    assert_eq!(release_result.code, 0, "{}", release_result.complaint);
+    assert_eq!(release_result.exit_code, 0, "{}", release_result.stderr);
     let survivors = fleet.nodes.iter().filter(|node| node.daemon.is_some());
     let addresses: Vec<_> = survivors.map(|node| node.call_address()).collect();
-    until("the order has run", || async {
-        fleet.once(addresses[0], SERVICE, key).await == Verdict::Right
+    wait_until("the order has run", || async {
+        fleet.send_once(addresses[0], SERVICE, key).await == Verdict::Correct
     })
     .await;
-    assert_eq!(fleet.ledger.runs_of_key(key).len(), 1);
+    assert_eq!(fleet.run_log.runs_of_key(key).len(), 1);
     fleet.stop().await;
 }
 
@@ -151,7 +151,7 @@
 /// deadline has passed. Returns the name of the gate's node.
 async fn freeze_gate_after_claim(fleet: &mut Fleet, first: SocketAddr, key: &str) -> String {
     fleet.platform.set_faults(PlatformFaults { delay_ms: 300, ..Default::default() });
-    let request = Question::new(http::Method::POST, "/once")
+    let request = ClientRequest::new(http::Method::POST, "/once")
         .with_header(headers::IDEMPOTENCY_KEY, key)
         .with_header(headers::DEADLINE_MS, 1_000)
         .with_body(format!("order {key}"));
@@ -160,7 +160,7 @@
         response = fleet.call(first, SERVICE, request) => panic!("early response: {response:?}"),
         row = wait_until_claimed(fleet, key) => row,
     };
-    fleet.node(&row.instance).daemon().freeze();
+    fleet.node(&row.instance).daemon().pause();
     fleet.platform.set_faults(PlatformFaults::default());
     sleep_until((claimed_at + Duration::from_millis(1_200)).into()).await;
     row.instance
@@ -171,16 +171,16 @@
 /// must not run the order any more.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_gate_frozen_after_its_claim_adds_no_run() {
-    let mut fleet = Fleet::serving(plan(44)).await;
+    let mut fleet = Fleet::start_ready(plan(44)).await;
     for round in 0..3 {
         let key = format!("frozen-{round}");
         let first = fleet.nodes[round].call_address();
         let frozen = freeze_gate_after_claim(&mut fleet, first, &key).await;
         for node in fleet.nodes.iter().filter(|node| node.name() != frozen) {
-            let verdict = fleet.once(node.call_address(), SERVICE, &key).await;
-            assert_ne!(verdict, Verdict::Right, "the order ran in spite of an open claim");
+            let verdict = fleet.send_once(node.call_address(), SERVICE, &key).await;
+            assert_ne!(verdict, Verdict::Correct, "the order ran in spite of an open claim");
         }
-        fleet.node(&frozen).daemon().wake();
+        fleet.node(&frozen).daemon().resume();
         wait_for_single_run(&fleet, &key, "/once").await;
     }
     fleet.stop().await;
@@ -191,7 +191,7 @@
 /// claim and must detect that it is too late.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_gate_frozen_until_its_claim_is_released_adds_no_run() {
-    let mut fleet = Fleet::serving(plan(49)).await;
+    let mut fleet = Fleet::start_ready(plan(49)).await;
     for round in 0..3 {
         let key = format!("released-{round}");
         let first = fleet.nodes[round].call_address();
@@ -199,16 +199,17 @@
         let release_result =
             fleet.operator.run(&["claim", "release", "--yes", SERVICE, &key]).await;
         let release_result = release_result.unwrap();
-        assert_eq!(release_result.code, 0, "{}", release_result.complaint);
+        assert_eq!(release_result.exit_code, 0, "{}", release_result.stderr);
         let running_nodes: Vec<_> =
             fleet.nodes.iter().filter(|node| node.name() != frozen).collect();
-        until("the order has run elsewhere", || async {
-            fleet.once(running_nodes[0].call_address(), SERVICE, &key).await == Verdict::Right
+        wait_until("the order has run elsewhere", || async {
+            fleet.send_once(running_nodes[0].call_address(), SERVICE, &key).await
+                == Verdict::Correct
         })
         .await;
-        fleet.node(&frozen).daemon().wake();
+        fleet.node(&frozen).daemon().resume();
         let resumed_node = fleet.nodes.iter().find(|node| node.name() == frozen).unwrap();
-        until("the resumed gate has given up its claim", || async {
+        wait_until("the resumed gate has given up its claim", || async {
             let counters = fleet.counters(resumed_node).await;
             let ends = ["claims.undelivered", "claims.upkeep_moot", "claims.readback"];
             ends.iter().any(|name| counters.contains_key(*name))
@@ -223,14 +224,14 @@
 /// its response is lost. The gate has to find out, and the order runs once.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_claim_whose_response_is_lost_runs_once() {
-    let fleet = Fleet::serving(plan(45)).await;
+    let fleet = Fleet::start_ready(plan(45)).await;
     for number in 0..10 {
         let key = format!("lost-{number}");
         let lost_responses = 1 + number % 3;
         fleet
             .platform
             .set_faults(PlatformFaults { lose_answers: lost_responses, ..Default::default() });
-        fleet.once(fleet.nodes[0].call_address(), SERVICE, &key).await;
+        fleet.send_once(fleet.nodes[0].call_address(), SERVICE, &key).await;
         fleet.platform.set_faults(PlatformFaults::default());
         wait_for_single_run(&fleet, &key, "/once").await;
     }
@@ -242,12 +243,12 @@
 /// run, and each runs once when it is sent again although its claim was applied late.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn claims_applied_after_their_refusal_neither_run_nor_remain() {
-    let fleet = Fleet::serving(plan(46)).await;
+    let fleet = Fleet::start_ready(plan(46)).await;
     for number in 0..12 {
         wait_for_single_run(&fleet, &format!("before-{number}"), "/once").await;
     }
     // Otherwise the outcomes would share a transaction with the claims that are applied late.
-    until("all outcomes are recorded", || async {
+    wait_until("all outcomes are recorded", || async {
         let is_done = |number| {
             let row = find_claim(&fleet, &format!("before-{number}"));
             row.is_some_and(|row| row.state == ClaimState::Done)
@@ -259,12 +260,13 @@
     fleet.platform.set_faults(slow);
     let keys: Vec<_> = (0..3).map(|number| format!("late-{number}")).collect();
     for (node, key) in fleet.nodes.iter().zip(&keys) {
-        let verdict = fleet.once(node.call_address(), SERVICE, key).await;
+        let verdict = fleet.send_once(node.call_address(), SERVICE, key).await;
         assert!(is_refused_with_outcome(&verdict, "not_run"), "{verdict:?}");
-        assert_eq!(fleet.ledger.runs_of_key(key).len(), 0);
+        assert_eq!(fleet.run_log.runs_of_key(key).len(), 0);
     }
     fleet.platform.set_faults(PlatformFaults::default());
-    until("all late writes are applied", || async { fleet.platform.commits_pending() == 0 }).await;
+    wait_until("all late writes are applied", || async { fleet.platform.pending_commits() == 0 })
+        .await;
     for key in &keys {
         wait_for_single_run(&fleet, key, "/once").await;
     }
@@ -275,7 +277,7 @@
 /// run, with a `Retry-After`, and runs once after the store is available again.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn an_order_refused_while_the_store_is_down_runs_later() {
-    let fleet = Fleet::serving(plan(47)).await;
+    let fleet = Fleet::start_ready(plan(47)).await;
     for number in 0..12 {
         // Each gate has written before, so that its next claim is sent before it notices the
         // outage.
@@ -283,9 +285,9 @@
     }
     for mode in [PlatformMode::BlackHole, PlatformMode::Down, PlatformMode::BlackHole] {
         fleet.platform.set_faults(PlatformFaults { mode, ..Default::default() });
-        let key = format!("down-{mode:?}-{}", fleet.ledger.runs().len());
+        let key = format!("down-{mode:?}-{}", fleet.run_log.runs().len());
         for node in &fleet.nodes {
-            let request = Question::new(http::Method::POST, "/once")
+            let request = ClientRequest::new(http::Method::POST, "/once")
                 .with_header(headers::IDEMPOTENCY_KEY, &key)
                 .with_header(headers::DEADLINE_MS, 20_000)
                 .with_body(format!("order {key}"));
@@ -298,7 +300,7 @@
             assert_eq!(response.header(headers::REASON), "store_away", "{response:?}");
             assert!(response.header("retry-after").parse::<u64>().is_ok(), "{response:?}");
         }
-        assert_eq!(fleet.ledger.runs_of_key(&key).len(), 0);
+        assert_eq!(fleet.run_log.runs_of_key(&key).len(), 0);
         fleet.platform.set_faults(PlatformFaults::default());
         wait_for_single_run(&fleet, &key, "/once").await;
     }
@@ -310,25 +312,25 @@
 /// second run, and a resend gets the recorded outcome.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_link_cut_after_the_dispatch_gives_one_run() {
-    let fleet = Fleet::serving(plan(48)).await;
+    let fleet = Fleet::start_ready(plan(48)).await;
     for number in 0..12 {
         let key = format!("cut-{number}");
         let path = "/once?work_ms=200";
         let first = fleet.nodes[number % 3].call_address();
         let cut_links = async {
-            let runs = || async { (!fleet.ledger.runs_of_key(&key).is_empty()).then_some(()) };
-            found("the order runs", runs).await;
+            let runs = || async { (!fleet.run_log.runs_of_key(&key).is_empty()).then_some(()) };
+            wait_for("the order runs", runs).await;
             for node in &fleet.nodes {
-                node.links.gate.cut_now();
+                node.links.gate.cut_connections();
             }
         };
-        tokio::join!(fleet.once_to(first, SERVICE, &key, path), cut_links);
+        tokio::join!(fleet.send_once_to(first, SERVICE, &key, path), cut_links);
         wait_for_single_run(&fleet, &key, path).await;
     }
     for node in &fleet.nodes {
         node.links.gate.set_faults(ProxyFaults { swallow_answer: true, ..Default::default() });
     }
-    fleet.once(fleet.nodes[0].call_address(), SERVICE, "swallowed").await;
+    fleet.send_once(fleet.nodes[0].call_address(), SERVICE, "swallowed").await;
     for node in &fleet.nodes {
         node.links.gate.set_faults(ProxyFaults::default());
     }
--- a/crates/yuccarackd/tests/point_4_stale_gate.rs
+++ b/crates/yuccarackd/tests/point_4_stale_gate.rs
@@ -3,8 +3,8 @@
 use http::Method;
 use yuccarack_config::{headers, rules::ServiceRules};
 use yuccarack_standins::{
-    client::{Question, Told},
-    fleet::{Fleet, FleetPlan, route, rules_file, service_rules, until},
+    client::{ClientRequest, ClientResponse},
+    fleet::{Fleet, FleetPlan, route, rules_file, service_rules, wait_until},
     proxy::ProxyFaults,
 };
 
@@ -24,7 +24,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_gate_with_outdated_rules_runs_no_order_twice() {
     let plan = FleetPlan::new(env!("CARGO_BIN_EXE_yuccarackd"), 52).with_service(SERVICE, 3);
-    let fleet = Fleet::serving_with(plan, vec![rules(true)]).await;
+    let fleet = Fleet::start_ready_with(plan, vec![rules(true)]).await;
     let old_revision =
         fleet.rules_revision(&fleet.nodes[0], SERVICE).await.expect("rules are in force");
     let unreachable = ProxyFaults { black_hole: true, ..Default::default() };
@@ -35,8 +35,8 @@
     let applied =
         fleet.operator.apply("second", &rules_file(old_revision, vec![rules(false)])).await;
     let applied = applied.expect("the operators' program can be run");
-    assert_eq!(applied.code, 0, "not accepted: {} {}", applied.told, applied.complaint);
-    until("the first daemon has the new rules", || async {
+    assert_eq!(applied.exit_code, 0, "not accepted: {} {}", applied.stdout_json, applied.stderr);
+    wait_until("the first daemon has the new rules", || async {
         fleet.rules_revision(&fleet.nodes[0], SERVICE).await > Some(old_revision)
     })
     .await;
@@ -55,7 +55,7 @@
             response.header(headers::REASON),
             response.header(headers::INSTANCE)
         );
-        let runs = fleet.ledger.runs_of_key(&order_key(number));
+        let runs = fleet.run_log.runs_of_key(&order_key(number));
         assert!(runs.len() <= 1, "order {number} ran {} times: {runs:?}", runs.len());
     }
     let outdated_gate_counters = fleet.counters(&fleet.nodes[2]).await;
@@ -66,8 +66,8 @@
     fleet.stop().await;
 }
 
-async fn send_order(fleet: &Fleet, number: usize) -> Told {
-    let request = Question::new(Method::POST, "/once")
+async fn send_order(fleet: &Fleet, number: usize) -> ClientResponse {
+    let request = ClientRequest::new(Method::POST, "/once")
         .with_header(headers::IDEMPOTENCY_KEY, order_key(number))
         .with_body(format!("order {number}"));
     let response = fleet.call(fleet.nodes[0].call_address(), SERVICE, request).await;
--- a/crates/yuccarackd/tests/point_4_straggler.rs
+++ b/crates/yuccarackd/tests/point_4_straggler.rs
@@ -4,8 +4,8 @@
 
 use yuccarack_config::headers;
 use yuccarack_standins::{
-    client::Question,
-    fleet::{Fleet, FleetPlan, until},
+    client::ClientRequest,
+    fleet::{Fleet, FleetPlan, wait_until},
     load::Verdict,
     proxy::ProxyFaults,
 };
@@ -21,13 +21,13 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_resend_gets_the_outcome_of_a_late_run() {
     let plan = FleetPlan::new(env!("CARGO_BIN_EXE_yuccarackd"), 51).with_service(SERVICE, 3);
-    let fleet = Fleet::serving(plan).await;
+    let fleet = Fleet::start_ready(plan).await;
     for node in &fleet.nodes {
         let slow = ProxyFaults { delay_ms: LINK_DELAY_MS, ..Default::default() };
         node.links.target.set_faults(slow);
     }
     let (key, path) = ("straggler", "/once");
-    let request = Question::new(http::Method::POST, path)
+    let request = ClientRequest::new(http::Method::POST, path)
         .with_header(headers::IDEMPOTENCY_KEY, key)
         .with_header(headers::DEADLINE_MS, DEADLINE_MS)
         .with_body(format!("order {key}"));
@@ -38,17 +38,17 @@
         node.links.target.set_faults(ProxyFaults::default());
     }
     let mut turn = 0;
-    until("the resend gets the outcome", || {
+    wait_until("the resend gets the outcome", || {
         turn += 1;
         let address = fleet.nodes[turn % fleet.nodes.len()].call_address();
-        let call = fleet.once_to(address, SERVICE, key, path);
+        let call = fleet.send_once_to(address, SERVICE, key, path);
         async {
             let verdict = call.await;
             tokio::time::sleep(Duration::from_millis(50)).await;
-            verdict == Verdict::Right
+            verdict == Verdict::Correct
         }
     })
     .await;
-    assert_eq!(fleet.ledger.runs_of_key(key).len(), 1);
+    assert_eq!(fleet.run_log.runs_of_key(key).len(), 1);
     fleet.stop().await;
 }
--- a/crates/yuccarackd/tests/point_5_leaving_under_load.rs
+++ b/crates/yuccarackd/tests/point_5_leaving_under_load.rs
@@ -5,7 +5,7 @@
 use tokio::time::sleep;
 
 use yuccarack_standins::{
-    fleet::{Fleet, FleetPlan, Storm, judge_storm, until},
+    fleet::{Fleet, FleetPlan, StressLoad, check_stress_calls, wait_until},
     platform::{PlatformFaults, PlatformMode},
     proxy::ProxyFaults,
     target::TargetFaults,
@@ -26,11 +26,11 @@
     FleetPlan::new(env!("CARGO_BIN_EXE_yuccarackd"), seed).with_service(SERVICE, 3)
 }
 
-fn storm(fleet: &Fleet, seed: u64) -> Storm {
-    let mut plan = fleet.storm_plan(SERVICE, seed);
+fn storm(fleet: &Fleet, seed: u64) -> StressLoad {
+    let mut plan = fleet.stress_plan(SERVICE, seed);
     plan.callers = 12;
-    plan.hang_up_percent = 0;
-    Storm::start(&plan)
+    plan.disconnect_percent = 0;
+    StressLoad::start(&plan)
 }
 
 /// Drops all data on the control links between daemons.
@@ -42,13 +42,13 @@
 }
 
 /// Checks that the target `name` begins no run from now on while the others serve.
-async fn check_no_new_runs(fleet: &Fleet, storm: Storm, name: &str) {
+async fn check_no_new_runs(fleet: &Fleet, storm: StressLoad, name: &str) {
     // Requests that the gate has already dispatched may still be in transit to the target.
     sleep(DISPATCH_MAX).await;
     let since = Instant::now();
-    fleet.more_calls(&storm, CALLS_AFTER).await;
+    fleet.wait_more_calls(&storm, CALLS_AFTER).await;
     let calls = storm.stop().await;
-    let later_runs: Vec<_> = fleet.ledger.runs_since(since);
+    let later_runs: Vec<_> = fleet.run_log.runs_since(since);
     let runs_on_target = later_runs.iter().filter(|run| run.target == name).count();
     assert_eq!(
         runs_on_target,
@@ -57,7 +57,7 @@
         later_runs.len()
     );
     assert!(!later_runs.is_empty(), "no target served requests any more");
-    assert_eq!(judge_storm(&calls, &fleet.ledger).breaches, Vec::<String>::new());
+    assert_eq!(check_stress_calls(&calls, &fleet.run_log).violations, Vec::<String>::new());
 }
 
 /// Guards against a drain that depends on other daemons: a target that announces its drain gets no
@@ -68,9 +68,9 @@
     for (seed, is_store_down, is_control_blocked) in
         [(57, false, false), (52, true, false), (58, true, true)]
     {
-        let fleet = Fleet::serving(plan(seed)).await;
+        let fleet = Fleet::start_ready(plan(seed)).await;
         let storm = storm(&fleet, seed);
-        fleet.more_calls(&storm, 200).await;
+        fleet.wait_more_calls(&storm, 200).await;
         if is_store_down {
             let mode = PlatformMode::BlackHole;
             fleet.platform.set_faults(PlatformFaults { mode, ..Default::default() });
@@ -80,7 +80,7 @@
         }
         let node = &fleet.nodes[1];
         node.target.drain();
-        until("its daemon knows that it drains", || async {
+        wait_until("its daemon knows that it drains", || async {
             !fleet.ready_targets(node, SERVICE).await.contains(&node.name().to_owned())
         })
         .await;
@@ -95,9 +95,9 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_silent_target_counts_as_leaving_after_the_announce_timeout() {
     for (seed, is_cut_off) in [(54, false), (55, true)] {
-        let fleet = Fleet::serving(plan(seed)).await;
+        let fleet = Fleet::start_ready(plan(seed)).await;
         let storm = storm(&fleet, seed);
-        fleet.more_calls(&storm, 200).await;
+        fleet.wait_more_calls(&storm, 200).await;
         if is_cut_off {
             let mode = PlatformMode::Down;
             fleet.platform.set_faults(PlatformFaults { mode, ..Default::default() });
@@ -117,23 +117,23 @@
 /// targets.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_frozen_daemon_sends_its_target_no_requests() {
-    let mut fleet = Fleet::serving(plan(56)).await;
+    let mut fleet = Fleet::start_ready(plan(56)).await;
     let name = fleet.nodes[1].name().to_owned();
-    fleet.nodes[1].daemon().freeze();
+    fleet.nodes[1].daemon().pause();
     fleet.nodes[1].target.drain();
-    let mut plan = fleet.storm_plan(SERVICE, 56);
+    let mut plan = fleet.stress_plan(SERVICE, 56);
     plan.addresses.remove(1);
     plan.callers = 12;
-    plan.hang_up_percent = 0;
-    let storm = Storm::start(&plan);
+    plan.disconnect_percent = 0;
+    let storm = StressLoad::start(&plan);
     check_no_new_runs(&fleet, storm, &name).await;
-    let before = fleet.ledger.runs_of_path("").iter().filter(|run| run.target == name).count();
-    fleet.nodes[1].daemon().wake();
-    until("its daemon knows that it drains", || async {
+    let before = fleet.run_log.runs_of_path("").iter().filter(|run| run.target == name).count();
+    fleet.nodes[1].daemon().resume();
+    wait_until("its daemon knows that it drains", || async {
         !fleet.ready_targets(&fleet.nodes[1], SERVICE).await.contains(&name)
     })
     .await;
-    let after = fleet.ledger.runs_of_path("").iter().filter(|run| run.target == name).count();
+    let after = fleet.run_log.runs_of_path("").iter().filter(|run| run.target == name).count();
     println!(
         "{} runs between the wake-up of the daemon and its receipt of the drain",
         after - before
--- a/crates/yuccarackd/tests/point_6_graceful_stop.rs
+++ b/crates/yuccarackd/tests/point_6_graceful_stop.rs
@@ -5,7 +5,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 use yuccarack_standins::{
-    fleet::{Fleet, FleetPlan, Storm, StormCall, StormPlan, judge_storm, until},
+    fleet::{Fleet, FleetPlan, StressCall, StressLoad, StressPlan, check_stress_calls, wait_until},
     load::Verdict,
 };
 
@@ -32,26 +32,26 @@
 }
 
 /// Returns a plan of callers that call only `nodes`, whose daemons keep running.
-fn storm_at(fleet: &Fleet, nodes: &[usize], seed: u64) -> StormPlan {
-    let mut plan = fleet.storm_plan(SERVICE, seed);
+fn storm_at(fleet: &Fleet, nodes: &[usize], seed: u64) -> StressPlan {
+    let mut plan = fleet.stress_plan(SERVICE, seed);
     plan.addresses = nodes.iter().map(|number| fleet.nodes[*number].call_address()).collect();
     plan.callers = 12;
-    plan.hang_up_percent = 0;
+    plan.disconnect_percent = 0;
     plan
 }
 
 /// Checks that every call succeeded or was refused as not run, and that few were refused.
-async fn check_calls(fleet: &Fleet, calls: &[StormCall]) {
-    let report = judge_storm(calls, &fleet.ledger);
-    assert_eq!(report.breaches, Vec::<String>::new());
-    let has_known_outcome = |call: &&StormCall| match &call.verdict {
-        Some(Verdict::Right) => true,
+async fn check_calls(fleet: &Fleet, calls: &[StressCall]) {
+    let report = check_stress_calls(calls, &fleet.run_log);
+    assert_eq!(report.violations, Vec::<String>::new());
+    let has_known_outcome = |call: &&StressCall| match &call.verdict {
+        Some(Verdict::Correct) => true,
         Some(Verdict::Refused { outcome, .. }) => outcome == "not_run",
         _ => false,
     };
     let lost: Vec<_> = calls.iter().filter(|call| !has_known_outcome(call)).collect();
     for call in &lost {
-        fleet.explain(&call.request).await;
+        fleet.print_explanation(&call.request).await;
     }
     assert!(lost.is_empty(), "{} of {} calls were lost: {lost:?}", lost.len(), calls.len());
     println!("{report:?}");
@@ -63,7 +63,7 @@
 async fn stop_daemon(fleet: &mut Fleet, number: usize) {
     let daemon = fleet.nodes[number].daemon();
     daemon.terminate();
-    let status = daemon.ended().await.expect("the exit status can't be read");
+    let status = daemon.wait_exit().await.expect("the exit status can't be read");
     assert!(status.success(), "the daemon exited with {status}, see {}", daemon.log().display());
     fleet.nodes[number].kill_daemon();
 }
@@ -72,17 +72,17 @@
 /// stopped under load and started again, while callers use the other daemons.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn daemons_restarted_in_turn_lose_no_call() {
-    let mut fleet = Fleet::serving(plan(61)).await;
+    let mut fleet = Fleet::start_ready(plan(61)).await;
     for number in 1..4 {
         // The callers use the other daemons; a daemon can't redirect its own callers.
         let remaining: Vec<_> = (0..4).filter(|other| *other != number).collect();
-        let storm = Storm::start(&storm_at(&fleet, &remaining, 61 + number as u64));
-        fleet.more_calls(&storm, CALLS_BETWEEN_STOPS).await;
+        let storm = StressLoad::start(&storm_at(&fleet, &remaining, 61 + number as u64));
+        fleet.wait_more_calls(&storm, CALLS_BETWEEN_STOPS).await;
         stop_daemon(&mut fleet, number).await;
-        fleet.more_calls(&storm, CALLS_BETWEEN_STOPS).await;
+        fleet.wait_more_calls(&storm, CALLS_BETWEEN_STOPS).await;
         fleet.nodes[number].start_daemon().await.unwrap();
-        fleet.until_ready().await;
-        fleet.more_calls(&storm, CALLS_BETWEEN_STOPS).await;
+        fleet.wait_ready().await;
+        fleet.wait_more_calls(&storm, CALLS_BETWEEN_STOPS).await;
         check_calls(&fleet, &storm.stop().await).await;
     }
     fleet.stop().await;
@@ -93,18 +93,18 @@
 /// finish.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_stopping_entry_interrupts_none_of_its_calls() {
-    let mut fleet = Fleet::serving(plan(65)).await;
+    let mut fleet = Fleet::start_ready(plan(65)).await;
     for number in 0..4 {
-        let storm = Storm::start(&storm_at(&fleet, &[number], 65 + number as u64));
-        fleet.more_calls(&storm, CALLS_BETWEEN_STOPS).await;
+        let storm = StressLoad::start(&storm_at(&fleet, &[number], 65 + number as u64));
+        fleet.wait_more_calls(&storm, CALLS_BETWEEN_STOPS).await;
         fleet.nodes[number].daemon().terminate();
         // The callers leave within the drain notice, as the daemon requests.
         tokio::time::sleep(Duration::from_millis(300)).await;
         check_calls(&fleet, &storm.stop().await).await;
-        let status = fleet.nodes[number].daemon().ended().await.unwrap();
+        let status = fleet.nodes[number].daemon().wait_exit().await.unwrap();
         assert!(status.success(), "the daemon exited with {status}");
         fleet.nodes[number].start_daemon().await.unwrap();
-        fleet.until_ready().await;
+        fleet.wait_ready().await;
     }
     fleet.stop().await;
 }
@@ -115,47 +115,51 @@
 async fn a_stopping_daemon_waits_for_long_calls() {
     // The call takes much longer than the notice, so it completes only if the daemon waits for it.
     let plan = plan(66).with_budgets(|budgets| budgets.drain_notice_ms = 200);
-    let mut fleet = Fleet::serving(plan).await;
+    let mut fleet = Fleet::start_ready(plan).await;
     let path = "/once?work_ms=1900";
     for number in 0..4 {
         let key = format!("long-{number}");
         let address = fleet.nodes[(number + 1) % 4].call_address();
-        let asker = fleet.asker.clone();
+        let asker = fleet.client.clone();
         let call = tokio::spawn({
             let key = key.clone();
             async move { long_call(asker, address, &key, path).await }
         });
-        until("the call runs", || async { !fleet.ledger.runs_of_key(&key).is_empty() }).await;
-        let target = fleet.ledger.runs_of_key(&key)[0].target.clone();
+        wait_until("the call runs", || async { !fleet.run_log.runs_of_key(&key).is_empty() }).await;
+        let target = fleet.run_log.runs_of_key(&key)[0].target.clone();
         fleet.node(&target).daemon().terminate();
-        assert_eq!(call.await.unwrap(), Verdict::Right);
-        let status = fleet.node(&target).daemon().ended().await.unwrap();
+        assert_eq!(call.await.unwrap(), Verdict::Correct);
+        let status = fleet.node(&target).daemon().wait_exit().await.unwrap();
         assert!(status.success(), "the daemon exited with {status}");
         fleet.node(&target).start_daemon().await.unwrap();
-        fleet.until_ready().await;
+        fleet.wait_ready().await;
     }
     fleet.stop().await;
 }
 
 async fn long_call(
-    asker: yuccarack_standins::client::Asker,
+    asker: yuccarack_standins::client::HttpClient,
     address: std::net::SocketAddr,
     key: &str,
     path: &str,
 ) -> Verdict {
     let body = format!("order {key}");
-    let request = yuccarack_standins::client::Question::new(http::Method::POST, path)
+    let request = yuccarack_standins::client::ClientRequest::new(http::Method::POST, path)
         .with_header(yuccarack_config::headers::SERVICE, SERVICE)
         .with_header(yuccarack_config::headers::IDEMPOTENCY_KEY, key)
         .with_body(body.clone());
-    yuccarack_standins::load::judge(path, body.as_bytes(), &asker.ask(address, request).await)
+    yuccarack_standins::load::classify_response(
+        path,
+        body.as_bytes(),
+        &asker.send(address, request).await,
+    )
 }
 
 /// Guards against calls that are lost on idle connections: a daemon that closes an idle connection
 /// after some seconds may do so just when the next call arrives.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn an_idle_connection_stays_open_for_the_next_call() {
-    let fleet = Fleet::serving(plan(68)).await;
+    let fleet = Fleet::start_ready(plan(68)).await;
     let address = fleet.nodes[0].call_address();
     let mut stream = tokio::net::TcpStream::connect(address).await.expect("can't connect");
     let request = format!("GET /read HTTP/1.1\r\nhost: {SERVICE}\r\n\r\n");
@@ -176,18 +180,18 @@
 /// its last request and is restarted.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_draining_target_loses_no_call() {
-    let mut fleet = Fleet::serving(plan(67)).await;
+    let mut fleet = Fleet::start_ready(plan(67)).await;
     for number in 0..4 {
-        let storm = Storm::start(&storm_at(&fleet, &[0, 1, 2, 3], 67 + number as u64));
-        fleet.more_calls(&storm, CALLS_BETWEEN_STOPS).await;
+        let storm = StressLoad::start(&storm_at(&fleet, &[0, 1, 2, 3], 67 + number as u64));
+        fleet.wait_more_calls(&storm, CALLS_BETWEEN_STOPS).await;
         let target = &mut fleet.nodes[number].target;
         target.drain();
-        target.quiet(Duration::from_millis(1_500)).await;
+        target.wait_idle(Duration::from_millis(1_500)).await;
         target.kill().await;
-        fleet.more_calls(&storm, CALLS_BETWEEN_STOPS).await;
-        fleet.nodes[number].target.revive().await.unwrap();
-        fleet.until_ready().await;
-        fleet.more_calls(&storm, CALLS_BETWEEN_STOPS).await;
+        fleet.wait_more_calls(&storm, CALLS_BETWEEN_STOPS).await;
+        fleet.nodes[number].target.restart().await.unwrap();
+        fleet.wait_ready().await;
+        fleet.wait_more_calls(&storm, CALLS_BETWEEN_STOPS).await;
         check_calls(&fleet, &storm.stop().await).await;
     }
     fleet.stop().await;
--- a/crates/yuccarackd/tests/point_7_configuration.rs
+++ b/crates/yuccarackd/tests/point_7_configuration.rs
@@ -8,8 +8,11 @@
 use yuccarack_config::rules::ServiceRules;
 use yuccarack_platform::rows::{RulesRow, rules_key};
 use yuccarack_standins::{
-    client::Asker,
-    fleet::{Fleet, FleetPlan, Node, Ran, WAIT_MAX, found, rules_file, service_rules, until},
+    client::HttpClient,
+    fleet::{
+        CommandOutput, Fleet, FleetPlan, Node, WAIT_MAX, rules_file, service_rules, wait_for,
+        wait_until,
+    },
     platform::{PlatformFaults, PlatformMode},
     proxy::ProxyFaults,
 };
@@ -36,15 +39,15 @@
     rules
 }
 
-fn revision(ran: &Ran) -> u64 {
-    assert_eq!(ran.code, 0, "not accepted: {} {}", ran.told, ran.complaint);
-    ran.told["revision"].as_u64().expect("an accepted file has a revision")
+fn revision(ran: &CommandOutput) -> u64 {
+    assert_eq!(ran.exit_code, 0, "not accepted: {} {}", ran.stdout_json, ran.stderr);
+    ran.stdout_json["revision"].as_u64().expect("an accepted file has a revision")
 }
 
 async fn in_force_at_all(fleet: &Fleet, service: &str, revision: u64) {
     for node in fleet.nodes.iter().filter(|node| node.daemon.is_some()) {
         let what = format!("{} has revision {revision} of {service}", node.name());
-        until(&what, || async {
+        wait_until(&what, || async {
             // No calls are sent meanwhile: a daemon of another service must get the rules too.
             fleet.rules_revision(node, service).await == Some(revision)
         })
@@ -107,7 +110,7 @@
 }
 
 async fn watch(admin: SocketAddr, service: &str, stop: CancellationToken) {
-    let asker = Asker::new(WAIT_MAX);
+    let asker = HttpClient::new(WAIT_MAX);
     let mut newest = 0;
     while !stop.is_cancelled() {
         let status: Result<Value, _> = asker.get_json(admin, "/status").await;
@@ -126,7 +129,7 @@
 /// come into force everywhere.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn one_of_several_concurrent_operators_wins() {
-    let fleet = Fleet::serving(plan(71)).await;
+    let fleet = Fleet::start_ready(plan(71)).await;
     let watch = RulesWatch::start(&fleet, SERVICE);
     let (mut base, _) = rules_in_table(&fleet, SERVICE);
     for round in 0..4 {
@@ -136,8 +139,8 @@
         let names: Vec<_> = (0..OPERATORS).map(|number| format!("operator-{number}")).collect();
         let races = files.iter().zip(&names).map(|(file, name)| fleet.operator.apply(name, file));
         let ran = futures_util::future::try_join_all(races).await.unwrap();
-        let won: Vec<_> = (0..ran.len()).filter(|number| ran[*number].code == 0).collect();
-        let codes: Vec<_> = ran.iter().map(|ran| ran.code).collect();
+        let won: Vec<_> = (0..ran.len()).filter(|number| ran[*number].exit_code == 0).collect();
+        let codes: Vec<_> = ran.iter().map(|ran| ran.exit_code).collect();
         assert_eq!(won.len(), 1, "exit codes {codes:?}");
         assert_eq!(codes.iter().filter(|code| **code == 4).count(), ran.len() - 1, "{codes:?}");
         base = revision(&ran[won[0]]);
@@ -153,7 +156,7 @@
 /// based on the same revision. Both changes come into force everywhere.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn concurrent_operators_of_different_services_both_win() {
-    let fleet = Fleet::serving(plan(72)).await;
+    let fleet = Fleet::start_ready(plan(72)).await;
     for round in 0..4 {
         let base = fleet.platform.with_table(|table| table.rows("").revision);
         let one = rules_file(base, vec![rules(SERVICE, 1_500 + round)]);
@@ -173,7 +176,7 @@
 /// gets a conflict.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn an_accepted_file_with_a_lost_response_is_recognised() {
-    let fleet = Fleet::serving(plan(73)).await;
+    let fleet = Fleet::start_ready(plan(73)).await;
     let (base, _) = rules_in_table(&fleet, SERVICE);
     // Several, since writes of daemons may use up one of them.
     fleet.platform.set_faults(PlatformFaults { lose_answers: 3, ..Default::default() });
@@ -183,7 +186,7 @@
     let accepted = revision(&ran);
     assert_eq!(rules_in_table(&fleet, SERVICE), (accepted, 1_234));
     let late = rules_file(base, vec![rules(SERVICE, 4_321)]);
-    assert_eq!(fleet.operator.apply("late", &late).await.unwrap().code, 4);
+    assert_eq!(fleet.operator.apply("late", &late).await.unwrap().exit_code, 4);
     in_force_at_all(&fleet, SERVICE, accepted).await;
     fleet.stop().await;
 }
@@ -192,11 +195,11 @@
 /// older one: during two changes one daemon is frozen, one loses the store and one its peers.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn frozen_and_disconnected_daemons_get_the_newest_version() {
-    let mut fleet = Fleet::serving(plan(74)).await;
+    let mut fleet = Fleet::start_ready(plan(74)).await;
     let watch = RulesWatch::start(&fleet, SERVICE);
     let (mut base, _) = rules_in_table(&fleet, SERVICE);
     for round in 0..2 {
-        fleet.nodes[0].daemon().freeze();
+        fleet.nodes[0].daemon().pause();
         let refusing = ProxyFaults { refuse: true, ..Default::default() };
         fleet.nodes[1].links.platform.set_faults(refusing.clone());
         fleet.nodes[2].links.control.set_faults(refusing);
@@ -204,7 +207,7 @@
             let file = rules_file(base, vec![rules(SERVICE, 1_000 + 10 * round + change)]);
             base = revision(&fleet.operator.apply("operator", &file).await.unwrap());
         }
-        fleet.nodes[0].daemon().wake();
+        fleet.nodes[0].daemon().resume();
         in_force_at_all(&fleet, SERVICE, base).await;
         fleet.nodes[1].links.platform.set_faults(ProxyFaults::default());
         fleet.nodes[2].links.control.set_faults(ProxyFaults::default());
@@ -222,18 +225,19 @@
         budgets.gossip_interval_ms = 20;
         budgets.platform_timeout_ms = 5_000;
     });
-    let fleet = Fleet::serving(plan).await;
+    let fleet = Fleet::start_ready(plan).await;
     let watch = RulesWatch::start(&fleet, SERVICE);
     let (mut base, _) = rules_in_table(&fleet, SERVICE);
     let slow = ProxyFaults { delay_ms: 400, ..Default::default() };
     fleet.nodes[1].links.platform.set_faults(slow);
     let hinted_daemon = fleet.nodes[0].admin_address().to_string();
     for change in 0..6 {
-        fleet.asker.post_json(fleet.nodes[1].admin_address(), "/hint", &()).await.unwrap();
+        fleet.client.post_json(fleet.nodes[1].admin_address(), "/hint", &()).await.unwrap();
         // The request has reached the store, and its response is still in transit.
         sleep(Duration::from_millis(500)).await;
         let file = rules_file(base, vec![rules(SERVICE, 1_000 + change)]);
-        let ran = fleet.operator.apply_hinting("operator", &file, &[&hinted_daemon]).await.unwrap();
+        let ran =
+            fleet.operator.apply_with_hints("operator", &file, &[&hinted_daemon]).await.unwrap();
         base = revision(&ran);
         in_force_at_all(&fleet, SERVICE, base).await;
     }
@@ -248,7 +252,7 @@
 /// while the store is down, after a change. It must get the newest version of its peers.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_daemon_started_while_the_store_is_down_gets_its_peers_version() {
-    let mut fleet = Fleet::serving(plan(75)).await;
+    let mut fleet = Fleet::start_ready(plan(75)).await;
     let (base, _) = rules_in_table(&fleet, SERVICE);
     fleet.nodes[2].kill_daemon();
     let file = rules_file(base, vec![rules(SERVICE, 1_111)]);
@@ -259,8 +263,8 @@
     let node = &fleet.nodes[2];
     let first_rules =
         || async { fleet.rules_revision(node, SERVICE).await.filter(|found| *found > 0) };
-    let (first, _) = found("the new daemon has some rules", first_rules).await;
+    let (first, _) = wait_for("the new daemon has some rules", first_rules).await;
     assert_eq!(first, newest, "the new daemon took older rules first");
-    until("it serves", || fleet.read(node.call_address(), SERVICE)).await;
+    wait_until("it serves", || fleet.read_succeeds(node.call_address(), SERVICE)).await;
     fleet.stop().await;
 }
--- a/crates/yuccarackd/tests/point_8_crashing_request.rs
+++ b/crates/yuccarackd/tests/point_8_crashing_request.rs
@@ -8,11 +8,11 @@
 use yuccarack_config::headers;
 use yuccarack_platform::rows::{SuspectRow, SuspectState, suspect_prefix};
 use yuccarack_standins::{
-    client::{Asker, Question},
-    fleet::{Fleet, FleetPlan, Node, WAIT_MAX, until},
-    load::{Verdict, judge},
+    client::{ClientRequest, HttpClient},
+    fleet::{Fleet, FleetPlan, Node, WAIT_MAX, wait_until},
+    load::{Verdict, classify_response},
     platform::{Platform, PlatformFaults, PlatformMode},
-    target::{CRASH_MARK, Ledger, RunState, Target},
+    target::{CRASH_MARKER, RunLog, RunState, Target},
 };
 
 const SERVICE: &str = "dosing";
@@ -27,34 +27,34 @@
 /// connections, and a new incarnation announces itself later.
 async fn fleet(seed: u64) -> Fleet {
     let plan = FleetPlan::new(env!("CARGO_BIN_EXE_yuccarackd"), seed);
-    Fleet::serving(plan.with_service(SERVICE, TARGETS).without_target_links()).await
+    Fleet::start_ready(plan.with_service(SERVICE, TARGETS).without_target_links()).await
 }
 
 /// Access to the daemons for a test while targets crash.
 struct Callers<'a> {
     addresses: Vec<SocketAddr>,
     admin_addresses: Vec<SocketAddr>,
-    asker: &'a Asker,
-    ledger: &'a Ledger,
+    client: &'a HttpClient,
+    run_log: &'a RunLog,
     platform: &'a Platform,
 }
 
 impl Callers<'_> {
     /// Sends a request to the daemon number `turn`, modulo their count.
-    async fn send(&self, turn: usize, question: Question, path: &str, body: &str) -> Verdict {
+    async fn send(&self, turn: usize, question: ClientRequest, path: &str, body: &str) -> Verdict {
         let address = self.addresses[turn % self.addresses.len()];
         let question = question.with_header(headers::SERVICE, SERVICE);
-        judge(path, body.as_bytes(), &self.asker.ask(address, question).await)
+        classify_response(path, body.as_bytes(), &self.client.send(address, question).await)
     }
 
     /// Reads `path` at the daemon number `turn`, modulo their count.
     async fn read(&self, turn: usize, path: &str) -> Verdict {
-        self.send(turn, Question::new(Method::GET, path), path, "").await
+        self.send(turn, ClientRequest::new(Method::GET, path), path, "").await
     }
 
     /// Returns the number of crashes of targets.
     fn crashes(&self) -> usize {
-        let runs = self.ledger.runs().into_iter();
+        let runs = self.run_log.runs().into_iter();
         runs.filter(|run| run.state == RunState::Crashed).count()
     }
 
@@ -63,7 +63,7 @@
         let mut suspect_count = 0;
         for address in &self.admin_addresses {
             let counters: BTreeMap<String, u64> =
-                self.asker.get_json(*address, "/counters").await.expect("a daemon counts");
+                self.client.get_json(*address, "/counters").await.expect("a daemon counts");
             suspect_count += counters.get("suspects.blamed").copied().unwrap_or(0);
         }
         suspect_count
@@ -80,9 +80,9 @@
 async fn with_restarting_targets(fleet: &mut Fleet, test: impl AsyncFnOnce(Callers<'_>)) {
     let addresses = fleet.nodes.iter().map(Node::call_address).collect();
     let admin_addresses = fleet.nodes.iter().map(Node::admin_address).collect();
-    let Fleet { nodes, asker, ledger, platform, .. } = fleet;
+    let Fleet { nodes, client, run_log, platform, .. } = fleet;
     let restarts = join_all(nodes.iter_mut().map(|node| restart_after_crashes(&mut node.target)));
-    let test = test(Callers { addresses, admin_addresses, asker, ledger, platform });
+    let test = test(Callers { addresses, admin_addresses, client, run_log, platform });
     tokio::select! {
         () = test => {}
         _ = restarts => {}
@@ -91,9 +91,9 @@
 
 async fn restart_after_crashes(target: &mut Target) {
     loop {
-        target.crashed().await;
+        target.wait_crashed().await;
         sleep(RESTART_DELAY).await;
-        target.revive().await.expect("the port is free again");
+        target.restart().await.expect("the port is free again");
     }
 }
 
@@ -105,9 +105,9 @@
 /// often each verdict occurred.
 async fn send_until_quarantined(
     callers: &Callers<'_>,
-    question: impl Fn(usize) -> (Question, String),
+    question: impl Fn(usize) -> (ClientRequest, String),
 ) {
-    let path = format!("/read?{CRASH_MARK}");
+    let path = format!("/read?{CRASH_MARKER}");
     let mut verdict_counts: BTreeMap<String, usize> = BTreeMap::new();
     let mut quarantined_in_row = 0;
     let sending = async {
@@ -140,21 +140,21 @@
         let others = async {
             for turn in 0.. {
                 let verdict = callers.read(turn, &format!("/read?page={turn}")).await;
-                let is_expected = matches!(verdict, Verdict::Right | Verdict::Refused { .. });
+                let is_expected = matches!(verdict, Verdict::Correct | Verdict::Refused { .. });
                 assert!(is_expected, "another reader got {verdict:?}");
                 *verdicts.entry(format!("{verdict:?}")).or_default() += 1;
                 sleep(Duration::from_millis(1)).await;
             }
         };
         let sending = send_until_quarantined(&callers, |_| {
-            (Question::new(Method::GET, format!("/read?{CRASH_MARK}")), String::new())
+            (ClientRequest::new(Method::GET, format!("/read?{CRASH_MARKER}")), String::new())
         });
         tokio::select! {
             () = sending => {}
             () = others => {}
         }
         println!("other readers: {verdicts:#?}");
-        let right = verdicts.get(&format!("{:?}", Verdict::Right)).copied().unwrap_or(0);
+        let right = verdicts.get(&format!("{:?}", Verdict::Correct)).copied().unwrap_or(0);
         let all: usize = verdicts.values().sum();
         assert!(right * 100 >= all * 95, "{right} of {all} other readers got their page");
         let crashes = callers.crashes();
@@ -171,12 +171,12 @@
     let mut fleet = fleet(86).await;
     with_restarting_targets(&mut fleet, async |callers| {
         let mut body = "x".repeat(300 * 1024);
-        body.push_str(CRASH_MARK);
+        body.push_str(CRASH_MARKER);
         let mut quarantined_in_row = 0;
         for turn in 0..40 * TARGETS {
-            let question = Question::new(Method::POST, "/read?report").with_body(body.clone());
+            let question = ClientRequest::new(Method::POST, "/read?report").with_body(body.clone());
             let verdict = callers.send(turn, question, "/read?report", &body).await;
-            assert_ne!(verdict, Verdict::Right);
+            assert_ne!(verdict, Verdict::Correct);
             let is_quarantined = is_refused_for(&verdict, "quarantined");
             quarantined_in_row = if is_quarantined { quarantined_in_row + 1 } else { 0 };
             if quarantined_in_row == 3 * TARGETS {
@@ -199,7 +199,7 @@
     let mut fleet = fleet(82).await;
     with_restarting_targets(&mut fleet, async |callers| {
         send_until_quarantined(&callers, |turn| {
-            let question = Question::new(Method::POST, format!("/once?{CRASH_MARK}"))
+            let question = ClientRequest::new(Method::POST, format!("/once?{CRASH_MARKER}"))
                 .with_header(headers::IDEMPOTENCY_KEY, format!("fresh-{turn}"))
                 .with_body("2 drums");
             (question, "2 drums".to_owned())
@@ -219,14 +219,14 @@
     let mut fleet = fleet(83).await;
     with_restarting_targets(&mut fleet, async |callers| {
         for turn in 0..30 {
-            let question = Question::new(Method::POST, format!("/once?{CRASH_MARK}"))
+            let question = ClientRequest::new(Method::POST, format!("/once?{CRASH_MARKER}"))
                 .with_header(headers::IDEMPOTENCY_KEY, "refill")
                 .with_body("2 drums");
             let verdict = callers.send(turn, question, "/once", "2 drums").await;
             assert!(matches!(verdict, Verdict::Refused { .. }), "{verdict:?}");
             sleep(CALLER_PAUSE).await;
         }
-        assert_eq!(callers.ledger.runs_of_key("refill").len(), 1);
+        assert_eq!(callers.run_log.runs_of_key("refill").len(), 1);
         assert_eq!(callers.crashes(), 1);
     })
     .await;
@@ -252,8 +252,8 @@
         let crashing = async {
             while callers.suspect_count().await <= culprits {
                 culprits += 1;
-                let path = format!("/read?{CRASH_MARK}&culprit={culprits}");
-                until("a target crashes", || async {
+                let path = format!("/read?{CRASH_MARKER}&culprit={culprits}");
+                wait_until("a target crashes", || async {
                     is_refused_for(&callers.read(0, &path).await, "target_died")
                 })
                 .await;
@@ -266,16 +266,16 @@
         println!("{} suspects after {culprits} crashing requests", callers.suspect_count().await);
         for (page, first) in pages.iter().zip(0..) {
             let mut turn = first;
-            until(&format!("{page} is read"), || {
+            wait_until(&format!("{page} is read"), || {
                 turn += 1;
                 let read = callers.read(turn, page);
-                async { read.await == Verdict::Right }
+                async { read.await == Verdict::Correct }
             })
             .await;
         }
         // A page that was read while the update about the crash was sent is cleared by its next
         // read.
-        until("only the crashing requests are suspects", || async {
+        wait_until("only the crashing requests are suspects", || async {
             join_all(pages.iter().zip(0..).map(|(page, turn)| callers.read(turn, page))).await;
             let suspects = callers.suspects();
             let are_waiting = suspects.iter().all(|row| row.state == SuspectState::Suspected);
@@ -296,7 +296,7 @@
     with_restarting_targets(&mut fleet, async |callers| {
         let down = PlatformFaults { mode: PlatformMode::Down, ..Default::default() };
         callers.platform.set_faults(down);
-        let path = format!("/read?{CRASH_MARK}");
+        let path = format!("/read?{CRASH_MARKER}");
         for turn in 0..30 {
             let verdict = callers.read(turn, &path).await;
             assert!(matches!(verdict, Verdict::Refused { .. }), "{verdict:?}");
@@ -305,7 +305,7 @@
         assert_eq!(callers.crashes(), 1);
         callers.platform.set_faults(PlatformFaults::default());
         send_until_quarantined(&callers, |_| {
-            (Question::new(Method::GET, path.clone()), String::new())
+            (ClientRequest::new(Method::GET, path.clone()), String::new())
         })
         .await;
         assert_eq!(callers.crashes(), 2);
--- a/crates/yuccarackd/tests/point_9_reads_and_orders.rs
+++ b/crates/yuccarackd/tests/point_9_reads_and_orders.rs
@@ -5,9 +5,9 @@
 use http::Method;
 use yuccarack_config::headers;
 use yuccarack_standins::{
-    client::Question,
-    fleet::{DOMAINS, Fleet, FleetPlan, Storm, judge_storm, until},
-    load::{LoadPlan, LoadReport, Mix, run},
+    client::ClientRequest,
+    fleet::{DOMAINS, Fleet, FleetPlan, StressLoad, check_stress_calls, wait_until},
+    load::{LoadPlan, LoadReport, RequestKind, run_load},
     platform::{PlatformFaults, PlatformMode},
 };
 
@@ -34,31 +34,31 @@
 /// Sends reads to all running daemons.
 async fn reads(fleet: &Fleet, seed: u64) -> LoadReport {
     let running = fleet.nodes.iter().filter(|node| node.daemon.is_some());
-    let mix = Mix {
+    let mix = RequestKind {
         service: SERVICE.to_owned(),
         method: Method::GET,
         path: "/read".to_owned(),
         body_bytes: 0,
-        answer_bytes: 500,
-        keyed: false,
+        response_bytes: 500,
+        has_idempotency_key: false,
     };
     let plan = LoadPlan {
         addresses: running.map(|node| node.call_address()).collect(),
         per_second: 200,
         duration_ms: LOAD_MS,
         seed,
-        mix: vec![mix],
+        kinds: vec![mix],
         deadline_ms: Some(2_000),
         caller: None,
     };
-    run(&plan).await
+    run_load(&plan).await
 }
 
 /// Checks that each daemon refuses an order at once, as not run and with a retry delay. The
 /// deadline of the order is long enough for many timeouts of the store.
 async fn order_is_refused(fleet: &Fleet, key: &str) {
     for node in fleet.nodes.iter().filter(|node| node.daemon.is_some()) {
-        let question = Question::new(Method::POST, "/once")
+        let question = ClientRequest::new(Method::POST, "/once")
             .with_header(headers::IDEMPOTENCY_KEY, key)
             .with_header(headers::DEADLINE_MS, 20_000);
         let call = fleet.call(node.call_address(), SERVICE, question);
@@ -82,11 +82,12 @@
 async fn order_runs(fleet: &Fleet, key: &str) -> Duration {
     let running: Vec<_> = fleet.nodes.iter().filter(|node| node.daemon.is_some()).collect();
     let mut turn = 0;
-    until(&format!("order {key} has run"), || {
+    wait_until(&format!("order {key} has run"), || {
         turn += 1;
         let address = running[turn % running.len()].call_address();
         async move {
-            fleet.once(address, SERVICE, key).await == yuccarack_standins::load::Verdict::Right
+            fleet.send_once(address, SERVICE, key).await
+                == yuccarack_standins::load::Verdict::Correct
         }
     })
     .await
@@ -96,7 +97,7 @@
 /// which the store first refuses requests and then hangs. Orders run again after the outage.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn reads_go_on_and_orders_are_refused_at_once() {
-    let fleet = Fleet::serving(plan(91)).await;
+    let fleet = Fleet::start_ready(plan(91)).await;
     let before = reads(&fleet, 910).await;
     println!("store up: {before:?}");
     assert_eq!(before.right, before.sent, "{before:?}");
@@ -124,14 +125,14 @@
 /// failure domain fail at the same time, twice in a row. Afterwards all members are ready again.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn the_store_and_a_domain_fail_together_twice() {
-    let mut fleet = Fleet::serving(plan(93)).await;
+    let mut fleet = Fleet::start_ready(plan(93)).await;
     for (round, lost) in DOMAINS.into_iter().take(2).enumerate() {
-        let mut plan = fleet.storm_plan(SERVICE, 93 + round as u64);
+        let mut plan = fleet.stress_plan(SERVICE, 93 + round as u64);
         let others = fleet.nodes.iter().filter(|node| node.settings.failure_domain != lost);
         plan.addresses = others.map(|node| node.call_address()).collect();
         plan.callers = 12;
-        let storm = Storm::start(&plan);
-        fleet.more_calls(&storm, 200).await;
+        let storm = StressLoad::start(&plan);
+        fleet.wait_more_calls(&storm, 200).await;
         set(&fleet, PlatformMode::BlackHole);
         for node in &mut fleet.nodes {
             if node.settings.failure_domain == lost {
@@ -139,24 +140,24 @@
                 node.target.kill().await;
             }
         }
-        fleet.more_calls(&storm, 400).await;
+        fleet.wait_more_calls(&storm, 400).await;
         for other in &plan.addresses {
-            until("the others serve", || fleet.read(*other, SERVICE)).await;
+            wait_until("the others serve", || fleet.read_succeeds(*other, SERVICE)).await;
         }
         set(&fleet, PlatformMode::Up);
         for node in &mut fleet.nodes {
             if node.settings.failure_domain == lost {
-                node.target.revive().await.expect("the target can't be restarted");
+                node.target.restart().await.expect("the target can't be restarted");
                 node.start_daemon().await.expect("the daemon can't be restarted");
             }
         }
         order_runs(&fleet, &format!("together-{round}")).await;
-        fleet.until_ready().await;
+        fleet.wait_ready().await;
         let calls = storm.stop().await;
-        fleet.until_quiet().await;
-        let report = judge_storm(&calls, &fleet.ledger);
+        fleet.wait_idle().await;
+        let report = check_stress_calls(&calls, &fleet.run_log);
         println!("{report:?}");
-        assert_eq!(report.breaches, Vec::<String>::new());
+        assert_eq!(report.violations, Vec::<String>::new());
     }
     fleet.stop().await;
 }
--- a/crates/yuccarackd/tests/point_9_start_without_store.rs
+++ b/crates/yuccarackd/tests/point_9_start_without_store.rs
@@ -1,7 +1,7 @@
 //! A daemon that starts while the store is down serves calls with the data of its peers.
 
 use yuccarack_standins::{
-    fleet::{Fleet, FleetPlan, service_rules, until},
+    fleet::{Fleet, FleetPlan, service_rules, wait_until},
     load::Verdict,
     platform::{PlatformFaults, PlatformMode},
 };
@@ -22,7 +22,7 @@
 async fn read_at_all_daemons(fleet: &Fleet) {
     for number in 0..CALLS {
         let node = &fleet.nodes[number % fleet.nodes.len()];
-        assert!(fleet.read(node.call_address(), SERVICE).await, "{} failed", node.name());
+        assert!(fleet.read_succeeds(node.call_address(), SERVICE).await, "{} failed", node.name());
     }
 }
 
@@ -30,8 +30,11 @@
 async fn order_until_it_runs(fleet: &Fleet, key: &str) {
     let address = fleet.nodes[0].call_address();
     let what = format!("the order {key} runs");
-    until(&what, || async { fleet.once(address, SERVICE, key).await == Verdict::Right }).await;
-    assert_eq!(fleet.ledger.runs_of_key(key).len(), 1);
+    wait_until(&what, || async {
+        fleet.send_once(address, SERVICE, key).await == Verdict::Correct
+    })
+    .await;
+    assert_eq!(fleet.run_log.runs_of_key(key).len(), 1);
 }
 
 /// Guards against a new instance that can't serve because it starts while the store is down and no
@@ -42,12 +45,13 @@
     fleet.nodes[0].start_daemon().await.unwrap();
     fleet.nodes[1].start_daemon().await.unwrap();
     fleet.apply(vec![service_rules(SERVICE)]).await;
-    fleet.until_ready().await;
+    fleet.wait_ready().await;
     set_mode(&fleet, PlatformMode::Down);
     fleet.nodes[2].start_daemon().await.unwrap();
     let address = fleet.nodes[2].call_address();
-    until("the new daemon serves", || async { fleet.read(address, SERVICE).await }).await;
-    fleet.until_known(&fleet.nodes[0], SERVICE, 3).await;
+    wait_until("the new daemon serves", || async { fleet.read_succeeds(address, SERVICE).await })
+        .await;
+    fleet.wait_targets_known(&fleet.nodes[0], SERVICE, 3).await;
     read_at_all_daemons(&fleet).await;
     set_mode(&fleet, PlatformMode::Up);
     order_until_it_runs(&fleet, "after-the-outage").await;
--- a/crates/yuccarackd/tests/random_walk.rs
+++ b/crates/yuccarackd/tests/random_walk.rs
@@ -14,7 +14,10 @@
 use serde_json::Value;
 use yuccarack_platform::rows::rules_key;
 use yuccarack_standins::{
-    fleet::{Fleet, FleetPlan, Node, Storm, judge_storm, rules_file, service_rules, until},
+    fleet::{
+        Fleet, FleetPlan, Node, StressLoad, check_stress_calls, rules_file, service_rules,
+        wait_until,
+    },
     load::Verdict,
     platform::{PlatformFaults, PlatformMode},
     proxy::{CutAfter, Direction, ProxyFaults},
@@ -78,7 +81,7 @@
             }
             Self::FrozenDaemon(node) => {
                 if let Some(daemon) = &fleet.nodes[node].daemon {
-                    daemon.freeze();
+                    daemon.pause();
                 }
             }
             Self::KilledTarget(node) => fleet.nodes[node].target.kill().await,
@@ -153,18 +156,18 @@
             [&node.links.platform, &node.links.gate, &node.links.control, &node.links.target]
         {
             link.set_faults(ProxyFaults::default());
-            link.cut_now();
+            link.cut_connections();
         }
         node.target.set_faults(TargetFaults::default());
         node.target.kill().await;
-        node.target.revive().await.expect("the target can't be restarted");
+        node.target.restart().await.expect("the target can't be restarted");
         if let Some(daemon) = &mut node.daemon {
-            daemon.wake();
+            daemon.resume();
             // A daemon that was asked to stop exits; any other goes on.
             if daemon.is_running() && !daemon.is_stopping() {
                 continue;
             }
-            daemon.ended().await.expect("the daemon's exit can't be awaited");
+            daemon.wait_exit().await.expect("the daemon's exit can't be awaited");
         }
         node.kill_daemon();
         node.start_daemon().await.expect("the daemon can't be restarted");
@@ -177,9 +180,9 @@
     let base = row.map_or(0, |row| row.revision);
     let mut rules = service_rules(SERVICE);
     rules.routes[1].deadline_ms = 3_000 + number;
-    let operator = fleet.operator.with_patience_ms(1_000);
+    let operator = fleet.operator.with_timeout_ms(1_000);
     let output = operator.apply("walker", &rules_file(base, vec![rules])).await;
-    output.expect("the operators' program can't be run").told["revision"].as_u64()
+    output.expect("the operators' program can't be run").stdout_json["revision"].as_u64()
 }
 
 /// Checks that no daemon process put older rules in force than it had; a restart begins anew.
@@ -203,10 +206,10 @@
         .with_service(SERVICE, TARGETS)
         .with_budgets(|budgets| budgets.drain_notice_ms = 200);
     let mut random = StdRng::seed_from_u64(seed);
-    let mut fleet = Fleet::serving(plan).await;
-    let mut storm_plan = fleet.storm_plan(SERVICE, seed);
-    storm_plan.callers = 24;
-    let storm = Storm::start(&storm_plan);
+    let mut fleet = Fleet::start_ready(plan).await;
+    let mut stress_plan = fleet.stress_plan(SERVICE, seed);
+    stress_plan.callers = 24;
+    let storm = StressLoad::start(&stress_plan);
     let mut orders = Vec::new();
     let mut accepted = 0;
     for step in 0..STEPS {
@@ -219,7 +222,7 @@
         let keys: Vec<_> = keys.collect();
         let sent = keys.iter().map(|key| {
             let address = fleet.nodes[random.random_range(0..TARGETS)].call_address();
-            fleet.once(address, SERVICE, key)
+            fleet.send_once(address, SERVICE, key)
         });
         join_all(sent).await;
         orders.extend(keys);
@@ -227,18 +230,18 @@
             let number = u32::try_from(step).expect("the step number exceeds u32");
             accepted = change_rules(&fleet, number).await.unwrap_or(accepted);
         }
-        fleet.more_calls(&storm, CALLS_PER_STEP).await;
+        fleet.wait_more_calls(&storm, CALLS_PER_STEP).await;
         if random.random_range(0..3) > 0 {
             clear_faults(&mut fleet).await;
         }
     }
     clear_faults(&mut fleet).await;
     let calls = storm.stop().await;
-    fleet.until_ready().await;
-    fleet.until_quiet().await;
-    let report = judge_storm(&calls, &fleet.ledger);
+    fleet.wait_ready().await;
+    fleet.wait_idle().await;
+    let report = check_stress_calls(&calls, &fleet.run_log);
     println!("{report:?}");
-    assert_eq!(report.breaches, Vec::<String>::new());
+    assert_eq!(report.violations, Vec::<String>::new());
     check_orders(&fleet, &orders).await;
     check_rules(&fleet, accepted).await;
     fleet.stop().await;
@@ -249,23 +252,23 @@
 async fn check_orders(fleet: &Fleet, orders: &[String]) {
     for key in orders {
         let mut attempt = 0;
-        until(&format!("{key} is settled"), || {
+        wait_until(&format!("{key} is settled"), || {
             attempt += 1;
             let address = fleet.nodes[attempt % TARGETS].call_address();
-            async move { is_settled(fleet, key, &fleet.once(address, SERVICE, key).await) }
+            async move { is_settled(fleet, key, &fleet.send_once(address, SERVICE, key).await) }
         })
         .await;
-        let runs = fleet.ledger.runs_of_key(key).len();
+        let runs = fleet.run_log.runs_of_key(key).len();
         assert!(runs <= 1, "{key} ran {runs} times");
     }
 }
 
 fn is_settled(fleet: &Fleet, key: &str, verdict: &Verdict) -> bool {
     match verdict {
-        Verdict::Right => true,
+        Verdict::Correct => true,
         Verdict::Refused { outcome, .. } if outcome == "run" => true,
         // The failure of the target itself is recorded as the outcome.
-        Verdict::Untyped { .. } => fleet.ledger.runs_of_key(key).len() == 1,
+        Verdict::Untyped { .. } => fleet.run_log.runs_of_key(key).len() == 1,
         Verdict::Refused { reason, .. } => {
             let row = fleet.platform.with_table(|table| table.row(&claim_key(key)));
             reason == "in_progress" && row.is_some()
@@ -283,7 +286,7 @@
     let newest = row.expect("the service has rules").revision;
     assert!(newest >= accepted, "revision {accepted} was accepted, but the store has {newest}");
     for node in &fleet.nodes {
-        until(&format!("{} has revision {newest}", node.name()), || async {
+        wait_until(&format!("{} has revision {newest}", node.name()), || async {
             fleet.rules_revision(node, SERVICE).await == Some(newest)
         })
         .await;
