--- a/crates/yuccarackd/tests/routed/answers.rs
+++ b/crates/yuccarackd/tests/routed/answers.rs
@@ -5,8 +5,8 @@
 use http::StatusCode;
 use tokio::task::JoinSet;
 use yuccarack_platform_standin::{
-    caller::{Call, KeptConnection, ask},
-    deployment::{RouteSpec, wait},
+    caller::{Call, KeepAliveConnection, send_call},
+    deployment::{RouteSpec, wait_until},
     target::Behaviour,
 };
 
@@ -20,10 +20,11 @@
     let deployment = deployed("second", &["board"]).await;
     let instance = &deployment.instances[0];
     for (number, after_ms) in [0, 5, 40].into_iter().enumerate() {
-        instance.target.next(Behaviour::AnswerTwice(Duration::from_millis(after_ms)));
+        instance.target.queue_behaviour(Behaviour::RespondTwice(Duration::from_millis(after_ms)));
         for step in 0..6 {
             let id = format!("a{number}-{step}");
-            let response = ask(instance.call_address(), &Call::read(READS, "/r/1", &id)).await;
+            let response =
+                send_call(instance.call_address(), &Call::read(READS, "/r/1", &id)).await;
             let response = response.expect("a response");
             if response.status.is_success() {
                 assert_eq!(response.body, format!("page of {id}"));
@@ -38,21 +39,21 @@
 async fn broken_responses_are_never_forwarded() {
     let deployment = deployed("broken", &["board", "board"]).await;
     let broken = [
-        Behaviour::CutBody,
+        Behaviour::TruncateBody,
         Behaviour::WrongId,
         Behaviour::Encoded,
         Behaviour::Garbage,
-        Behaviour::LoseAnswer,
+        Behaviour::ResetBeforeResponse,
         Behaviour::UnframedReset,
     ];
     for behaviour in broken {
         for instance in &deployment.instances {
-            instance.target.behave(behaviour);
+            instance.target.set_behaviour(behaviour);
         }
         let id = format!("b-{behaviour:?}");
         let call = Call::order(ORDERS, "/o/1", &id);
         let response =
-            ask(deployment.instances[0].call_address(), &call).await.expect("a response");
+            send_call(deployment.instances[0].call_address(), &call).await.expect("a response");
         assert_eq!(response.status, StatusCode::BAD_GATEWAY, "{behaviour:?}");
         assert!(response.body.is_empty() && response.signature().is_empty());
         let runs = deployment.instances.iter().flat_map(|instance| instance.target.runs());
@@ -63,15 +64,15 @@
 #[tokio::test]
 async fn a_read_with_a_broken_response_is_served_by_another_target() {
     let deployment = deployed("again", &["board", "board"]).await;
-    for behaviour in [Behaviour::CutBody, Behaviour::Garbage, Behaviour::LoseAnswer] {
+    for behaviour in [Behaviour::TruncateBody, Behaviour::Garbage, Behaviour::ResetBeforeResponse] {
         let id = format!("c-{behaviour:?}");
         for instance in &deployment.instances {
-            instance.target.behave(Behaviour::Answer(Duration::from_millis(5)));
+            instance.target.set_behaviour(Behaviour::Respond(Duration::from_millis(5)));
         }
-        deployment.instances[0].target.behave(behaviour);
+        deployment.instances[0].target.set_behaviour(behaviour);
         for number in 0..6 {
             let call = Call::read(READS, "/r/1", &format!("{id}-{number}"));
-            let response = ask(deployment.instances[1].call_address(), &call).await;
+            let response = send_call(deployment.instances[1].call_address(), &call).await;
             assert_eq!(response.expect("a response").status, StatusCode::OK, "{behaviour:?}");
         }
     }
@@ -80,9 +81,10 @@
 #[tokio::test]
 async fn a_response_without_a_length_is_complete_at_an_orderly_close() {
     let deployment = deployed("unframed", &["board"]).await;
-    deployment.instances[0].target.behave(Behaviour::Unframed);
+    deployment.instances[0].target.set_behaviour(Behaviour::Unframed);
     let call = Call::order(ORDERS, "/o/1", "d1");
-    let response = ask(deployment.instances[0].call_address(), &call).await.expect("a response");
+    let response =
+        send_call(deployment.instances[0].call_address(), &call).await.expect("a response");
     assert_eq!(
         (response.status, response.body.as_ref()),
         (StatusCode::OK, b"page of d1".as_slice())
@@ -96,17 +98,17 @@
 async fn the_rest_of_a_body_is_never_parsed_as_a_request() {
     let deployment = deployed("early", &["board"]).await;
     let instance = &deployment.instances[0];
-    instance.target.next(Behaviour::AnswerEarly);
+    instance.target.queue_behaviour(Behaviour::RespondEarly);
     let long = Call { body: vec![b'x'; 2_000_000].into(), ..Call::order(ORDERS, "/o/1", "e1") };
-    let _ = ask(instance.call_address(), &long).await;
+    let _ = send_call(instance.call_address(), &long).await;
     for number in 0..5 {
         let id = format!("e-{number}");
-        let response = ask(instance.call_address(), &Call::read(READS, "/r/1", &id)).await;
+        let response = send_call(instance.call_address(), &Call::read(READS, "/r/1", &id)).await;
         assert_eq!(response.expect("a response").body, format!("page of {id}"));
     }
     let is_known_line =
         |line: &str| line.starts_with("GET /r/1 ") || line.starts_with("POST /o/1 ");
-    assert!(instance.target.runs().iter().all(|run| is_known_line(&run.line)));
+    assert!(instance.target.runs().iter().all(|run| is_known_line(&run.request_line)));
 }
 
 /// Guards against a slow target that is taken for dead: a target reads the rest of a long order
@@ -118,11 +120,12 @@
     let route = RouteSpec { wait_max_ms: 9_000, ..RouteSpec::orders(ORDERS, "/o/", "board") };
     deployment.apply(&[route]).await;
     for instance in &deployment.instances {
-        instance.target.behave(Behaviour::ReadLate(Duration::from_millis(1_500)));
+        instance.target.set_behaviour(Behaviour::ReadBodyLate(Duration::from_millis(1_500)));
     }
     let body = vec![b'x'; 12_000_000].into();
-    let long = Call { body, left_ms: 9_000, ..Call::order(ORDERS, "/o/1", "r1") };
-    let response = ask(deployment.instances[0].call_address(), &long).await.expect("a response");
+    let long = Call { body, deadline_ms: 9_000, ..Call::order(ORDERS, "/o/1", "r1") };
+    let response =
+        send_call(deployment.instances[0].call_address(), &long).await.expect("a response");
     assert_eq!(response.status, StatusCode::OK);
 }
 
@@ -132,11 +135,11 @@
 async fn an_order_is_not_sent_over_a_stale_connection() {
     let deployment = deployed("forgotten", &["board"]).await;
     let instance = &deployment.instances[0];
-    ask(instance.call_address(), &Call::read(READS, "/r/1", "f0")).await.expect("a response");
-    instance.target.behave(Behaviour::ResetKept);
+    send_call(instance.call_address(), &Call::read(READS, "/r/1", "f0")).await.expect("a response");
+    instance.target.set_behaviour(Behaviour::ResetReused);
     for number in 0..5 {
         let call = Call::order(ORDERS, "/o/1", &format!("f-{number}"));
-        let response = ask(instance.call_address(), &call).await.expect("a response");
+        let response = send_call(instance.call_address(), &call).await.expect("a response");
         assert_eq!(response.status, StatusCode::OK);
     }
 }
@@ -150,14 +153,14 @@
     let route = RouteSpec { wait_max_ms: 400, ..RouteSpec::orders(ORDERS, "/o/", "board") };
     deployment.apply(&[route, RouteSpec::reads(READS, "/r/", "board")]).await;
     let instance = &deployment.instances[0];
-    instance.target.next(Behaviour::Hang);
+    instance.target.queue_behaviour(Behaviour::Hang);
     let sent_at = Instant::now();
     let call = Call::order(ORDERS, "/o/1", "g1");
-    let response = ask(instance.call_address(), &call).await.expect("a response");
+    let response = send_call(instance.call_address(), &call).await.expect("a response");
     assert_eq!(response.status, StatusCode::GATEWAY_TIMEOUT);
     assert!(sent_at.elapsed() < Duration::from_millis(900), "{:?}", sent_at.elapsed());
-    let is_cut = || async { instance.target.runs().iter().any(|run| run.is_cut) };
-    wait("the run at the target to be cancelled", is_cut).await;
+    let is_cut = || async { instance.target.runs().iter().any(|run| run.is_disconnected) };
+    wait_until("the run at the target to be cancelled", is_cut).await;
 }
 
 /// Guards against requests that hold a slot after their caller has disconnected.
@@ -165,17 +168,17 @@
 async fn a_caller_that_disconnects_frees_the_target() {
     let deployment = deployed("gone", &["board", "board"]).await;
     for instance in &deployment.instances {
-        instance.target.behave(Behaviour::Answer(Duration::from_secs(30)));
+        instance.target.set_behaviour(Behaviour::Respond(Duration::from_secs(30)));
     }
     let address = deployment.instances[0].call_address();
-    let mut connection = KeptConnection::open(address).await.expect("a connection");
+    let mut connection = KeepAliveConnection::open(address).await.expect("a connection");
     let call = Call::read(READS, "/r/1", "h1");
-    let _ = tokio::time::timeout(Duration::from_millis(200), connection.ask(&call)).await;
+    let _ = tokio::time::timeout(Duration::from_millis(200), connection.send(&call)).await;
     drop(connection);
     let disconnected_at = Instant::now();
     let runs = || deployment.instances.iter().flat_map(|instance| instance.target.runs());
-    let is_cut = || async { runs().any(|run| run.is_cut) };
-    wait("the run to be cancelled", is_cut).await;
+    let is_cut = || async { runs().any(|run| run.is_disconnected) };
+    wait_until("the run to be cancelled", is_cut).await;
     assert!(
         disconnected_at.elapsed() < Duration::from_millis(500),
         "{:?}",
@@ -188,9 +191,10 @@
 #[tokio::test]
 async fn a_request_that_its_target_sheds_has_not_run() {
     let deployment = deployed("misdirected", &["board"]).await;
-    deployment.instances[0].target.behave(Behaviour::Shed);
+    deployment.instances[0].target.set_behaviour(Behaviour::Shed);
     let call = Call::order(ORDERS, "/o/1", "i1");
-    let response = ask(deployment.instances[0].call_address(), &call).await.expect("a response");
+    let response =
+        send_call(deployment.instances[0].call_address(), &call).await.expect("a response");
     assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(!response.header("retry-after").is_empty());
     assert!(deployment.instances[0].target.runs().is_empty());
@@ -203,28 +207,29 @@
 async fn a_slot_assigned_to_a_disconnected_caller_is_released() {
     let deployment = deployed("turns", &["board"]).await;
     let instance = &deployment.instances[0];
-    instance.target.behave(Behaviour::Answer(Duration::from_millis(40)));
+    instance.target.set_behaviour(Behaviour::Respond(Duration::from_millis(40)));
     let mut callers = tokio::task::JoinSet::new();
     for caller in 0..40 {
         let address = instance.call_address();
         callers.spawn(async move {
             for step in 0..30 {
-                let mut connection = KeptConnection::open(address).await.expect("a connection");
+                let mut connection =
+                    KeepAliveConnection::open(address).await.expect("a connection");
                 let call = Call::read(READS, "/r/1", &format!("t{caller}-{step}"));
                 let timeout_after = Duration::from_millis(20 + (caller * 7 + step * 13) % 140);
-                let _ = tokio::time::timeout(timeout_after, connection.ask(&call)).await;
+                let _ = tokio::time::timeout(timeout_after, connection.send(&call)).await;
             }
         });
     }
     while callers.join_next().await.is_some() {}
     tokio::time::sleep(Duration::from_millis(500)).await;
-    instance.target.behave(Behaviour::Answer(Duration::from_millis(600)));
+    instance.target.set_behaviour(Behaviour::Respond(Duration::from_millis(600)));
     let requests_before = instance.target.runs().len();
     let mut crowd = tokio::task::JoinSet::new();
     for number in 0..7 {
         let address = instance.call_address();
         crowd.spawn(async move {
-            ask(address, &Call::read(READS, "/r/1", &format!("u{number}"))).await
+            send_call(address, &Call::read(READS, "/r/1", &format!("u{number}"))).await
         });
     }
     tokio::time::sleep(Duration::from_millis(300)).await;
@@ -236,12 +241,12 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_error_response_is_forwarded_if_no_other_target_accepts_the_request() {
     let deployment = deployed("failure", &["board", "board"]).await;
-    deployment.instances[0].target.behave(Behaviour::Fail);
-    deployment.instances[1].target.behave(Behaviour::Shed);
+    deployment.instances[0].target.set_behaviour(Behaviour::Fail);
+    deployment.instances[1].target.set_behaviour(Behaviour::Shed);
     for number in 0..4 {
         let call = Call::read(READS, "/r/1", &format!("failed-{number}"));
         let response =
-            ask(deployment.instances[0].call_address(), &call).await.expect("a response");
+            send_call(deployment.instances[0].call_address(), &call).await.expect("a response");
         assert_eq!(response.status, StatusCode::INTERNAL_SERVER_ERROR, "{response:?}");
         assert_eq!(response.signature(), format!("stamp-of-failed-{number}"));
     }
@@ -256,14 +261,17 @@
     let deployment = deployed("overflow", &["board", "desk"]).await;
     let target = &deployment.instances[0].target;
     let service_time = Duration::from_millis(60);
-    for behaviour in [Behaviour::AnswerOrHang(service_time), Behaviour::AnswerOrReset(service_time)]
+    for behaviour in
+        [Behaviour::RespondOrHang(service_time), Behaviour::RespondOrReset(service_time)]
     {
-        target.behave(behaviour);
+        target.set_behaviour(behaviour);
         let mut calls = JoinSet::new();
         for number in 0..45 {
             let address = deployment.instances[number % 2].call_address();
             let call = Call::read(READS, "/r/1", &format!("o{behaviour:?}{number}"));
-            calls.spawn(async move { ask(address, &call).await.map(|response| response.status) });
+            calls.spawn(
+                async move { send_call(address, &call).await.map(|response| response.status) },
+            );
         }
         while let Some(status) = calls.join_next().await {
             let status = status.expect("a call").expect("a response");
@@ -283,20 +291,21 @@
     let deployment = deployed("slowspell", &["board", "board"]).await;
     let first = &deployment.instances[0];
     let read = |id: &str| Call::read(READS, "/r/1", id);
-    ask(first.call_address(), &read("p0")).await.expect("a response");
+    send_call(first.call_address(), &read("p0")).await.expect("a response");
     tokio::time::sleep(Duration::from_millis(300)).await;
-    let checks_when_idle = first.target.looks();
+    let checks_when_idle = first.target.health_checks();
     tokio::time::sleep(Duration::from_millis(300)).await;
-    assert_eq!(first.target.looks(), checks_when_idle, "health check of an idle target");
-    first.target.tell_pace(400);
-    first.target.next(Behaviour::Answer(Duration::from_millis(600)));
+    assert_eq!(first.target.health_checks(), checks_when_idle, "health check of an idle target");
+    first.target.set_slowdown_percent(400);
+    first.target.queue_behaviour(Behaviour::Respond(Duration::from_millis(600)));
     let address = first.call_address();
-    let long = tokio::spawn(async move { ask(address, &Call::read(READS, "/r/1", "p1")).await });
+    let long =
+        tokio::spawn(async move { send_call(address, &Call::read(READS, "/r/1", "p1")).await });
     tokio::time::sleep(Duration::from_millis(200)).await;
-    assert!(first.target.looks() > checks_when_idle, "no health check of a working target");
+    assert!(first.target.health_checks() > checks_when_idle, "no health check of a working target");
     let requests_before = first.target.requests();
     for number in 0..5 {
-        let response = ask(address, &read(&format!("q{number}"))).await.expect("a response");
+        let response = send_call(address, &read(&format!("q{number}"))).await.expect("a response");
         assert_eq!(response.status, StatusCode::OK);
     }
     assert_eq!(first.target.requests(), requests_before, "reads were admitted at a slow target");
--- a/crates/yuccarackd/tests/routed/at_most_once.rs
+++ b/crates/yuccarackd/tests/routed/at_most_once.rs
@@ -6,7 +6,7 @@
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use tokio::task::JoinSet;
 use yuccarack_platform_standin::{
-    caller::{Call, Told, ask},
+    caller::{Call, CallResponse, send_call},
     target::Behaviour,
 };
 
@@ -20,11 +20,11 @@
 #[tokio::test]
 async fn an_order_that_a_target_sheds_runs_on_another_one() {
     let deployment = deployed("shed", &["board", "board"]).await;
-    deployment.instances[0].target.behave(Behaviour::Shed);
+    deployment.instances[0].target.set_behaviour(Behaviour::Shed);
     for number in 0..6 {
         let call = Call::order(ORDERS, "/o/1", &format!("a{number}"));
         let response =
-            ask(deployment.instances[0].call_address(), &call).await.expect("a response");
+            send_call(deployment.instances[0].call_address(), &call).await.expect("a response");
         assert_eq!(response.status, StatusCode::OK);
     }
     assert!(deployment.instances[0].target.runs().is_empty());
@@ -47,11 +47,11 @@
     let mut calls = JoinSet::new();
     for number in 0..ORDERS_PER_WALK {
         let instance = &deployment.instances[rng.random_range(0..3)];
-        instance.target.next(random_behaviour(&mut rng));
+        instance.target.queue_behaviour(random_behaviour(&mut rng));
         let id = format!("w{seed}-{number}");
         let address = deployment.instances[rng.random_range(0..3)].call_address();
         calls.spawn(async move {
-            let response = ask(address, &Call::order(ORDERS, "/o/1", &id)).await;
+            let response = send_call(address, &Call::order(ORDERS, "/o/1", &id)).await;
             (id, response)
         });
         if calls.len() >= 24 {
@@ -59,7 +59,7 @@
         }
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
-    let mut responses: HashMap<String, Option<Told>> = HashMap::new();
+    let mut responses: HashMap<String, Option<CallResponse>> = HashMap::new();
     while let Some(call) = calls.join_next().await {
         let (id, response) = call.expect("a call that ended");
         responses.insert(id, response);
@@ -75,7 +75,7 @@
         let Some(response) = response else { continue };
         let has_run = runs.contains_key(&id);
         assert!(
-            !(response.promises_not_run() && has_run),
+            !(response.confirms_not_run() && has_run),
             "seed {seed}: {id} ran but was reported as not run"
         );
         if response.status.is_success() {
@@ -88,12 +88,12 @@
     match rng.random_range(0..12) {
         0 => Behaviour::Fail,
         1 => Behaviour::Shed,
-        2 => Behaviour::CutBody,
-        3 => Behaviour::LoseAnswer,
-        4 => Behaviour::AnswerTwice(Duration::from_millis(rng.random_range(0..20))),
+        2 => Behaviour::TruncateBody,
+        3 => Behaviour::ResetBeforeResponse,
+        4 => Behaviour::RespondTwice(Duration::from_millis(rng.random_range(0..20))),
         5 => Behaviour::WrongId,
         6 => Behaviour::UnframedReset,
-        7 => Behaviour::ResetKept,
-        _ => Behaviour::Answer(Duration::from_millis(rng.random_range(1..60))),
+        7 => Behaviour::ResetReused,
+        _ => Behaviour::Respond(Duration::from_millis(rng.random_range(1..60))),
     }
 }
--- a/crates/yuccarackd/tests/routed/cold.rs
+++ b/crates/yuccarackd/tests/routed/cold.rs
@@ -5,8 +5,8 @@
 use futures_util::future::join_all;
 use tokio::time::sleep;
 use yuccarack_platform_standin::{
-    caller::{Call, ask},
-    deployment::{Deployment, wait},
+    caller::{Call, send_call},
+    deployment::{Deployment, wait_until},
     target::Behaviour,
 };
 
@@ -28,10 +28,10 @@
 async fn deploy_with_cold_bound(name: &str) -> Deployment {
     let services = ["board", "board"];
     let mut deployment = Deployment::start(program(), name, &services).await.expect("a deployment");
-    deployment.bound_cold_targets(COLD_PER_S as f64);
+    deployment.set_cold_rate(COLD_PER_S as f64);
     deployment.apply(&board_routes()).await;
     for instance in &deployment.instances {
-        instance.target.behave(Behaviour::Answer(Duration::from_millis(10)));
+        instance.target.set_behaviour(Behaviour::Respond(Duration::from_millis(10)));
     }
     deployment
 }
@@ -46,7 +46,7 @@
             }
             let call = Call::read(READS, "/r/1", &format!("c{caller}-{number}"));
             // Refusals arrive at once and are expected.
-            ask(address, &call).await;
+            send_call(address, &call).await;
             sleep(Duration::from_millis(10)).await;
         }
     });
@@ -67,11 +67,11 @@
     let start = Instant::now();
     let cold_from = start + Duration::from_millis(1_500);
     let cold_until = cold_from + COLD_PERIOD;
-    let cool_down = async {
+    let set_cold_for = async {
         tokio::time::sleep_until(cold_from.into()).await;
-        deployment.instances[0].target.cool_down(COLD_PERIOD);
+        deployment.instances[0].target.set_cold_for(COLD_PERIOD);
     };
-    tokio::join!(send_load(&deployment, cold_until + Duration::from_millis(1_500)), cool_down);
+    tokio::join!(send_load(&deployment, cold_until + Duration::from_millis(1_500)), set_cold_for);
     let before = first_target_arrivals(&deployment, start, cold_from);
     assert!(before > COLD_MAX, "{before} requests before: too little load to reach the bound");
     let cold = first_target_arrivals(&deployment, cold_from, cold_until);
@@ -86,7 +86,7 @@
 async fn the_bound_of_a_cold_target_holds_across_a_restart_of_its_daemon() {
     let mut deployment = deploy_with_cold_bound("coldrestart").await;
     let cold_from = Instant::now();
-    deployment.instances[0].target.cool_down(COLD_PERIOD);
+    deployment.instances[0].target.set_cold_for(COLD_PERIOD);
     send_load(&deployment, cold_from + COLD_PERIOD / 4).await;
     deployment.instances[0].kill_daemon();
     deployment.instances[0].start_daemon().await.expect("a daemon");
@@ -98,17 +98,17 @@
         send_load(&deployment, Instant::now() + Duration::from_millis(100)).await;
         deployment.instances[0].target.requests() > before
     };
-    wait("requests to the target after its cold period", is_back).await;
+    wait_until("requests to the target after its cold period", is_back).await;
 }
 
 /// Guards against a bound that stays in force after operators have lifted it.
 #[tokio::test]
 async fn a_lifted_bound_limits_nothing() {
     let mut deployment = deploy_with_cold_bound("coldlifted").await;
-    deployment.bound_cold_targets(0.0);
+    deployment.set_cold_rate(0.0);
     deployment.apply(&board_routes()).await;
     let from = Instant::now();
-    deployment.instances[0].target.cool_down(COLD_PERIOD);
+    deployment.instances[0].target.set_cold_for(COLD_PERIOD);
     send_load(&deployment, from + COLD_PERIOD).await;
     let cold = first_target_arrivals(&deployment, from, from + COLD_PERIOD);
     assert!(cold > COLD_MAX, "{cold} requests without a bound");
--- a/crates/yuccarackd/tests/routed/crashing.rs
+++ b/crates/yuccarackd/tests/routed/crashing.rs
@@ -5,8 +5,8 @@
 use http::StatusCode;
 use tokio::{task::JoinSet, time::sleep};
 use yuccarack_platform_standin::{
-    caller::{Call, ask},
-    deployment::{Deployment, wait},
+    caller::{Call, send_call},
+    deployment::{Deployment, wait_until},
     target::Run,
 };
 
@@ -29,13 +29,13 @@
     let mut runs = 0;
     for round in 0..10 {
         for instance in &deployment.instances {
-            instance.target.die_of("/r/boom");
+            instance.target.crash_on("/r/boom");
         }
         let address = deployment.instances[round % 4].call_address();
-        let _ = ask(address, &Call::read(READS, "/r/boom", &format!("x{round}"))).await;
+        let _ = send_call(address, &Call::read(READS, "/r/boom", &format!("x{round}"))).await;
         tokio::time::sleep(Duration::from_millis(400)).await;
         for instance in &mut deployment.instances {
-            if instance.target.is_dead() {
+            if instance.target.has_crashed() {
                 runs += instance.restart_target().await.expect("a target").len();
             }
         }
@@ -44,7 +44,7 @@
     assert!((3..=4).contains(&runs), "it ran {runs} times");
     for number in 0..8 {
         let address = deployment.instances[number % 4].call_address();
-        let response = ask(address, &Call::read(READS, "/r/1", &format!("y{number}"))).await;
+        let response = send_call(address, &Call::read(READS, "/r/1", &format!("y{number}"))).await;
         assert_eq!(response.expect("a response").status, StatusCode::OK);
     }
 }
@@ -53,9 +53,9 @@
 async fn restart_crashed_targets(deployment: &mut Deployment) -> Vec<Run> {
     let mut runs = Vec::new();
     for instance in &mut deployment.instances {
-        if instance.target.is_dead() {
+        if instance.target.has_crashed() {
             runs.extend(instance.restart_target().await.expect("a target"));
-            instance.target.die_of(CRASHING_PATH);
+            instance.target.crash_on(CRASHING_PATH);
         }
     }
     runs
@@ -68,7 +68,7 @@
         for request in 0..CRASHING_REQUESTS {
             let id = format!("x{round}-{number}-{request}");
             let (address, path) = (instance.call_address(), format!("{CRASHING_PATH}{request}"));
-            callers.spawn(async move { ask(address, &Call::read(READS, &path, &id)).await });
+            callers.spawn(async move { send_call(address, &Call::read(READS, &path, &id)).await });
         }
     }
     while callers.join_next().await.is_some() {}
@@ -81,7 +81,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_burst_of_requests_that_crash_targets_is_quarantined() {
     let mut deployment = deployed("crashes", &["board"; 6]).await;
-    deployment.instances.iter().for_each(|instance| instance.target.die_of(CRASHING_PATH));
+    deployment.instances.iter().for_each(|instance| instance.target.crash_on(CRASHING_PATH));
     let mut crashes = 0;
     for round in 0..4 {
         burst(&deployment, round).await;
@@ -96,7 +96,7 @@
         burst(&deployment, round).await;
         sleep(Duration::from_millis(300)).await;
         for run in restart_crashed_targets(&mut deployment).await {
-            *late_runs.entry(run.line).or_default() += 1;
+            *late_runs.entry(run.request_line).or_default() += 1;
         }
         sleep(Duration::from_millis(500)).await;
     }
@@ -107,9 +107,9 @@
     for instance in &deployment.instances {
         let address = instance.call_address();
         let is_served = || async {
-            let response = ask(address, &Call::read(READS, "/r/1", "y")).await;
+            let response = send_call(address, &Call::read(READS, "/r/1", "y")).await;
             response.is_some_and(|response| response.status == StatusCode::OK)
         };
-        wait("responses to other requests", is_served).await;
+        wait_until("responses to other requests", is_served).await;
     }
 }
--- a/crates/yuccarackd/tests/routed/evacuation.rs
+++ b/crates/yuccarackd/tests/routed/evacuation.rs
@@ -4,9 +4,9 @@
 
 use http::StatusCode;
 use yuccarack_platform_standin::{
-    caller::{Call, ask},
-    deployment::{Deployment, wait},
-    store::DoorMode,
+    caller::{Call, send_call},
+    deployment::{Deployment, wait_until},
+    store::StoreServerMode,
 };
 
 use crate::support::{READS, deployed};
@@ -32,7 +32,7 @@
     for number in 0..30 {
         let address = deployment.instances[number % SERVICES.len()].call_address();
         let call = Call::read(READS, "/r/1", &format!("{name}{number}"));
-        let response = ask(address, &call).await.expect("a response");
+        let response = send_call(address, &call).await.expect("a response");
         assert_eq!(response.status, StatusCode::OK);
     }
     evacuated_requests() - before
@@ -40,7 +40,7 @@
 
 /// Waits until daemons apply an evacuation or its end, within [`IN_FORCE_MAX`].
 async fn wait_in_force(deployment: &Deployment, is_evacuated: bool) {
-    let waited = wait("the evacuation to start or end", || async {
+    let waited = wait_until("the evacuation to start or end", || async {
         let count = reads_at_evacuated(deployment, "w").await;
         (count == 0) == is_evacuated
     });
@@ -70,10 +70,10 @@
 /// domain.
 #[tokio::test]
 async fn daemons_refused_by_the_store_follow_an_evacuation() {
-    for mode in [DoorMode::Refusing, DoorMode::Silent] {
+    for mode in [StoreServerMode::Unavailable, StoreServerMode::Unresponsive] {
         let deployment = deployed(&format!("evacuated{mode:?}"), &SERVICES).await;
         for instance in &deployment.instances[..4] {
-            instance.door.set(mode);
+            instance.store_server.set_mode(mode);
         }
         assert_evacuation_starts_and_ends(&deployment).await;
     }
@@ -87,7 +87,7 @@
     let deployment = deployed("evacuatedrelays", &services).await;
     let domain: Vec<usize> = (0..services.len()).step_by(3).collect();
     for index in &domain {
-        deployment.instances[*index].door.set(DoorMode::Silent);
+        deployment.instances[*index].store_server.set_mode(StoreServerMode::Unresponsive);
     }
     deployment.store.put("op", EVACUATION_KEY, b"{}");
     let evacuated_requests =
@@ -96,7 +96,7 @@
         let before = evacuated_requests();
         for index in &domain {
             let call = Call::read(READS, "/r/1", &format!("s{index}"));
-            let response = ask(deployment.instances[*index].call_address(), &call).await;
+            let response = send_call(deployment.instances[*index].call_address(), &call).await;
             assert_eq!(response.expect("a response").status, StatusCode::OK);
         }
         evacuated_requests() == before
@@ -120,7 +120,7 @@
         deployment.instances[index].start_daemon().await.expect("a daemon");
     }
     for index in [0, 1] {
-        wait("the daemon to be ready", || deployment.instances[index].is_ready()).await;
+        wait_until("the daemon to be ready", || deployment.instances[index].is_ready()).await;
     }
     assert_eq!(reads_at_evacuated(&deployment, "a").await, 0);
 }
@@ -132,13 +132,13 @@
     deployment.store.put("op", EVACUATION_KEY, b"{}");
     wait_in_force(&deployment, true).await;
     for instance in &deployment.instances {
-        instance.door.set(DoorMode::Cutting);
+        instance.store_server.set_mode(StoreServerMode::Disconnecting);
     }
     tokio::time::sleep(Duration::from_millis(300)).await;
     deployment.store.delete("op", EVACUATION_KEY);
     deployment.store.compact();
     for instance in &deployment.instances {
-        instance.door.set(DoorMode::Open);
+        instance.store_server.set_mode(StoreServerMode::Serving);
     }
     wait_in_force(&deployment, false).await;
 }
--- a/crates/yuccarackd/tests/routed/explained.rs
+++ b/crates/yuccarackd/tests/routed/explained.rs
@@ -6,7 +6,7 @@
 use rand::{SeedableRng, rngs::StdRng, seq::SliceRandom};
 use tokio::time::sleep;
 use yuccarack_platform_standin::{
-    caller::{Call, ask},
+    caller::{Call, send_call},
     deployment::{Deployment, RouteSpec},
     target::Behaviour,
 };
@@ -40,7 +40,7 @@
             (0..FAILURES_PER_FAULT * 2).map(|number| format!("{cause}-{number}")).collect();
         let ask_one = |id: &String| {
             let call = call(id);
-            async move { ask(address, &call).await.is_some_and(|it| it.status.is_success()) }
+            async move { send_call(address, &call).await.is_some_and(|it| it.status.is_success()) }
         };
         let answered = join_all(ids.iter().map(ask_one)).await;
         let failed = ids.into_iter().zip(answered).filter(|(_, is_answered)| !is_answered);
@@ -49,24 +49,29 @@
 
     /// Makes orders fail for lack of capacity, at gates that have learned the service time.
     async fn fail_by_overload(&mut self) {
-        self.behave(Behaviour::Answer(LONG_SERVICE_TIME));
+        self.behave(Behaviour::Respond(LONG_SERVICE_TIME));
         let address = self.deployment.instances[1].call_address();
         let many = |name: &str, call: fn(&str) -> Call| {
             let ids: Vec<String> =
                 (0..FILL_REQUESTS).map(|number| format!("{name}-{number}")).collect();
-            join_all(ids.into_iter().map(move |id| async move { ask(address, &call(&id)).await }))
+            join_all(
+                ids.into_iter().map(move |id| async move { send_call(address, &call(&id)).await }),
+            )
         };
         many("warm-orders", order).await;
         let fill = many("fill", read);
         let full = async {
             sleep(LONG_SERVICE_TIME / 4).await;
-            self.collect_failures(Cause::Load, |id| Call { left_ms: 700, ..order(id) }).await;
+            self.collect_failures(Cause::Load, |id| Call { deadline_ms: 700, ..order(id) }).await;
         };
         tokio::join!(fill, full);
     }
 
     fn behave(&self, behaviour: Behaviour) {
-        self.deployment.instances.iter().for_each(|instance| instance.target.behave(behaviour));
+        self.deployment
+            .instances
+            .iter()
+            .for_each(|instance| instance.target.set_behaviour(behaviour));
     }
 
     fn logs(&self) -> Vec<PathBuf> {
@@ -99,17 +104,17 @@
     let mut injected = InjectedFailures { deployment, failed: Vec::new() };
     injected.fail_by_overload().await;
     injected.collect_failures(Cause::NoRoute, |id| Call::read("nobody.example", "/", id)).await;
-    injected.behave(Behaviour::LoseAnswer);
+    injected.behave(Behaviour::ResetBeforeResponse);
     injected.collect_failures(Cause::TargetDisconnected, order).await;
     injected.behave(Behaviour::Fail);
     injected.collect_failures(Cause::TargetFailed, order).await;
     injected.behave(Behaviour::Shed);
     injected.collect_failures(Cause::TargetShed, order).await;
     injected.behave(Behaviour::Hang);
-    injected.collect_failures(Cause::TooSlow, |id| Call { left_ms: 300, ..order(id) }).await;
+    injected.collect_failures(Cause::TooSlow, |id| Call { deadline_ms: 300, ..order(id) }).await;
     for instance in &mut injected.deployment.instances {
-        instance.stop_beating();
-        instance.say("draining").await;
+        instance.stop_heartbeats();
+        instance.send_heartbeat("draining").await;
     }
     injected.collect_failures(Cause::TargetUnavailable, order).await;
     let mut routes = board_routes();
--- a/crates/yuccarackd/tests/routed/homes.rs
+++ b/crates/yuccarackd/tests/routed/homes.rs
@@ -3,8 +3,8 @@
 use http::StatusCode;
 use serde_json::json;
 use yuccarack_platform_standin::{
-    caller::{Call, ask},
-    deployment::{Deployment, RouteSpec, wait},
+    caller::{Call, send_call},
+    deployment::{Deployment, RouteSpec, wait_until},
     target::Behaviour,
 };
 
@@ -22,7 +22,7 @@
     let regions = [("a", "east"), ("b", "west"), ("c", "west")]
         .map(|(domain, region)| json!({"failure_domain": domain, "region": region}));
     for instance in &mut deployment.instances {
-        instance.set("regions", json!(regions)).expect("a file");
+        instance.set_setting("regions", json!(regions)).expect("a file");
         instance.kill_daemon();
         instance.start_daemon().await.expect("a daemon");
     }
@@ -33,7 +33,7 @@
 
 async fn read(deployment: &Deployment, at: usize, id: &str) -> StatusCode {
     let address = deployment.instances[at].call_address();
-    ask(address, &Call::read(READS, "/r/1", id)).await.expect("a response").status
+    send_call(address, &Call::read(READS, "/r/1", id)).await.expect("a response").status
 }
 
 /// Guards against requests that leave the home regions of their route, in particular with an
@@ -51,7 +51,7 @@
         assert_eq!(status, StatusCode::OK);
     }
     for at in FIRST_REGION {
-        deployment.instances[at].target.behave(Behaviour::Shed);
+        deployment.instances[at].target.set_behaviour(Behaviour::Shed);
     }
     for number in 0..12 {
         let status = read(&deployment, number % SIX_INSTANCES.len(), &format!("s{number}")).await;
@@ -65,9 +65,9 @@
 async fn requests_without_a_target_in_their_home_regions_are_refused_at_once() {
     let mut deployment = deploy_in_two_regions("nohome").await;
     for at in FIRST_REGION {
-        deployment.instances[at].leave().await;
+        deployment.instances[at].send_leave().await;
     }
     let is_refused =
         || async { read(&deployment, 1, "n").await == StatusCode::SERVICE_UNAVAILABLE };
-    wait("a refusal", is_refused).await;
+    wait_until("a refusal", is_refused).await;
 }
--- a/crates/yuccarackd/tests/routed/large_tables.rs
+++ b/crates/yuccarackd/tests/routed/large_tables.rs
@@ -7,12 +7,12 @@
 
 use http::Method;
 use yuccarack_platform_standin::{
-    deployment::{Deployment, RouteSpec, wait},
+    deployment::{Deployment, RouteSpec, wait_until},
     instance::Links,
 };
 use yuccarack_policy::relays::{RelayRole, relay_role};
 use yuccarack_standins::{
-    client::{Asker, Question},
+    client::{ClientRequest, HttpClient},
     proxy::ProxyFaults,
 };
 
@@ -67,7 +67,7 @@
         let is_follower = || async {
             std::fs::read_to_string(&log).unwrap_or_default().contains("\"relay_heard\"")
         };
-        wait(&format!("n{number} to receive updates from a relay"), is_follower).await;
+        wait_until(&format!("n{number} to receive updates from a relay"), is_follower).await;
     }
     deployment
 }
@@ -75,7 +75,7 @@
 /// Limits the links of `numbers` to the store, and all links between daemons.
 fn limit_links(deployment: &Deployment, numbers: &BTreeSet<usize>) {
     for number in numbers {
-        deployment.instances[*number].door.set_rate(Some(THIN_BYTES_PER_S));
+        deployment.instances[*number].store_server.set_rate(Some(THIN_BYTES_PER_S));
     }
     for instance in &deployment.instances {
         let proxy = instance.proxies.gate.as_ref().expect("a proxy");
@@ -87,8 +87,8 @@
 /// Returns the version of the table that an instance has in force, by its metrics.
 async fn version_in_force(deployment: &Deployment, number: usize) -> Option<u64> {
     let address = deployment.instances[number].address("metrics_address");
-    let query = Question::new(Method::GET, "/metrics");
-    let response = Asker::new(Duration::from_secs(1)).ask(address, query).await.ok()?;
+    let query = ClientRequest::new(Method::GET, "/metrics");
+    let response = HttpClient::new(Duration::from_secs(1)).send(address, query).await.ok()?;
     let text = String::from_utf8_lossy(&response.body).into_owned();
     let line = text.lines().find(|line| line.starts_with("yuccarack_routing_version "))?;
     line.split(' ').nth(1)?.parse().ok()
@@ -96,7 +96,7 @@
 
 /// Writes `table` and returns the instances that don't have it in force in time.
 async fn write_and_list_late(deployment: &mut Deployment, table: &[RouteSpec]) -> Vec<usize> {
-    let written = deployment.write(table);
+    let written = deployment.write_routes(table);
     let due_at = Instant::now() + IN_FORCE_MAX;
     let mut late: Vec<usize> = (0..SERVICES.len()).collect();
     while !late.is_empty() && Instant::now() < due_at {
@@ -146,7 +146,7 @@
     }
     for number in [0, 1] {
         let instance = &deployment.instances[number];
-        wait(&format!("{} to be ready", instance.name), || instance.is_ready()).await;
+        wait_until(&format!("{} to be ready", instance.name), || instance.is_ready()).await;
     }
 }
 
@@ -156,9 +156,9 @@
     let mut table = routes("a", 300);
     let mut deployment = start_settled("large-trickle", &table).await;
     let slow_follower = *followers().first().expect("an instance");
-    deployment.instances[slow_follower].door.set_rate(Some(200));
+    deployment.instances[slow_follower].store_server.set_rate(Some(200));
     let relay = (0..SERVICES.len()).find(|number| !followers().contains(number));
-    deployment.instances[relay.expect("a relay")].door.set_rate(Some(200));
+    deployment.instances[relay.expect("a relay")].store_server.set_rate(Some(200));
     table.extend(routes("b", 300));
     assert_eq!(write_and_list_late(&mut deployment, &table).await, Vec::<usize>::new());
 }
@@ -170,7 +170,7 @@
     let mut table = routes("a", ROUTES);
     let mut deployment = start_settled("large-slow-relay", &table).await;
     let relay = (0..SERVICES.len()).find(|number| !followers().contains(number));
-    let door = &deployment.instances[relay.expect("a relay")].door;
+    let door = &deployment.instances[relay.expect("a relay")].store_server;
     door.set_rate(Some(THIN_BYTES_PER_S));
     table.extend(routes("b", 300));
     assert_eq!(write_and_list_late(&mut deployment, &table).await, Vec::<usize>::new());
--- a/crates/yuccarackd/tests/routed/leaving.rs
+++ b/crates/yuccarackd/tests/routed/leaving.rs
@@ -8,8 +8,8 @@
 use http::StatusCode;
 use tokio::task::JoinSet;
 use yuccarack_platform_standin::{
-    caller::{Call, KeptConnection, ask},
-    deployment::{Deployment, wait},
+    caller::{Call, KeepAliveConnection, send_call},
+    deployment::{Deployment, wait_until},
     target::Behaviour,
 };
 
@@ -21,7 +21,7 @@
     for number in 0..calls {
         let address = deployment.instances[number % deployment.instances.len()].call_address();
         let call = Call::read(READS, "/r/1", &format!("{name}{number}"));
-        let response = ask(address, &call).await.expect("a response");
+        let response = send_call(address, &call).await.expect("a response");
         assert_eq!(response.status, StatusCode::OK);
     }
     (deployment.instances[0].target.requests() - before) as usize
@@ -33,15 +33,15 @@
 async fn a_draining_target_receives_no_more_requests() {
     let mut deployment = deployed("drain", &["board", "board"]).await;
     assert!(reads_at_first(&deployment, "a", 10).await > 0);
-    deployment.instances[0].stop_beating();
-    assert_eq!(deployment.instances[0].say("draining").await, Some(StatusCode::OK));
+    deployment.instances[0].stop_heartbeats();
+    assert_eq!(deployment.instances[0].send_heartbeat("draining").await, Some(StatusCode::OK));
     assert_eq!(reads_at_first(&deployment, "b", 20).await, 0);
 }
 
 #[tokio::test]
 async fn a_target_that_left_receives_no_more_requests() {
     let mut deployment = deployed("left", &["board", "board"]).await;
-    assert_eq!(deployment.instances[0].leave().await, Some(StatusCode::OK));
+    assert_eq!(deployment.instances[0].send_leave().await, Some(StatusCode::OK));
     assert_eq!(reads_at_first(&deployment, "a", 20).await, 0);
 }
 
@@ -50,17 +50,17 @@
 #[tokio::test]
 async fn a_target_that_stays_after_all_receives_requests_again() {
     let mut deployment = deployed("stays", &["board", "board"]).await;
-    deployment.instances[0].stop_beating();
-    deployment.instances[0].say("draining").await;
+    deployment.instances[0].stop_heartbeats();
+    deployment.instances[0].send_heartbeat("draining").await;
     assert_eq!(reads_at_first(&deployment, "a", 10).await, 0);
-    deployment.instances[0].beat();
+    deployment.instances[0].start_heartbeats();
     let first = &deployment.instances[0];
     let receives_requests = || async {
         let before = first.target.requests();
-        ask(first.call_address(), &Call::read(READS, "/r/1", "b")).await.expect("a response");
+        send_call(first.call_address(), &Call::read(READS, "/r/1", "b")).await.expect("a response");
         first.target.requests() > before
     };
-    wait("requests to the target that stays", receives_requests).await;
+    wait_until("requests to the target that stays", receives_requests).await;
 }
 
 /// Guards against a restarted daemon that takes a draining target for ready. Its new process
@@ -68,11 +68,11 @@
 #[tokio::test]
 async fn a_restarted_daemon_waits_for_a_heartbeat_of_its_target() {
     let mut deployment = deployed("restart", &["board", "board"]).await;
-    deployment.instances[0].stop_beating();
-    assert_eq!(deployment.instances[0].say("draining").await, Some(StatusCode::OK));
+    deployment.instances[0].stop_heartbeats();
+    assert_eq!(deployment.instances[0].send_heartbeat("draining").await, Some(StatusCode::OK));
     deployment.instances[0].kill_daemon();
     deployment.instances[0].start_daemon().await.expect("a daemon");
-    wait("the daemon to be ready", || deployment.instances[0].is_ready()).await;
+    wait_until("the daemon to be ready", || deployment.instances[0].is_ready()).await;
     assert_eq!(reads_at_first(&deployment, "a", 20).await, 0);
 }
 
@@ -81,15 +81,15 @@
 #[tokio::test]
 async fn a_restarted_daemon_knows_that_its_target_leaves() {
     let mut deployment = deployed("knows", &["board", "board"]).await;
-    deployment.instances[0].stop_beating();
-    assert_eq!(deployment.instances[0].say("draining").await, Some(StatusCode::OK));
+    deployment.instances[0].stop_heartbeats();
+    assert_eq!(deployment.instances[0].send_heartbeat("draining").await, Some(StatusCode::OK));
     let is_stored = || async { deployment.store.has_row("leaving", "n0") };
-    wait("the departure to be stored", is_stored).await;
+    wait_until("the departure to be stored", is_stored).await;
     deployment.instances[0].kill_daemon();
     deployment.instances[0].start_daemon().await.expect("a daemon");
-    wait("the daemon to be ready", || deployment.instances[0].is_ready()).await;
+    wait_until("the daemon to be ready", || deployment.instances[0].is_ready()).await;
     tokio::time::sleep(Duration::from_millis(200)).await;
-    deployment.instances[0].say_again("ready").await;
+    deployment.instances[0].resend_older_heartbeat("ready").await;
     assert_eq!(reads_at_first(&deployment, "a", 20).await, 0);
 }
 
@@ -102,16 +102,16 @@
         let row = format!(r#"{{"target":"i-old{number}","last_life":{number}}}"#);
         deployment.store.put("leaving", &format!("old{number}"), row.as_bytes());
     }
-    deployment.instances[0].stop_beating();
-    assert_eq!(deployment.instances[0].say("draining").await, Some(StatusCode::OK));
+    deployment.instances[0].stop_heartbeats();
+    assert_eq!(deployment.instances[0].send_heartbeat("draining").await, Some(StatusCode::OK));
     let is_stored = || async { deployment.store.has_row("leaving", "n0") };
-    wait("the departure to be stored", is_stored).await;
+    wait_until("the departure to be stored", is_stored).await;
     deployment.instances[0].kill_daemon();
-    deployment.instances[0].door.set_rate(Some(128 * 1024));
+    deployment.instances[0].store_server.set_rate(Some(128 * 1024));
     deployment.instances[0].start_daemon().await.expect("a daemon");
-    wait("the daemon to be ready", || deployment.instances[0].is_ready()).await;
+    wait_until("the daemon to be ready", || deployment.instances[0].is_ready()).await;
     tokio::time::sleep(Duration::from_millis(1_500)).await;
-    deployment.instances[0].say_again("ready").await;
+    deployment.instances[0].resend_older_heartbeat("ready").await;
     assert_eq!(reads_at_first(&deployment, "a", 20).await, 0);
 }
 
@@ -121,12 +121,15 @@
 async fn a_late_heartbeat_of_an_earlier_incarnation_changes_nothing() {
     let mut deployment = deployed("late", &["board", "board"]).await;
     let first = &deployment.instances[0];
-    assert_eq!(first.say_of_earlier_life("draining").await, Some(StatusCode::CONFLICT));
+    assert_eq!(
+        first.send_heartbeat_of_earlier_process("draining").await,
+        Some(StatusCode::CONFLICT)
+    );
     assert!(reads_at_first(&deployment, "a", 20).await > 0);
-    deployment.instances[0].stop_beating();
-    deployment.instances[0].say("draining").await;
+    deployment.instances[0].stop_heartbeats();
+    deployment.instances[0].send_heartbeat("draining").await;
     let first = &deployment.instances[0];
-    assert_eq!(first.say_of_earlier_life("ready").await, Some(StatusCode::CONFLICT));
+    assert_eq!(first.send_heartbeat_of_earlier_process("ready").await, Some(StatusCode::CONFLICT));
     assert_eq!(reads_at_first(&deployment, "b", 20).await, 0);
 }
 
@@ -134,7 +137,7 @@
 async fn an_unreadable_heartbeat_changes_nothing() {
     let deployment = deployed("unread", &["board", "board"]).await;
     for text in ["", "{}", "null", "{\"address\":7}"] {
-        let response = deployment.instances[0].say_text(text).await;
+        let response = deployment.instances[0].send_raw_heartbeat(text).await;
         assert_eq!(response, Some(StatusCode::BAD_REQUEST), "{text}");
     }
     assert!(reads_at_first(&deployment, "a", 20).await > 0);
@@ -147,23 +150,23 @@
 async fn a_planned_stop_loses_no_request() {
     let mut deployment = deployed("stop", &["board", "board"]).await;
     for instance in &deployment.instances {
-        instance.target.behave(Behaviour::Answer(Duration::from_millis(120)));
+        instance.target.set_behaviour(Behaviour::Respond(Duration::from_millis(120)));
     }
     let address = deployment.instances[0].call_address();
     let mut callers = JoinSet::new();
     let load_ends_at = Instant::now() + Duration::from_millis(1_900);
     for caller in 0..6 {
         callers.spawn(async move {
-            let mut connection = KeptConnection::open(address).await.expect("a connection");
+            let mut connection = KeepAliveConnection::open(address).await.expect("a connection");
             let mut number = 0;
             while Instant::now() < load_ends_at {
                 number += 1;
                 let call = Call::order(ORDERS, "/o/1", &format!("s{caller}-{number}"));
                 let response =
-                    connection.ask(&call).await.expect("a response to each request that was read");
+                    connection.send(&call).await.expect("a response to each request that was read");
                 assert_eq!(response.status, StatusCode::OK);
                 if response.header("connection") == "close" {
-                    connection = KeptConnection::open(address).await.expect("a connection");
+                    connection = KeepAliveConnection::open(address).await.expect("a connection");
                 }
             }
         });
@@ -175,7 +178,7 @@
     while let Some(caller) = callers.join_next().await {
         caller.expect("a caller that lost no request");
     }
-    let status = tokio::time::timeout(Duration::from_secs(6), daemon.ended()).await;
+    let status = tokio::time::timeout(Duration::from_secs(6), daemon.wait_exit()).await;
     assert!(status.expect("an exit in time").expect("a status").success());
 }
 
@@ -186,7 +189,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_stopping_gate_leaves_no_order_with_an_unknown_outcome() {
     let mut deployment = deployed("stopgate", &["board", "depot"]).await;
-    deployment.instances[0].target.behave(Behaviour::Answer(Duration::from_millis(400)));
+    deployment.instances[0].target.set_behaviour(Behaviour::Respond(Duration::from_millis(400)));
     let other = deployment.instances[1].call_address();
     let load_ends_at = Instant::now() + Duration::from_millis(4_500);
     let mut callers = JoinSet::new();
@@ -195,7 +198,7 @@
             let mut outcomes = Vec::new();
             while Instant::now() < load_ends_at {
                 let id = format!("g{caller}-{}", outcomes.len());
-                let response = ask(other, &Call::order(ORDERS, "/o/1", &id)).await;
+                let response = send_call(other, &Call::order(ORDERS, "/o/1", &id)).await;
                 outcomes.push(response.map(|response| response.status));
             }
             outcomes
@@ -214,7 +217,7 @@
         matches!(*outcome, Some(StatusCode::OK | StatusCode::SERVICE_UNAVAILABLE))
     };
     assert!(outcomes.keys().all(is_known), "{outcomes:?}");
-    let status = tokio::time::timeout(Duration::from_secs(6), daemon.ended()).await;
+    let status = tokio::time::timeout(Duration::from_secs(6), daemon.wait_exit()).await;
     assert!(status.expect("an exit in time").expect("a status").success());
 }
 
@@ -224,19 +227,19 @@
 async fn changed_settings_are_reloaded_without_a_restart() {
     let mut deployment = deployed("hup", &["board"]).await;
     let instance = &mut deployment.instances[0];
-    instance.set("service", serde_json::json!("cellar")).expect("a written file");
+    instance.set_setting("service", serde_json::json!("cellar")).expect("a written file");
     let daemon = instance.daemon.as_ref().expect("a daemon");
     daemon.reload();
     let address = instance.call_address();
     let is_new = || async {
-        ask(address, &Call::read(READS, "/r/1", "k1")).await.expect("a response");
+        send_call(address, &Call::read(READS, "/r/1", "k1")).await.expect("a response");
         instance.target.runs().last().is_some_and(|run| run.caller_service == "cellar")
     };
-    wait("the changed settings", is_new).await;
+    wait_until("the changed settings", is_new).await;
     std::fs::write(instance.settings_file(), "{}").expect("a written file");
     instance.daemon.as_ref().expect("a daemon").reload();
     tokio::time::sleep(Duration::from_millis(200)).await;
-    let response = ask(address, &Call::read(READS, "/r/1", "k2")).await.expect("a response");
+    let response = send_call(address, &Call::read(READS, "/r/1", "k2")).await.expect("a response");
     assert_eq!(response.status, StatusCode::OK);
 }
 
@@ -249,7 +252,7 @@
     for number in 0..30 {
         let address = deployment.instances[1 + number % 2].call_address();
         let call = Call::order(ORDERS, "/o/1", &format!("l{number}"));
-        let response = ask(address, &call).await.expect("a response");
+        let response = send_call(address, &call).await.expect("a response");
         assert_eq!(response.status, StatusCode::OK, "order {number}");
     }
 }
--- a/crates/yuccarackd/tests/routed/path.rs
+++ b/crates/yuccarackd/tests/routed/path.rs
@@ -4,11 +4,11 @@
 
 use http::StatusCode;
 use yuccarack_platform_standin::{
-    caller::{Call, ask, broken_heads},
-    deployment::{Deployment, RouteSpec, wait},
+    caller::{Call, malformed_heads, send_call},
+    deployment::{Deployment, RouteSpec, wait_until},
     instance::Instance,
 };
-use yuccarack_standins::client::{Asker, Question};
+use yuccarack_standins::client::{ClientRequest, HttpClient};
 
 use crate::support::{ORDERS, READS, board_routes, deployed, program};
 
@@ -18,7 +18,7 @@
     for (number, instance) in deployment.instances.iter().enumerate() {
         let id = format!("a{number}");
         let call = Call::read(READS, "/r/huts/7?x=1", &id);
-        let response = ask(instance.call_address(), &call).await.expect("a response");
+        let response = send_call(instance.call_address(), &call).await.expect("a response");
         assert_eq!(response.status, StatusCode::OK);
         assert_eq!(response.body, format!("page of {id}"));
         assert_eq!(response.request_id(), id);
@@ -26,10 +26,10 @@
         let runs: Vec<_> =
             deployment.instances.iter().flat_map(|instance| instance.target.runs()).collect();
         let run = runs.iter().find(|run| run.id == id).expect("a run");
-        assert_eq!(run.line, "GET /r/huts/7?x=1 HTTP/1.1");
+        assert_eq!(run.request_line, "GET /r/huts/7?x=1 HTTP/1.1");
         assert_eq!(run.caller_service, instance.service);
-        assert!(run.left_ms.is_some_and(|left| left <= 1_500), "{:?}", run.left_ms);
-        assert!(run.meant_for.starts_with("i-n"));
+        assert!(run.deadline_ms.is_some_and(|left| left <= 1_500), "{:?}", run.deadline_ms);
+        assert!(run.intended_target.starts_with("i-n"));
     }
     assert!(deployment.instances[2].target.runs().is_empty(), "a target of another service ran it");
 }
@@ -38,12 +38,14 @@
 async fn a_target_receives_an_order_with_its_body() {
     let deployment = deployed("body", &["board"]).await;
     let call = Call::order(ORDERS, "/o/1", "b1");
-    let response = ask(deployment.instances[0].call_address(), &call).await.expect("a response");
+    let response =
+        send_call(deployment.instances[0].call_address(), &call).await.expect("a response");
     assert_eq!(response.status, StatusCode::OK);
     let runs = deployment.instances[0].target.runs();
     assert_eq!((runs.len(), &runs[0].body), (1, &call.body));
     let long = Call { body: vec![7; 300_000].into(), ..Call::order(ORDERS, "/o/2", "b2") };
-    let response = ask(deployment.instances[0].call_address(), &long).await.expect("a response");
+    let response =
+        send_call(deployment.instances[0].call_address(), &long).await.expect("a response");
     assert_eq!(response.status, StatusCode::OK);
     assert_eq!(deployment.instances[0].target.runs()[1].body, long.body);
 }
@@ -55,14 +57,15 @@
 async fn a_daemon_without_routes_responds_with_retry_after() {
     let mut deployment = Deployment::start(program(), "unready", &["board"]).await.expect("one");
     let address = deployment.instances[0].call_address();
-    let response = ask(address, &Call::read(READS, "/r/1", "c1")).await.expect("a response");
+    let response = send_call(address, &Call::read(READS, "/r/1", "c1")).await.expect("a response");
     assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(response.header("retry-after").parse::<f64>().is_ok_and(|seconds| seconds > 0.0));
     assert!(!deployment.instances[0].is_ready().await);
     deployment.apply(&board_routes()).await;
-    let response = ask(address, &Call::read(READS, "/r/1", "c2")).await.expect("a response");
+    let response = send_call(address, &Call::read(READS, "/r/1", "c2")).await.expect("a response");
     assert_eq!(response.status, StatusCode::OK);
-    let response = ask(address, &Call::read(READS, "/nowhere/1", "c3")).await.expect("a response");
+    let response =
+        send_call(address, &Call::read(READS, "/nowhere/1", "c3")).await.expect("a response");
     assert_eq!(response.status, StatusCode::NOT_FOUND);
 }
 
@@ -70,7 +73,7 @@
 async fn a_head_without_a_request_id_or_with_two_deadlines_is_refused() {
     let deployment = deployed("head", &["board"]).await;
     let address = deployment.instances[0].call_address();
-    for text in broken_heads() {
+    for text in malformed_heads() {
         let response = send_raw(address, &text).await;
         assert!(response.starts_with("HTTP/1.1 400"), "{text} got {response}");
     }
@@ -94,7 +97,9 @@
     deployment.apply(&[RouteSpec { split, ..RouteSpec::reads(READS, "/r/", "board") }]).await;
     for number in 0..80 {
         let call = Call::read(READS, "/r/1", &format!("e{number}"));
-        ask(deployment.instances[number % 2].call_address(), &call).await.expect("a response");
+        send_call(deployment.instances[number % 2].call_address(), &call)
+            .await
+            .expect("a response");
     }
     let desk = deployment.instances[1].target.runs().len();
     assert!(
@@ -109,17 +114,19 @@
 async fn a_moved_route_is_followed() {
     let mut deployment = deployed("moved", &["board", "desk"]).await;
     let address = deployment.instances[0].call_address();
-    ask(address, &Call::read(READS, "/r/1", "f1")).await.expect("a response");
+    send_call(address, &Call::read(READS, "/r/1", "f1")).await.expect("a response");
     assert_eq!(deployment.instances[0].target.runs().len(), 1);
-    deployment.write(&[RouteSpec::reads(READS, "/r/", "desk")]);
+    deployment.write_routes(&[RouteSpec::reads(READS, "/r/", "desk")]);
     let is_moved = || async {
-        ask(address, &Call::read(READS, "/r/1", "f2")).await.expect("a response");
+        send_call(address, &Call::read(READS, "/r/1", "f2")).await.expect("a response");
         !deployment.instances[1].target.runs().is_empty()
     };
-    wait("the moved route", is_moved).await;
+    wait_until("the moved route", is_moved).await;
     let before = deployment.instances[0].target.runs().len();
     for number in 0..20 {
-        ask(address, &Call::read(READS, "/r/1", &format!("g{number}"))).await.expect("a response");
+        send_call(address, &Call::read(READS, "/r/1", &format!("g{number}")))
+            .await
+            .expect("a response");
     }
     assert_eq!(deployment.instances[0].target.runs().len(), before);
 }
@@ -128,7 +135,7 @@
 async fn counters_and_histograms_are_exported_as_text() {
     let deployment = deployed("metrics", &["board"]).await;
     let instance = &deployment.instances[0];
-    ask(instance.call_address(), &Call::read(READS, "/r/1", "h1")).await.expect("a response");
+    send_call(instance.call_address(), &Call::read(READS, "/r/1", "h1")).await.expect("a response");
     let text = send_raw(
         instance.address("metrics_address"),
         "GET /metrics HTTP/1.1\r\nHost: m\r\nConnection: close\r\n\r\n",
@@ -167,12 +174,12 @@
     write(2, "/first/");
     let instance = &mut deployment.instances[0];
     assert!(!instance.is_ready().await, "ready without routes");
-    instance.set("routing_file", serde_json::json!(file)).expect("settings");
+    instance.set_setting("routing_file", serde_json::json!(file)).expect("settings");
     instance.daemon.as_ref().expect("a daemon").reload();
-    wait("the first file", || responds_with(instance, "/first/1", StatusCode::OK)).await;
+    wait_until("the first file", || responds_with(instance, "/first/1", StatusCode::OK)).await;
     write(3, "/second/");
     instance.daemon.as_ref().expect("a daemon").reload();
-    wait("the second file", || responds_with(instance, "/second/1", StatusCode::OK)).await;
+    wait_until("the second file", || responds_with(instance, "/second/1", StatusCode::OK)).await;
     assert!(responds_with(instance, "/first/1", StatusCode::NOT_FOUND).await);
     write(1, "/third/");
     instance.daemon.as_ref().expect("a daemon").reload();
@@ -185,7 +192,9 @@
 /// Returns whether a read of `path` gets a response with `status`.
 async fn responds_with(instance: &Instance, path: &str, status: StatusCode) -> bool {
     let call = Call::read(READS, path, "from-a-file");
-    ask(instance.call_address(), &call).await.is_some_and(|response| response.status == status)
+    send_call(instance.call_address(), &call)
+        .await
+        .is_some_and(|response| response.status == status)
 }
 
 /// Guards against missing metrics of a daemon's state, its peers and the age of its data, and
@@ -197,18 +206,18 @@
     let instance = &mut deployment.instances[0];
     let daemon = instance.daemon.as_mut().expect("a daemon");
     daemon.terminate();
-    daemon.ended().await.expect("an exit status");
-    instance.set("log_lines_percent", serde_json::json!(0)).expect("settings");
+    daemon.wait_exit().await.expect("an exit status");
+    instance.set_setting("log_lines_percent", serde_json::json!(0)).expect("settings");
     instance.start_daemon().await.expect("a daemon");
-    wait("routes", || instance.is_ready()).await;
+    wait_until("routes", || instance.is_ready()).await;
     let unknown = Call::read("nobody.example", "/", "without-a-line");
-    let response = ask(instance.call_address(), &unknown).await.expect("a response");
+    let response = send_call(instance.call_address(), &unknown).await.expect("a response");
     assert_eq!(response.status, StatusCode::NOT_FOUND);
-    wait("a served call", || responds_with(instance, "/r/1", StatusCode::OK)).await;
-    let question = Question::new(http::Method::GET, "/metrics");
+    wait_until("a served call", || responds_with(instance, "/r/1", StatusCode::OK)).await;
+    let question = ClientRequest::new(http::Method::GET, "/metrics");
     let address = instance.address("metrics_address");
     let response =
-        Asker::new(Duration::from_secs(2)).ask(address, question).await.expect("metrics");
+        HttpClient::new(Duration::from_secs(2)).send(address, question).await.expect("metrics");
     let text = String::from_utf8_lossy(&response.body).into_owned();
     for line in [
         "yuccarack_members 2",
--- a/crates/yuccarackd/tests/routed/pipelining.rs
+++ b/crates/yuccarackd/tests/routed/pipelining.rs
@@ -6,7 +6,7 @@
 use tokio::time::{sleep, timeout};
 use yuccarack_platform_standin::{
     caller::Call,
-    deployment::{Deployment, RouteSpec, wait},
+    deployment::{Deployment, RouteSpec, wait_until},
     pipelined_caller::PipelinedCaller,
     target::{Behaviour, Run},
 };
@@ -35,7 +35,7 @@
 async fn deploy_with_service_time(name: &str, service_time: Duration) -> Deployment {
     let deployment = deployed(name, &["board", "board"]).await;
     for instance in &deployment.instances {
-        instance.target.behave(Behaviour::Answer(service_time));
+        instance.target.set_behaviour(Behaviour::Respond(service_time));
     }
     deployment
 }
@@ -50,7 +50,8 @@
         let name = format!("left{count}{is_reset}-");
         let mut caller = open(&deployment).await;
         caller.send(&reads(count, &name)).await.expect("sent");
-        wait("the first run", || async { has_started(&deployment, &format!("{name}0")) }).await;
+        wait_until("the first run", || async { has_started(&deployment, &format!("{name}0")) })
+            .await;
         sleep(Duration::from_millis(100)).await;
         let of_caller = || runs(&deployment).into_iter().filter(|run| run.id.starts_with(&name));
         let disconnected_at = Instant::now();
@@ -59,14 +60,20 @@
         } else {
             drop(caller)
         }
-        wait("all runs to be cancelled", || async { of_caller().all(|run| run.is_cut) }).await;
+        wait_until("all runs to be cancelled", || async {
+            of_caller().all(|run| run.is_disconnected)
+        })
+        .await;
         assert!(
             disconnected_at.elapsed() < Duration::from_millis(500),
             "{count}: {:?}",
             disconnected_at.elapsed()
         );
         sleep(Duration::from_millis(700)).await;
-        assert!(of_caller().all(|run| run.is_cut && run.began_at < disconnected_at), "{count}");
+        assert!(
+            of_caller().all(|run| run.is_disconnected && run.began_at < disconnected_at),
+            "{count}"
+        );
     }
 }
 
@@ -79,7 +86,7 @@
     let sent_at = Instant::now();
     caller.send(&reads(8, "s")).await.expect("sent");
     for number in 0..8 {
-        let response = caller.next_answer().await.expect("a response");
+        let response = caller.next_response().await.expect("a response");
         assert_eq!(response.status, StatusCode::OK);
         assert_eq!(response.body, format!("page of s{number}"));
     }
@@ -93,13 +100,15 @@
     let deployment = deploy_with_service_time("order", Duration::from_millis(5)).await;
     for round in 0..4 {
         for instance in &deployment.instances {
-            instance.target.next(Behaviour::Answer(Duration::from_millis(250 - 40 * round)));
+            instance
+                .target
+                .queue_behaviour(Behaviour::Respond(Duration::from_millis(250 - 40 * round)));
         }
         let mut caller = open(&deployment).await;
         let name = format!("o{round}-");
         caller.send(&reads(5, &name)).await.expect("sent");
         for number in 0..5 {
-            let response = caller.next_answer().await.expect("a response");
+            let response = caller.next_response().await.expect("a response");
             assert_eq!(response.body, format!("page of {name}{number}"));
             assert_eq!(response.request_id(), format!("{name}{number}"));
         }
@@ -118,7 +127,7 @@
     let sent_at = Instant::now();
     caller.send(&calls).await.expect("sent");
     for id in ["a1", "a2", "a3", "a4"] {
-        assert_eq!(caller.next_answer().await.expect("a response").body, format!("page of {id}"));
+        assert_eq!(caller.next_response().await.expect("a response").body, format!("page of {id}"));
     }
     let all = runs(&deployment);
     let start_of = |id: &str| all.iter().find(|run| run.id == id).expect("a run").began_at;
@@ -138,15 +147,17 @@
 #[tokio::test]
 async fn a_failed_read_does_not_affect_later_ones() {
     let deployment = deployed("bad", &["board"]).await;
-    for behaviour in [Behaviour::Shed, Behaviour::Fail, Behaviour::LoseAnswer, Behaviour::CutBody] {
-        deployment.instances[0].target.behave(Behaviour::Answer(Duration::from_millis(20)));
-        deployment.instances[0].target.next(behaviour);
+    for behaviour in
+        [Behaviour::Shed, Behaviour::Fail, Behaviour::ResetBeforeResponse, Behaviour::TruncateBody]
+    {
+        deployment.instances[0].target.set_behaviour(Behaviour::Respond(Duration::from_millis(20)));
+        deployment.instances[0].target.queue_behaviour(behaviour);
         let name = format!("b{behaviour:?}-");
         let mut caller = open(&deployment).await;
         caller.send(&reads(4, &name)).await.expect("sent");
         let mut served = 0;
         for number in 0..4 {
-            let response = caller.next_answer().await.expect("a response");
+            let response = caller.next_response().await.expect("a response");
             if response.status.is_success() {
                 assert_eq!(response.body, format!("page of {name}{number}"));
                 served += 1;
@@ -164,8 +175,8 @@
     let mut caller = open(&deployment).await;
     let last = Call::read(READS, "/r/1 HTTP/1.1\r\nConnection: close\r\nX-Rest:", "c1");
     caller.send(&[last, Call::read(READS, "/r/1", "c2")]).await.expect("sent");
-    assert_eq!(caller.next_answer().await.expect("a response").status, StatusCode::OK);
-    assert!(caller.next_answer().await.is_none());
+    assert_eq!(caller.next_response().await.expect("a response").status, StatusCode::OK);
+    assert!(caller.next_response().await.is_none());
     assert!(!has_started(&deployment, "c2"));
 }
 
@@ -175,10 +186,10 @@
 async fn the_deadline_of_a_request_counts_from_its_arrival() {
     let deployment = deploy_with_service_time("time", Duration::from_millis(600)).await;
     let mut caller = open(&deployment).await;
-    let order = Call { left_ms: 400, ..Call::order(ORDERS, "/o/1", "t2") };
+    let order = Call { deadline_ms: 400, ..Call::order(ORDERS, "/o/1", "t2") };
     caller.send(&[Call::read(READS, "/r/1", "t1"), order]).await.expect("sent");
-    assert_eq!(caller.next_answer().await.expect("a response").status, StatusCode::OK);
-    let response = caller.next_answer().await.expect("a response");
+    assert_eq!(caller.next_response().await.expect("a response").status, StatusCode::OK);
+    let response = caller.next_response().await.expect("a response");
     assert_eq!(response.status, StatusCode::SERVICE_UNAVAILABLE);
     assert!(!has_started(&deployment, "t2"));
 }
@@ -194,10 +205,10 @@
     let started = runs(&deployment).len();
     assert!((2..=1 + EARLY_MAX).contains(&started), "{started} reads started at once");
     for number in 0..24 {
-        let response = timeout(Duration::from_secs(8), caller.next_answer()).await;
+        let response = timeout(Duration::from_secs(8), caller.next_response()).await;
         let response = response.expect("in time").expect("a response");
         assert!(
-            response.status.is_success() || response.promises_not_run(),
+            response.status.is_success() || response.confirms_not_run(),
             "{number}: {}",
             response.status
         );
@@ -214,17 +225,17 @@
     deployment.apply(&[route]).await;
     let mut caller = open(&deployment).await;
     let calls: Vec<Call> =
-        reads(5, "e").into_iter().map(|call| Call { left_ms: 6_000, ..call }).collect();
+        reads(5, "e").into_iter().map(|call| Call { deadline_ms: 6_000, ..call }).collect();
     caller.send(&calls).await.expect("sent");
-    wait("all reads to start", || async { runs(&deployment).len() == 5 }).await;
+    wait_until("all reads to start", || async { runs(&deployment).len() == 5 }).await;
     let mut daemon = deployment.instances[0].daemon.take().expect("a daemon");
     daemon.terminate();
     for number in 0..5 {
-        let response = caller.next_answer().await.expect("a response");
+        let response = caller.next_response().await.expect("a response");
         assert_eq!(response.body, format!("page of e{number}"));
     }
-    assert!(caller.next_answer().await.is_none(), "the connection stays open");
-    let status = timeout(Duration::from_secs(6), daemon.ended()).await;
+    assert!(caller.next_response().await.is_none(), "the connection stays open");
+    let status = timeout(Duration::from_secs(6), daemon.wait_exit()).await;
     assert!(status.expect("an exit in time").expect("a status").success());
 }
 
@@ -241,6 +252,6 @@
     }
     assert!(sent < 400, "about {} MB were accepted", sent * many.len() / 10_000);
     let daemon = deployment.instances[0].daemon.as_ref().expect("a daemon");
-    let peak_kib = daemon.memory_most_kib().expect("the peak memory");
+    let peak_kib = daemon.peak_memory_kib().expect("the peak memory");
     assert!(peak_kib < 40 * 1024, "{peak_kib} KiB");
 }
--- a/crates/yuccarackd/tests/routed/recovery.rs
+++ b/crates/yuccarackd/tests/routed/recovery.rs
@@ -6,9 +6,9 @@
 use http::StatusCode;
 use tokio::time::sleep;
 use yuccarack_platform_standin::{
-    caller::{Call, ask},
-    deployment::{Deployment, wait},
-    store::DoorMode,
+    caller::{Call, send_call},
+    deployment::{Deployment, wait_until},
+    store::StoreServerMode,
 };
 
 use crate::support::{READS, deployed};
@@ -41,16 +41,18 @@
         let address = deployment.instances[number % INSTANCES].call_address();
         let call = Call::read(READS, "/r/1", &format!("p{round}-{number}"));
         async move {
-            ask(address, &call).await.is_some_and(|response| response.status == StatusCode::OK)
+            send_call(address, &call)
+                .await
+                .is_some_and(|response| response.status == StatusCode::OK)
         }
     });
     join_all(calls).await.into_iter().filter(|is_served| *is_served).count()
 }
 
-fn set_store(deployment: &Deployment, mode: DoorMode, delay: Duration) {
+fn set_store(deployment: &Deployment, mode: StoreServerMode, delay: Duration) {
     for instance in &deployment.instances {
-        instance.door.set(mode);
-        instance.door.set_delay(delay);
+        instance.store_server.set_mode(mode);
+        instance.store_server.set_delay(delay);
     }
 }
 
@@ -59,11 +61,16 @@
     deployment.instances.iter_mut().for_each(|instance| instance.kill_daemon());
     match store {
         StoreState::Healthy => {}
-        StoreState::Slow => set_store(deployment, DoorMode::Open, Duration::from_millis(400)),
-        StoreState::Unavailable(_) => set_store(deployment, DoorMode::Refusing, Duration::ZERO),
+        StoreState::Slow => {
+            set_store(deployment, StoreServerMode::Serving, Duration::from_millis(400))
+        }
+        StoreState::Unavailable(_) => {
+            set_store(deployment, StoreServerMode::Unavailable, Duration::ZERO)
+        }
         StoreState::UnresponsiveToSome => {
             let unavailable = deployment.instances.iter().step_by(3);
-            unavailable.for_each(|instance| instance.door.set(DoorMode::Silent));
+            unavailable
+                .for_each(|instance| instance.store_server.set_mode(StoreServerMode::Unresponsive));
         }
     }
     for instance in &mut deployment.instances {
@@ -73,7 +80,7 @@
     let mut store_available_at = None;
     if let StoreState::Unavailable(time) = store {
         sleep(time).await;
-        set_store(deployment, DoorMode::Open, Duration::ZERO);
+        set_store(deployment, StoreServerMode::Serving, Duration::ZERO);
         store_available_at = Some(Instant::now());
     }
     let since = store_available_at.unwrap_or(returned_at);
@@ -83,7 +90,7 @@
         sleep(Duration::from_millis(50)).await;
     }
     let recovered_after = since.elapsed();
-    set_store(deployment, DoorMode::Open, Duration::ZERO);
+    set_store(deployment, StoreServerMode::Serving, Duration::ZERO);
     recovered_after
 }
 
@@ -113,14 +120,14 @@
     let mut deployment = deployed("slow-start", &["board"; INSTANCES]).await;
     let delay = Duration::from_millis(600);
     deployment.instances.iter_mut().for_each(|instance| instance.kill_daemon());
-    set_store(&deployment, DoorMode::Open, delay);
+    set_store(&deployment, StoreServerMode::Serving, delay);
     let starting = deployment.instances.iter_mut().map(|instance| instance.start_daemon());
     join_all(starting).await.into_iter().for_each(|started| started.expect("a daemon"));
     let started_at = Instant::now();
     for instance in &deployment.instances {
-        wait("routes", || instance.is_ready()).await;
+        wait_until("routes", || instance.is_ready()).await;
     }
     let recovered_after = started_at.elapsed();
     assert!(recovered_after < delay * 3 / 2, "routes after {} ms", recovered_after.as_millis());
-    set_store(&deployment, DoorMode::Open, Duration::ZERO);
+    set_store(&deployment, StoreServerMode::Serving, Duration::ZERO);
 }
--- a/crates/yuccarackd/tests/routed/relays.rs
+++ b/crates/yuccarackd/tests/routed/relays.rs
@@ -5,12 +5,12 @@
 use futures_util::future::join_all;
 use http::{Method, StatusCode};
 use yuccarack_platform_standin::{
-    caller::{Call, ask},
-    deployment::{Deployment, RouteSpec, wait},
-    store::DoorMode,
+    caller::{Call, send_call},
+    deployment::{Deployment, RouteSpec, wait_until},
+    store::StoreServerMode,
 };
 use yuccarack_policy::relays::{RelayRole, relay_role};
-use yuccarack_standins::client::{Asker, Question};
+use yuccarack_standins::client::{ClientRequest, HttpClient};
 
 use crate::{
     support::{READS, board_routes, deployed, program},
@@ -63,7 +63,7 @@
             let lines = std::fs::read_to_string(&log).unwrap_or_default();
             lines.contains("\"relay_heard\"")
         };
-        wait(&format!("n{number} to receive updates from a relay"), is_follower).await;
+        wait_until(&format!("n{number} to receive updates from a relay"), is_follower).await;
     }
     deployment
 }
@@ -81,7 +81,7 @@
 /// Returns whether `number` has the route of `path`; the call itself may go to a suspended gate.
 async fn has_route(deployment: &Deployment, number: usize, path: &str) -> bool {
     let call = Call::read(READS, path, &format!("k{number}"));
-    let response = ask(deployment.instances[number].call_address(), &call).await;
+    let response = send_call(deployment.instances[number].call_address(), &call).await;
     response.is_some_and(|response| response.status != StatusCode::NOT_FOUND)
 }
 
@@ -104,10 +104,10 @@
     let mut deployment = start_settled("relays").await;
     let followers: Vec<usize> = followers().into_keys().collect();
     let requests = |deployment: &Deployment| -> u64 {
-        followers.iter().map(|number| deployment.instances[*number].door.questions()).sum()
+        followers.iter().map(|number| deployment.instances[*number].store_server.requests()).sum()
     };
     let before = requests(&deployment);
-    deployment.write(&moved_routes());
+    deployment.write_routes(&moved_routes());
     assert_in_force_at(&deployment, &followers).await;
     assert_eq!(requests(&deployment) - before, 0, "store requests of followers");
 }
@@ -119,13 +119,13 @@
     let mut deployment = start_settled("relays-asleep").await;
     let followers = followers();
     for first in followers.values().map(|relays| relays[0]) {
-        deployment.instances[first].daemon.as_ref().expect("a daemon").freeze();
+        deployment.instances[first].daemon.as_ref().expect("a daemon").pause();
     }
-    deployment.write(&moved_routes());
+    deployment.write_routes(&moved_routes());
     let numbers: Vec<usize> = followers.keys().copied().collect();
     assert_in_force_at(&deployment, &numbers).await;
     for first in followers.values().map(|relays| relays[0]) {
-        deployment.instances[first].daemon.as_ref().expect("a daemon").wake();
+        deployment.instances[first].daemon.as_ref().expect("a daemon").resume();
     }
 }
 
@@ -137,10 +137,10 @@
     let followers = followers();
     for (first, second) in followers.values().map(|relays| (relays[0], relays[1])) {
         deployment.instances[first].kill_daemon();
-        deployment.instances[second].door.set(DoorMode::Silent);
+        deployment.instances[second].store_server.set_mode(StoreServerMode::Unresponsive);
         deployment.instances[second].kill_daemon();
     }
-    deployment.write(&moved_routes());
+    deployment.write_routes(&moved_routes());
     let remaining: Vec<usize> = followers.keys().copied().collect();
     assert_in_force_at(&deployment, &remaining).await;
 }
@@ -151,15 +151,19 @@
 async fn a_relay_refused_by_the_store_is_abandoned() {
     let mut deployment = start_settled("relays-away").await;
     let followers = followers();
-    let modes = [DoorMode::Refusing, DoorMode::Cutting, DoorMode::Silent];
+    let modes = [
+        StoreServerMode::Unavailable,
+        StoreServerMode::Disconnecting,
+        StoreServerMode::Unresponsive,
+    ];
     for relays in followers.values() {
         for relay in relays {
-            deployment.instances[*relay].door.set(modes[relay % 3]);
+            deployment.instances[*relay].store_server.set_mode(modes[relay % 3]);
         }
     }
-    deployment.write(&moved_routes());
+    deployment.write_routes(&moved_routes());
     let all: Vec<usize> = followers.keys().copied().collect();
-    wait("a relay to be abandoned", || async {
+    wait_until("a relay to be abandoned", || async {
         all.iter().any(|number| {
             let log = std::fs::read_to_string(deployment.instances[*number].log());
             log.unwrap_or_default().contains("\"relay_lost\"")
@@ -167,7 +171,7 @@
     })
     .await;
     for number in all {
-        wait("the changed routes", || has_route(&deployment, number, "/new/1")).await;
+        wait_until("the changed routes", || has_route(&deployment, number, "/new/1")).await;
     }
 }
 
@@ -186,14 +190,16 @@
     };
     deployment.store.put("members", "late", new_row);
     for number in &followers {
-        wait("the new member", || async { known_members(&deployment, *number) == 1 }).await;
+        wait_until("the new member", || async { known_members(&deployment, *number) == 1 }).await;
     }
     deployment.store.delete("members", "late");
     for number in &followers {
-        wait("the removal of the member", || async { known_members(&deployment, *number) == 2 })
-            .await;
+        wait_until("the removal of the member", || async {
+            known_members(&deployment, *number) == 2
+        })
+        .await;
     }
-    deployment.write(&moved_routes());
+    deployment.write_routes(&moved_routes());
     assert_in_force_at(&deployment, &followers).await;
 }
 
@@ -210,11 +216,11 @@
 async fn requests_for_added_routes(name: &str, count: u64) -> u64 {
     let mut deployment = start_settled(name).await;
     let followers: Vec<usize> = followers().into_keys().collect();
-    deployment.instances[followers[0]].door.set(DoorMode::Refusing);
-    let before = deployment.instances[followers[1]].door.questions();
-    deployment.write(&with_added_routes(count));
+    deployment.instances[followers[0]].store_server.set_mode(StoreServerMode::Unavailable);
+    let before = deployment.instances[followers[1]].store_server.requests();
+    deployment.write_routes(&with_added_routes(count));
     assert_in_force_at(&deployment, &followers).await;
-    deployment.instances[followers[1]].door.questions() - before
+    deployment.instances[followers[1]].store_server.requests() - before
 }
 
 /// Guards against a large table that congests a relay's thin link: changes above a limit are
@@ -238,21 +244,25 @@
 async fn the_row_of_a_lost_instance_is_deleted_and_that_of_a_live_one_is_restored() {
     let mut deployment = deployed("swept", &["board"; 6]).await;
     for instance in &mut deployment.instances {
-        instance.set("bounds", serde_json::json!({"gone_after_ms": 1_500})).expect("a file");
+        instance
+            .set_setting("bounds", serde_json::json!({"gone_after_ms": 1_500}))
+            .expect("a file");
         instance.kill_daemon();
         instance.start_daemon().await.expect("a daemon");
     }
     for instance in &deployment.instances {
-        wait("the daemon to be ready", || instance.is_ready()).await;
+        wait_until("the daemon to be ready", || instance.is_ready()).await;
     }
-    deployment.instances[4].daemon.as_ref().expect("a daemon").freeze();
-    deployment.instances[5].stop_beating();
+    deployment.instances[4].daemon.as_ref().expect("a daemon").pause();
+    deployment.instances[5].stop_heartbeats();
     deployment.instances[5].kill_daemon();
-    wait("the row to be deleted", || async { !deployment.store.has_row("members", "n5") }).await;
+    wait_until("the row to be deleted", || async { !deployment.store.has_row("members", "n5") })
+        .await;
     deployment.store.delete("members", "n0");
-    wait("the row to be restored", || async { deployment.store.has_row("members", "n0") }).await;
+    wait_until("the row to be restored", || async { deployment.store.has_row("members", "n0") })
+        .await;
     assert!(deployment.store.has_row("members", "n4"), "a suspended instance isn't removed");
-    deployment.instances[4].daemon.as_ref().expect("a daemon").wake();
+    deployment.instances[4].daemon.as_ref().expect("a daemon").resume();
 }
 
 /// Guards against the row of a lost instance that is never deleted because another one has its
@@ -265,7 +275,8 @@
         "instance": "lost", "failure_domain": "a", "gate_address": address, "service": "board",
     });
     deployment.store.put("members", "lost", lost.to_string().as_bytes());
-    wait("the row to be deleted", || async { !deployment.store.has_row("members", "lost") }).await;
+    wait_until("the row to be deleted", || async { !deployment.store.has_row("members", "lost") })
+        .await;
     assert!(deployment.store.has_row("members", "n1"), "the row of the live instance");
 }
 
@@ -277,8 +288,8 @@
 /// Returns the value of a gauge of a daemon.
 async fn gauge(deployment: &Deployment, number: usize, name: &str) -> Option<usize> {
     let address = deployment.instances[number].address("metrics_address");
-    let query = Question::new(Method::GET, "/metrics");
-    let response = Asker::new(Duration::from_secs(1)).ask(address, query).await.ok()?;
+    let query = ClientRequest::new(Method::GET, "/metrics");
+    let response = HttpClient::new(Duration::from_secs(1)).send(address, query).await.ok()?;
     let text = String::from_utf8_lossy(&response.body).into_owned();
     let line = text.lines().find(|line| line.split(' ').next() == Some(name))?;
     line.split(' ').nth(1)?.parse().ok()
@@ -295,8 +306,8 @@
     deployment.store.put("members", "late", new_row);
     let count_with_member = SERVICES.len() + 1;
     let known = || members_known(&deployment, number);
-    wait("the new member", || async { known().await == Some(count_with_member) }).await;
-    deployment.instances[number].door.set(DoorMode::Refusing);
+    wait_until("the new member", || async { known().await == Some(count_with_member) }).await;
+    deployment.instances[number].store_server.set_mode(StoreServerMode::Unavailable);
     let others: Vec<usize> = (0..SERVICES.len()).filter(|other| *other != number).collect();
     others.iter().for_each(|other| deployment.instances[*other].kill_daemon());
     deployment.store.delete("members", "late");
@@ -304,8 +315,10 @@
         deployment.instances[other].start_daemon().await.expect("a daemon");
     }
     let known = || members_known(&deployment, number);
-    wait("the removal of the member", || async { known().await == Some(count_with_member - 1) })
-        .await;
+    wait_until("the removal of the member", || async {
+        known().await == Some(count_with_member - 1)
+    })
+    .await;
 }
 
 /// Guards against a fleet that floods the store at its first start: a follower writes its row and
@@ -316,9 +329,11 @@
     let mut deployment = starting.expect("a deployment");
     deployment.apply(&board_routes()).await;
     for number in followers().into_keys() {
-        wait("an update from a relay", || async { has_update_from_relay(&deployment, number) })
-            .await;
-        let requests = deployment.instances[number].door.questions();
+        wait_until("an update from a relay", || async {
+            has_update_from_relay(&deployment, number)
+        })
+        .await;
+        let requests = deployment.instances[number].store_server.requests();
         assert_eq!(requests, 2, "store requests of n{number}");
     }
 }
@@ -332,16 +347,18 @@
         instance.kill_daemon();
     }
     let before: Vec<u64> =
-        deployment.instances.iter().map(|instance| instance.door.questions()).collect();
+        deployment.instances.iter().map(|instance| instance.store_server.requests()).collect();
     let starting = deployment.instances.iter_mut().map(|instance| instance.start_daemon());
     for started in join_all(starting).await {
         started.expect("a daemon");
     }
     for number in followers().into_keys() {
-        wait("an update from a relay", || async { has_update_from_relay(&deployment, number) })
-            .await;
-        wait("routes", || deployment.instances[number].is_ready()).await;
-        let requests = deployment.instances[number].door.questions() - before[number];
+        wait_until("an update from a relay", || async {
+            has_update_from_relay(&deployment, number)
+        })
+        .await;
+        wait_until("routes", || deployment.instances[number].is_ready()).await;
+        let requests = deployment.instances[number].store_server.requests() - before[number];
         assert_eq!(requests, 2, "store requests of n{number}");
     }
 }
@@ -353,16 +370,19 @@
     let deployment = start_settled("relays-outage").await;
     let followers: Vec<usize> = followers().into_keys().collect();
     let requests = || -> u64 {
-        followers.iter().map(|number| deployment.instances[*number].door.questions()).sum()
+        followers.iter().map(|number| deployment.instances[*number].store_server.requests()).sum()
     };
     let before = requests();
-    deployment.instances.iter().for_each(|instance| instance.door.set(DoorMode::Refusing));
+    deployment
+        .instances
+        .iter()
+        .for_each(|instance| instance.store_server.set_mode(StoreServerMode::Unavailable));
     tokio::time::sleep(OUTAGE).await;
     let sent = requests() - before;
     let most = followers.len() as u64 * REQUESTS_IN_OUTAGE_MAX;
     assert!(sent <= most, "{sent} store requests of {} followers", followers.len());
     for number in followers {
-        deployment.instances[number].door.set(DoorMode::Open);
+        deployment.instances[number].store_server.set_mode(StoreServerMode::Serving);
     }
 }
 
@@ -372,9 +392,9 @@
     let mut deployment = start_settled("relays-refused").await;
     let followers = followers();
     for relay in followers.values().flatten() {
-        deployment.instances[*relay].door.set(DoorMode::Refusing);
+        deployment.instances[*relay].store_server.set_mode(StoreServerMode::Unavailable);
     }
-    deployment.write(&moved_routes());
+    deployment.write_routes(&moved_routes());
     tokio::time::sleep(UNSERVED_IN_FORCE_MAX).await;
     for number in 0..SERVICES.len() {
         assert!(
@@ -400,15 +420,16 @@
         .map(|number| relay_role(&format!("n{number}"), others.iter().map(String::as_str)));
     let new = if standings[0] == RelayRole::Relay { first } else { second };
     let left = if new == first { second } else { first };
-    wait("the new relay", || async { gauge(&deployment, new, RELAYED).await == Some(0) }).await;
-    deployment.instances[relays[1]].daemon.as_ref().expect("a daemon").freeze();
+    wait_until("the new relay", || async { gauge(&deployment, new, RELAYED).await == Some(0) })
+        .await;
+    deployment.instances[relays[1]].daemon.as_ref().expect("a daemon").pause();
     tokio::time::sleep(RELAY_CHANGED_MAX).await;
     assert_eq!(
         gauge(&deployment, left, RELAYED).await,
         Some(1),
         "n{left} receives updates from n{new}"
     );
-    deployment.instances[relays[1]].daemon.as_ref().expect("a daemon").wake();
+    deployment.instances[relays[1]].daemon.as_ref().expect("a daemon").resume();
 }
 
 /// Guards against a first start that takes a target for new although it had announced that it
@@ -419,9 +440,11 @@
     let mut deployment = starting.expect("a deployment");
     deployment.apply(&board_routes()).await;
     let instance = &mut deployment.instances[0];
-    assert_eq!(instance.leave().await, Some(StatusCode::OK));
-    wait("the departure to be stored", || async { deployment.store.has_row("leaving", "n0") })
-        .await;
+    assert_eq!(instance.send_leave().await, Some(StatusCode::OK));
+    wait_until("the departure to be stored", || async {
+        deployment.store.has_row("leaving", "n0")
+    })
+    .await;
     let instance = &mut deployment.instances[0];
     instance.kill_daemon();
     instance.start_daemon().await.expect("a daemon");
@@ -429,9 +452,9 @@
         let log = std::fs::read_to_string(deployment.instances[0].log()).unwrap_or_default();
         log.contains("\"row_not_written\"")
     };
-    wait("the refusal of the row", is_settled).await;
-    wait("routes", || deployment.instances[0].is_ready()).await;
-    deployment.instances[0].say_again("ready").await;
+    wait_until("the refusal of the row", is_settled).await;
+    wait_until("routes", || deployment.instances[0].is_ready()).await;
+    deployment.instances[0].resend_older_heartbeat("ready").await;
     let metric = gauge(&deployment, 0, "yuccarack_target_ready").await;
     assert_eq!(metric, Some(0), "a target that leaves takes no requests");
 }
--- a/crates/yuccarackd/tests/routed/rolls.rs
+++ b/crates/yuccarackd/tests/routed/rolls.rs
@@ -13,12 +13,12 @@
 };
 use tokio_util::sync::CancellationToken;
 use yuccarack_platform_standin::{
-    caller::{Call, KeptConnection, Unanswered},
-    deployment::wait,
-    store::DoorMode,
+    caller::{Call, CallError, KeepAliveConnection},
+    deployment::wait_until,
+    store::StoreServerMode,
     target::Behaviour,
 };
-use yuccarack_standins::client::{Asker, Question};
+use yuccarack_standins::client::{ClientRequest, HttpClient};
 
 use crate::support::{ORDERS, READS, deployed};
 
@@ -39,7 +39,7 @@
     name: String,
     calls: SocketAddr,
     readiness: SocketAddr,
-    connection: Option<KeptConnection>,
+    connection: Option<KeepAliveConnection>,
 }
 
 impl Caller {
@@ -70,11 +70,11 @@
     async fn ask(&mut self, call: &Call) -> Result<StatusCode, &'static str> {
         let mut connection = match self.connection.take() {
             Some(connection) => connection,
-            None => KeptConnection::open(self.calls).await.ok_or("not sent")?,
+            None => KeepAliveConnection::open(self.calls).await.ok_or("not sent")?,
         };
-        let response = connection.try_ask(call).await.map_err(|unanswered| match unanswered {
-            Unanswered::NotSent => "not sent",
-            Unanswered::Lost => "lost",
+        let response = connection.try_send(call).await.map_err(|unanswered| match unanswered {
+            CallError::NotSent => "not sent",
+            CallError::NoResponse => "lost",
         })?;
         if response.header("connection") != "close" {
             self.connection = Some(connection);
@@ -83,20 +83,20 @@
     }
 
     async fn is_ready(&self) -> bool {
-        let request = Question::new(Method::GET, "/api/readiness");
-        let response = Asker::new(PROBE_INTERVAL).ask(self.readiness, request).await;
+        let request = ClientRequest::new(Method::GET, "/api/readiness");
+        let response = HttpClient::new(PROBE_INTERVAL).send(self.readiness, request).await;
         response.is_ok_and(|response| response.status == StatusCode::OK)
     }
 }
 
 /// Restarts all daemons of four instances in turn with the store in `mode`; returns what callers
 /// received.
-async fn rolling_restart(name: &str, mode: DoorMode) -> Outcomes {
+async fn rolling_restart(name: &str, mode: StoreServerMode) -> Outcomes {
     let mut deployment = deployed(name, &["board"; 4]).await;
     let (mut callers, stop) = (JoinSet::new(), CancellationToken::new());
     for (number, instance) in deployment.instances.iter().enumerate() {
-        instance.target.behave(Behaviour::Answer(Duration::from_millis(40)));
-        instance.door.set(mode);
+        instance.target.set_behaviour(Behaviour::Respond(Duration::from_millis(40)));
+        instance.store_server.set_mode(mode);
         for caller in 0..CALLERS {
             let caller = Caller {
                 name: format!("roll{number}-{caller}"),
@@ -111,10 +111,10 @@
     for instance in &mut deployment.instances {
         let mut daemon = instance.daemon.take().expect("a daemon");
         daemon.terminate();
-        let status = timeout(STOP_MAX, daemon.ended()).await;
+        let status = timeout(STOP_MAX, daemon.wait_exit()).await;
         assert!(status.expect("an exit in time").expect("a status").success());
         instance.start_daemon().await.expect("a daemon");
-        wait("the daemon to be ready", || instance.is_ready()).await;
+        wait_until("the daemon to be ready", || instance.is_ready()).await;
     }
     sleep(Duration::from_millis(500)).await;
     stop.cancel();
@@ -147,12 +147,12 @@
 /// failed, and other daemons send to the target until its gate announces that it stops.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_rolling_restart_loses_no_request() {
-    assert_nothing_lost(&rolling_restart("roll", DoorMode::Open).await);
+    assert_nothing_lost(&rolling_restart("roll", StoreServerMode::Serving).await);
 }
 
 /// Guards against the same while the store loses the responses to writes, so that each daemon
 /// restarts without knowing whether its row was written.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_rolling_restart_while_the_store_loses_responses_loses_no_request() {
-    assert_nothing_lost(&rolling_restart("rolllost", DoorMode::LosingAnswers).await);
+    assert_nothing_lost(&rolling_restart("rolllost", StoreServerMode::LosingResponses).await);
 }
--- a/crates/yuccarackd/tests/routed/soak/callers.rs
+++ b/crates/yuccarackd/tests/routed/soak/callers.rs
@@ -13,8 +13,8 @@
     time::{sleep, timeout},
 };
 use tokio_util::sync::CancellationToken;
-use yuccarack_platform_standin::caller::{Call, KeptConnection, Told, Unanswered};
-use yuccarack_standins::client::{Asker, Question};
+use yuccarack_platform_standin::caller::{Call, CallError, CallResponse, KeepAliveConnection};
+use yuccarack_standins::client::{ClientRequest, HttpClient};
 
 use super::{pipelining_callers::PipeliningCaller, plan::Plan};
 use crate::support::{ORDERS, READS};
@@ -64,7 +64,7 @@
     /// Time at which the caller had its result.
     pub ended_at: Instant,
     /// Response, or the reason why there was none.
-    pub result: Result<Told, Unanswered>,
+    pub result: Result<CallResponse, CallError>,
     /// Whether the daemon's readiness check succeeded just before the call; false without such a
     /// check.
     pub was_ready: bool,
@@ -143,7 +143,7 @@
     name: String,
     instance: usize,
     address: SocketAddr,
-    connection: Option<KeptConnection>,
+    connection: Option<KeepAliveConnection>,
 }
 
 impl Caller {
@@ -188,24 +188,24 @@
         &mut self,
         call: &Call,
         abandon_after: Duration,
-    ) -> (Result<Told, Unanswered>, bool) {
+    ) -> (Result<CallResponse, CallError>, bool) {
         match timeout(abandon_after, self.send(call)).await {
             Ok(result) => (result, false),
-            Err(_) => (Err(Unanswered::Lost), true),
+            Err(_) => (Err(CallError::NoResponse), true),
         }
     }
 
-    async fn send(&mut self, call: &Call) -> Result<Told, Unanswered> {
-        let wait = Duration::from_millis(call.left_ms) + RESPONSE_GRACE;
+    async fn send(&mut self, call: &Call) -> Result<CallResponse, CallError> {
+        let wait = Duration::from_millis(call.deadline_ms) + RESPONSE_GRACE;
         let mut connection = match self.connection.take() {
             Some(connection) => connection,
-            None => match timeout(wait, KeptConnection::open(self.address)).await {
+            None => match timeout(wait, KeepAliveConnection::open(self.address)).await {
                 Ok(Some(connection)) => connection,
-                _ => return Err(Unanswered::NotSent),
+                _ => return Err(CallError::NotSent),
             },
         };
         let response =
-            timeout(wait, connection.try_ask(call)).await.unwrap_or(Err(Unanswered::Lost))?;
+            timeout(wait, connection.try_send(call)).await.unwrap_or(Err(CallError::NoResponse))?;
         if !response.header("connection").eq_ignore_ascii_case("close") {
             self.connection = Some(connection);
         }
@@ -264,7 +264,7 @@
 }
 
 async fn is_ready(address: SocketAddr) -> bool {
-    let request = Question::new(http::Method::GET, "/api/readiness");
-    let response = Asker::new(Duration::from_secs(1)).ask(address, request).await;
+    let request = ClientRequest::new(http::Method::GET, "/api/readiness");
+    let response = HttpClient::new(Duration::from_secs(1)).send(address, request).await;
     response.is_ok_and(|response| response.status == http::StatusCode::OK)
 }
--- a/crates/yuccarackd/tests/routed/soak/pipelining_callers.rs
+++ b/crates/yuccarackd/tests/routed/soak/pipelining_callers.rs
@@ -9,7 +9,7 @@
 use tokio::time::{sleep, timeout_at};
 use tokio_util::sync::CancellationToken;
 use yuccarack_platform_standin::{
-    caller::{Call, Told, Unanswered},
+    caller::{Call, CallError, CallResponse},
     pipelined_caller::PipelinedCaller,
 };
 
@@ -34,7 +34,7 @@
 
 /// Result of a request as its caller sees it.
 enum RequestResult {
-    Response(Told),
+    Response(CallResponse),
     Lost,
     NotSent,
     /// The response to an earlier request closed the connection.
@@ -90,8 +90,8 @@
             let is_after_close = matches!(outcome, RequestResult::AfterClose);
             let result = match outcome {
                 RequestResult::Response(response) => Ok(response),
-                RequestResult::Lost => Err(Unanswered::Lost),
-                RequestResult::NotSent | RequestResult::AfterClose => Err(Unanswered::NotSent),
+                RequestResult::Lost => Err(CallError::NoResponse),
+                RequestResult::NotSent | RequestResult::AfterClose => Err(CallError::NotSent),
             };
             records.push(CallRecord {
                 id: call.1.id.clone(),
@@ -118,7 +118,7 @@
             calls.iter().for_each(|call| record(call, RequestResult::NotSent));
             return None;
         }
-        let left_ms = calls.iter().map(|(_, call)| call.left_ms).max().unwrap_or(0);
+        let left_ms = calls.iter().map(|(_, call)| call.deadline_ms).max().unwrap_or(0);
         let wait = match abandon_after {
             Some(ms) => Duration::from_millis(ms),
             None => Duration::from_millis(left_ms) + RESPONSE_GRACE,
@@ -127,7 +127,7 @@
         let mut unanswered = calls.iter();
         while let Some(call) = unanswered.next() {
             let response =
-                timeout_at(response_deadline, connection.next_answer()).await.ok().flatten();
+                timeout_at(response_deadline, connection.next_response()).await.ok().flatten();
             let Some(response) = response else {
                 record(call, RequestResult::Lost);
                 unanswered.for_each(|call| record(call, RequestResult::Lost));
--- a/crates/yuccarackd/tests/routed/soak/plan.rs
+++ b/crates/yuccarackd/tests/routed/soak/plan.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use rand::{Rng, SeedableRng, rngs::StdRng};
-use yuccarack_platform_standin::{instance::Links, store::DoorMode, target::Behaviour};
+use yuccarack_platform_standin::{instance::Links, store::StoreServerMode, target::Behaviour};
 use yuccarack_standins::proxy::Direction;
 
 /// Instances of a walk without additional load.
@@ -60,9 +60,9 @@
     FaultyTarget(usize, Behaviour),
     /// All targets get the same behaviour, so that a retry on another target fails as well.
     FaultyTargets(Behaviour),
-    StoreListener(usize, DoorMode),
+    StoreListener(usize, StoreServerMode),
     /// The store's listeners of all instances get the same mode.
-    StoreListeners(DoorMode),
+    StoreListeners(StoreServerMode),
     StoreCompaction,
     SlowStore(usize),
     NewRoutes,
@@ -200,7 +200,7 @@
                 // A versioned route has to exist, so that it is requested while daemons have no
                 // routes.
                 add(0, 50, Fault::NewRoutes);
-                add(at_ms, 3_000, Fault::StoreListeners(DoorMode::Refusing));
+                add(at_ms, 3_000, Fault::StoreListeners(StoreServerMode::Unavailable));
                 (0..INSTANCES_UNDER_LOAD)
                     .for_each(|at| add(at_ms + 100, 300, Fault::KilledDaemon(at)));
             }
@@ -209,7 +209,7 @@
                 plan.targets_max = TARGETS_MAX_WHEN_FAILING;
             }
             _ => {
-                let slow_response = Behaviour::Answer(Duration::from_millis(250));
+                let slow_response = Behaviour::Respond(Duration::from_millis(250));
                 add(at_ms, FAULT_PERIOD_MS, Fault::FaultyTargets(slow_response));
                 plan.callers = CALLERS_OVER_CAPACITY;
             }
@@ -379,19 +379,24 @@
         Behaviour::Fail,
         Behaviour::Shed,
         Behaviour::Hang,
-        Behaviour::Mute,
-        Behaviour::CutBody,
-        Behaviour::LoseAnswer,
+        Behaviour::Ignore,
+        Behaviour::TruncateBody,
+        Behaviour::ResetBeforeResponse,
         Behaviour::UnframedReset,
         Behaviour::WrongId,
-        Behaviour::ResetKept,
-        Behaviour::AnswerTwice(Duration::from_millis(random.random_range(0..30))),
-        Behaviour::Answer(Duration::from_millis(400)),
+        Behaviour::ResetReused,
+        Behaviour::RespondTwice(Duration::from_millis(random.random_range(0..30))),
+        Behaviour::Respond(Duration::from_millis(400)),
     ];
     behaviours[random.random_range(0..behaviours.len())]
 }
 
-fn random_listener_mode(random: &mut StdRng) -> DoorMode {
-    let modes = [DoorMode::Refusing, DoorMode::Silent, DoorMode::Cutting, DoorMode::LosingAnswers];
+fn random_listener_mode(random: &mut StdRng) -> StoreServerMode {
+    let modes = [
+        StoreServerMode::Unavailable,
+        StoreServerMode::Unresponsive,
+        StoreServerMode::Disconnecting,
+        StoreServerMode::LosingResponses,
+    ];
     modes[random.random_range(0..modes.len())]
 }
--- a/crates/yuccarackd/tests/routed/soak/walk.rs
+++ b/crates/yuccarackd/tests/routed/soak/walk.rs
@@ -6,10 +6,10 @@
 use parking_lot::Mutex;
 use tokio::time::{sleep, sleep_until, timeout};
 use yuccarack_platform_standin::{
-    caller::{Call, ask},
+    caller::{Call, send_call},
     deployment::{Deployment, FAILURE_DOMAINS, RouteSpec},
     instance::{Instance, Links},
-    store::DoorMode,
+    store::StoreServerMode,
     target::Behaviour,
 };
 use yuccarack_standins::proxy::{Proxy, ProxyFaults};
@@ -73,7 +73,7 @@
         let starting =
             Deployment::start_with(program(), &name, &services, &links, plan.domains).await;
         let mut deployment = starting.expect(&name);
-        deployment.bound_cold_targets(plan.cold_per_s as f64);
+        deployment.set_cold_rate(plan.cold_per_s as f64);
         deployment.apply(&routes(plan.targets_max)).await;
         let first_starts = vec![vec![Instant::now()]; plan.instances];
         let received = vec![ReceivedRequests::default(); plan.instances];
@@ -179,7 +179,7 @@
             }
             Fault::FrozenDaemon(at) => {
                 if let Some(daemon) = &instances[at].daemon {
-                    daemon.freeze();
+                    daemon.pause();
                 }
             }
             Fault::ReloadedDaemon(at) => {
@@ -189,26 +189,28 @@
             }
             Fault::DrainedTarget(at) => self.drain(at).await,
             Fault::CrashedTarget(at) => {
-                let started_ms = instances[at].target_born() + 1_000;
+                let started_ms = instances[at].target_started_unix_ms() + 1_000;
                 self.restart_target(at, started_ms).await;
             }
             Fault::BackdatedTarget(at) => {
-                let started_ms = instances[at].target_born() - BACKDATED_MS;
+                let started_ms = instances[at].target_started_unix_ms() - BACKDATED_MS;
                 self.restart_target(at, started_ms).await;
             }
-            Fault::FaultyTarget(at, behaviour) => instances[at].target.behave(behaviour),
+            Fault::FaultyTarget(at, behaviour) => instances[at].target.set_behaviour(behaviour),
             Fault::FaultyTargets(behaviour) => {
-                instances.iter().for_each(|instance| instance.target.behave(behaviour));
+                instances.iter().for_each(|instance| instance.target.set_behaviour(behaviour));
             }
-            Fault::StoreListener(at, mode) => instances[at].door.set(mode),
+            Fault::StoreListener(at, mode) => instances[at].store_server.set_mode(mode),
             Fault::StoreListeners(mode) => {
-                instances.iter().for_each(|instance| instance.door.set(mode));
+                instances.iter().for_each(|instance| instance.store_server.set_mode(mode));
             }
             Fault::StoreCompaction => self.deployment.store.compact(),
-            Fault::SlowStore(at) => instances[at].door.set_delay(Duration::from_millis(300)),
+            Fault::SlowStore(at) => {
+                instances[at].store_server.set_delay(Duration::from_millis(300))
+            }
             Fault::NewRoutes => self.write_version(),
             Fault::ColdTarget(at) => {
-                instances[at].target.cool_down(Duration::from_millis(duration_ms));
+                instances[at].target.set_cold_for(Duration::from_millis(duration_ms));
             }
             Fault::EvacuatedDomain(domain) => {
                 self.deployment.store.put("op", &evacuation_key(domain), b"{}");
@@ -233,19 +235,19 @@
             Fault::KilledDaemon(at) | Fault::StoppedDaemon(at) => self.restart(at).await,
             Fault::FrozenDaemon(at) => {
                 if let Some(daemon) = &instances[at].daemon {
-                    daemon.wake();
+                    daemon.resume();
                 }
             }
             Fault::DrainedTarget(at) => {
                 self.end_drains(at);
-                self.deployment.instances[at].beat();
+                self.deployment.instances[at].start_heartbeats();
             }
             Fault::FaultyTarget(at, _) => {
-                instances[at].target.behave(Behaviour::Answer(Duration::from_millis(5)));
+                instances[at].target.set_behaviour(Behaviour::Respond(Duration::from_millis(5)));
             }
             Fault::FaultyTargets(_) => {
-                let normal = Behaviour::Answer(Duration::from_millis(5));
-                instances.iter().for_each(|instance| instance.target.behave(normal));
+                let normal = Behaviour::Respond(Duration::from_millis(5));
+                instances.iter().for_each(|instance| instance.target.set_behaviour(normal));
             }
             Fault::StoreListener(at, _) | Fault::SlowStore(at) => {
                 restore_store_listener(&instances[at])
@@ -278,8 +280,8 @@
 
     async fn drain(&mut self, at: usize) {
         let instance = &mut self.deployment.instances[at];
-        instance.stop_beating();
-        let response = timeout(DRAIN_RESPONSE_MAX, instance.say("draining"));
+        instance.stop_heartbeats();
+        let response = timeout(DRAIN_RESPONSE_MAX, instance.send_heartbeat("draining"));
         if response.await == Ok(Some(StatusCode::OK)) {
             let confirmed_at = Instant::now();
             self.record.drains.push(Drain { instance: at, confirmed_at, until: None });
@@ -316,7 +318,7 @@
         let mut routes = routes(self.targets_max);
         let route = |number| RouteSpec::reads(VERSIONED, format!("/v{number}/"), "board");
         routes.extend((1..=number).map(route));
-        self.deployment.write(&routes);
+        self.deployment.write_routes(&routes);
         versions.push(RouteVersion { number, written_at: Instant::now() });
     }
 
@@ -359,8 +361,8 @@
     fn check_resources(&mut self) {
         for (at, instance) in self.deployment.instances.iter().enumerate() {
             let Some(daemon) = &instance.daemon else { continue };
-            let memory_kib = daemon.memory_most_kib().expect("the daemon has exited");
-            let descriptors = daemon.descriptors().expect("the daemon has exited");
+            let memory_kib = daemon.peak_memory_kib().expect("the daemon has exited");
+            let descriptors = daemon.open_descriptors().expect("the daemon has exited");
             if memory_kib > MEMORY_MAX_KIB || descriptors > DESCRIPTORS_MAX {
                 let violation =
                     Violation::ResourceLimitExceeded { instance: at, memory_kib, descriptors };
@@ -378,7 +380,7 @@
             .for_each(|daemon| daemon.terminate());
         for (at, instance) in instances.iter_mut().enumerate() {
             let Some(daemon) = &mut instance.daemon else { continue };
-            let status = timeout(STOP_MAX, daemon.ended()).await;
+            let status = timeout(STOP_MAX, daemon.wait_exit()).await;
             if !matches!(status, Ok(Ok(status)) if status.success()) {
                 self.record.violations.push(Violation::NotStopped { instance: at });
             }
@@ -400,7 +402,7 @@
     let none = ProxyFaults::default();
     let faults = match link {
         LinkFault::Delayed(delay) => ProxyFaults { delay_ms: delay.as_millis() as u64, ..none },
-        LinkFault::Reset => return proxy.cut_now(),
+        LinkFault::Reset => return proxy.cut_connections(),
         LinkFault::OneWay(direction) => ProxyFaults { half_open: Some(direction), ..none },
         LinkFault::Silent => ProxyFaults { black_hole: true, ..none },
         LinkFault::Refused => ProxyFaults { refuse: true, ..none },
@@ -410,13 +412,13 @@
 }
 
 fn restore_store_listener(instance: &Instance) {
-    instance.door.set(DoorMode::Open);
-    instance.door.set_delay(Duration::ZERO);
+    instance.store_server.set_mode(StoreServerMode::Serving);
+    instance.store_server.set_delay(Duration::ZERO);
 }
 
 async fn is_serving(instance: &Instance) -> bool {
     let call = Call::read(READS, "/r/1", "again");
-    ask(instance.call_address(), &call)
+    send_call(instance.call_address(), &call)
         .await
         .is_some_and(|response| response.status == StatusCode::OK)
 }
--- a/crates/yuccarackd/tests/routed/store.rs
+++ b/crates/yuccarackd/tests/routed/store.rs
@@ -4,9 +4,9 @@
 
 use http::StatusCode;
 use yuccarack_platform_standin::{
-    caller::{Call, ask},
-    deployment::{Deployment, RouteSpec, wait},
-    store::DoorMode,
+    caller::{Call, send_call},
+    deployment::{Deployment, RouteSpec, wait_until},
+    store::StoreServerMode,
     target::Behaviour,
 };
 
@@ -15,7 +15,7 @@
 /// Returns whether `instance` has a route for `path`.
 async fn has_route(deployment: &Deployment, instance: usize, path: &str) -> bool {
     let call = Call::read(READS, path, &format!("k{instance}"));
-    let response = ask(deployment.instances[instance].call_address(), &call).await;
+    let response = send_call(deployment.instances[instance].call_address(), &call).await;
     response.is_some_and(|response| response.status == StatusCode::OK)
 }
 
@@ -27,12 +27,16 @@
 /// can, while it serves the others.
 #[tokio::test]
 async fn a_daemon_refused_by_the_store_receives_changes_from_peers() {
-    for mode in [DoorMode::Refusing, DoorMode::Cutting, DoorMode::Silent] {
+    for mode in [
+        StoreServerMode::Unavailable,
+        StoreServerMode::Disconnecting,
+        StoreServerMode::Unresponsive,
+    ] {
         let mut deployment = deployed(&format!("away{mode:?}"), &["board", "board"]).await;
-        deployment.instances[1].door.set(mode);
-        deployment.write(&moved_routes());
+        deployment.instances[1].store_server.set_mode(mode);
+        deployment.write_routes(&moved_routes());
         let is_known = || has_route(&deployment, 1, "/new/1");
-        wait("the changed routes from another daemon", is_known).await;
+        wait_until("the changed routes from another daemon", is_known).await;
     }
 }
 
@@ -41,7 +45,7 @@
 async fn calls_succeed_without_the_store() {
     let deployment = deployed("down", &["board", "board"]).await;
     for instance in &deployment.instances {
-        instance.door.set(DoorMode::Cutting);
+        instance.store_server.set_mode(StoreServerMode::Disconnecting);
     }
     tokio::time::sleep(Duration::from_millis(300)).await;
     for number in 0..20 {
@@ -54,12 +58,12 @@
 #[tokio::test]
 async fn a_compacted_history_is_replaced_by_a_full_read() {
     let mut deployment = deployed("compact", &["board"]).await;
-    deployment.instances[0].door.set(DoorMode::Cutting);
+    deployment.instances[0].store_server.set_mode(StoreServerMode::Disconnecting);
     tokio::time::sleep(Duration::from_millis(200)).await;
-    deployment.write(&moved_routes());
+    deployment.write_routes(&moved_routes());
     deployment.store.compact();
-    deployment.instances[0].door.set(DoorMode::Open);
-    wait("the changed routes", || has_route(&deployment, 0, "/new/1")).await;
+    deployment.instances[0].store_server.set_mode(StoreServerMode::Serving);
+    wait_until("the changed routes", || has_route(&deployment, 0, "/new/1")).await;
 }
 
 /// Guards against a wrong row when the store writes it and its response is lost: the daemon writes
@@ -67,28 +71,28 @@
 #[tokio::test]
 async fn a_row_whose_write_response_is_lost_is_correct() {
     let mut deployment = deployed("lostrow", &["board", "desk"]).await;
-    deployment.instances[0].door.set(DoorMode::LosingAnswers);
-    deployment.instances[0].stop_beating();
+    deployment.instances[0].store_server.set_mode(StoreServerMode::LosingResponses);
+    deployment.instances[0].stop_heartbeats();
     deployment.instances[0].service = "cellar".to_owned();
-    deployment.instances[0].say("ready").await;
+    deployment.instances[0].send_heartbeat("ready").await;
     let row = || deployment.store.value("members", "n0");
     let is_written =
         || async { row().is_some_and(|row| String::from_utf8_lossy(&row).contains("\"cellar\"")) };
-    wait("the changed row", is_written).await;
-    deployment.instances[0].door.set(DoorMode::Open);
-    wait("the correct row", is_written).await;
+    wait_until("the changed row", is_written).await;
+    deployment.instances[0].store_server.set_mode(StoreServerMode::Serving);
+    wait_until("the correct row", is_written).await;
 }
 
 /// Guards against a document in an unknown format that replaces the table in force.
 #[tokio::test]
 async fn an_unreadable_document_is_ignored() {
     let mut deployment = deployed("unread", &["board"]).await;
-    deployment.write_text(b"{\"version\": 99, \"routes\": 7}");
+    deployment.write_raw_routes(b"{\"version\": 99, \"routes\": 7}");
     deployment.store.put("members", "stranger", b"\xff\xfe");
     tokio::time::sleep(Duration::from_millis(400)).await;
     assert!(has_route(&deployment, 0, "/r/1").await);
-    deployment.write(&moved_routes());
-    wait("the changed routes", || has_route(&deployment, 0, "/new/1")).await;
+    deployment.write_routes(&moved_routes());
+    wait_until("the changed routes", || has_route(&deployment, 0, "/new/1")).await;
 }
 
 /// Guards against frequent polls of an idle daemon: every request to the store is billed, and polls
@@ -96,9 +100,9 @@
 #[tokio::test]
 async fn an_idle_daemon_rarely_queries_the_store() {
     let deployment = deployed("idle", &["board"]).await;
-    let before = deployment.instances[0].door.questions();
+    let before = deployment.instances[0].store_server.requests();
     tokio::time::sleep(Duration::from_secs(3)).await;
-    let sent = deployment.instances[0].door.questions() - before;
+    let sent = deployment.instances[0].store_server.requests() - before;
     assert!(sent <= 1, "{sent} store requests in three idle seconds");
 }
 
@@ -108,13 +112,13 @@
 #[tokio::test]
 async fn a_refused_daemon_rarely_queries_the_store() {
     let mut deployment = deployed("refused", &["board", "board"]).await;
-    deployment.instances[1].door.set(DoorMode::Refusing);
+    deployment.instances[1].store_server.set_mode(StoreServerMode::Unavailable);
     // The polls that are held open end with these changes, and the following ones are refused.
-    deployment.write(&board_routes());
+    deployment.write_routes(&board_routes());
     deployment.store.put("members", "stranger", b"{}");
-    let before = deployment.instances[1].door.questions();
+    let before = deployment.instances[1].store_server.requests();
     tokio::time::sleep(Duration::from_secs(8)).await;
-    let sent = deployment.instances[1].door.questions() - before;
+    let sent = deployment.instances[1].store_server.requests() - before;
     println!("{sent} store requests in eight seconds");
     assert!((10..=22).contains(&sent), "{sent} store requests in eight seconds");
     assert!(deployment.instances[1].is_ready().await);
@@ -128,14 +132,14 @@
     let unknown_kind = RouteSpec { kind: "perhaps", ..RouteSpec::reads(ORDERS, "/p/", "board") };
     deployment.apply(&[unknown_kind, RouteSpec::reads(READS, "/r/", "board")]).await;
     let address = deployment.instances[0].call_address();
-    let response = ask(address, &Call::read(READS, "/r/1", "k1")).await.expect("a response");
+    let response = send_call(address, &Call::read(READS, "/r/1", "k1")).await.expect("a response");
     assert_eq!(response.status, StatusCode::OK);
-    let response = ask(address, &Call::read(ORDERS, "/p/1", "k2")).await.expect("a response");
+    let response = send_call(address, &Call::read(ORDERS, "/p/1", "k2")).await.expect("a response");
     assert_eq!(response.status, StatusCode::OK);
     for instance in &deployment.instances {
-        instance.target.behave(Behaviour::LoseAnswer);
+        instance.target.set_behaviour(Behaviour::ResetBeforeResponse);
     }
-    let response = ask(address, &Call::read(ORDERS, "/p/1", "k3")).await.expect("a response");
+    let response = send_call(address, &Call::read(ORDERS, "/p/1", "k3")).await.expect("a response");
     assert_eq!(response.status, StatusCode::BAD_GATEWAY);
     let runs = deployment.instances.iter().flat_map(|instance| instance.target.runs());
     assert_eq!(runs.filter(|run| run.id == "k3").count(), 1);
--- a/crates/yuccarackd/tests/routed/uploads.rs
+++ b/crates/yuccarackd/tests/routed/uploads.rs
@@ -12,8 +12,8 @@
 };
 use xxhash_rust::xxh3::xxh3_64;
 use yuccarack_platform_standin::{
-    caller::{Call, ask},
-    deployment::{Deployment, RouteSpec, wait},
+    caller::{Call, send_call},
+    deployment::{Deployment, RouteSpec, wait_until},
     target::{Behaviour, Run},
 };
 
@@ -33,7 +33,7 @@
 }
 
 fn upload(id: &str, body: Bytes) -> Call {
-    Call { body, left_ms: 20_000, ..Call::order(UPLOADS, "/u/1", id) }
+    Call { body, deadline_ms: 20_000, ..Call::order(UPLOADS, "/u/1", id) }
 }
 
 /// Returns a body without repetitions, so that its hash shows lost, repeated or swapped parts.
@@ -53,13 +53,13 @@
 async fn an_upload_runs_at_most_once() {
     let deployment = deploy_with_uploads("once", &["board", "board"]).await;
     for instance in &deployment.instances {
-        instance.target.behave(Behaviour::LoseAnswer);
+        instance.target.set_behaviour(Behaviour::ResetBeforeResponse);
     }
     for (number, bytes) in [0, 4_000, 300_000].into_iter().enumerate() {
         let id = format!("o{number}");
         let call = upload(&id, random_body(bytes, 1));
         let response =
-            ask(deployment.instances[0].call_address(), &call).await.expect("a response");
+            send_call(deployment.instances[0].call_address(), &call).await.expect("a response");
         assert_eq!(response.status, StatusCode::BAD_GATEWAY, "{bytes}");
         assert_eq!(runs(&deployment).iter().filter(|run| run.id == id).count(), 1, "{bytes}");
     }
@@ -72,13 +72,13 @@
 async fn a_refused_large_upload_is_sent_to_another_gate() {
     let mut deployment = deploy_with_uploads("goeson", &["board", "board", "desk"]).await;
     let body = random_body(200_000, 5);
-    deployment.instances[0].stop_beating();
-    assert_eq!(deployment.instances[0].say("draining").await, Some(StatusCode::OK));
+    deployment.instances[0].stop_heartbeats();
+    assert_eq!(deployment.instances[0].send_heartbeat("draining").await, Some(StatusCode::OK));
     let mut uploads = JoinSet::new();
     for number in 0..12 {
         let address = deployment.instances[2].call_address();
         let call = upload(&format!("u{number}"), body.clone());
-        uploads.spawn(async move { (ask(address, &call).await, call) });
+        uploads.spawn(async move { (send_call(address, &call).await, call) });
     }
     for (response, call) in uploads.join_all().await {
         assert_eq!(response.expect("a response").status, StatusCode::OK, "{}", call.id);
@@ -98,7 +98,8 @@
     for number in 0..100 {
         let address = deployment.instances[number % 2].call_address();
         let call = upload(&format!("m{number}"), body.clone());
-        callers.spawn(async move { ask(address, &call).await.map(|response| response.status) });
+        callers
+            .spawn(async move { send_call(address, &call).await.map(|response| response.status) });
     }
     let statuses = callers.join_all().await;
     for status in &statuses {
@@ -111,7 +112,7 @@
     assert_eq!(all.len(), served);
     for instance in &deployment.instances {
         let daemon = instance.daemon.as_ref().expect("a daemon");
-        let peak_kib = daemon.memory_most_kib().expect("the peak memory");
+        let peak_kib = daemon.peak_memory_kib().expect("the peak memory");
         println!("{}: {peak_kib} KiB at its peak, {served} of 100 served", instance.name);
         assert!(peak_kib < DAEMON_MEMORY_MAX_KIB, "{}: {peak_kib} KiB", instance.name);
     }
@@ -133,7 +134,8 @@
     sleep(Duration::from_millis(300)).await;
     assert!(runs(&deployment).is_empty(), "a request with a partial body ran");
     let sent_at = Instant::now();
-    let response = ask(instance.call_address(), &upload("after", random_body(200_000, 3))).await;
+    let response =
+        send_call(instance.call_address(), &upload("after", random_body(200_000, 3))).await;
     assert_eq!(response.expect("a response").status, StatusCode::OK);
     assert!(sent_at.elapsed() < Duration::from_millis(500), "{:?}", sent_at.elapsed());
 }
@@ -190,10 +192,10 @@
     sleep(Duration::from_millis(200)).await;
     assert!(runs(&deployment).is_empty(), "a body beyond the limit ran");
     let is_served = || async {
-        let response = ask(address, &upload("x3", random_body(100_000, 4))).await;
+        let response = send_call(address, &upload("x3", random_body(100_000, 4))).await;
         response.is_some_and(|response| response.status == StatusCode::OK)
     };
-    wait("capacity after the refused body", is_served).await;
+    wait_until("capacity after the refused body", is_served).await;
 }
 
 /// Guards against surplus bytes that are parsed as a request: a caller sends more than it
--- a/crates/yuccarackd/tests/suspects/trials.rs
+++ b/crates/yuccarackd/tests/suspects/trials.rs
@@ -190,10 +190,10 @@
     let tracker = gates.gates[1].clone();
     let call =
         tokio::spawn(async move { tracker.begin_trial(super::support::SERVICE, REQUEST).await });
-    eventually("the write is in progress", || gates.platform.commits_pending() > 0).await;
+    eventually("the write is in progress", || gates.platform.pending_commits() > 0).await;
     call.abort();
     gates.platform.set_faults(PlatformFaults::default());
-    eventually("the late write has taken effect", || gates.platform.commits_pending() == 0).await;
+    eventually("the late write has taken effect", || gates.platform.pending_commits() == 0).await;
     eventually("it is a suspect without a trial", || {
         let row = gates.row(REQUEST).expect("it is still a suspect");
         (row.state, row.trial) == (SuspectState::Suspected, None)
