--- a/crates/yuccarackd/src/coordination/routed/gate/cold.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/cold.rs
@@ -7,7 +7,7 @@
 use super::Gate;
 use crate::{
     coordination::routed::{control_server::unix_ms, log_lines::ClockUnusable},
-    state::routed::target::TargetView,
+    state::routed::target::RoutedTargetView,
 };
 
 impl Gate {
@@ -33,7 +33,7 @@
     /// Takes the earlier of two estimates: the end of the cold period minus the usual cold start
     /// time, and the start of the target's process. The cold period may last longer than usual, and
     /// the clock behind the start time may have been set back.
-    fn first_cold_from(&self, view: &TargetView, cold_start: Duration) -> Option<Instant> {
+    fn first_cold_from(&self, view: &RoutedTargetView, cold_start: Duration) -> Option<Instant> {
         if !view.is_cold || cold_start.is_zero() {
             return None;
         }
--- a/crates/yuccarackd/src/coordination/routed/gate/crash_tracker.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/crash_tracker.rs
@@ -23,7 +23,7 @@
     protocol::{body, peer_update::CRASH_SUSPECTS},
     state::{
         counters::Counters,
-        routed::{live_settings::LiveSettings, members::Members, target::TargetView},
+        routed::{live_settings::LiveSettings, members::Members, target::RoutedTargetView},
     },
     transport::upstream::{Freshness, Upstream},
 };
@@ -103,7 +103,7 @@
 
     /// Checks in the background whether `target` crashed while it ran the request, and reports it
     /// if so.
-    pub fn check_target(&self, target: Arc<TargetView>, fingerprint: Fingerprint) {
+    pub fn check_target(&self, target: Arc<RoutedTargetView>, fingerprint: Fingerprint) {
         let this = self.clone();
         self.inner.parts.background.spawn(async move {
             if has_crashed(target.address).await {
@@ -112,7 +112,7 @@
         });
     }
 
-    async fn record_crash(&self, target: &TargetView, fingerprint: Fingerprint) {
+    async fn record_crash(&self, target: &RoutedTargetView, fingerprint: Fingerprint) {
         let parts = &self.inner.parts;
         parts.counters.add("gate.target_died");
         parts.events.write(|| TargetDied {
--- a/crates/yuccarackd/src/coordination/routed/gate/mod.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/mod.rs
@@ -48,7 +48,7 @@
             live_settings::LiveSettings,
             metrics::Metrics,
             routing_state::RoutingState,
-            target::{RoutedTarget, TargetView},
+            target::{RoutedTarget, RoutedTargetView},
         },
     },
     transport::{tcp_probe::is_listening, upstream::Upstream},
@@ -110,7 +110,7 @@
 
 /// A target that the gate serves, with its queue and connection state.
 struct ActiveTarget {
-    view: Arc<TargetView>,
+    view: Arc<RoutedTargetView>,
     slots: WorkSlots,
     stop: CancellationToken,
     is_unreachable: AtomicBool,
@@ -283,10 +283,10 @@
     ///
     /// A target that isn't ready or whose failure domain is evacuated stops getting requests, and
     /// those in the queue are refused.
-    fn update_target(&self, view: Option<Arc<TargetView>>) -> Option<Arc<ActiveTarget>> {
+    fn update_target(&self, view: Option<Arc<RoutedTargetView>>) -> Option<Arc<ActiveTarget>> {
         let mut active = self.active.write();
         let is_accepting =
-            |view: &Arc<TargetView>| view.phase == TargetPhase::Ready && !self.is_evacuated();
+            |view: &Arc<RoutedTargetView>| view.phase == TargetPhase::Ready && !self.is_evacuated();
         let Some(view) = view.filter(is_accepting) else {
             if let Some(old) = active.as_ref() {
                 old.slots.change(|queue, now| queue.start_draining(now));
@@ -335,7 +335,7 @@
         self.parts.evacuations.is_evacuated(&self.parts.settings.current().failure_domain)
     }
 
-    fn activate_target(&self, view: Arc<TargetView>, cold_rate: ColdRate) -> ActiveTarget {
+    fn activate_target(&self, view: Arc<RoutedTargetView>, cold_rate: ColdRate) -> ActiveTarget {
         let slots = WorkSlots::new(view.slots, cold_rate, self.parts.decisions);
         let stop = CancellationToken::new();
         self.parts.background.spawn(slots.clone().run_clock(stop.clone()));
--- a/crates/yuccarackd/src/coordination/routed/peers/intake.rs
+++ b/crates/yuccarackd/src/coordination/routed/peers/intake.rs
@@ -43,7 +43,7 @@
         if let Some(table) = update.routing {
             let version = table.version;
             let behind_ms = whole_ms(parts.routing.behind_for());
-            if parts.routing.offer(table) {
+            if parts.routing.install_if_newer(table) {
                 let from = address.to_string();
                 parts.events.write(|| RoutingInForce { version, revision: None, from, behind_ms });
             }
--- a/crates/yuccarackd/src/coordination/routed/store_follower/intake.rs
+++ b/crates/yuccarackd/src/coordination/routed/store_follower/intake.rs
@@ -58,7 +58,7 @@
             Ok(document) => {
                 let version = document.table.version;
                 let behind_ms = whole_ms(self.routing.behind_for());
-                if self.routing.offer(document.table) {
+                if self.routing.install_if_newer(document.table) {
                     let (revision, from) = (Some(row.revision), STORE.to_owned());
                     self.events.write(|| RoutingInForce { version, revision, from, behind_ms });
                     self.log_substitutes(version, document.substitutes);
--- a/crates/yuccarackd/src/daemon/routed.rs
+++ b/crates/yuccarackd/src/daemon/routed.rs
@@ -142,7 +142,7 @@
         match self.settings.current().routing() {
             Ok(Some(table)) => {
                 let version = table.version;
-                if self.routing.offer(table) {
+                if self.routing.install_if_newer(table) {
                     let from = "file".to_owned();
                     let (revision, behind_ms) = (None, 0);
                     self.events.write(|| RoutingInForce { version, revision, from, behind_ms });
--- a/crates/yuccarackd/src/state/directory.rs
+++ b/crates/yuccarackd/src/state/directory.rs
@@ -1,4 +1,5 @@
-//! Rules and members of the services that this daemon calls or serves.
+//! Rules and members of the services that this daemon calls or serves, for requests that name their
+//! service. State for routed requests is in [`super::routed`].
 
 use std::{
     collections::HashMap,
@@ -15,8 +16,8 @@
 use yuccarack_config::ids::{Revision, ServiceName};
 use yuccarack_platform::rows::{MemberRow, RulesRow};
 
-use super::service_entry::ServiceEntry;
-pub use super::service_entry::ServiceView;
+use super::service_state::ServiceState;
+pub use super::service_state::ServiceView;
 
 /// Time for which a failed lookup is returned to later callers without another lookup.
 const FAILURE_TTL: Duration = Duration::from_secs(1);
@@ -63,7 +64,7 @@
 
 struct Inner {
     started_at: Instant,
-    services: RwLock<HashMap<ServiceName, ServiceEntry>>,
+    services: RwLock<HashMap<ServiceName, ServiceState>>,
     lookups: Mutex<Lookups>,
     lookup_sender: mpsc::Sender<Lookup>,
     lookup_receiver: Mutex<Option<mpsc::Receiver<Lookup>>>,
@@ -99,12 +100,12 @@
     /// Returns the view of `service` and marks it as used; `None` while it is loading.
     pub fn view(&self, service: &str) -> Option<Arc<ServiceView>> {
         let services = self.inner.services.read();
-        let entry = services.get(service)?;
-        entry.mark_used(self.now_ms());
-        if entry.view().rules_revision == 0 && !entry.is_loaded() {
+        let state = services.get(service)?;
+        state.mark_used(self.now_ms());
+        if state.view().rules_revision == 0 && !state.is_loaded() {
             return None;
         }
-        Some(Arc::clone(entry.view()))
+        Some(Arc::clone(state.view()))
     }
 
     /// Returns the view of `service` and loads it on first use. One lookup serves all callers that
@@ -170,13 +171,13 @@
 
     /// Returns the view of `service` without marking it as used.
     pub fn peek(&self, service: &str) -> Option<Arc<ServiceView>> {
-        self.inner.services.read().get(service).map(|entry| Arc::clone(entry.view()))
+        self.inner.services.read().get(service).map(|state| Arc::clone(state.view()))
     }
 
     /// Returns the views of all services, ordered by name, without marking them as used.
     pub fn views(&self) -> Vec<Arc<ServiceView>> {
         let services = self.inner.services.read();
-        let mut views: Vec<_> = services.values().map(|entry| Arc::clone(entry.view())).collect();
+        let mut views: Vec<_> = services.values().map(|state| Arc::clone(state.view())).collect();
         views.sort_by(|one, other| one.name.cmp(&other.name));
         views
     }
@@ -184,18 +185,18 @@
     /// Returns a hash over the present members of `service`, 0 for none. It is equal on daemons
     /// that know the same members.
     pub fn members_digest(&self, service: &str) -> u64 {
-        self.inner.services.read().get(service).map_or(0, ServiceEntry::digest)
+        self.inner.services.read().get(service).map_or(0, ServiceState::digest)
     }
 
     /// Returns the rows of all members of `service`, including removed members.
     pub fn member_rows(&self, service: &str) -> Vec<MemberRow> {
-        self.inner.services.read().get(service).map(ServiceEntry::rows).unwrap_or_default()
+        self.inner.services.read().get(service).map(ServiceState::rows).unwrap_or_default()
     }
 
     /// Returns the `count` member rows of `service` that changed last, including removed members.
     pub fn latest_rows(&self, service: &str, count: usize) -> Vec<MemberRow> {
         let services = self.inner.services.read();
-        services.get(service).map(|entry| entry.latest_rows(count)).unwrap_or_default()
+        services.get(service).map(|state| state.latest_rows(count)).unwrap_or_default()
     }
 
     /// Returns the rules of `service` and their revision as sent to other daemons, once there were
@@ -212,30 +213,30 @@
     /// Sets the own service, which is never forgotten.
     pub fn set_own_service(&self, service: &str) {
         *self.inner.own_service.write() = Some(service.to_owned());
-        self.with_entry(service, |_| ());
+        self.with_service(service, |_| ());
     }
 
     /// Applies rules if they are newer than the known ones; returns whether they were.
     pub fn merge_rules(&self, service: &str, revision: Revision, row: &RulesRow) -> bool {
-        self.with_entry(service, |entry| entry.merge_rules(revision, row))
+        self.with_service(service, |state| state.merge_rules(revision, row))
     }
 
     /// Applies the rows that are newer than the known ones and returns them.
     pub fn merge_members(&self, service: &str, rows: Vec<MemberRow>) -> Vec<MemberRow> {
         let now = Instant::now();
-        self.with_entry(service, |entry| entry.merge_members(rows, now))
+        self.with_service(service, |state| state.merge_members(rows, now))
     }
 
     /// Drops the members of `service`, which isn't the own one, that are not in `listed`.
     pub fn drop_unlisted(&self, service: &str, listed: &[MemberRow]) {
-        self.with_entry(service, |entry| entry.drop_unlisted(listed));
+        self.with_service(service, |state| state.drop_unlisted(listed));
     }
 
     /// Drops members of `service` that were removed at least `retention` ago and returns their
     /// rows.
     pub fn forget_removed(&self, service: &str, retention: Duration) -> Vec<MemberRow> {
-        let Some(before) = Instant::now().checked_sub(retention) else { return Vec::new() };
-        self.with_entry(service, |entry| entry.forget_removed(before))
+        let Some(cutoff) = Instant::now().checked_sub(retention) else { return Vec::new() };
+        self.with_service(service, |state| state.forget_removed(cutoff))
     }
 
     /// Drops services that were not used for `retention`, except for the own one.
@@ -243,11 +244,11 @@
         let retention_ms = u64::try_from(retention.as_millis()).unwrap_or(u64::MAX);
         let oldest_ms = self.now_ms().saturating_sub(retention_ms);
         let own = self.own_service();
-        let is_unused = |name: &ServiceName, entry: &ServiceEntry| {
-            own.as_ref() != Some(name) && entry.used_at_ms() < oldest_ms
+        let is_unused = |name: &ServiceName, state: &ServiceState| {
+            own.as_ref() != Some(name) && state.used_at_ms() < oldest_ms
         };
         let mut services = self.inner.services.write();
-        services.extract_if(|name, entry| is_unused(name, entry)).map(|(name, _)| name).collect()
+        services.extract_if(|name, state| is_unused(name, state)).map(|(name, _)| name).collect()
     }
 
     /// Returns the queue of lookups on the first call and `None` afterwards. The receiver has to
@@ -258,12 +259,12 @@
 
     /// Returns whether everything known to the store or a peer about `service` was applied once.
     pub fn is_loaded(&self, service: &str) -> bool {
-        self.inner.services.read().get(service).is_some_and(ServiceEntry::is_loaded)
+        self.inner.services.read().get(service).is_some_and(ServiceState::is_loaded)
     }
 
     /// Ends a lookup whose result has been merged.
     pub fn complete_lookup(&self, service: &str) {
-        self.with_entry(service, ServiceEntry::mark_loaded);
+        self.with_service(service, ServiceState::mark_loaded);
         self.end_lookup(service);
     }
 
@@ -302,16 +303,16 @@
         Ok(())
     }
 
-    /// Runs `change` on the service's entry, which is created if missing, and notifies subscribers
-    /// if the view of the own service changed.
-    fn with_entry<T>(&self, service: &str, change: impl FnOnce(&mut ServiceEntry) -> T) -> T {
+    /// Runs `change` on the state of the service, which is created if missing, and notifies
+    /// subscribers if the view of the own service changed.
+    fn with_service<T>(&self, service: &str, change: impl FnOnce(&mut ServiceState) -> T) -> T {
         let now_ms = self.now_ms();
         let (result, generation) = {
             let mut services = self.inner.services.write();
-            let new = || ServiceEntry::new(service, now_ms);
-            let entry = services.entry(service.to_owned()).or_insert_with(new);
-            let result = change(entry);
-            (result, entry.view().generation)
+            let new = || ServiceState::new(service, now_ms);
+            let state = services.entry(service.to_owned()).or_insert_with(new);
+            let result = change(state);
+            (result, state.view().generation)
         };
         if self.inner.own_service.read().as_deref() == Some(service) {
             self.inner.own_generation.send_if_modified(|known| {
--- a/crates/yuccarackd/src/state/mod.rs
+++ b/crates/yuccarackd/src/state/mod.rs
@@ -8,7 +8,7 @@
 pub mod own_target;
 pub mod reachability;
 pub mod routed;
-mod service_entry;
+mod service_state;
 pub mod store_health;
 
-pub use service_entry::is_newer;
+pub use service_state::is_newer;
--- a/crates/yuccarackd/src/state/routed/boot_clock.rs
+++ b/crates/yuccarackd/src/state/routed/boot_clock.rs
@@ -8,8 +8,8 @@
 ///
 /// Guards against a machine that is suspended with a request in flight and resumes seconds later.
 /// The monotonic clock stands still meanwhile, so the deadline of the request seems to lie ahead
-/// although its caller has given up. The boot-time clock goes on, so a deadline has to be moved
-/// forward by the difference between the two clocks.
+/// although its caller has given up. The boot-time clock goes on, so a deadline on the monotonic
+/// clock has to be moved earlier by the time suspended, the difference between the two clocks.
 pub fn time_suspended() -> Duration {
     let since_boot = duration(clock_gettime(ClockId::Boottime));
     since_boot.saturating_sub(duration(clock_gettime(ClockId::Monotonic)))
--- a/crates/yuccarackd/src/state/routed/members.rs
+++ b/crates/yuccarackd/src/state/routed/members.rs
@@ -34,7 +34,7 @@
     at_address: HashMap<SocketAddr, InstanceId>,
 }
 
-/// Row of an instance and its revision; no member after the removal of the row.
+/// Latest known row of an instance; without a member once the row is removed from the store.
 #[derive(Clone, Debug)]
 struct TableRow {
     revision: Revision,
--- a/crates/yuccarackd/src/state/routed/metrics.rs
+++ b/crates/yuccarackd/src/state/routed/metrics.rs
@@ -36,7 +36,8 @@
 /// Labels of the call histogram.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct CallLabels {
-    /// Outcome of the call: `answered`, `target_failed`, `not_run` or `unknown`.
+    /// How the call ended at its entry: `answered`, `target_failed`, `not_run` or `unknown`. These
+    /// are not the values of [`Outcome`](crate::protocol::refusal::Outcome).
     pub end: &'static str,
 }
 
--- a/crates/yuccarackd/src/state/routed/mod.rs
+++ b/crates/yuccarackd/src/state/routed/mod.rs
@@ -1,4 +1,8 @@
-//! State of a daemon for routed calls: routing table, members, target and settings.
+//! State of a daemon in routed mode: routing table, members, target and settings.
+//!
+//! In routed mode, requests are matched by host and path prefix against one routing table of the
+//! whole fleet. In the other mode, requests name their service, which
+//! has rules of its own; see [`super::directory`].
 
 pub mod boot_clock;
 pub mod evacuations;
--- a/crates/yuccarackd/src/state/routed/routing_state.rs
+++ b/crates/yuccarackd/src/state/routed/routing_state.rs
@@ -18,7 +18,8 @@
 #[derive(Clone, Debug)]
 pub struct RoutingState {
     current: Arc<RwLock<Option<ActiveTable>>>,
-    changed: Arc<watch::Sender<RoutingVersion>>,
+    /// Version of the table in force, 0 without one.
+    version: Arc<watch::Sender<RoutingVersion>>,
     newer: Arc<Mutex<Option<NewerVersion>>>,
 }
 
@@ -43,7 +44,7 @@
     pub fn new() -> Self {
         Self {
             current: Arc::default(),
-            changed: Arc::new(watch::Sender::new(0)),
+            version: Arc::new(watch::Sender::new(0)),
             newer: Arc::default(),
         }
     }
@@ -60,7 +61,7 @@
 
     /// Returns the version of the table in force, 0 without one.
     pub fn version(&self) -> RoutingVersion {
-        *self.changed.borrow()
+        *self.version.borrow()
     }
 
     /// Notes that `version` exists; returns whether it is newer than the one in force.
@@ -88,14 +89,14 @@
 
     /// Subscribes to changes of the version in force.
     pub fn subscribe(&self) -> watch::Receiver<RoutingVersion> {
-        self.changed.subscribe()
+        self.version.subscribe()
     }
 
     /// Puts `table` in force if it is newer; returns whether it is.
     ///
     /// Guards against a delayed response of the store or a lagging peer that brings an older table,
     /// by which requests would go where operators no longer want them.
-    pub fn offer(&self, table: RoutingTable) -> bool {
+    pub fn install_if_newer(&self, table: RoutingTable) -> bool {
         let current = self.current();
         if current.as_ref().is_some_and(|current| current.version() >= table.version) {
             return false;
@@ -152,7 +153,7 @@
         *current = Some(ActiveTable { routing: Arc::new(routing), since: Instant::now(), recent });
         drop(current);
         let mut newer = self.newer.lock();
-        self.changed.send_replace(version);
+        self.version.send_replace(version);
         newer.take_if(|newer| newer.version <= version);
         true
     }
--- a/crates/yuccarackd/src/state/routed/target.rs
+++ b/crates/yuccarackd/src/state/routed/target.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug)]
 pub struct RoutedTarget {
     state: Arc<Mutex<State>>,
-    view: Arc<watch::Sender<Option<Arc<TargetView>>>>,
+    view: Arc<watch::Sender<Option<Arc<RoutedTargetView>>>>,
 }
 
 #[derive(Debug, Default)]
@@ -30,24 +30,30 @@
     has_left: bool,
     /// Time of its latest heartbeat.
     last_heartbeat_at: Option<Instant>,
-    /// A process with an earlier start that keeps sending heartbeats.
+    /// A process with a lower incarnation that keeps sending heartbeats.
     candidate: Option<CandidateProcess>,
+    /// A target that was leaving before its first heartbeat to this process.
     departed: Option<DepartedTarget>,
-    /// Whether the leave notices to earlier processes of this daemon are known as far as possible.
+    /// Whether the leave notice stored by an earlier process of this daemon was loaded, found to be
+    /// missing, or could not be read in time. Heartbeats are rejected until then.
     is_restored: bool,
 }
 
-/// A target that sent its leave notice to this process or to an earlier one of this daemon.
+/// A leaving target: it is draining or has sent its leave notice, to this process or to an earlier
+/// one of this daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DepartedTarget {
     /// Id of the target.
     pub target: TargetId,
-    /// Latest start of a process that counts as exited. Target and daemon share the clock of their
-    /// machine.
+    /// Processes of the target with this incarnation or a lower one count as exited.
+    ///
+    /// An incarnation is a start time in ms since 1970. For a leave notice without one, this is the
+    /// arrival time of the notice, which is comparable since target and daemon share the clock of
+    /// their machine.
     pub last_incarnation: TargetIncarnation,
 }
 
-/// A process whose start seems to precede that of the latest accepted process.
+/// A process whose incarnation is lower than that of the latest accepted process.
 #[derive(Debug)]
 struct CandidateProcess {
     incarnation: TargetIncarnation,
@@ -57,12 +63,12 @@
     heartbeats: u32,
 }
 
-/// Heartbeats after which a process with an earlier start is accepted as the running one.
+/// Heartbeats after which a process with a lower incarnation is accepted as the running one.
 ///
 /// Delayed heartbeats arrive in a burst that ends; a running process keeps sending them.
 const CANDIDATE_HEARTBEATS_MIN: u32 = 3;
 
-/// Silence of the accepted process after which one with an earlier start may replace it: three
+/// Silence of the accepted process after which one with a lower incarnation may replace it: three
 /// heartbeat intervals of current targets.
 const SILENCE_MIN: Duration = Duration::from_millis(4_500);
 
@@ -72,7 +78,7 @@
 
 /// Current view of the target.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct TargetView {
+pub struct RoutedTargetView {
     /// Id of the target.
     pub target: TargetId,
     /// Incarnation of its process.
@@ -100,7 +106,7 @@
     Changed,
     /// The same process reports no change.
     Same,
-    /// The heartbeat is not newer than the latest one, or its process has left.
+    /// The heartbeat is not newer than the latest one, or its process has sent its leave notice.
     Older,
     /// The heartbeat comes from a process that has been replaced.
     OlderLife,
@@ -119,8 +125,8 @@
         Self { state: Arc::default(), view: Arc::new(watch::Sender::new(None)) }
     }
 
-    /// Returns the target, if one has sent a heartbeat and has not left.
-    pub fn current(&self) -> Option<Arc<TargetView>> {
+    /// Returns the target, if one has sent a heartbeat and no leave notice since.
+    pub fn current(&self) -> Option<Arc<RoutedTargetView>> {
         self.view.borrow().clone()
     }
 
@@ -134,8 +140,7 @@
         }
     }
 
-    /// Returns the target that is leaving or has left, to be stored for a later process of this
-    /// daemon.
+    /// Returns the target if it is leaving, to be stored for a later process of this daemon.
     pub fn departed(&self) -> Option<DepartedTarget> {
         if !self.is_leaving() {
             return None;
@@ -145,7 +150,7 @@
         Some(DepartedTarget { target, last_incarnation })
     }
 
-    /// Returns whether a target was known and is leaving or has left.
+    /// Returns whether a target was known and is draining or has sent its leave notice.
     pub fn is_leaving(&self) -> bool {
         match self.current() {
             Some(view) => view.phase == TargetPhase::Draining,
@@ -157,7 +162,7 @@
     }
 
     /// Subscribes to changes of the view.
-    pub fn subscribe(&self) -> watch::Receiver<Option<Arc<TargetView>>> {
+    pub fn subscribe(&self) -> watch::Receiver<Option<Arc<RoutedTargetView>>> {
         self.view.subscribe()
     }
 
@@ -171,11 +176,11 @@
         if !state.is_restored {
             return HeartbeatEffect::TooSoon;
         }
-        let effect = state.classify(now, &heartbeat);
+        let effect = state.record_heartbeat(now, &heartbeat);
         if matches!(effect, HeartbeatEffect::Older | HeartbeatEffect::OlderLife) {
             return effect;
         }
-        let view = TargetView::new(now, heartbeat);
+        let view = RoutedTargetView::new(now, heartbeat);
         let old = self.current();
         let is_same =
             old.is_some_and(|old| old.is_same_except_cold(&view) && !old.is_newly_cold(&view));
@@ -190,8 +195,8 @@
     /// comes from the current process.
     pub fn apply_leave(&self, unix_ms: u64, leave: &Leave) -> bool {
         let mut state = self.state.lock();
-        let is_present = state.latest.as_ref().is_some_and(|(start, target)| {
-            *target == leave.target && leave.life.is_none_or(|left| left >= *start)
+        let is_present = state.latest.as_ref().is_some_and(|(incarnation, target)| {
+            *target == leave.target && leave.life.is_none_or(|left| left >= *incarnation)
         });
         if is_present {
             state.has_left = true;
@@ -212,11 +217,11 @@
 }
 
 impl State {
-    fn classify(&mut self, now: Instant, heartbeat: &Heartbeat) -> HeartbeatEffect {
-        let is_same = self
-            .latest
-            .as_ref()
-            .is_some_and(|(start, target)| *start == heartbeat.life && *target == heartbeat.target);
+    /// Records the heartbeat unless it is rejected, and returns its effect.
+    fn record_heartbeat(&mut self, now: Instant, heartbeat: &Heartbeat) -> HeartbeatEffect {
+        let is_same = self.latest.as_ref().is_some_and(|(incarnation, target)| {
+            *incarnation == heartbeat.life && *target == heartbeat.target
+        });
         if is_same {
             if self.has_left || heartbeat.sequence <= self.sequence {
                 return HeartbeatEffect::Older;
@@ -225,11 +230,12 @@
             self.last_heartbeat_at = Some(now);
             return HeartbeatEffect::Same;
         }
-        let is_older = self.latest.as_ref().is_some_and(|(start, _)| *start > heartbeat.life);
+        let is_older =
+            self.latest.as_ref().is_some_and(|(incarnation, _)| *incarnation > heartbeat.life);
         if self.is_departed(heartbeat) {
             return HeartbeatEffect::Older;
         }
-        if is_older && !self.is_accepted(now, heartbeat) {
+        if is_older && !self.record_candidate(now, heartbeat) {
             return HeartbeatEffect::OlderLife;
         }
         self.last_heartbeat_at = Some(now);
@@ -255,11 +261,12 @@
             })
     }
 
-    /// Returns whether a process with an earlier start is nevertheless the running one.
+    /// Counts a heartbeat of a process with a lower incarnation. Returns whether that process is
+    /// nevertheless the running one, which replaces the latest accepted process.
     ///
     /// Guards against a machine whose clock is set back before its target restarts. The daemon
     /// would take the running process for a dead one for as long as the clock was set back.
-    fn is_accepted(&mut self, now: Instant, heartbeat: &Heartbeat) -> bool {
+    fn record_candidate(&mut self, now: Instant, heartbeat: &Heartbeat) -> bool {
         let is_silent =
             self.last_heartbeat_at.is_none_or(|at| now.duration_since(at) >= SILENCE_MIN);
         let known = self.candidate.take().filter(|candidate| {
@@ -274,13 +281,13 @@
             sequence: heartbeat.sequence.max(last_sequence),
             heartbeats: heartbeats + u32::from(is_newer),
         };
-        let is_accepted = is_silent && candidate.heartbeats >= CANDIDATE_HEARTBEATS_MIN;
+        let is_running = is_silent && candidate.heartbeats >= CANDIDATE_HEARTBEATS_MIN;
         self.candidate = Some(candidate);
-        is_accepted
+        is_running
     }
 }
 
-impl TargetView {
+impl RoutedTargetView {
     fn new(now: Instant, heartbeat: Heartbeat) -> Self {
         let cold_for = Duration::from_millis(heartbeat.cold_for_ms.into());
         Self {
--- a/crates/yuccarackd/src/state/routed/update_source.rs
+++ b/crates/yuccarackd/src/state/routed/update_source.rs
@@ -10,7 +10,7 @@
 /// Source from which this daemon receives updates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum UpdateSource {
-    /// No source that queries the store; peers are polled.
+    /// Neither the store nor a relay provides updates; peers are polled instead.
     #[default]
     Unassigned,
     /// The store itself.
@@ -28,7 +28,8 @@
 #[derive(Debug)]
 struct Inner {
     source: watch::Sender<UpdateSource>,
-    /// Whether this daemon queries the store itself.
+    /// Whether this daemon is to query the store itself, whether or not the store responds. The
+    /// source is [`UpdateSource::Store`] only once it does.
     queries_store: watch::Sender<bool>,
     synced: watch::Sender<SyncedTables>,
 }
@@ -46,7 +47,7 @@
 /// A table of the store that daemons follow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FollowedTable {
-    /// The operators' document.
+    /// The operators' document, which contains the routing table.
     Routing,
     /// The members.
     Members,
@@ -83,12 +84,12 @@
         before
     }
 
-    /// Returns whether this daemon queries the store itself.
+    /// Returns whether this daemon is to query the store itself, whether or not the store responds.
     pub fn queries_store(&self) -> bool {
         *self.inner.queries_store.borrow()
     }
 
-    /// Sets whether this daemon queries the store itself.
+    /// Sets whether this daemon is to query the store itself.
     pub fn set_queries_store(&self, queries: bool) {
         self.inner
             .queries_store
@@ -123,13 +124,15 @@
 
     /// Advances the synced revisions to those of a relay; a lagging relay doesn't set them back.
     ///
-    /// `has_routing` tells whether the relay's routing table is known here. Guards against a relay
-    /// that announces a large routing table without sending it while the store fails to deliver it:
-    /// a query for later changes would never return that table.
-    pub fn note_relay_synced(&self, relay: SyncedRevisions, has_routing: bool) {
+    /// `has_relay_table` tells whether the relay's routing table, or a newer one, has arrived here.
+    /// Otherwise the revision of the routing table stays, so that a later query of the store still
+    /// returns that table. Guards against a relay that announces a large routing table without
+    /// sending it while the store fails to deliver it: a query for changes after the relay's
+    /// revision would never return that table.
+    pub fn note_relay_synced(&self, relay: SyncedRevisions, has_relay_table: bool) {
         let later = |table, revision| Some(self.synced_up_to(table).unwrap_or(0).max(revision));
         self.set_synced_up_to(FollowedTable::Members, later(FollowedTable::Members, relay.members));
-        if has_routing {
+        if has_relay_table {
             self.set_synced_up_to(
                 FollowedTable::Routing,
                 later(FollowedTable::Routing, relay.routing),
--- a/crates/yuccarackd/src/state/service_entry.rs
+++ b/crates/yuccarackd/src/state/service_state.rs
@@ -23,7 +23,7 @@
     pub name: ServiceName,
     /// Rules of the service; `None` before any were accepted and after their removal.
     pub rules: Option<Arc<ServiceRules>>,
-    /// Version of the rules, or of their removal; 0 before any.
+    /// Revision of the rules, or of their removal; 0 before any.
     pub rules_revision: Revision,
     /// Its present targets, ordered by instance.
     pub members: Arc<Vec<MemberRow>>,
@@ -32,21 +32,21 @@
 }
 
 /// A member row and the time at which it was applied.
-struct MemberEntry {
+struct AppliedRow {
     row: MemberRow,
     since: Instant,
 }
 
-/// Everything known of one service.
-pub(super) struct ServiceEntry {
+/// Everything that this daemon knows of one service.
+pub(super) struct ServiceState {
     view: Arc<ServiceView>,
-    members: BTreeMap<InstanceId, MemberEntry>,
+    members: BTreeMap<InstanceId, AppliedRow>,
     digest: u64,
     is_loaded: bool,
     used_at_ms: AtomicU64,
 }
 
-impl ServiceEntry {
+impl ServiceState {
     /// Starts with nothing known of `name`.
     pub(super) fn new(name: &str, now_ms: u64) -> Self {
         let view = ServiceView {
@@ -89,14 +89,14 @@
 
     /// Returns all member rows, including those of removed members.
     pub(super) fn rows(&self) -> Vec<MemberRow> {
-        self.members.values().map(|entry| entry.row.clone()).collect()
+        self.members.values().map(|member| member.row.clone()).collect()
     }
 
     /// Returns the `count` member rows that were applied last, including those of removed members.
     pub(super) fn latest_rows(&self, count: usize) -> Vec<MemberRow> {
-        let mut entries: Vec<&MemberEntry> = self.members.values().collect();
-        entries.sort_by_key(|entry| std::cmp::Reverse(entry.since));
-        entries.into_iter().take(count).map(|entry| entry.row.clone()).collect()
+        let mut members: Vec<&AppliedRow> = self.members.values().collect();
+        members.sort_by_key(|member| std::cmp::Reverse(member.since));
+        members.into_iter().take(count).map(|member| member.row.clone()).collect()
     }
 
     /// Returns the rules and their revision as sent to other daemons.
@@ -112,13 +112,13 @@
     }
 
     pub(super) fn row(&self, instance: &str) -> Option<&MemberRow> {
-        self.members.get(instance).map(|entry| &entry.row)
+        self.members.get(instance).map(|member| &member.row)
     }
 
     /// Applies rules if they are newer; returns whether they were.
     ///
     /// Guards against reverting to older rules, which a lagging peer or a late response of the
-    /// table may bring. The table only raises revisions, so the higher one was accepted last. A
+    /// store may bring. The store only raises revisions, so the higher one was accepted last. A
     /// removal has a revision too, so rules from before it are rejected as well.
     pub(super) fn merge_rules(&mut self, revision: Revision, row: &RulesRow) -> bool {
         if revision <= self.view.rules_revision {
@@ -148,7 +148,7 @@
                 continue;
             }
             newer.push(row.clone());
-            self.members.insert(row.instance.clone(), MemberEntry { row, since: now });
+            self.members.insert(row.instance.clone(), AppliedRow { row, since: now });
         }
         if !newer.is_empty() {
             self.rebuild_members();
@@ -166,12 +166,12 @@
         }
     }
 
-    /// Drops members that have been removed since before `before`, and returns their rows.
-    pub(super) fn forget_removed(&mut self, before: Instant) -> Vec<MemberRow> {
+    /// Drops members whose removal was applied before `cutoff`, and returns their rows.
+    pub(super) fn forget_removed(&mut self, cutoff: Instant) -> Vec<MemberRow> {
         let is_old =
-            |entry: &MemberEntry| entry.row.state == TargetState::Gone && entry.since < before;
+            |member: &AppliedRow| member.row.state == TargetState::Gone && member.since < cutoff;
         let old: Vec<MemberRow> =
-            self.members.extract_if(.., |_, entry| is_old(entry)).map(|(_, e)| e.row).collect();
+            self.members.extract_if(.., |_, member| is_old(member)).map(|(_, e)| e.row).collect();
         if !old.is_empty() {
             self.rebuild_members();
         }
@@ -179,8 +179,8 @@
     }
 
     fn rebuild_members(&mut self) {
-        let present = self.members.values().filter(|entry| entry.row.state != TargetState::Gone);
-        let members: Vec<MemberRow> = present.map(|entry| entry.row.clone()).collect();
+        let present = self.members.values().filter(|member| member.row.state != TargetState::Gone);
+        let members: Vec<MemberRow> = present.map(|member| member.row.clone()).collect();
         let mut view = self.next_view();
         view.members = Arc::new(members);
         self.view = Arc::new(view);
--- a/crates/yuccarackd/src/state/store_health.rs
+++ b/crates/yuccarackd/src/state/store_health.rs
@@ -1,4 +1,4 @@
-//! Availability of the platform's table at the latest request.
+//! Availability of the store at the latest request.
 
 use std::sync::{
     Arc,
--- a/crates/yuccarackd/tests/catch_up.rs
+++ b/crates/yuccarackd/tests/catch_up.rs
@@ -56,7 +56,7 @@
 /// Encodes a peer's update with version 9 of the table, with its changes or without them.
 fn encode_update(has_changes: bool) -> Bytes {
     let state = RoutingState::new();
-    assert!(state.offer(table(9, ROUTES)));
+    assert!(state.install_if_newer(table(9, ROUTES)));
     encode_update_of(&state, if has_changes { Some(0) } else { None })
 }
 
@@ -225,7 +225,7 @@
     daemon.peers.note_version(peer.server.address(), 9);
     let delivery = async {
         sleep(Duration::from_millis(200)).await;
-        assert!(daemon.routing.offer(table(9, ROUTES)));
+        assert!(daemon.routing.install_if_newer(table(9, ROUTES)));
         sleep(Duration::from_secs(1)).await;
     };
     tokio::select! {
@@ -242,9 +242,9 @@
 #[tokio::test]
 async fn all_routes_are_requested_after_changes_that_do_not_fit() {
     let daemon = start_fetching(UpdateSource::Unassigned).await;
-    assert!(daemon.routing.offer(table(4, 7)));
+    assert!(daemon.routing.install_if_newer(table(4, 7)));
     let other = RoutingState::new();
-    assert!(other.offer(table(4, 2)) && other.offer(table(9, 5)));
+    assert!(other.install_if_newer(table(4, 2)) && other.install_if_newer(table(9, 5)));
     let listener = listen(([127, 0, 0, 1], 0).into()).await.expect("a port");
     let peer = Server::start(listener, CONNECTIONS_MAX, move |request| {
         let query = request.headers()[UPDATE_REQUEST].to_str().unwrap_or("").to_owned();
--- a/crates/yuccarackd/tests/routing_state.rs
+++ b/crates/yuccarackd/tests/routing_state.rs
@@ -24,7 +24,7 @@
 fn changes_since_a_stored_version_contain_only_the_differences() {
     let state = RoutingState::new();
     for (version, count) in [(4, 1_000), (9, 1_001), (11, 1_003)] {
-        assert!(state.offer(table(version, count)));
+        assert!(state.install_if_newer(table(version, count)));
     }
     let changes = state.changes_since(4).expect("changes");
     assert_eq!((changes.base, changes.version, changes.routes.len()), (4, 11, 3));
@@ -37,8 +37,8 @@
 #[test]
 fn an_older_table_is_rejected_in_either_form() {
     let state = RoutingState::new();
-    assert!(state.offer(table(9, 3)));
-    assert!(!state.offer(table(4, 7)));
+    assert!(state.install_if_newer(table(9, 3)));
+    assert!(!state.install_if_newer(table(4, 7)));
     let older = RoutingChanges::full(&Routing::new(table(8, 7)));
     assert_eq!(state.apply(older), Ok(false));
     assert_eq!((state.version(), route_count(&state)), (9, 3));
@@ -48,9 +48,9 @@
 #[test]
 fn changes_of_another_base_leave_the_table_in_force() {
     let (state, other) = (RoutingState::new(), RoutingState::new());
-    assert!(state.offer(table(4, 3)));
+    assert!(state.install_if_newer(table(4, 3)));
     for (version, count) in [(5, 3), (9, 5)] {
-        assert!(other.offer(table(version, count)));
+        assert!(other.install_if_newer(table(version, count)));
     }
     let changes = other.changes_since(5).expect("changes");
     assert_eq!(state.apply(changes), Err(ChangesError::Base { base: 5, version: 4 }));
@@ -64,9 +64,9 @@
 fn applied_changes_are_forwarded() {
     let (first, second) = (RoutingState::new(), RoutingState::new());
     for version in [4, 9] {
-        assert!(first.offer(table(version, version)));
+        assert!(first.install_if_newer(table(version, version)));
     }
-    assert!(second.offer(table(4, 4)));
+    assert!(second.install_if_newer(table(4, 4)));
     assert_eq!(second.apply(first.changes_since(4).expect("changes")), Ok(true));
     assert_eq!(second.changes_since(4).expect("changes"), first.changes_since(4).expect("changes"));
 }
@@ -74,15 +74,15 @@
 #[test]
 fn the_time_behind_counts_from_the_first_newer_version() {
     let state = RoutingState::new();
-    assert!(state.offer(table(4, 1)));
+    assert!(state.install_if_newer(table(4, 1)));
     assert!(!state.note_version(4));
     assert_eq!(state.behind_for(), Duration::ZERO);
     assert!(state.note_version(9) && state.note_version(7));
     assert_eq!(state.newest_version(), 9);
     std::thread::sleep(Duration::from_millis(5));
-    assert!(state.offer(table(7, 1)));
+    assert!(state.install_if_newer(table(7, 1)));
     assert!(state.behind_for() >= Duration::from_millis(5), "9 is still missing");
-    assert!(state.offer(table(9, 1)));
+    assert!(state.install_if_newer(table(9, 1)));
     assert_eq!((state.behind_for(), state.newest_version()), (Duration::ZERO, 9));
 }
 
@@ -91,7 +91,7 @@
 fn many_added_routes_are_packed_into_a_fraction_of_the_table() {
     let state = RoutingState::new();
     for (version, count) in [(4, 3_000), (9, 4_400)] {
-        assert!(state.offer(table(version, count)));
+        assert!(state.install_if_newer(table(version, count)));
     }
     let changes = state.changes_since(4).expect("changes");
     let packed = PackedChanges::new(&changes).expect("packed changes");
