--- a/crates/yuccarackd/src/coordination/routed/entry/attempts.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/attempts.rs
@@ -199,7 +199,7 @@
 
     async fn send_local(&mut self, gate: &ChosenGate, hop: Hop) -> Reply {
         let parts = self.call.head.to_parts();
-        let body = self.call.body.resendable();
+        let body = self.call.body.nested_offer();
         let request = GateRequest::new(Instant::now(), hop, parts, body);
         let local = &self.entry.parts.gate;
         let response = local.handle(request).await;
--- a/crates/yuccarackd/src/protocol/body.rs
+++ b/crates/yuccarackd/src/protocol/body.rs
@@ -102,8 +102,8 @@
 }
 
 impl SendableBody {
-    /// Takes over a body and buffers it first if its declared length is at most
-    /// `buffered_max_bytes`.
+    /// Takes over a body. Buffers it first if its declared length is at most `buffered_max_bytes`,
+    /// or if it declares neither a length nor a transfer encoding and is therefore empty.
     ///
     /// # Errors
     ///
@@ -141,8 +141,9 @@
         }
     }
 
-    /// Returns the body for an attempt that may send it several times itself.
-    pub fn resendable(&self) -> Self {
+    /// Offers the body to one attempt that may in turn offer it to several receivers, such as a
+    /// second connection to the target.
+    pub fn nested_offer(&self) -> Self {
         match self {
             Self::Buffered(bytes) => Self::Buffered(bytes.clone()),
             Self::Streamed(body) => Self::Streamed(StreamedBody::new(body.offer())),
@@ -167,8 +168,8 @@
     }
 }
 
-/// Returns whether a body is buffered. One of unknown length isn't, since reading ahead would stall
-/// a stream.
+/// Returns whether a body is buffered. One with a transfer encoding isn't, since its length is
+/// unknown and reading ahead would stall a stream. One without a declared length is empty.
 fn is_buffered(parts: &Parts, buffered_max_bytes: usize) -> bool {
     if parts.headers.contains_key(header::TRANSFER_ENCODING) {
         return false;
--- a/crates/yuccarackd/src/protocol/control.rs
+++ b/crates/yuccarackd/src/protocol/control.rs
@@ -25,7 +25,7 @@
         /// Sends an update that can't wait for the next exchange; answered by
         /// [`ControlResponse::Taken`].
         Urgent(UrgentUpdate),
-        /// Asks whether the other daemon reaches a member of its own service; answered by
+        /// Asks the receiver to check whether it reaches a member of its own service; answered by
         /// [`ControlResponse::Probed`].
         Probe {
             /// Instance of the member.
@@ -39,7 +39,7 @@
     pub struct SyncRequest {
         /// The service.
         pub service: ServiceName,
-        /// Version of the rules that the requester has, 0 for none.
+        /// Revision of the rules that the requester has, 0 for none.
         pub rules_revision: Revision,
         /// Hash over the members that the requester knows, 0 for none.
         pub members_digest: u64,
@@ -73,9 +73,9 @@
     pub struct ServiceUpdate {
         /// The service.
         pub service: ServiceName,
-        /// Version of the rules that the sender has, 0 for none.
+        /// Revision of the rules that the sender has, 0 for none.
         pub rules_revision: Revision,
-        /// The rules of that version, if the receiver has older ones.
+        /// The rules of that revision, if the receiver has older ones.
         pub rules: Option<RulesRow>,
         /// Hash over the sender's members, 0 for none.
         pub members_digest: u64,
--- a/crates/yuccarackd/src/protocol/forwarding.rs
+++ b/crates/yuccarackd/src/protocol/forwarding.rs
@@ -24,7 +24,7 @@
     HeaderName::from_static("keep-alive"),
 ];
 
-/// Headers that daemons exchange among themselves. External callers can't set them.
+/// Headers that only daemons set; they are removed from the messages of callers and targets.
 const INTERNAL_HEADERS: [&str; 12] = [
     headers::OUTCOME,
     headers::REASON,
--- a/crates/yuccarackd/src/protocol/gate_status.rs
+++ b/crates/yuccarackd/src/protocol/gate_status.rs
@@ -1,4 +1,6 @@
 //! Status of a gate, which goes with each response to a routed request in one header.
+//!
+//! Responses to other requests carry a [`GateLoadReport`](yuccarack_config::load::GateLoadReport).
 
 use std::{str::FromStr, time::Duration};
 
@@ -26,9 +28,9 @@
 impl std::fmt::Display for GateStatus {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let GateLoad { running, waiting, limit, mean_service_time, slowdown } = self.load;
-        let (work_us, slowness_percent) =
+        let (service_us, slowdown_percent) =
             (mean_service_time.as_micros(), (slowdown * 100.0).round());
-        write!(f, "{running},{waiting},{limit},{work_us},{slowness_percent},")?;
+        write!(f, "{running},{waiting},{limit},{service_us},{slowdown_percent},")?;
         write!(f, "{}", self.routing_version)
     }
 }
--- a/crates/yuccarackd/src/protocol/hop.rs
+++ b/crates/yuccarackd/src/protocol/hop.rs
@@ -23,7 +23,8 @@
     pub attempt: AttemptId,
     /// Service that has to run the request.
     pub service: ServiceName,
-    /// Kind of the request; requests of one kind have similar service times.
+    /// Kind of the request: a hash of the name of its route, computed by the entry. Requests of one
+    /// kind have similar service times.
     pub kind: u64,
     /// Time until nobody waits for the response any more, in ms from sending.
     pub left_ms: u32,
--- a/crates/yuccarackd/src/protocol/peer_update.rs
+++ b/crates/yuccarackd/src/protocol/peer_update.rs
@@ -170,7 +170,8 @@
 
     /// Revisions up to which the tables of the store are synced.
     pub struct SyncedRevisions {
-        /// Revision up to which all changes of the operators' document are known.
+        /// Revision up to which all changes of the operators' document, which contains the
+        /// routing table, are known.
         pub routing: Revision,
         /// Revision up to which all changes of the members are known.
         pub members: Revision,
--- a/crates/yuccarackd/src/protocol/refusal.rs
+++ b/crates/yuccarackd/src/protocol/refusal.rs
@@ -57,15 +57,16 @@
     NoRouting,
     /// The body exceeds the limit set by operators.
     BodyTooLarge,
-    /// No connection to the gate could be established.
+    /// The entry of a routed request could not connect to the gate, so nothing was sent.
     NoConnection,
-    /// The gate's target serves a different service.
+    /// The target of the gate serves a different service; sent by gates of routed requests.
     OtherService,
-    /// The service has no target that accepts requests.
+    /// The entry found no target of the service that accepts requests.
     NoTarget,
-    /// The decision needs the platform's store, which is unavailable.
+    /// The decision needs the store, which is unavailable.
     StoreUnavailable,
-    /// The gate has no target of that service, or none that accepts requests.
+    /// The gate knows no target yet, or its target is starting or being replaced. Without routing,
+    /// also sent if the target serves a different service.
     NotReady,
     /// The gate or its target is shutting down.
     Draining,
@@ -75,7 +76,7 @@
     Admission(&'static str),
     /// Requests of this kind fail because another service is short of capacity.
     DependencyShortage,
-    /// Too many claims of this gate wait for the platform.
+    /// Too many claims of this gate wait for the store.
     ClaimsBusy,
     /// A request with this key is running, or its outcome is unknown.
     InProgress,
@@ -87,7 +88,8 @@
     OnTrial,
     /// The target shed the request before running it.
     Shed,
-    /// No connection to the gate or the target could be established.
+    /// The gate could not connect to its target. Without routing, also sent by an entry that could
+    /// not connect to the gate.
     Unreachable,
     /// The connection failed after part of the request was dispatched.
     Broken,
@@ -158,7 +160,8 @@
         }
     }
 
-    /// Parses the reason header of a response from a daemon; an unknown value counts as broken.
+    /// Parses the reason header of a gate's response; any value that isn't in `SENT_BY_GATES` counts
+    /// as [`Reason::Broken`].
     pub fn from_headers(map: &http::HeaderMap) -> Self {
         let text = map.get(headers::REASON).and_then(|value| value.to_str().ok()).unwrap_or("");
         let known = Self::SENT_BY_GATES.into_iter().find(|reason| reason.as_str() == text);
--- a/crates/yuccarackd/src/protocol/status.rs
+++ b/crates/yuccarackd/src/protocol/status.rs
@@ -9,11 +9,11 @@
 use super::announce::Announcement;
 
 wire_kind! {
-    /// Availability of the platform's table at the last request.
+    /// Availability of the store at the last request.
     pub enum StoreStatus {
-        /// The table responded.
+        /// The store responded.
         Reachable,
-        /// The table did not respond.
+        /// The store did not respond.
         Away,
     }
 }
@@ -25,7 +25,8 @@
         pub instance: InstanceId,
         /// Failure domain of this instance.
         pub failure_domain: DomainName,
-        /// Incarnation of this instance, once its target has announced itself.
+        /// Incarnation in the member row of this instance, which exists once the target has announced
+        /// itself.
         pub incarnation: Option<Incarnation>,
         /// Lifecycle state of the target; one that stopped announcing itself counts as draining.
         pub target_state: Option<TargetState>,
@@ -47,7 +48,7 @@
         pub is_own: bool,
         /// Whether rules are in force.
         pub has_rules: bool,
-        /// Version of the rules, or of their removal.
+        /// Revision of the rules, or of their removal.
         pub rules_revision: Revision,
         /// Number of its targets.
         pub members: usize,
@@ -56,7 +57,7 @@
     }
 
     /// Response to a request that the admin endpoint refused.
-    pub struct Refusal {
+    pub struct AdminError {
         /// Reason, in snake case.
         pub reason: String,
         /// Details for the operator.
--- a/crates/yuccarackd/src/protocol/streamed_body.rs
+++ b/crates/yuccarackd/src/protocol/streamed_body.rs
@@ -20,10 +20,10 @@
 /// body could not be sent a second time, so the refusal of the first gate would be final.
 #[derive(Clone)]
 pub struct StreamedBody {
-    slot: Arc<Mutex<Slot>>,
+    pending: Arc<Mutex<PendingBody>>,
 }
 
-struct Slot {
+struct PendingBody {
     body: Option<CallBody>,
     /// Number of the latest offer; older ones are void.
     offer: u64,
@@ -48,12 +48,12 @@
 impl StreamedBody {
     /// Takes over a body of which nothing has been read.
     pub fn new(body: CallBody) -> Self {
-        Self { slot: Arc::new(Mutex::new(Slot { body: Some(body), offer: 0 })) }
+        Self { pending: Arc::new(Mutex::new(PendingBody { body: Some(body), offer: 0 })) }
     }
 
     /// Returns whether no receiver has begun to read the body.
     pub fn is_unread(&self) -> bool {
-        self.slot.lock().body.is_some()
+        self.pending.lock().body.is_some()
     }
 
     /// Offers the body to a receiver that reads it at once.
@@ -68,17 +68,17 @@
     }
 
     fn make_offer(&self, wait: Option<Pin<Box<OwnedNotified>>>) -> OfferedBody {
-        let mut slot = self.slot.lock();
-        slot.offer += 1;
-        let size = slot.body.as_ref().map_or_else(SizeHint::default, Body::size_hint);
-        let (slot, offer) = (Arc::clone(&self.slot), slot.offer);
-        OfferedBody { slot, offer, wait, size, taken: None }
+        let mut pending = self.pending.lock();
+        pending.offer += 1;
+        let size = pending.body.as_ref().map_or_else(SizeHint::default, Body::size_hint);
+        let (pending, offer) = (Arc::clone(&self.pending), pending.offer);
+        OfferedBody { pending, offer, wait, size, taken: None }
     }
 }
 
-/// One offer of a body, which takes the body out of its slot on the first read.
+/// One offer of a body, which takes the body out of the [`PendingBody`] on the first read.
 struct OfferedBody {
-    slot: Arc<Mutex<Slot>>,
+    pending: Arc<Mutex<PendingBody>>,
     offer: u64,
     wait: Option<Pin<Box<OwnedNotified>>>,
     size: SizeHint,
@@ -87,11 +87,11 @@
 
 impl OfferedBody {
     fn take(&self) -> Result<CallBody, BodyError> {
-        let mut slot = self.slot.lock();
-        if slot.offer != self.offer {
+        let mut pending = self.pending.lock();
+        if pending.offer != self.offer {
             return Err(BodyError::Withdrawn);
         }
-        slot.body.take().ok_or(BodyError::Withdrawn)
+        pending.body.take().ok_or(BodyError::Withdrawn)
     }
 }
 
--- a/crates/yuccarackd/src/transport/admin_server.rs
+++ b/crates/yuccarackd/src/transport/admin_server.rs
@@ -28,7 +28,7 @@
 use crate::{
     protocol::{
         announce::Announcement,
-        status::{Refusal, ServiceStatus, StatusReport, StoreStatus},
+        status::{AdminError, ServiceStatus, StatusReport, StoreStatus},
     },
     state::{
         counters::Counters, directory::Directory, own_target::OwnTarget, store_health::StoreHealth,
@@ -144,7 +144,8 @@
         return next.call(ctx).await;
     }
     state.counters.add(counter);
-    let refusal = Refusal { reason: "address_not_accepted".to_owned(), detail: peer.to_string() };
+    let refusal =
+        AdminError { reason: "address_not_accepted".to_owned(), detail: peer.to_string() };
     Ok(json_response(&ctx, StatusCode::FORBIDDEN, &refusal))
 }
 
@@ -168,7 +169,7 @@
 fn reject_announcement(ctx: &Context<'_>, error: &dyn std::error::Error) -> WebResponse {
     ctx.state().counters.add("announce.refused_content");
     let refusal =
-        Refusal { reason: "announcement_not_valid".to_owned(), detail: error.to_string() };
+        AdminError { reason: "announcement_not_valid".to_owned(), detail: error.to_string() };
     json_response(ctx, StatusCode::BAD_REQUEST, &refusal)
 }
 
@@ -199,7 +200,7 @@
         Some(found) => json_response(ctx, StatusCode::OK, &found),
         None => {
             let refusal =
-                Refusal { reason: "request_not_remembered".to_owned(), detail: id.to_owned() };
+                AdminError { reason: "request_not_remembered".to_owned(), detail: id.to_owned() };
             json_response(ctx, StatusCode::NOT_FOUND, &refusal)
         }
     }
