--- a/crates/yuccarack_config/src/derives.rs
+++ b/crates/yuccarack_config/src/derives.rs
@@ -2,7 +2,8 @@
 
 /// Declares plain data that enters or leaves a process: comparable, cloneable and serializable.
 ///
-/// Unknown fields are rejected, so that a misspelled field name never falls back to its default.
+/// Unknown fields are rejected, so that a misspelled field name never falls back to its default. For
+/// data between daemons of several versions, use [`shared_data`].
 #[macro_export]
 macro_rules! wire_data {
     ($($item:item)*) => {
@@ -14,8 +15,8 @@
     };
 }
 
-/// Declares data that daemons of several versions exchange: as [`wire_data`], but unknown fields are
-/// ignored.
+/// Declares data that daemons of several versions share: as [`wire_data`], but unknown fields are
+/// ignored instead of rejected.
 ///
 /// During a rolling upgrade the newer daemons write fields that the older ones don't know. If those
 /// were rejected, the older daemons would lose the rows and updates of the newer ones.
--- a/crates/yuccarack_config/src/faults.rs
+++ b/crates/yuccarack_config/src/errors.rs
@@ -12,19 +12,19 @@
 /// One validation error of a file.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Serialize, Deserialize)]
 #[error("{path}: {kind}")]
-pub struct Fault {
+pub struct ValidationError {
     /// Path within the file, such as `services[2].routes[0].deadline_ms`; `file` for the file as a
     /// whole.
     pub path: String,
     /// Kind of the error.
     #[serde(flatten)]
-    pub kind: FaultKind,
+    pub kind: ValidationErrorKind,
 }
 
 /// The kind of a validation error, with what was found and what would be accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Serialize, Deserialize)]
 #[serde(tag = "fault", rename_all = "snake_case")]
-pub enum FaultKind {
+pub enum ValidationErrorKind {
     /// The text is not valid JSON, or has a duplicate field.
     #[error("line {line}, column {column}: {reason}")]
     Syntax {
@@ -76,7 +76,7 @@
 /// All validation errors of one file, at least one; displayed one per line.
 #[derive(Clone, Debug, PartialEq, Eq, Error, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Faults(pub Vec<Fault>);
+pub struct ValidationErrors(pub Vec<ValidationError>);
 
 /// Error of loading a file.
 #[derive(Debug, Error)]
@@ -91,12 +91,12 @@
     },
     /// The file was read, but its content isn't valid.
     #[error("{0}")]
-    Invalid(#[from] Faults),
+    Invalid(#[from] ValidationErrors),
 }
 
-impl Fault {
+impl ValidationError {
     /// Creates an error of `kind` at `path`.
-    pub fn new(path: impl Into<String>, kind: FaultKind) -> Self {
+    pub fn new(path: impl Into<String>, kind: ValidationErrorKind) -> Self {
         Self { path: path.into(), kind }
     }
 
@@ -105,17 +105,17 @@
         let (line, column) = (error.line(), error.column());
         let text = error.to_string();
         let reason = text.split(" at line ").next().unwrap_or_default().to_owned();
-        Self::new("file", FaultKind::Syntax { line, column, reason })
+        Self::new("file", ValidationErrorKind::Syntax { line, column, reason })
     }
 }
 
-impl fmt::Display for Faults {
+impl fmt::Display for ValidationErrors {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (index, fault) in self.0.iter().enumerate() {
+        for (index, error) in self.0.iter().enumerate() {
             if index > 0 {
                 writeln!(f)?;
             }
-            write!(f, "{fault}")?;
+            write!(f, "{error}")?;
         }
         Ok(())
     }
@@ -129,15 +129,16 @@
 /// Parses `text` as a `T` if `check` finds no error in it.
 pub(crate) fn parse<T: DeserializeOwned>(
     text: &[u8],
-    check: fn(&Value) -> Vec<Fault>,
+    check: fn(&Value) -> Vec<ValidationError>,
 ) -> Result<T, FileError> {
-    let syntax_fault = |error: serde_json::Error| Faults(vec![Fault::syntax(&error)]);
-    let value = serde_json::from_slice(text).map_err(syntax_fault)?;
-    let faults = check(&value);
-    if !faults.is_empty() {
-        return Err(Faults(faults).into());
+    let syntax_error =
+        |error: serde_json::Error| ValidationErrors(vec![ValidationError::syntax(&error)]);
+    let value = serde_json::from_slice(text).map_err(syntax_error)?;
+    let errors = check(&value);
+    if !errors.is_empty() {
+        return Err(ValidationErrors(errors).into());
     }
     // Parse the text again, not `value`: `Value` silently keeps the last of two equal field names,
     // and only the typed parse reports the duplicate.
-    serde_json::from_slice(text).map_err(|error| syntax_fault(error).into())
+    serde_json::from_slice(text).map_err(|error| syntax_error(error).into())
 }
--- a/crates/yuccarack_config/src/headers.rs
+++ b/crates/yuccarack_config/src/headers.rs
@@ -24,7 +24,7 @@
 pub const REASON: &str = "yuccarack-reason";
 /// Instance whose gate or target sent the response.
 pub const INSTANCE: &str = "yuccarack-instance";
-/// Load of the responding gate as a [`crate::load::LoadReport`].
+/// Load of the responding gate as a [`crate::load::GateLoadReport`].
 pub const LOAD: &str = "yuccarack-load";
 /// Revision of the service's rules that are in force at the responding gate.
 pub const RULES_REVISION: &str = "yuccarack-rules-revision";
--- a/crates/yuccarack_config/src/ids.rs
+++ b/crates/yuccarack_config/src/ids.rs
@@ -24,10 +24,14 @@
 /// Id of a caller's request, the same in all its attempts.
 pub type RequestId = u128;
 
-/// Number of a commit in the table service; increases with each commit.
+/// Number of a commit in the store, the table service of the platform; increases with each commit.
 pub type Revision = u64;
 
-/// Number of the current run of an instance's daemon; increases with each start.
+/// Number that orders the member rows of one instance across restarts of its daemon.
+///
+/// It is the start time of the daemon in ms since 1970, or a higher number if a known row of the
+/// instance would otherwise outrank the daemon's own one. The start time of a target's process is
+/// a [`TargetIncarnation`](crate::heartbeat::TargetIncarnation) instead.
 pub type Incarnation = u64;
 
 /// Hash by which a request is recognised when its caller sends it again.
--- a/crates/yuccarack_config/src/lib.rs
+++ b/crates/yuccarack_config/src/lib.rs
@@ -4,7 +4,7 @@
 mod derives;
 
 pub mod decisions;
-pub mod faults;
+pub mod errors;
 pub mod headers;
 pub mod heartbeat;
 pub mod ids;
--- a/crates/yuccarack_config/src/load.rs
+++ b/crates/yuccarack_config/src/load.rs
@@ -1,4 +1,7 @@
 //! Load report of a gate, as sent with responses and between daemons.
+//!
+//! Gates of routed requests send the load in the `yuccarack-gate` header instead, and targets report
+//! a [`TargetLoad`](crate::heartbeat::TargetLoad).
 
 use std::str::FromStr;
 
@@ -7,7 +10,7 @@
 wire_data! {
     /// Load of a gate; piggybacked on every response, so it costs no extra request.
     #[derive(Copy, Default)]
-    pub struct LoadReport {
+    pub struct GateLoadReport {
         /// Number of requests that run on the target.
         pub in_flight: u16,
         /// Number of requests in the gate's queue.
@@ -21,21 +24,21 @@
 
 /// A load header does not consist of four numbers in range.
 #[derive(Debug, Error, PartialEq, Eq)]
-#[error("malformed load report: expected four numbers separated by commas")]
-pub struct LoadReportError;
+#[error("malformed gate load report: expected four numbers separated by commas")]
+pub struct GateLoadReportError;
 
-impl std::fmt::Display for LoadReport {
+impl std::fmt::Display for GateLoadReport {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{},{},{},{}", self.in_flight, self.queued, self.limit, self.service_us)
     }
 }
 
-impl FromStr for LoadReport {
-    type Err = LoadReportError;
+impl FromStr for GateLoadReport {
+    type Err = GateLoadReportError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let mut parts = text.split(',');
-        let mut next = || parts.next().ok_or(LoadReportError);
+        let mut next = || parts.next().ok_or(GateLoadReportError);
         let report = Self {
             in_flight: parse_number(next()?)?,
             queued: parse_number(next()?)?,
@@ -44,11 +47,11 @@
         };
         match parts.next() {
             None => Ok(report),
-            Some(_) => Err(LoadReportError),
+            Some(_) => Err(GateLoadReportError),
         }
     }
 }
 
-fn parse_number<T: FromStr>(text: &str) -> Result<T, LoadReportError> {
-    text.trim().parse().map_err(|_| LoadReportError)
+fn parse_number<T: FromStr>(text: &str) -> Result<T, GateLoadReportError> {
+    text.trim().parse().map_err(|_| GateLoadReportError)
 }
--- a/crates/yuccarack_config/src/routed_settings.rs
+++ b/crates/yuccarack_config/src/routed_settings.rs
@@ -1,4 +1,5 @@
-//! Settings file of a daemon that serves routed calls next to one target.
+//! Settings file of a daemon in routed mode, where a [routing table](crate::routing) assigns requests
+//! to services. The daemon runs next to one target.
 
 mod check;
 
@@ -11,7 +12,7 @@
 
 use crate::{
     decisions::Decisions,
-    faults::{self, FileError},
+    errors::{self, FileError},
     ids::{DomainName, InstanceId, RegionName, ServiceName},
     routing::RoutingTable,
     routing_file::RoutingFile,
@@ -47,7 +48,7 @@
         pub readiness_address: SocketAddr,
         /// Listen address for scrapes of counters and histograms.
         pub metrics_address: SocketAddr,
-        /// Address of the table service.
+        /// Address of the store.
         pub store_address: SocketAddr,
         /// Whether the fleet starts for the first time: the store has no rows yet, and all daemons
         /// start within a second of each other.
@@ -96,7 +97,8 @@
         /// Reserve of extra attempts that all daemons share, on top of the percentage.
         #[serde(deserialize_with = "rounded_down")]
         pub extra_tries: u32,
-        /// Requests that a cold target may get, in percent of its service's cold rate.
+        /// Requests per second that a cold target may get, in percent of its service's cold rate; 100
+        /// allows exactly that rate.
         #[serde(deserialize_with = "rounded_down")]
         pub cold_excess_percent: u32,
         /// Requests per second that a cold target may get on top of the percentage.
@@ -112,7 +114,7 @@
     ///
     /// [`FileError::Unreadable`] for either file, or [`FileError::Invalid`] with all its errors.
     pub fn load(path: &Path) -> Result<Self, FileError> {
-        let settings = Self::parse(&faults::read(path)?)?;
+        let settings = Self::parse(&errors::read(path)?)?;
         settings.routing()?;
         Ok(settings)
     }
@@ -123,7 +125,7 @@
     ///
     /// [`FileError::Invalid`] with all errors of the text.
     pub fn parse(text: &[u8]) -> Result<Self, FileError> {
-        faults::parse(text, check::find_faults)
+        errors::parse(text, check::find_errors)
     }
 
     /// Loads the routing table of `routing_file`, if that is set.
@@ -165,8 +167,8 @@
 }
 
 mod defaults {
-    /// The usual limits fit into a tenth of a core: at most 160 lines per second at 20 us each take
-    /// 0.3 % of a core.
+    /// At the usual limits at most 160 lines per second are written. At 20 us each they take 0.3 %
+    /// of a core, well within the budget of a tenth of a core.
     pub fn log_lines_percent() -> u16 {
         100
     }
--- a/crates/yuccarack_config/src/routed_settings/check.rs
+++ b/crates/yuccarack_config/src/routed_settings/check.rs
@@ -3,7 +3,7 @@
 use serde_json::Value;
 
 use crate::{
-    faults::Fault,
+    errors::ValidationError,
     schema::{Field, Kind, Unique},
     settings::LOG,
 };
@@ -22,7 +22,7 @@
     Field::required("metrics_address", Kind::ListenAddress),
     Field::required("store_address", Kind::PeerAddress),
     Field::optional("is_first_start", Kind::Bool),
-    Field::optional("routing_file", Kind::PathPrefix),
+    Field::optional("routing_file", Kind::AbsolutePath),
     Field::optional("log", LOG),
     Field::optional("log_lines_percent", Kind::number(0, 1_000)),
     Field::optional("bounds", BOUNDS),
@@ -69,8 +69,8 @@
 ]);
 
 /// Returns all validation errors of `file`; empty if it is valid.
-pub(super) fn find_faults(file: &Value) -> Vec<Fault> {
-    let mut faults = Vec::new();
-    SETTINGS.check(file, "", &mut faults);
-    faults
+pub(super) fn find_errors(file: &Value) -> Vec<ValidationError> {
+    let mut errors = Vec::new();
+    SETTINGS.check(file, "", &mut errors);
+    errors
 }
--- a/crates/yuccarack_config/src/routing.rs
+++ b/crates/yuccarack_config/src/routing.rs
@@ -1,4 +1,6 @@
-//! Routing table: routes by host and path prefix, and the services that they lead to.
+//! Routing table of the fleet: routes by host and path prefix, and the services that they lead to.
+//!
+//! Daemons in routed mode use it. The others have [rules](crate::rules) for each service.
 
 use std::collections::{HashMap, hash_map::Entry};
 
@@ -36,12 +38,14 @@
         pub path_prefix: String,
         /// Whether a request may run more than once.
         pub is_repeatable: bool,
-        /// Whether operators expect large request bodies; decisions depend on the actual body size.
+        /// Marks a route for large request bodies, which therefore can't be repeatable. Only validation
+        /// uses it: whether a body is buffered depends on its actual size.
         #[serde(default)]
         pub is_upload: bool,
         /// Services that the route's requests are split among.
         pub split: Vec<WeightedService>,
-        /// Longest time that a request may wait, in ms.
+        /// Longest time from the arrival of a request until its response is no longer wanted, in ms; a
+        /// caller can only set an earlier deadline.
         pub wait_max_ms: u32,
         /// Time within which a response counts as on time, in ms.
         pub on_time_ms: u32,
--- a/crates/yuccarack_config/src/routing_file.rs
+++ b/crates/yuccarack_config/src/routing_file.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 use crate::{
-    faults::{self, FileError},
+    errors::{self, FileError},
     routing::{CallerLimits, Route, RoutedService, RoutingTable, RoutingVersion},
     schema::Kind,
 };
@@ -37,7 +37,7 @@
     ///
     /// [`FileError::Unreadable`], or [`FileError::Invalid`] with all errors of the file.
     pub fn load(path: &Path) -> Result<Self, FileError> {
-        Self::parse(&faults::read(path)?)
+        Self::parse(&errors::read(path)?)
     }
 
     /// Parses and validates `text`.
@@ -46,7 +46,7 @@
     ///
     /// [`FileError::Invalid`] with all errors of the text.
     pub fn parse(text: &[u8]) -> Result<Self, FileError> {
-        faults::parse(text, check::find_faults)
+        errors::parse(text, check::find_errors)
     }
 
     /// Converts the file into a routing table.
--- a/crates/yuccarack_config/src/routing_file/check.rs
+++ b/crates/yuccarack_config/src/routing_file/check.rs
@@ -3,7 +3,7 @@
 use serde_json::Value;
 
 use crate::{
-    faults::{Fault, FaultKind},
+    errors::{ValidationError, ValidationErrorKind},
     schema::{Field, Kind, Unique, excerpt},
 };
 
@@ -45,7 +45,7 @@
 const ROUTE: Kind = Kind::Object(&[
     Field::required("name", Kind::Name),
     Field::required("host", Kind::ServiceName),
-    Field::required("path_prefix", Kind::PathPrefix),
+    Field::required("path_prefix", Kind::AbsolutePath),
     Field::required("is_repeatable", Kind::Bool),
     Field::optional("is_upload", Kind::Bool),
     Field::required("split", SPLIT),
@@ -73,7 +73,7 @@
 
 const SERVICE: Kind = Kind::Object(&[
     Field::required("name", Kind::ServiceName),
-    Field::required("load_path", Kind::PathPrefix),
+    Field::required("load_path", Kind::AbsolutePath),
     Field::required("connections_max", Kind::number(1, 65_535)),
     Field::optional("cold_rate_per_1000_s", Kind::number(0, COLD_RATE_MAX)),
     Field::optional("cold_start_ms", Kind::number(0, COLD_START_MAX_MS)),
@@ -85,71 +85,71 @@
 ]);
 
 /// Returns all validation errors of `file`; empty if it is valid.
-pub(super) fn find_faults(file: &Value) -> Vec<Fault> {
-    let mut faults = Vec::new();
-    ROUTING.check(file, "", &mut faults);
+pub(super) fn find_errors(file: &Value) -> Vec<ValidationError> {
+    let mut errors = Vec::new();
+    ROUTING.check(file, "", &mut errors);
     for (index, route) in items(file, "routes").iter().enumerate() {
         let path = format!("routes[{index}]");
-        check_prefix(route, &path, &mut faults);
-        check_upload(route, &path, &mut faults);
-        check_split(file, route, &path, &mut faults);
-        check_duplicate(file, index, &mut faults);
+        check_prefix(route, &path, &mut errors);
+        check_upload(route, &path, &mut errors);
+        check_split(file, route, &path, &mut errors);
+        check_duplicate(file, index, &mut errors);
     }
-    faults
+    errors
 }
 
 /// Rejects a prefix without a trailing slash: paths are looked up by their slashes, so such a
 /// prefix would never match.
-fn check_prefix(route: &Value, path: &str, faults: &mut Vec<Fault>) {
+fn check_prefix(route: &Value, path: &str, errors: &mut Vec<ValidationError>) {
     let prefix = route.get("path_prefix").and_then(Value::as_str);
     if let Some(prefix) = prefix.filter(|prefix| !prefix.ends_with('/')) {
         let (found, accepted) = (format!("{prefix:?}"), "a path that ends with '/'".to_owned());
-        let kind = FaultKind::Value { found, accepted };
-        faults.push(Fault::new(format!("{path}.path_prefix"), kind));
+        let kind = ValidationErrorKind::Value { found, accepted };
+        errors.push(ValidationError::new(format!("{path}.path_prefix"), kind));
     }
 }
 
 /// Rejects a repeatable upload: large bodies aren't buffered, so they can't be sent again.
-fn check_upload(route: &Value, path: &str, faults: &mut Vec<Fault>) {
+fn check_upload(route: &Value, path: &str, errors: &mut Vec<ValidationError>) {
     let is_set = |name: &str| route.get(name) == Some(&Value::Bool(true));
     if is_set("is_upload") && is_set("is_repeatable") {
         let accepted = "false if is_upload is true".to_owned();
-        let kind = FaultKind::Value { found: "true".to_owned(), accepted };
-        faults.push(Fault::new(format!("{path}.is_repeatable"), kind));
+        let kind = ValidationErrorKind::Value { found: "true".to_owned(), accepted };
+        errors.push(ValidationError::new(format!("{path}.is_repeatable"), kind));
     }
 }
 
 /// Rejects shares of services that the file doesn't define, and splits without a positive weight:
 /// requests for them would always be refused.
-fn check_split(file: &Value, route: &Value, path: &str, faults: &mut Vec<Fault>) {
+fn check_split(file: &Value, route: &Value, path: &str, errors: &mut Vec<ValidationError>) {
     let services = items(file, "services");
     let shares = items(route, "split");
     for (index, share) in shares.iter().enumerate() {
         let Some(service) = share.get("service") else { continue };
         if !services.iter().any(|defined| defined.get("name") == Some(service)) {
             let accepted = "the name of a service under services".to_owned();
-            let kind = FaultKind::Value { found: excerpt(service), accepted };
-            faults.push(Fault::new(format!("{path}.split[{index}].service"), kind));
+            let kind = ValidationErrorKind::Value { found: excerpt(service), accepted };
+            errors.push(ValidationError::new(format!("{path}.split[{index}].service"), kind));
         }
     }
     let is_zero = |share: &Value| share.get("weight").and_then(Value::as_u64) == Some(0);
     if !shares.is_empty() && shares.iter().all(is_zero) {
         let accepted = "a weight above 0 for at least one service".to_owned();
-        let kind = FaultKind::Value { found: "only weights of 0".to_owned(), accepted };
-        faults.push(Fault::new(format!("{path}.split"), kind));
+        let kind = ValidationErrorKind::Value { found: "only weights of 0".to_owned(), accepted };
+        errors.push(ValidationError::new(format!("{path}.split"), kind));
     }
 }
 
 /// Rejects two routes with the same host and path prefix: one of them would never be matched.
-fn check_duplicate(file: &Value, index: usize, faults: &mut Vec<Fault>) {
+fn check_duplicate(file: &Value, index: usize, errors: &mut Vec<ValidationError>) {
     let routes = items(file, "routes");
     let key = |route: &Value| Some((route.get("host")?.clone(), route.get("path_prefix")?.clone()));
     let Some(own_key) = key(&routes[index]) else { return };
     let first = routes[..index].iter().position(|route| key(route).as_ref() == Some(&own_key));
     if let Some(first) = first {
         let found = format!("{} {}", excerpt(&own_key.0), excerpt(&own_key.1));
-        let kind = FaultKind::Doubled { found, first: format!("routes[{first}]") };
-        faults.push(Fault::new(format!("routes[{index}]"), kind));
+        let kind = ValidationErrorKind::Doubled { found, first: format!("routes[{first}]") };
+        errors.push(ValidationError::new(format!("routes[{index}]"), kind));
     }
 }
 
--- a/crates/yuccarack_config/src/rules.rs
+++ b/crates/yuccarack_config/src/rules.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 use crate::{
-    faults::{self, FileError},
+    errors::{self, FileError},
     ids::{Revision, ServiceName},
     schema::Kind,
 };
@@ -134,7 +134,7 @@
     ///
     /// [`FileError::Unreadable`], or [`FileError::Invalid`] with all errors of the file.
     pub fn load(path: &Path) -> Result<Self, RulesError> {
-        Self::parse(&faults::read(path)?)
+        Self::parse(&errors::read(path)?)
     }
 
     /// Parses and validates `text`.
@@ -143,7 +143,7 @@
     ///
     /// [`FileError::Invalid`] with all errors of the text.
     pub fn parse(text: &[u8]) -> Result<Self, RulesError> {
-        faults::parse(text, check::find_faults)
+        errors::parse(text, check::find_errors)
     }
 }
 
--- a/crates/yuccarack_config/src/rules/check.rs
+++ b/crates/yuccarack_config/src/rules/check.rs
@@ -5,7 +5,7 @@
 
 use super::RouteRules;
 use crate::{
-    faults::{Fault, FaultKind},
+    errors::{ValidationError, ValidationErrorKind},
     schema::{Field, Kind, Unique, excerpt},
 };
 
@@ -49,7 +49,7 @@
 const ROUTE: Kind = Kind::Object(&[
     Field::required("name", Kind::Name),
     Field::optional("methods", list(&Kind::Method, METHODS_MAX, 0, Unique::Value)),
-    Field::required("path_prefix", Kind::PathPrefix),
+    Field::required("path_prefix", Kind::AbsolutePath),
     Field::nullable("repeatable", Kind::Bool),
     Field::optional("deadline_ms", Kind::number(1, DEADLINE_MAX_MS)),
     Field::optional("slot_share_percent", Kind::number(1, 100)),
@@ -84,51 +84,52 @@
 ]);
 
 /// Returns all validation errors of `file`; empty if it is valid.
-pub(super) fn find_faults(file: &Value) -> Vec<Fault> {
-    let mut faults = Vec::new();
-    RULES.check(file, "", &mut faults);
-    check_removed(file, &mut faults);
-    check_not_empty(file, &mut faults);
+pub(super) fn find_errors(file: &Value) -> Vec<ValidationError> {
+    let mut errors = Vec::new();
+    RULES.check(file, "", &mut errors);
+    check_removed(file, &mut errors);
+    check_not_empty(file, &mut errors);
     for (index, service) in items(file, "services").iter().enumerate() {
-        check_routes(service, &format!("services[{index}]"), &mut faults);
+        check_routes(service, &format!("services[{index}]"), &mut errors);
     }
-    faults
+    errors
 }
 
 /// Rejects a file that both defines and removes a service.
-fn check_removed(file: &Value, faults: &mut Vec<Fault>) {
+fn check_removed(file: &Value, errors: &mut Vec<ValidationError>) {
     let services = items(file, "services");
     for (index, removed) in items(file, "removed").iter().enumerate() {
         let named = services.iter().position(|service| service.get("name") == Some(removed));
         if let Some(named) = named {
             let first = format!("services[{named}].name");
-            let kind = FaultKind::Doubled { found: excerpt(removed), first };
-            faults.push(Fault::new(format!("removed[{index}]"), kind));
+            let kind = ValidationErrorKind::Doubled { found: excerpt(removed), first };
+            errors.push(ValidationError::new(format!("removed[{index}]"), kind));
         }
     }
 }
 
 /// Rejects a file without any service, which is most likely the wrong file.
-fn check_not_empty(file: &Value, faults: &mut Vec<Fault>) {
+fn check_not_empty(file: &Value, errors: &mut Vec<ValidationError>) {
     let is_empty_list = |value: &Value| value.as_array().is_some_and(Vec::is_empty);
     if file.get("services").is_some_and(is_empty_list) && items(file, "removed").is_empty() {
         let accepted = "at least one service here or in removed".to_owned();
-        let kind = FaultKind::Value { found: "[]".to_owned(), accepted };
-        faults.push(Fault::new("services", kind));
+        let kind = ValidationErrorKind::Value { found: "[]".to_owned(), accepted };
+        errors.push(ValidationError::new("services", kind));
     }
 }
 
 /// Rejects routes that are shadowed by earlier ones, since the first match applies: their requests
 /// would get the earlier route's deadline, and might be repeated although the later route forbids
 /// it.
-fn check_routes(service: &Value, path: &str, faults: &mut Vec<Fault>) {
+fn check_routes(service: &Value, path: &str, errors: &mut Vec<ValidationError>) {
     let routes: Vec<_> =
         items(service, "routes").iter().map(|route| RouteRules::deserialize(route).ok()).collect();
     for (index, route) in routes.iter().enumerate() {
         let Some(route) = route else { continue };
         let mut report = |found: String, by: usize| {
-            let kind = FaultKind::Unreachable { found, by: format!("{path}.routes[{by}]") };
-            faults.push(Fault::new(format!("{path}.routes[{index}]"), kind));
+            let kind =
+                ValidationErrorKind::Unreachable { found, by: format!("{path}.routes[{by}]") };
+            errors.push(ValidationError::new(format!("{path}.routes[{index}]"), kind));
         };
         let earlier_routes = &routes[..index];
         if let Some(by) = all_methods_shadowed_by(earlier_routes, route) {
--- a/crates/yuccarack_config/src/schema.rs
+++ b/crates/yuccarack_config/src/schema.rs
@@ -55,16 +55,16 @@
     ServiceName,
     /// An HTTP method.
     Method,
-    /// Prefix of a URL path.
-    PathPrefix,
+    /// An absolute path: of a URL, as the prefix of one, or of a file.
+    AbsolutePath,
     /// One of these strings.
     OneOf(&'static [&'static str]),
     /// An IP address.
     IpAddress,
     /// IP address and port to listen on; with port 0 the kernel chooses the port.
     ListenAddress,
-    /// A [`Kind::ListenAddress`] that is advertised to peers, so the unspecified IP address isn't
-    /// accepted.
+    /// A [`Kind::ListenAddress`] that is advertised to peers, so the unspecified IP address,
+    /// 0.0.0.0 or ::, isn't accepted.
     AdvertisedAddress,
     /// IP address and port of another process.
     PeerAddress,
@@ -140,16 +140,21 @@
                  digit first"
             ),
             Self::Method => write!(f, "1 to {METHOD_LENGTH_MAX} upper-case letters"),
-            Self::PathPrefix => write!(
+            Self::AbsolutePath => write!(
                 f,
                 "a path that starts with '/', of at most {PATH_LENGTH_MAX} visible ASCII \
                  characters, without '?' and '#'"
             ),
             Self::OneOf(values) => write!(f, "one of {}", values.join(", ")),
-            Self::IpAddress => write!(f, "an IP number"),
-            Self::ListenAddress => write!(f, "an IP number and a port"),
-            Self::AdvertisedAddress => write!(f, "the instance's own IP number and a port"),
-            Self::PeerAddress => write!(f, "another's IP number and a port from 1 to 65535"),
+            Self::IpAddress => write!(f, "an IP address"),
+            Self::ListenAddress => write!(f, "an IP address and a port"),
+            Self::AdvertisedAddress => {
+                write!(f, "the instance's own IP address (not 0.0.0.0 or ::) and a port")
+            }
+            Self::PeerAddress => write!(
+                f,
+                "another process's IP address (not 0.0.0.0 or ::) and a port from 1 to 65535"
+            ),
             Self::List { of, length_min, length_max, .. } => {
                 write!(f, "a list of {length_min} to {length_max}, each {of}")
             }
--- a/crates/yuccarack_config/src/schema/text.rs
+++ b/crates/yuccarack_config/src/schema/text.rs
@@ -20,7 +20,7 @@
             Self::Name => is_name(text),
             Self::ServiceName => is_name(text) && !text.bytes().any(|b| b.is_ascii_uppercase()),
             Self::Method => is_method(text),
-            Self::PathPrefix => is_path(text),
+            Self::AbsolutePath => is_path(text),
             Self::OneOf(values) => values.contains(&text),
             Self::IpAddress => text.parse::<IpAddr>().is_ok(),
             Self::ListenAddress => text.parse::<SocketAddr>().is_ok(),
--- a/crates/yuccarack_config/src/schema/validate.rs
+++ b/crates/yuccarack_config/src/schema/validate.rs
@@ -5,27 +5,27 @@
 use serde_json::{Map, Value};
 
 use super::{Field, Kind, Presence, Unique, field_names};
-use crate::faults::{Fault, FaultKind};
+use crate::errors::{ValidationError, ValidationErrorKind};
 
 /// Maximum number of characters of an invalid value that an error repeats.
 const FOUND_LENGTH_MAX: usize = 80;
 
 impl Kind {
-    /// Validates `value`, found at `path`, and adds all of its errors to `faults`.
-    pub fn check(&self, value: &Value, path: &str, faults: &mut Vec<Fault>) {
+    /// Validates `value`, found at `path`, and adds all of its errors to `errors`.
+    pub fn check(&self, value: &Value, path: &str, errors: &mut Vec<ValidationError>) {
         match (self, value) {
             (Self::Object(fields), Value::Object(object)) => {
-                check_object(fields, object, path, faults);
+                check_object(fields, object, path, errors);
             }
             (Self::List { of, unique, .. }, Value::Array(items)) => {
                 if !self.accepts(value) {
-                    faults.push(self.value_fault(value, path));
+                    errors.push(self.value_error(value, path));
                 }
-                check_items(of, items, path, faults);
-                check_unique(*unique, items, path, faults);
+                check_items(of, items, path, errors);
+                check_unique(*unique, items, path, errors);
             }
             _ if self.accepts(value) => {}
-            _ => faults.push(self.value_fault(value, path)),
+            _ => errors.push(self.value_error(value, path)),
         }
     }
 
@@ -46,10 +46,10 @@
         }
     }
 
-    fn value_fault(&self, value: &Value, path: &str) -> Fault {
-        Fault::new(
+    fn value_error(&self, value: &Value, path: &str) -> ValidationError {
+        ValidationError::new(
             file_if_empty(path),
-            FaultKind::Value { found: excerpt(value), accepted: self.to_string() },
+            ValidationErrorKind::Value { found: excerpt(value), accepted: self.to_string() },
         )
     }
 }
@@ -58,32 +58,35 @@
     fields: &[Field],
     object: &Map<String, Value>,
     path: &str,
-    faults: &mut Vec<Fault>,
+    errors: &mut Vec<ValidationError>,
 ) {
     for field in fields {
         let path = join(path, field.name);
         match (object.get(field.name), field.presence) {
             (None, Presence::Required) => {
                 let accepted = field.kind.to_string();
-                faults.push(Fault::new(path, FaultKind::Missing { accepted }));
+                errors.push(ValidationError::new(path, ValidationErrorKind::Missing { accepted }));
             }
             (None, _) | (Some(Value::Null), Presence::Nullable) => {}
-            (Some(value), _) => field.kind.check(value, &path, faults),
+            (Some(value), _) => field.kind.check(value, &path, errors),
         }
     }
     for name in object.keys().filter(|name| fields.iter().all(|field| field.name != **name)) {
         let accepted = field_names(fields);
-        faults.push(Fault::new(join(path, name), FaultKind::Unknown { accepted }));
+        errors.push(ValidationError::new(
+            join(path, name),
+            ValidationErrorKind::Unknown { accepted },
+        ));
     }
 }
 
-fn check_items(of: &Kind, items: &[Value], path: &str, faults: &mut Vec<Fault>) {
+fn check_items(of: &Kind, items: &[Value], path: &str, errors: &mut Vec<ValidationError>) {
     for (index, item) in items.iter().enumerate() {
-        of.check(item, &format!("{path}[{index}]"), faults);
+        of.check(item, &format!("{path}[{index}]"), errors);
     }
 }
 
-fn check_unique(unique: Unique, items: &[Value], path: &str, faults: &mut Vec<Fault>) {
+fn check_unique(unique: Unique, items: &[Value], path: &str, errors: &mut Vec<ValidationError>) {
     let path_of = |index: usize| match unique {
         Unique::Value => format!("{path}[{index}]"),
         Unique::Field(name) => format!("{path}[{index}].{name}"),
@@ -97,8 +100,8 @@
         let Some(key) = key else { continue };
         let first = keys.iter().position(|other| other.as_ref() == Some(key)).unwrap_or(index);
         if first < index {
-            let kind = FaultKind::Doubled { found: excerpt(key), first: path_of(first) };
-            faults.push(Fault::new(path_of(index), kind));
+            let kind = ValidationErrorKind::Doubled { found: excerpt(key), first: path_of(first) };
+            errors.push(ValidationError::new(path_of(index), kind));
         }
     }
 }
--- a/crates/yuccarack_config/src/settings.rs
+++ b/crates/yuccarack_config/src/settings.rs
@@ -1,4 +1,5 @@
-//! Settings file of a daemon.
+//! Settings file of a daemon whose services have [rules](crate::rules); for routed mode see
+//! [`crate::routed_settings`].
 
 mod check;
 
@@ -8,7 +9,7 @@
 };
 
 use crate::{
-    faults::{self, FileError},
+    errors::{self, FileError},
     ids::{DomainName, InstanceId},
     schema::Kind,
 };
@@ -129,7 +130,7 @@
     ///
     /// [`FileError::Unreadable`], or [`FileError::Invalid`] with all errors of the file.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
-        Self::parse(&faults::read(path)?)
+        Self::parse(&errors::read(path)?)
     }
 
     /// Parses and validates `text`.
@@ -138,7 +139,7 @@
     ///
     /// [`FileError::Invalid`] with all errors of the text.
     pub fn parse(text: &[u8]) -> Result<Self, SettingsError> {
-        faults::parse(text, check::find_faults)
+        errors::parse(text, check::find_errors)
     }
 }
 
--- a/crates/yuccarack_config/src/settings/check.rs
+++ b/crates/yuccarack_config/src/settings/check.rs
@@ -3,7 +3,7 @@
 use serde_json::Value;
 
 use crate::{
-    faults::{Fault, FaultKind},
+    errors::{ValidationError, ValidationErrorKind},
     schema::{Field, Kind, Unique, excerpt},
 };
 
@@ -51,16 +51,16 @@
 ]);
 
 /// Returns all validation errors of `file`; empty if it is valid.
-pub(super) fn find_faults(file: &Value) -> Vec<Fault> {
-    let mut faults = Vec::new();
-    SETTINGS.check(file, "", &mut faults);
-    check_listen_addresses(file, &mut faults);
-    check_drain(file, &mut faults);
-    faults
+pub(super) fn find_errors(file: &Value) -> Vec<ValidationError> {
+    let mut errors = Vec::new();
+    SETTINGS.check(file, "", &mut errors);
+    check_listen_addresses(file, &mut errors);
+    check_drain(file, &mut errors);
+    errors
 }
 
 /// Rejects two listen addresses that are equal, unless the kernel chooses their ports.
-fn check_listen_addresses(file: &Value, faults: &mut Vec<Fault>) {
+fn check_listen_addresses(file: &Value, errors: &mut Vec<ValidationError>) {
     for (index, name) in LISTEN_ADDRESSES.iter().enumerate() {
         let Some(address) = file.get(name).and_then(Value::as_str) else { continue };
         if address.ends_with(":0") {
@@ -71,15 +71,15 @@
             |other: &&&str| file.get(**other).and_then(Value::as_str) == Some(address);
         if let Some(first) = earlier_names.iter().find(has_same_address) {
             let found = format!("{address:?}");
-            let kind = FaultKind::Doubled { found, first: (*first).to_owned() };
-            faults.push(Fault::new(*name, kind));
+            let kind = ValidationErrorKind::Doubled { found, first: (*first).to_owned() };
+            errors.push(ValidationError::new(*name, kind));
         }
     }
 }
 
 /// Rejects a notice that isn't shorter than the drain: requests that arrive during the notice would
 /// be aborted.
-fn check_drain(file: &Value, faults: &mut Vec<Fault>) {
+fn check_drain(file: &Value, errors: &mut Vec<ValidationError>) {
     let defaults = super::BudgetSettings::default();
     let budget = |name: &str, default: u32| {
         let value = file.get("budgets").and_then(|budgets| budgets.get(name));
@@ -92,7 +92,10 @@
     {
         let found = excerpt(&Value::from(notice_ms));
         let accepted = format!("less than drain_max_ms, which is {drain_max_ms}");
-        faults.push(Fault::new("budgets.drain_notice_ms", FaultKind::Value { found, accepted }));
+        errors.push(ValidationError::new(
+            "budgets.drain_notice_ms",
+            ValidationErrorKind::Value { found, accepted },
+        ));
     }
 }
 
--- a/crates/yuccarack_config/tests/routing_file.rs
+++ b/crates/yuccarack_config/tests/routing_file.rs
@@ -1,7 +1,7 @@
 //! Validation of routing files: defaults of valid files, and all errors of invalid ones.
 
 use serde_json::{Value, json};
-use yuccarack_config::{faults::FileError, routing_file::RoutingFile};
+use yuccarack_config::{errors::FileError, routing_file::RoutingFile};
 
 fn file() -> Value {
     json!({
@@ -19,10 +19,10 @@
 }
 
 /// Returns the paths of the errors of a file.
-fn faults(file: &Value) -> Vec<String> {
+fn errors(file: &Value) -> Vec<String> {
     match RoutingFile::parse(file.to_string().as_bytes()) {
         Ok(_) => Vec::new(),
-        Err(FileError::Invalid(faults)) => faults.0.into_iter().map(|fault| fault.path).collect(),
+        Err(FileError::Invalid(errors)) => errors.0.into_iter().map(|error| error.path).collect(),
         Err(other) => panic!("{other}"),
     }
 }
@@ -47,7 +47,7 @@
     file["routes"].as_array_mut().expect("routes").push(duplicate);
     file["routes"][0]["path_prefix"] = json!("/notes");
     file["routes"][1]["path_prefix"] = json!("/notes");
-    let found_paths = faults(&file);
+    let found_paths = errors(&file);
     for path in [
         "routes[1].targets_max",
         "routes[0].path_prefix",
@@ -67,10 +67,10 @@
 fn a_file_without_a_version_or_of_another_format_is_rejected() {
     let mut unversioned = file();
     unversioned.as_object_mut().expect("an object").remove("version");
-    assert_eq!(faults(&unversioned), ["version"]);
+    assert_eq!(errors(&unversioned), ["version"]);
     let mut unknown_format = file();
     unknown_format["format"] = json!(2);
-    assert_eq!(faults(&unknown_format), ["format"]);
+    assert_eq!(errors(&unknown_format), ["format"]);
 }
 
 /// Guards against uploads that are sent more than once, and against misspelled field names that
@@ -79,11 +79,11 @@
 fn an_upload_is_not_repeatable() {
     let mut upload = file();
     upload["routes"][0]["is_upload"] = json!(true);
-    assert_eq!(faults(&upload), ["routes[0].is_repeatable"]);
+    assert_eq!(errors(&upload), ["routes[0].is_repeatable"]);
     upload["routes"][0]["is_repeatable"] = json!(false);
     let table =
         RoutingFile::parse(upload.to_string().as_bytes()).expect("a valid file").into_table();
     assert!(table.routes[0].is_upload && !table.routes[0].is_repeatable);
     upload["routes"][0]["is_uplaod"] = json!(true);
-    assert_eq!(faults(&upload), ["routes[0].is_uplaod"]);
+    assert_eq!(errors(&upload), ["routes[0].is_uplaod"]);
 }
--- a/crates/yuccarack_config/tests/rules.rs
+++ b/crates/yuccarack_config/tests/rules.rs
@@ -3,7 +3,7 @@
 use quickcheck::quickcheck;
 use serde_json::{Value, json};
 use yuccarack_config::{
-    faults::{Fault, FaultKind, FileError},
+    errors::{FileError, ValidationError, ValidationErrorKind},
     rules::{EjectionRules, HedgeRules, LimitRules, MeasuringRules, RetryRules, RulesFile},
 };
 
@@ -15,16 +15,16 @@
     json!({"format": 1, "services": [{"name": "conditions", "routes": routes}]})
 }
 
-fn faults(file: &Value) -> Vec<Fault> {
+fn errors(file: &Value) -> Vec<ValidationError> {
     match RulesFile::parse(file.to_string().as_bytes()) {
         Ok(_) => Vec::new(),
-        Err(FileError::Invalid(faults)) => faults.0,
+        Err(FileError::Invalid(errors)) => errors.0,
         Err(other) => panic!("{other}"),
     }
 }
 
 fn paths(file: &Value) -> Vec<String> {
-    faults(file).into_iter().map(|fault| fault.path).collect()
+    errors(file).into_iter().map(|error| error.path).collect()
 }
 
 #[test]
@@ -83,11 +83,11 @@
 #[test]
 fn a_route_shadowed_by_a_broader_one_is_rejected() {
     let file = file(&[route("all", &[], "/"), route("orders", &["POST"], "/orders")]);
-    let kind = FaultKind::Unreachable {
+    let kind = ValidationErrorKind::Unreachable {
         found: "\"/orders\"".to_owned(),
         by: "services[0].routes[0]".to_owned(),
     };
-    assert_eq!(faults(&file), [Fault::new("services[0].routes[1]", kind)]);
+    assert_eq!(errors(&file), [ValidationError::new("services[0].routes[1]", kind)]);
 }
 
 #[test]
@@ -97,11 +97,11 @@
         route("notes", &["GET", "PUT"], "/notes"),
         route("rest", &[], "/"),
     ];
-    let kind = FaultKind::Unreachable {
+    let kind = ValidationErrorKind::Unreachable {
         found: "GET \"/notes\"".to_owned(),
         by: "services[0].routes[0]".to_owned(),
     };
-    assert_eq!(faults(&file(&routes)), [Fault::new("services[0].routes[1]", kind)]);
+    assert_eq!(errors(&file(&routes)), [ValidationError::new("services[0].routes[1]", kind)]);
 }
 
 #[test]
@@ -112,7 +112,7 @@
         route("orders", &["POST"], "/orders"),
         route("rest", &[], "/"),
     ];
-    assert_eq!(faults(&file(&routes)), []);
+    assert_eq!(errors(&file(&routes)), []);
 }
 
 #[test]
@@ -140,7 +140,7 @@
     for (group, defaults) in groups {
         let mut file = file(&[route("all", &[], "/")]);
         file["services"][0][group] = defaults.clone();
-        assert_eq!(faults(&file), []);
+        assert_eq!(errors(&file), []);
         for name in defaults.as_object().unwrap().keys() {
             file["services"][0][group] = json!({name.as_str(): u64::MAX});
             assert_eq!(paths(&file), [format!("services[0].{group}.{name}")]);
--- a/crates/yuccarack_config/tests/settings.rs
+++ b/crates/yuccarack_config/tests/settings.rs
@@ -5,7 +5,7 @@
 use quickcheck::quickcheck;
 use serde_json::{Value, json};
 use yuccarack_config::{
-    faults::{Fault, FaultKind, FileError},
+    errors::{FileError, ValidationError, ValidationErrorKind},
     settings::{BudgetSettings, DaemonSettings, LogSettings},
 };
 
@@ -31,16 +31,16 @@
     file
 }
 
-fn faults(file: &Value) -> Vec<Fault> {
+fn errors(file: &Value) -> Vec<ValidationError> {
     match DaemonSettings::parse(file.to_string().as_bytes()) {
         Ok(_) => Vec::new(),
-        Err(FileError::Invalid(faults)) => faults.0,
+        Err(FileError::Invalid(errors)) => errors.0,
         Err(other) => panic!("{other}"),
     }
 }
 
 fn paths(file: &Value) -> Vec<String> {
-    faults(file).into_iter().map(|fault| fault.path).collect()
+    errors(file).into_iter().map(|error| error.path).collect()
 }
 
 #[test]
@@ -55,7 +55,7 @@
 #[test]
 fn advertised_addresses_need_a_port() {
     let file = file_with("told_gate_address", json!("10.0.0.1:7001"));
-    assert_eq!(faults(&file), []);
+    assert_eq!(errors(&file), []);
     let settings = DaemonSettings::parse(file.to_string().as_bytes()).unwrap();
     assert_eq!(settings.told_gate_address, "10.0.0.1:7001".parse().ok());
     let zero_port = file_with("told_control_address", json!("10.0.0.1:0"));
@@ -92,7 +92,7 @@
         "failure_domain: missing",
         "call_thread: unknown field, accepted instance, failure_domain",
         "call_threads: found 0, accepted a whole number from 1 to 64",
-        "seed_peers[1]: found \"127.0.0.1\", accepted another's IP number",
+        "seed_peers[1]: found \"127.0.0.1\", accepted another process's IP address (not 0.0.0.0 or ::)",
         "budgets.drain_max_ms: found 10, accepted a whole number from 100 to 3600000",
         "budgets.gossip_interval_ms: found \"1s\", accepted a whole number from 20 to 10000",
         "budgets.drain_notice_ms: found 1000, accepted less than drain_max_ms, which is 10",
@@ -104,8 +104,8 @@
 
 #[test]
 fn a_fault_is_serialized_with_its_path_and_kind() {
-    let fault = &faults(&file_with("call_threads", json!(65)))[0];
-    let serialized = serde_json::to_value(fault).unwrap();
+    let error = &errors(&file_with("call_threads", json!(65)))[0];
+    let serialized = serde_json::to_value(error).unwrap();
     let expected = json!({
         "path": "call_threads",
         "fault": "value",
@@ -118,15 +118,15 @@
 #[test]
 fn listen_addresses_must_differ_unless_the_kernel_chooses_the_port() {
     let same = file_with("gate_address", json!("127.0.0.1:7000"));
-    let kind = FaultKind::Doubled {
+    let kind = ValidationErrorKind::Doubled {
         found: "\"127.0.0.1:7000\"".to_owned(),
         first: "call_address".to_owned(),
     };
-    assert_eq!(faults(&same), [Fault::new("gate_address", kind)]);
+    assert_eq!(errors(&same), [ValidationError::new("gate_address", kind)]);
 
     let mut kernel_chosen = file_with("gate_address", json!("127.0.0.1:0"));
     kernel_chosen["control_address"] = json!("127.0.0.1:0");
-    assert_eq!(faults(&kernel_chosen), []);
+    assert_eq!(errors(&kernel_chosen), []);
 }
 
 // Guards against an advertised address of 0.0.0.0, on which a daemon listens but which no other
@@ -177,7 +177,7 @@
         let file = file_with("budgets", json!({name.as_str(): u64::MAX}));
         assert!(paths(&file).contains(&path), "{path} has no upper bound");
     }
-    assert_eq!(faults(&file_with("budgets", defaults)), []);
+    assert_eq!(errors(&file_with("budgets", defaults)), []);
 }
 
 quickcheck! {
@@ -188,8 +188,8 @@
         let text = file.to_string();
         match DaemonSettings::parse(text.as_bytes()) {
             Ok(settings) => settings.instance == name,
-            Err(FileError::Invalid(faults)) => {
-                faults.0.iter().all(|fault| !matches!(fault.kind, FaultKind::Syntax { .. }))
+            Err(FileError::Invalid(errors)) => {
+                errors.0.iter().all(|error| !matches!(error.kind, ValidationErrorKind::Syntax { .. }))
             }
             Err(FileError::Unreadable { .. }) => false,
         }
--- a/crates/yuccarack_player/src/entry.rs
+++ b/crates/yuccarack_player/src/entry.rs
@@ -4,7 +4,7 @@
 
 use rand::{Rng, rngs::SmallRng};
 use yuccarack_config::{
-    load::LoadReport,
+    load::GateLoadReport,
     rules::{HedgeRules, RetryRules},
 };
 use yuccarack_policy::{
@@ -124,7 +124,7 @@
         target: usize,
         result: Option<AttemptResult>,
         response_time: Duration,
-        report: Option<LoadReport>,
+        report: Option<GateLoadReport>,
     ) {
         let Balancer::Yuccarack(balancer) = &mut self.balancer else { return };
         let Some(key) = balancer.keys[target] else { return };
--- a/crates/yuccarack_player/src/gate.rs
+++ b/crates/yuccarack_player/src/gate.rs
@@ -6,7 +6,7 @@
     time::Instant,
 };
 
-use yuccarack_config::{load::LoadReport, rules::LimitRules};
+use yuccarack_config::{load::GateLoadReport, rules::LimitRules};
 use yuccarack_policy::admission::{
     Admission, AdmissionConfig, AdmissionDecision, Offer, RouteShare, RunKey, RunOutcome, WaitKey,
     WaitOutcome,
@@ -118,7 +118,7 @@
         }
     }
 
-    pub fn load_report(&self) -> Option<LoadReport> {
+    pub fn load_report(&self) -> Option<GateLoadReport> {
         match self {
             Self::Fifo { .. } => None,
             Self::Admission { admission, .. } => Some(admission.load()),
--- a/crates/yuccarack_player/src/player/gate_events.rs
+++ b/crates/yuccarack_player/src/player/gate_events.rs
@@ -1,6 +1,6 @@
 //! Handling of attempts at the gate and the target.
 
-use yuccarack_config::load::LoadReport;
+use yuccarack_config::load::GateLoadReport;
 use yuccarack_policy::admission::{Offer, RunOutcome};
 
 use super::{AttemptKey, Event, Player, link_delay};
@@ -105,7 +105,7 @@
             self.tally.measuring_bytes += REPORT_BYTES;
         }
         if target.has_false_reports {
-            report = report.map(|actual| LoadReport {
+            report = report.map(|actual| GateLoadReport {
                 in_flight: 0,
                 queued: 0,
                 limit: actual.limit,
--- a/crates/yuccarack_player/src/player/mod.rs
+++ b/crates/yuccarack_player/src/player/mod.rs
@@ -8,7 +8,7 @@
 
 use rand::{Rng, SeedableRng, rngs::SmallRng};
 use slotmap::{SlotMap, new_key_type};
-use yuccarack_config::load::LoadReport;
+use yuccarack_config::load::GateLoadReport;
 
 use crate::{
     clock::Clock,
@@ -49,7 +49,7 @@
     Arrive,
     ReachGate(AttemptKey),
     RunEnd(AttemptKey, AttemptResult),
-    ReturnToEntry(AttemptKey, AttemptResult, Option<LoadReport>),
+    ReturnToEntry(AttemptKey, AttemptResult, Option<GateLoadReport>),
     Cancel(AttemptKey),
     Wake(usize),
     Hedge(CallKey),
@@ -260,7 +260,7 @@
         &mut self,
         key: AttemptKey,
         result: AttemptResult,
-        report: Option<LoadReport>,
+        report: Option<GateLoadReport>,
     ) {
         let now = self.clock.now();
         let Some(attempt) = self.attempts.remove(key) else { return };
--- a/crates/yuccarack_policy/benches/decisions.rs
+++ b/crates/yuccarack_policy/benches/decisions.rs
@@ -7,7 +7,7 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use rand::{SeedableRng, rngs::SmallRng};
-use yuccarack_config::{load::LoadReport, rules::LimitRules};
+use yuccarack_config::{load::GateLoadReport, rules::LimitRules};
 use yuccarack_policy::{
     admission::{Admission, AdmissionConfig, AdmissionDecision, Offer, RouteShare, RunOutcome},
     choice::{Chooser, ChooserConfig, Member, MemberState, TargetAttemptOutcome},
@@ -34,7 +34,7 @@
     for (number, member) in members(count).iter().enumerate() {
         let key = chooser.key_of(&member.instance).expect("a member has a key");
         let in_flight = (number % 10) as u16;
-        let report = LoadReport { in_flight, queued: 0, limit: 10, service_us: 10_000 };
+        let report = GateLoadReport { in_flight, queued: 0, limit: 10, service_us: 10_000 };
         chooser.record_report(now, key, report);
     }
     chooser
@@ -42,7 +42,7 @@
 
 fn choices(criterion: &mut Criterion) {
     let now = Instant::now();
-    let report = LoadReport { in_flight: 3, queued: 0, limit: 10, service_us: 10_000 };
+    let report = GateLoadReport { in_flight: 3, queued: 0, limit: 10, service_us: 10_000 };
     let mut group = criterion.benchmark_group("choice");
     for size in SIZES {
         let mut chooser = chooser(now, size);
--- a/crates/yuccarack_policy/src/admission/mod.rs
+++ b/crates/yuccarack_policy/src/admission/mod.rs
@@ -17,7 +17,7 @@
 use std::{collections::HashMap, time::Instant};
 
 use slotmap::{SlotMap, new_key_type};
-use yuccarack_config::load::LoadReport;
+use yuccarack_config::load::GateLoadReport;
 
 use self::{
     limit::ConcurrencyLimit,
@@ -200,8 +200,8 @@
     }
 
     /// Returns the gate's load, as reported with each response.
-    pub fn load(&self) -> LoadReport {
-        LoadReport {
+    pub fn load(&self) -> GateLoadReport {
+        GateLoadReport {
             in_flight: saturate(self.running.len()),
             queued: saturate(self.queue.len()),
             limit: saturate(self.limit.get()),
--- a/crates/yuccarack_policy/src/choice/explain.rs
+++ b/crates/yuccarack_policy/src/choice/explain.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use yuccarack_config::{ids::InstanceId, load::LoadReport};
+use yuccarack_config::{ids::InstanceId, load::GateLoadReport};
 
 use super::{
     MemberState, TargetKey,
@@ -23,7 +23,7 @@
     /// Attempts of this entry that are in flight there.
     pub outstanding: u32,
     /// The latest load report.
-    pub report: Option<LoadReport>,
+    pub report: Option<GateLoadReport>,
     /// Age of the latest load report.
     pub report_age: Option<Duration>,
     /// Expected response time of a request sent now, network included.
--- a/crates/yuccarack_policy/src/choice/mod.rs
+++ b/crates/yuccarack_policy/src/choice/mod.rs
@@ -22,7 +22,7 @@
 use slotmap::{SlotMap, new_key_type};
 use yuccarack_config::{
     ids::{DomainName, InstanceId},
-    load::LoadReport,
+    load::GateLoadReport,
 };
 
 use self::target::{ServiceMeans, Target};
@@ -137,7 +137,7 @@
         now: Instant,
         key: TargetKey,
         outcome: TargetAttemptOutcome,
-        report: Option<LoadReport>,
+        report: Option<GateLoadReport>,
     ) {
         let Some(target) = self.targets.get_mut(key) else { return };
         target.record_end(now);
@@ -162,7 +162,7 @@
     }
 
     /// Records a load report that didn't come with a response.
-    pub fn record_report(&mut self, now: Instant, key: TargetKey, report: LoadReport) {
+    pub fn record_report(&mut self, now: Instant, key: TargetKey, report: GateLoadReport) {
         if let Some(target) = self.targets.get_mut(key) {
             target.record_report(now, report, &mut self.mean);
         }
--- a/crates/yuccarack_policy/src/choice/target.rs
+++ b/crates/yuccarack_policy/src/choice/target.rs
@@ -4,7 +4,7 @@
 
 use yuccarack_config::{
     ids::{Incarnation, InstanceId},
-    load::LoadReport,
+    load::GateLoadReport,
 };
 
 use super::{Member, MemberState};
@@ -90,7 +90,7 @@
     pub slots: u16,
     pub state: MemberState,
     pub outstanding: u32,
-    pub report: LoadReport,
+    pub report: GateLoadReport,
     pub reported_at: Option<Instant>,
     outstanding_at_report: u32,
     /// Time of the last end of an attempt, or of the first one sent to an idle target.
@@ -123,7 +123,7 @@
             slots: member.slots.max(1),
             state: member.state,
             outstanding: 0,
-            report: LoadReport::default(),
+            report: GateLoadReport::default(),
             reported_at: None,
             outstanding_at_report: 0,
             last_activity_at: now,
@@ -196,7 +196,7 @@
         self.outstanding_at_report = self.outstanding;
     }
 
-    pub fn record_report(&mut self, now: Instant, report: LoadReport, mean: &mut ServiceMeans) {
+    pub fn record_report(&mut self, now: Instant, report: GateLoadReport, mean: &mut ServiceMeans) {
         self.report = report;
         self.reported_at = Some(now);
         self.outstanding_at_report = self.outstanding;
--- a/crates/yuccarack_policy/tests/choice.rs
+++ b/crates/yuccarack_policy/tests/choice.rs
@@ -7,7 +7,7 @@
 
 use quickcheck::{QuickCheck, TestResult};
 use rand::{Rng, SeedableRng, rngs::SmallRng};
-use yuccarack_config::load::LoadReport;
+use yuccarack_config::load::GateLoadReport;
 use yuccarack_policy::choice::{
     ChoiceRefusal, Chooser, ChooserConfig, Member, MemberState, TargetAttemptOutcome, TargetKey,
 };
@@ -34,8 +34,8 @@
     chooser
 }
 
-fn report(in_flight: u16, service_us: u32) -> LoadReport {
-    LoadReport { in_flight, queued: 0, limit: 10, service_us }
+fn report(in_flight: u16, service_us: u32) -> GateLoadReport {
+    GateLoadReport { in_flight, queued: 0, limit: 10, service_us }
 }
 
 /// Sends calls that all end at once, and counts them by target.
@@ -137,7 +137,7 @@
     assert!(counts.keys().all(|instance| ["target-0", "target-1"].contains(&instance.as_str())));
     for instance in ["target-0", "target-1"] {
         let key = chooser.key_of(instance).unwrap();
-        let full = LoadReport { in_flight: 10, queued: 8, limit: 10, service_us: 10_000 };
+        let full = GateLoadReport { in_flight: 10, queued: 8, limit: 10, service_us: 10_000 };
         chooser.record_report(now, key, full);
     }
     let mut rng = SmallRng::seed_from_u64(3);
--- a/crates/yuccarackctl/src/commands/apply.rs
+++ b/crates/yuccarackctl/src/commands/apply.rs
@@ -7,7 +7,7 @@
 use serde_json::json;
 use tokio::time::{Instant, sleep};
 use yuccarack_config::{
-    faults::FileError,
+    errors::FileError,
     ids::{Revision, ServiceName},
     rules::RulesFile,
 };
--- a/crates/yuccarackctl/src/commands/check.rs
+++ b/crates/yuccarackctl/src/commands/check.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 
 use serde_json::{Value, json};
-use yuccarack_config::{faults::FileError, routing_file::RoutingFile, rules::RulesFile};
+use yuccarack_config::{errors::FileError, routing_file::RoutingFile, rules::RulesFile};
 
 use crate::{errors::CtlError, report::Report};
 
--- a/crates/yuccarackctl/src/errors.rs
+++ b/crates/yuccarackctl/src/errors.rs
@@ -5,7 +5,7 @@
 use serde_json::{Value, json};
 use thiserror::Error;
 use yuccarack_config::{
-    faults::FileError,
+    errors::FileError,
     ids::{InstanceId, Revision},
 };
 use yuccarack_platform::{PlatformError, accept::AcceptError};
--- a/crates/yuccarackd/src/coordination/entry/attempt_sender.rs
+++ b/crates/yuccarackd/src/coordination/entry/attempt_sender.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use http::{Request, Response, StatusCode};
-use yuccarack_config::{headers, ids::AttemptId, load::LoadReport};
+use yuccarack_config::{headers, ids::AttemptId, load::GateLoadReport};
 use yuccarack_policy::{
     choice::{TargetAttemptOutcome, TargetKey},
     retry::AttemptFailure,
@@ -199,7 +199,7 @@
         self.started_at.elapsed()
     }
 
-    fn finish(&mut self, end: TargetAttemptOutcome, load: Option<LoadReport>) {
+    fn finish(&mut self, end: TargetAttemptOutcome, load: Option<GateLoadReport>) {
         if let Some(key) = self.key.take() {
             self.service.record_attempt_end(Instant::now(), key, end, load);
         }
@@ -236,6 +236,6 @@
     is_final_reason || response.status() == StatusCode::NOT_IMPLEMENTED
 }
 
-fn parse_load(response: &Response<CallBody>) -> Option<LoadReport> {
+fn parse_load(response: &Response<CallBody>) -> Option<GateLoadReport> {
     response.headers().get(headers::LOAD)?.to_str().ok()?.parse().ok()
 }
--- a/crates/yuccarackd/src/coordination/entry/service.rs
+++ b/crates/yuccarackd/src/coordination/entry/service.rs
@@ -11,7 +11,7 @@
 use rand::{SeedableRng, rngs::SmallRng};
 use yuccarack_config::{
     ids::{DomainName, InstanceId, Revision},
-    load::LoadReport,
+    load::GateLoadReport,
 };
 use yuccarack_platform::rows::{MemberRow, TargetState};
 use yuccarack_policy::{
@@ -127,7 +127,7 @@
         now: Instant,
         key: TargetKey,
         end: TargetAttemptOutcome,
-        load: Option<LoadReport>,
+        load: Option<GateLoadReport>,
     ) {
         let mut policies = self.policies.lock();
         policies.chooser.record_outcome(now, key, end, load);
--- a/crates/yuccarackd/src/coordination/gate/slots.rs
+++ b/crates/yuccarackd/src/coordination/gate/slots.rs
@@ -9,7 +9,7 @@
 use parking_lot::Mutex;
 use tokio::sync::{Notify, oneshot};
 use tokio_util::sync::CancellationToken;
-use yuccarack_config::load::LoadReport;
+use yuccarack_config::load::GateLoadReport;
 use yuccarack_policy::admission::{
     Admission, AdmissionConfig, AdmissionDecision, Offer, Refusal, RunKey, RunOutcome, WaitKey,
     WaitOutcome,
@@ -83,7 +83,7 @@
     }
 
     /// Returns the load as the admission policy counts it.
-    pub fn load(&self) -> LoadReport {
+    pub fn load(&self) -> GateLoadReport {
         self.shared.state.lock().admission.load()
     }
 
--- a/crates/yuccarackd/src/main.rs
+++ b/crates/yuccarackd/src/main.rs
@@ -3,7 +3,7 @@
 use std::{path::Path, process::ExitCode};
 
 use yuccarack_config::{
-    faults::FileError, routed_settings::RoutedSettings, settings::DaemonSettings,
+    errors::FileError, routed_settings::RoutedSettings, settings::DaemonSettings,
 };
 use yuccarackd::{
     daemon::{Daemon, DaemonError, routed::RoutedDaemon},
--- a/crates/yuccarackd/src/state/routed/live_settings.rs
+++ b/crates/yuccarackd/src/state/routed/live_settings.rs
@@ -3,7 +3,7 @@
 use std::{path::Path, sync::Arc};
 
 use parking_lot::RwLock;
-use yuccarack_config::{faults::FileError, routed_settings::RoutedSettings};
+use yuccarack_config::{errors::FileError, routed_settings::RoutedSettings};
 
 /// The settings of this process; clones share them.
 #[derive(Clone, Debug)]
