--- a/crates/yuccarack_player/src/gate.rs
+++ b/crates/yuccarack_player/src/gate.rs
@@ -8,7 +8,7 @@
 
 use yuccarack_config::{load::GateLoadReport, rules::LimitRules};
 use yuccarack_policy::admission::{
-    Admission, AdmissionConfig, AdmissionDecision, Offer, RouteShare, RunKey, RunOutcome, WaitKey,
+    Admission, AdmissionConfig, AdmissionDecision, Offer, RouteLimits, RunKey, RunOutcome, WaitKey,
     WaitOutcome,
 };
 
@@ -41,7 +41,7 @@
             return Self::Fifo { running: 0, waiting: VecDeque::new() };
         }
         let long = scenario.workload.long_slots_percent;
-        let routes = [100, long].map(|slot_share_percent| RouteShare { slot_share_percent });
+        let routes = [100, long].map(|slot_share_percent| RouteLimits { slot_share_percent });
         let limits = LimitRules::default();
         let config = AdmissionConfig { slots: SLOTS, limits, routes: routes.to_vec() };
         let admission = Box::new(Admission::new(now, config));
--- a/crates/yuccarack_player/src/player/gate_events.rs
+++ b/crates/yuccarack_player/src/player/gate_events.rs
@@ -25,9 +25,9 @@
                 caller: call.caller,
                 route: usize::from(call.is_long),
                 deadline: call.deadline,
-                must_run_alone: false,
+                is_isolated: false,
             },
-            None => Offer { caller: 0, route: 0, deadline: now, must_run_alone: false },
+            None => Offer { caller: 0, route: 0, deadline: now, is_isolated: false },
         };
         match self.gates[target].offer(now, key, offer) {
             Some(AttemptState::Running(run)) => self.start_run(key, AttemptState::Running(run)),
--- a/crates/yuccarack_policy/benches/decisions.rs
+++ b/crates/yuccarack_policy/benches/decisions.rs
@@ -9,7 +9,7 @@
 use rand::{SeedableRng, rngs::SmallRng};
 use yuccarack_config::{load::GateLoadReport, rules::LimitRules};
 use yuccarack_policy::{
-    admission::{Admission, AdmissionConfig, AdmissionDecision, Offer, RouteShare, RunOutcome},
+    admission::{Admission, AdmissionConfig, AdmissionDecision, Offer, RouteLimits, RunOutcome},
     choice::{Chooser, ChooserConfig, Member, MemberState, TargetAttemptOutcome},
 };
 
@@ -67,12 +67,12 @@
     let deadline = now + Duration::from_secs(3_600);
     let mut group = criterion.benchmark_group("admission");
     for callers in SIZES {
-        let routes = vec![RouteShare { slot_share_percent: 100 }];
+        let routes = vec![RouteLimits { slot_share_percent: 100 }];
         let config = AdmissionConfig { slots: 10, limits: LimitRules::default(), routes };
         let mut next = 0;
         let mut offer = move || {
             next = (next + 1) % callers as u64;
-            Offer { caller: next, route: 0, deadline, must_run_alone: false }
+            Offer { caller: next, route: 0, deadline, is_isolated: false }
         };
         let mut gate = Admission::new(now, config.clone());
         group.bench_function(BenchmarkId::new("free", callers), |bencher| {
--- a/crates/yuccarack_policy/src/admission/limit.rs
+++ b/crates/yuccarack_policy/src/admission/limit.rs
@@ -24,8 +24,8 @@
 /// Share of failures above which the limit is decreased.
 const FAILURE_SHARE_MAX: f64 = 0.5;
 
-/// Share of the limit up to which the target counts as quiet.
-const QUIET_SHARE: f64 = 0.5;
+/// Share of the limit up to which the target counts as lightly loaded.
+const LIGHT_LOAD_SHARE: f64 = 0.5;
 
 /// Weight of one response in the slowdown of the busy target.
 const SLOWDOWN_WEIGHT: f64 = 0.05;
@@ -66,12 +66,12 @@
         self.limit as usize
     }
 
-    /// Returns whether at most [`QUIET_SHARE`] of the limit is in use.
-    pub fn is_quiet(&self, in_flight: usize) -> bool {
-        in_flight as f64 <= self.limit * QUIET_SHARE
+    /// Returns whether at most [`LIGHT_LOAD_SHARE`] of the limit is in use.
+    pub fn is_lightly_loaded(&self, in_flight: usize) -> bool {
+        in_flight as f64 <= self.limit * LIGHT_LOAD_SHARE
     }
 
-    /// Records a response and its slowdown against the quiet target, if known.
+    /// Records a response and its slowdown against the lightly loaded target, if known.
     pub fn record_response(&mut self, now: Instant, slowdown: Option<f64>, in_flight: usize) {
         self.failure_share *= 1.0 - FAILURE_WEIGHT;
         if in_flight < self.get() {
--- a/crates/yuccarack_policy/src/admission/mod.rs
+++ b/crates/yuccarack_policy/src/admission/mod.rs
@@ -1,5 +1,7 @@
 //! Admission control of a gate: which requests run, wait or are rejected.
 //!
+//! Used for calls by service.
+//!
 //! It is made for saturation, when more work arrives than the target can do. Admitting everything
 //! makes every response late, as the target works on requests whose callers have given up; a long
 //! queue does the same one step earlier; and in order of arrival a few callers or one slow route
@@ -23,11 +25,11 @@
     limit::ConcurrencyLimit,
     queue::Queue,
     service_time::ServiceTimes,
-    stall::{MISSING_RESPONSES_MAX, MISSING_RESPONSES_TO_EVICT, Progress},
+    stall::{EVICTION_THRESHOLD, Progress, STALL_THRESHOLD},
 };
 pub use self::{
     offer::{
-        AdmissionConfig, AdmissionDecision, Offer, Refusal, RefusalReason, RouteShare, RunOutcome,
+        AdmissionConfig, AdmissionDecision, Offer, Refusal, RefusalReason, RouteLimits, RunOutcome,
         WaitOutcome,
     },
     waiting::{RETRY_AFTER_MAX, STANDING_AFTER, STANDING_WAIT_SERVICES},
@@ -44,9 +46,9 @@
 struct RunningRequest {
     caller: u64,
     route: usize,
-    must_run_alone: bool,
+    is_isolated: bool,
     started_at: Instant,
-    was_quiet: bool,
+    was_lightly_loaded: bool,
     /// Whether a long request or response body is being transferred, so that no response is due.
     is_streaming: bool,
 }
@@ -59,7 +61,7 @@
     running: SlotMap<RunKey, RunningRequest>,
     running_by_caller: HashMap<u64, u16>,
     running_by_route: Vec<u16>,
-    is_lone_request_running: bool,
+    is_isolated_request_running: bool,
     queue: Queue,
     service_times: ServiceTimes,
     progress: Progress,
@@ -76,7 +78,7 @@
             running: SlotMap::with_key(),
             running_by_caller: HashMap::new(),
             running_by_route: Vec::new(),
-            is_lone_request_running: false,
+            is_isolated_request_running: false,
             queue: Queue::new(),
             service_times: ServiceTimes::new(),
             progress: Progress::new(now),
@@ -114,15 +116,15 @@
         if offer.deadline <= now {
             return self.refuse(RefusalReason::DeadlinePassed, offer.route);
         }
-        self.refuse_overdue(now);
-        let missing = self.missing_responses(now);
-        if missing >= MISSING_RESPONSES_TO_EVICT {
+        self.refuse_expired(now);
+        let overdue = self.overdue_responses(now);
+        if overdue >= EVICTION_THRESHOLD {
             self.refuse_waiting(RefusalReason::Stalled);
         }
-        if missing > MISSING_RESPONSES_MAX {
+        if overdue > STALL_THRESHOLD {
             return self.refuse(RefusalReason::Stalled, offer.route);
         }
-        if self.can_start(&offer) && !self.queue.has_lone_request() {
+        if self.can_start(&offer) && !self.queue.has_isolated_request() {
             return AdmissionDecision::Run(self.start(now, offer));
         }
         match self.wait_limit(now, &offer) {
@@ -142,7 +144,7 @@
         match outcome {
             RunOutcome::Completed { service_time } => {
                 let slowdown =
-                    self.service_times.record(now, run.route, service_time, run.was_quiet);
+                    self.service_times.record(now, run.route, service_time, run.was_lightly_loaded);
                 self.limit.record_response(now, slowdown, was_in_flight);
             }
             RunOutcome::Failed { service_time } => self.limit.record_failure(now, service_time),
@@ -183,7 +185,7 @@
 
     /// Updates the queue and returns the waits that have ended; each is returned once.
     pub fn poll(&mut self, now: Instant) -> Vec<WaitOutcome> {
-        self.refuse_overdue(now);
+        self.refuse_expired(now);
         self.start_waiting(now);
         std::mem::take(&mut self.finished_waits)
     }
@@ -222,7 +224,7 @@
     }
 
     fn can_start(&self, offer: &Offer) -> bool {
-        if self.is_lone_request_running || (offer.must_run_alone && !self.running.is_empty()) {
+        if self.is_isolated_request_running || (offer.is_isolated && !self.running.is_empty()) {
             return false;
         }
         let route_running = self.running_by_route.get(offer.route).copied().unwrap_or(0);
@@ -230,38 +232,38 @@
             && usize::from(route_running) < self.route_slots(offer.route)
     }
 
-    /// Returns how many responses are missing, which tells whether the target has stalled. Returns
-    /// 0 while no other target could take the requests.
+    /// Returns how many responses were to be expected since the target's last progress, which tells
+    /// whether it has stalled. Returns 0 while no other target could take the requests.
     ///
     /// When a target freezes or becomes ten times slower, its slots still look free and each
     /// request dispatched to it is stuck. A rejected request hasn't run and can go to another
     /// target.
-    fn missing_responses(&self, now: Instant) -> f64 {
+    fn overdue_responses(&self, now: Instant) -> f64 {
         if !self.has_alternatives {
             return 0.0;
         }
         let awaiting_response = self.running.values().filter(|run| !run.is_streaming);
         let running =
             awaiting_response.map(|run| (run.started_at, self.service_times.usual(run.route)));
-        self.progress.missing_responses(now, running)
+        self.progress.overdue_responses(now, running)
     }
 
     fn start(&mut self, now: Instant, offer: Offer) -> RunKey {
-        let Offer { caller, route, must_run_alone, .. } = offer;
-        let was_quiet = self.limit.is_quiet(self.running.len() + 1);
+        let Offer { caller, route, is_isolated, .. } = offer;
+        let was_lightly_loaded = self.limit.is_lightly_loaded(self.running.len() + 1);
         let run = RunningRequest {
             caller,
             route,
-            must_run_alone,
+            is_isolated,
             started_at: now,
-            was_quiet,
+            was_lightly_loaded,
             is_streaming: false,
         };
         *self.running_by_caller.entry(run.caller).or_default() += 1;
         if let Some(route_running) = self.running_by_route.get_mut(run.route) {
             *route_running += 1;
         }
-        self.is_lone_request_running |= run.must_run_alone;
+        self.is_isolated_request_running |= run.is_isolated;
         self.running.insert(run)
     }
 
@@ -275,15 +277,15 @@
         if let Some(route_running) = self.running_by_route.get_mut(run.route) {
             *route_running = route_running.saturating_sub(1);
         }
-        if run.must_run_alone {
-            self.is_lone_request_running = false;
+        if run.is_isolated {
+            self.is_isolated_request_running = false;
         }
     }
 
     /// Starts waiting requests while there is room.
     fn start_waiting(&mut self, now: Instant) {
-        self.refuse_overdue(now);
-        while self.running.len() < self.limit.get() && !self.is_lone_request_running {
+        self.refuse_expired(now);
+        while self.running.len() < self.limit.get() && !self.is_isolated_request_running {
             let Some(key) = self.next_to_start() else { return };
             let Some(waiting) = self.queue.remove(key) else { return };
             let run = self.start(now, waiting.offer);
@@ -292,15 +294,15 @@
     }
 
     /// Returns the waiting request to start next: callers with the fewest running requests go
-    /// first, then the earliest turn.
+    /// first, then the earliest virtual start time.
     fn next_to_start(&self) -> Option<WaitKey> {
-        if let Some((key, waiting)) = self.queue.first_lone_request() {
+        if let Some((key, waiting)) = self.queue.first_isolated_request() {
             return self.can_start(&waiting.offer).then_some(key);
         }
         let startable = self.queue.iter().filter(|(_, waiting)| self.can_start(&waiting.offer));
         let rank = |(key, waiting): &(WaitKey, &queue::Waiting)| {
             let running = self.running_by_caller.get(&waiting.offer.caller).copied();
-            (running.unwrap_or(0), self.queue.turn_at(*key))
+            (running.unwrap_or(0), self.queue.virtual_start(*key))
         };
         startable.min_by_key(rank).map(|(key, _)| key)
     }
--- a/crates/yuccarack_policy/src/admission/offer.rs
+++ b/crates/yuccarack_policy/src/admission/offer.rs
@@ -13,14 +13,14 @@
     pub slots: u16,
     /// Limits set by the operators.
     pub limits: LimitRules,
-    /// Slot shares of the service's routes, in the order of its rules.
-    pub routes: Vec<RouteShare>,
+    /// Limits of the service's routes, in the order of its rules.
+    pub routes: Vec<RouteLimits>,
 }
 
-/// Share of the slots that a route may use.
+/// What the requests of one route may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RouteShare {
-    /// Share of the slots, in percent.
+pub struct RouteLimits {
+    /// Largest share of the slots and, if below 100, of the queue, in percent.
     pub slot_share_percent: u8,
 }
 
@@ -33,8 +33,8 @@
     pub route: usize,
     /// When the caller gives up.
     pub deadline: Instant,
-    /// Whether the request may run only with nothing else in flight on the target.
-    pub must_run_alone: bool,
+    /// Whether the request needs an isolated run, with nothing else in flight on the target.
+    pub is_isolated: bool,
 }
 
 /// Decision on an offered request.
--- a/crates/yuccarack_policy/src/admission/queue.rs
+++ b/crates/yuccarack_policy/src/admission/queue.rs
@@ -20,8 +20,8 @@
 #[derive(Clone, Copy, Debug)]
 struct QueueEntry {
     waiting: Waiting,
-    /// Position of the request in the round of callers, as a time.
-    turn_at: Instant,
+    /// Virtual start time of the request, by which callers are served fairly.
+    virtual_start: Instant,
 }
 
 /// Waiting requests in order of arrival, with counts by caller.
@@ -33,14 +33,14 @@
     nonempty_since: Option<Instant>,
     /// Earliest time at which a request may have to be rejected; the actual one may be later.
     earliest_expiry: Option<Instant>,
-    must_run_alone_count: usize,
+    isolated_count: usize,
 }
 
-/// Number of a caller's waiting requests, and the turn of its latest one.
+/// Number of a caller's waiting requests, and the virtual start time of its latest one.
 #[derive(Clone, Copy, Debug)]
 struct CallerQueue {
     count: usize,
-    turn_at: Instant,
+    virtual_start: Instant,
 }
 
 impl Queue {
@@ -51,7 +51,7 @@
             by_caller: HashMap::new(),
             nonempty_since: None,
             earliest_expiry: None,
-            must_run_alone_count: 0,
+            isolated_count: 0,
         }
     }
 
@@ -64,26 +64,29 @@
         self.nonempty_since.is_some_and(|at| now.saturating_duration_since(at) >= after)
     }
 
-    /// Queues a request; the turns of one caller's requests are at least `turn` apart.
+    /// Queues a request for fair queueing between callers; the virtual start times of one caller's
+    /// requests are at least `turn_interval` apart.
     ///
     /// Ordered by arrival alone, a caller that sends many requests at once would be served until it
-    /// has none left. With turns counted from 0 for each new caller, new callers would always go
-    /// before one that was served once.
-    pub fn push(&mut self, now: Instant, waiting: Waiting, turn: Duration) -> WaitKey {
+    /// has none left. With virtual times counted from 0 for each new caller, new callers would
+    /// always go before one that was served once.
+    pub fn push(&mut self, now: Instant, waiting: Waiting, turn_interval: Duration) -> WaitKey {
         if self.order.is_empty() {
             self.nonempty_since = Some(now);
         }
         let caller = self
             .by_caller
             .entry(waiting.offer.caller)
-            .and_modify(|caller| caller.turn_at = now.max(caller.turn_at + turn))
-            .or_insert(CallerQueue { count: 0, turn_at: now });
+            .and_modify(|caller| {
+                caller.virtual_start = now.max(caller.virtual_start + turn_interval)
+            })
+            .or_insert(CallerQueue { count: 0, virtual_start: now });
         caller.count += 1;
-        self.must_run_alone_count += usize::from(waiting.offer.must_run_alone);
+        self.isolated_count += usize::from(waiting.offer.is_isolated);
         let expires_at = waiting.expires_at;
         self.earliest_expiry =
             Some(self.earliest_expiry.map_or(expires_at, |at| at.min(expires_at)));
-        let key = self.waiting.insert(QueueEntry { waiting, turn_at: caller.turn_at });
+        let key = self.waiting.insert(QueueEntry { waiting, virtual_start: caller.virtual_start });
         self.order.push_back(key);
         key
     }
@@ -95,7 +98,7 @@
             self.nonempty_since = None;
             self.earliest_expiry = None;
         }
-        self.must_run_alone_count -= usize::from(waiting.offer.must_run_alone);
+        self.isolated_count -= usize::from(waiting.offer.is_isolated);
         if let Some(caller) = self.by_caller.get_mut(&waiting.offer.caller) {
             caller.count -= 1;
             if caller.count == 0 {
@@ -105,9 +108,9 @@
         Some(waiting)
     }
 
-    /// Returns the turn of a waiting request.
-    pub fn turn_at(&self, key: WaitKey) -> Instant {
-        self.waiting[key].turn_at
+    /// Returns the virtual start time of a waiting request.
+    pub fn virtual_start(&self, key: WaitKey) -> Instant {
+        self.waiting[key].virtual_start
     }
 
     /// Returns the number of callers with waiting requests.
@@ -119,15 +122,15 @@
         self.order.iter().map(|&key| (key, &self.waiting[key].waiting))
     }
 
-    pub fn has_lone_request(&self) -> bool {
-        self.must_run_alone_count > 0
+    pub fn has_isolated_request(&self) -> bool {
+        self.isolated_count > 0
     }
 
-    pub fn first_lone_request(&self) -> Option<(WaitKey, &Waiting)> {
-        if self.must_run_alone_count == 0 {
+    pub fn first_isolated_request(&self) -> Option<(WaitKey, &Waiting)> {
+        if self.isolated_count == 0 {
             return None;
         }
-        self.iter().find(|(_, waiting)| waiting.offer.must_run_alone)
+        self.iter().find(|(_, waiting)| waiting.offer.is_isolated)
     }
 
     pub fn caller_len(&self, caller: u64) -> usize {
@@ -155,13 +158,13 @@
         self.remove(key).map(|waiting| (key, waiting))
     }
 
-    /// Returns when the next request may have to be rejected; `take_overdue` must be called by
+    /// Returns when the next request may have to be rejected; `take_expired` must be called by
     /// then.
     pub fn next_expiry(&self) -> Option<Instant> {
         self.earliest_expiry
     }
 
-    pub fn take_overdue(&mut self, now: Instant) -> Vec<(WaitKey, Waiting)> {
+    pub fn take_expired(&mut self, now: Instant) -> Vec<(WaitKey, Waiting)> {
         if self.earliest_expiry.is_none_or(|at| now < at) {
             return Vec::new();
         }
--- a/crates/yuccarack_policy/src/admission/service_time.rs
+++ b/crates/yuccarack_policy/src/admission/service_time.rs
@@ -26,8 +26,8 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct RouteTime {
     usual_s: Option<f64>,
-    /// Usual service time of requests that started while most slots were free.
-    quiet_s: Option<f64>,
+    /// Usual service time of requests that started while the target was lightly loaded.
+    light_load_s: Option<f64>,
     answered_at: Option<Instant>,
     share: f64,
 }
@@ -37,14 +37,15 @@
         Self { routes: Vec::new() }
     }
 
-    /// Records a response, given whether the target was quiet when its request started. Returns the
-    /// slowdown against the route's service time on the quiet target, if that is known.
+    /// Records a response, given whether the target was lightly loaded when its request started.
+    /// Returns the slowdown against the route's service time on the lightly loaded target, if that
+    /// is known.
     pub fn record(
         &mut self,
         now: Instant,
         route: usize,
         service_time: Duration,
-        was_quiet: bool,
+        was_lightly_loaded: bool,
     ) -> Option<f64> {
         if self.routes.len() <= route {
             self.routes.resize(route + 1, RouteTime::default());
@@ -55,10 +56,12 @@
         time.share += SHARE_WEIGHT;
         time.usual_s = Some(smooth(time.usual_s, service_time_s, time.weight(now)));
         time.answered_at = Some(now);
-        if was_quiet {
-            time.quiet_s = Some(smooth(time.quiet_s, service_time_s, SAMPLE_WEIGHT_MIN));
+        if was_lightly_loaded {
+            time.light_load_s = Some(smooth(time.light_load_s, service_time_s, SAMPLE_WEIGHT_MIN));
         }
-        time.quiet_s.filter(|quiet_s| *quiet_s > 0.0).map(|quiet_s| service_time_s / quiet_s)
+        time.light_load_s
+            .filter(|light_load_s| *light_load_s > 0.0)
+            .map(|light_load_s| service_time_s / light_load_s)
     }
 
     /// Returns the usual service time over all routes, weighted by their shares.
--- a/crates/yuccarack_policy/src/admission/stall.rs
+++ b/crates/yuccarack_policy/src/admission/stall.rs
@@ -1,31 +1,31 @@
 //! Detection of a target that has stopped responding to the requests that it runs.
 //!
 //! It is made for targets that freeze for some tens of milliseconds. A gate sees all of its
-//! target's requests, so with several of them running it notices missing responses several times
+//! target's requests, so with several of them running it notices overdue responses several times
 //! sooner than an entry with a single request there.
 
 use std::time::{Duration, Instant};
 
-/// Number of missing responses from which a target counts as stalled.
+/// Number of overdue responses above which a target counts as stalled.
 ///
 /// Responses to independent requests arrive like a Poisson process, so a healthy target misses six
 /// in a row with a probability of e^-6, about 0.25 %.
-pub const MISSING_RESPONSES_MAX: f64 = 6.0;
+pub const STALL_THRESHOLD: f64 = 6.0;
 
-/// Number of missing responses from which waiting requests are rejected too, to go elsewhere.
+/// Number of overdue responses from which waiting requests are rejected too, to go elsewhere.
 ///
 /// They lose their places in the queue, so this takes stronger evidence: e^-12 is once in 160,000.
 /// As one request counts for at most three, four must be overdue together.
-pub const MISSING_RESPONSES_TO_EVICT: f64 = 12.0;
+pub const EVICTION_THRESHOLD: f64 = 12.0;
 
 /// Share of its usual service time after which a response may arrive at any moment.
 const EARLIEST_RESPONSE_SHARE: f64 = 0.5;
 
-/// Most responses that one request may count as missing.
+/// Most overdue responses that one request may count as.
 ///
 /// A single long request, such as an invoice run among look-ups, is no stall of the target. With
-/// half of [`MISSING_RESPONSES_MAX`] each, it takes three requests that are overdue together.
-const MISSING_PER_REQUEST_MAX: f64 = MISSING_RESPONSES_MAX / 2.0;
+/// half of [`STALL_THRESHOLD`] each, it takes three requests that are overdue together.
+const OVERDUE_PER_REQUEST_MAX: f64 = STALL_THRESHOLD / 2.0;
 
 /// Silence below which nothing counts as a stall.
 ///
@@ -52,9 +52,10 @@
         self.last_progress_at = now;
     }
 
-    /// Returns how many responses are missing, given the start and the usual service time of each
-    /// running request.
-    pub fn missing_responses(
+    /// Returns the expected number of responses since the target's last progress, given the start
+    /// and the usual service time of each running request. The number is an estimate with a
+    /// fraction: a request that is overdue for longer counts as several responses.
+    pub fn overdue_responses(
         &self,
         now: Instant,
         running: impl Iterator<Item = (Instant, Duration)>,
@@ -67,10 +68,10 @@
             .map(|(started_at, usual)| {
                 let due_from =
                     self.last_progress_at.max(started_at + usual.mul_f64(EARLIEST_RESPONSE_SHARE));
-                let overdue = now.saturating_duration_since(due_from).as_secs_f64();
-                let missing =
-                    overdue / usual.mul_f64(1.0 - EARLIEST_RESPONSE_SHARE).as_secs_f64().max(1e-6);
-                missing.min(MISSING_PER_REQUEST_MAX)
+                let overdue_s = now.saturating_duration_since(due_from).as_secs_f64();
+                let responses = overdue_s
+                    / usual.mul_f64(1.0 - EARLIEST_RESPONSE_SHARE).as_secs_f64().max(1e-6);
+                responses.min(OVERDUE_PER_REQUEST_MAX)
             })
             .sum()
     }
--- a/crates/yuccarack_policy/src/admission/waiting.rs
+++ b/crates/yuccarack_policy/src/admission/waiting.rs
@@ -23,8 +23,8 @@
 
 impl Admission {
     /// Rejects the requests that have waited as long as they may.
-    pub(super) fn refuse_overdue(&mut self, now: Instant) {
-        for (key, waiting) in self.queue.take_overdue(now) {
+    pub(super) fn refuse_expired(&mut self, now: Instant) {
+        for (key, waiting) in self.queue.take_expired(now) {
             let is_deadline = waiting.is_limited_by_deadline;
             let reason = match is_deadline {
                 true => RefusalReason::DeadlineClose,
@@ -46,8 +46,9 @@
             is_limited_by_deadline: wait_limit.is_limited_by_deadline,
         };
         let callers = self.queue.callers() + 1;
-        let turn = self.service_times.mean().mul_f64(callers as f64 / self.limit.get() as f64);
-        self.queue.push(now, waiting, turn)
+        let turn_interval =
+            self.service_times.mean().mul_f64(callers as f64 / self.limit.get() as f64);
+        self.queue.push(now, waiting, turn_interval)
     }
 
     /// Returns until when a request may wait, or why it may not.
--- a/crates/yuccarack_policy/src/suspects.rs
+++ b/crates/yuccarack_policy/src/suspects.rs
@@ -1,11 +1,14 @@
 //! Requests suspected of crashing the targets that run them.
 //!
+//! Used for calls by service.
+//!
 //! A single request may crash each target that runs it while its caller sends it again: without a
 //! record of what was in flight, one request takes down a service of six targets within six
-//! retries. Every request in flight at a crash becomes a suspect. A suspect runs alone, on one
-//! target at a time; if that target crashes too, the request is quarantined. Requests that were
-//! there by chance are cleared by their first successful run, so they cost one isolated run and no
-//! more.
+//! retries. Every request in flight at a crash becomes a suspect. A suspect is tried by an isolated
+//! run, that is, with nothing else in flight on its target and on one target at a time. Such a run
+//! is the suspect's trial; if its target crashes too, the request is quarantined. Requests that
+//! were there by chance are cleared by their first successful run, so they cost one isolated run
+//! and no more.
 
 use std::{
     collections::HashMap,
@@ -21,7 +24,7 @@
     pub suspected_for: Duration,
     /// Longest trial; without a result by then, the request is a suspect again.
     pub trial_max: Duration,
-    /// How long a request is rejected after it crashed a target while running alone.
+    /// How long a request is rejected after it crashed a target in an isolated run.
     pub quarantined_for: Duration,
     /// Time after which a caller may retry whose request is on trial at another target.
     pub trial_retry_after: Duration,
@@ -34,9 +37,9 @@
 pub enum SuspectPhase {
     /// The request was in flight when a target crashed.
     Suspected,
-    /// The request runs alone on one target.
+    /// The request is in an isolated run on one target.
     OnTrial,
-    /// The request crashed a target while running alone.
+    /// The request crashed a target in an isolated run.
     Quarantined,
 }
 
@@ -45,8 +48,8 @@
 pub enum Verdict {
     /// Nothing is known against the request.
     Clear,
-    /// The request may run with nothing else in flight on its target.
-    Alone,
+    /// The request may run isolated, with nothing else in flight on its target.
+    Isolated,
     /// The request is on trial on another target.
     OnTrialElsewhere {
         /// Time after which the caller may retry.
@@ -95,7 +98,7 @@
         self.expire(now, fingerprint);
         let Some(suspect) = self.known.get(&fingerprint) else { return Verdict::Clear };
         match suspect.phase {
-            SuspectPhase::Suspected => Verdict::Alone,
+            SuspectPhase::Suspected => Verdict::Isolated,
             SuspectPhase::OnTrial => {
                 Verdict::OnTrialElsewhere { retry_after: self.config.trial_retry_after }
             }
@@ -105,30 +108,30 @@
 
     /// Records a crash with these requests in flight and returns the new phase of each.
     ///
-    /// Only a request that ran alone while already suspected is quarantined: one that ran beside
+    /// Only a request that ran isolated while already suspected is quarantined: one that ran beside
     /// others may have been there by chance, however often it happened.
     pub fn record_crash(
         &mut self,
         now: Instant,
         in_flight: &[Fingerprint],
-        ran_alone: bool,
+        ran_isolated: bool,
     ) -> Vec<(Fingerprint, SuspectPhase)> {
         let mut phases = Vec::with_capacity(in_flight.len());
         for &fingerprint in in_flight {
             self.expire(now, fingerprint);
-            let phase = self.phase_after_crash(fingerprint, ran_alone);
+            let phase = self.phase_after_crash(fingerprint, ran_isolated);
             self.insert(now, fingerprint, phase);
             phases.push((fingerprint, phase));
         }
         phases
     }
 
-    /// Records that a suspect started to run alone.
+    /// Records that the isolated run of a suspect started.
     pub fn trial_started(&mut self, now: Instant, fingerprint: Fingerprint) {
         self.raise_phase(now, fingerprint, SuspectPhase::OnTrial);
     }
 
-    /// Records that a suspect ran alone without a crash, and clears it.
+    /// Records that the isolated run of a suspect ended without a crash, and clears the suspect.
     pub fn trial_succeeded(&mut self, fingerprint: Fingerprint) {
         self.known.remove(&fingerprint);
     }
@@ -161,10 +164,10 @@
         self.known.is_empty()
     }
 
-    fn phase_after_crash(&self, fingerprint: Fingerprint, ran_alone: bool) -> SuspectPhase {
+    fn phase_after_crash(&self, fingerprint: Fingerprint, ran_isolated: bool) -> SuspectPhase {
         match self.known.get(&fingerprint).map(|known| known.phase) {
             Some(SuspectPhase::Quarantined) => SuspectPhase::Quarantined,
-            Some(_) if ran_alone => SuspectPhase::Quarantined,
+            Some(_) if ran_isolated => SuspectPhase::Quarantined,
             Some(_) | None => SuspectPhase::Suspected,
         }
     }
@@ -201,7 +204,7 @@
     }
 
     /// Lowers the phase by one step when its time is over: after a trial or quarantine the request
-    /// is a suspect again and is tried alone once more; a suspect is removed.
+    /// is a suspect again and gets another isolated run; a suspect is removed.
     fn expire(&mut self, now: Instant, fingerprint: Fingerprint) {
         let Some(known) = self.known.get(&fingerprint) else { return };
         if now < known.until {
--- a/crates/yuccarack_policy/tests/admission.rs
+++ b/crates/yuccarack_policy/tests/admission.rs
@@ -4,7 +4,7 @@
 
 use yuccarack_config::rules::LimitRules;
 use yuccarack_policy::admission::{
-    Admission, AdmissionConfig, AdmissionDecision, Offer, RefusalReason, RouteShare, RunKey,
+    Admission, AdmissionConfig, AdmissionDecision, Offer, RefusalReason, RouteLimits, RunKey,
     RunOutcome, WaitKey, WaitOutcome,
 };
 
@@ -21,7 +21,7 @@
     }
 
     fn with_limits(slots: u16, limits: LimitRules) -> Self {
-        let routes = [100, 30].map(|slot_share_percent| RouteShare { slot_share_percent });
+        let routes = [100, 30].map(|slot_share_percent| RouteLimits { slot_share_percent });
         let config = AdmissionConfig { slots, limits, routes: routes.to_vec() };
         let now = Instant::now();
         Self { now, admission: Admission::new(now, config) }
@@ -32,14 +32,13 @@
     }
 
     fn offer_for(&mut self, caller: u64, route: usize, time: Duration) -> AdmissionDecision {
-        let offer = Offer { caller, route, deadline: self.now + time, must_run_alone: false };
+        let offer = Offer { caller, route, deadline: self.now + time, is_isolated: false };
         self.admission.offer(self.now, offer)
     }
 
     fn offer_alone(&mut self) -> AdmissionDecision {
         let deadline = self.now + Duration::from_secs(1);
-        self.admission
-            .offer(self.now, Offer { caller: 99, route: 0, deadline, must_run_alone: true })
+        self.admission.offer(self.now, Offer { caller: 99, route: 0, deadline, is_isolated: true })
     }
 
     fn run(&mut self, caller: u64, route: usize) -> RunKey {
--- a/crates/yuccarack_policy/tests/admission_properties.rs
+++ b/crates/yuccarack_policy/tests/admission_properties.rs
@@ -8,7 +8,7 @@
 use quickcheck::QuickCheck;
 use yuccarack_config::rules::LimitRules;
 use yuccarack_policy::admission::{
-    Admission, AdmissionConfig, AdmissionDecision, Offer, RouteShare, RunKey, RunOutcome, WaitKey,
+    Admission, AdmissionConfig, AdmissionDecision, Offer, RouteLimits, RunKey, RunOutcome, WaitKey,
     WaitOutcome,
 };
 
@@ -26,7 +26,7 @@
 impl CheckedGate {
     fn new() -> Self {
         let limits = LimitRules { queue_length_max: 6, ..Default::default() };
-        let routes = [100, 50].map(|slot_share_percent| RouteShare { slot_share_percent });
+        let routes = [100, 50].map(|slot_share_percent| RouteLimits { slot_share_percent });
         let config = AdmissionConfig { slots: SLOTS, limits, routes: routes.to_vec() };
         let now = Instant::now();
         Self {
@@ -54,7 +54,7 @@
         let deadline = self.now + Duration::from_millis(u64::from(value) * 2);
         let caller = u64::from(value % 3);
         let route = usize::from(value / 3 % 2);
-        let offer = Offer { caller, route, deadline, must_run_alone: value > 250 };
+        let offer = Offer { caller, route, deadline, is_isolated: value > 250 };
         match self.gate.offer(self.now, offer) {
             AdmissionDecision::Run(key) => self.run(key),
             AdmissionDecision::Wait(key) => assert!(self.waiting.insert(key, deadline).is_none()),
@@ -168,7 +168,7 @@
         let mut now = Instant::now();
         let mut gate = Admission::new(now, config);
         let deadline = now + Duration::from_secs(3_600);
-        let offer = |caller| Offer { caller, route: 0, deadline, must_run_alone: false };
+        let offer = |caller| Offer { caller, route: 0, deadline, is_isolated: false };
         let service_time = Duration::from_millis(u64::from(slots));
         let mut running: Vec<(RunKey, u64)> = Vec::new();
         let (mut waiting, mut ends) = (None, 0);
--- a/crates/yuccarack_policy/tests/stall.rs
+++ b/crates/yuccarack_policy/tests/stall.rs
@@ -4,19 +4,19 @@
 
 use yuccarack_config::rules::LimitRules;
 use yuccarack_policy::admission::{
-    Admission, AdmissionConfig, AdmissionDecision, Offer, RefusalReason, RouteShare, RunKey,
+    Admission, AdmissionConfig, AdmissionDecision, Offer, RefusalReason, RouteLimits, RunKey,
     RunOutcome,
 };
 
 const SERVICE_TIME: Duration = Duration::from_micros(200);
 
 fn gate(now: Instant) -> Admission {
-    let routes = vec![RouteShare { slot_share_percent: 100 }];
+    let routes = vec![RouteLimits { slot_share_percent: 100 }];
     Admission::new(now, AdmissionConfig { slots: 50, limits: LimitRules::default(), routes })
 }
 
 fn offer(now: Instant) -> Offer {
-    Offer { caller: 1, route: 0, deadline: now + Duration::from_secs(1), must_run_alone: false }
+    Offer { caller: 1, route: 0, deadline: now + Duration::from_secs(1), is_isolated: false }
 }
 
 fn run(gate: &mut Admission, now: Instant) -> RunKey {
--- a/crates/yuccarack_policy/tests/suspects.rs
+++ b/crates/yuccarack_policy/tests/suspects.rs
@@ -17,13 +17,13 @@
     let mut suspects = suspects();
     assert_eq!(suspects.verdict(now, 1), Verdict::Clear);
     suspects.record_crash(now, &[1, 2], false);
-    assert_eq!(suspects.verdict(now, 1), Verdict::Alone);
+    assert_eq!(suspects.verdict(now, 1), Verdict::Isolated);
     suspects.trial_started(now, 1);
     assert!(matches!(suspects.verdict(now, 1), Verdict::OnTrialElsewhere { .. }));
     let phases = suspects.record_crash(now, &[1], true);
     assert_eq!(phases, [(1, SuspectPhase::Quarantined)]);
     let Verdict::Quarantined { until } = suspects.verdict(now, 1) else { panic!("quarantined") };
-    assert_eq!(suspects.verdict(until, 1), Verdict::Alone);
+    assert_eq!(suspects.verdict(until, 1), Verdict::Isolated);
 }
 
 /// Nine harmless requests were in flight with the one that crashed the target, some of them twice.
@@ -36,12 +36,12 @@
     suspects.record_crash(now, &in_flight, false);
     suspects.record_crash(now, &in_flight, false);
     for harmless in 1..10 {
-        assert_eq!(suspects.verdict(now, harmless), Verdict::Alone);
+        assert_eq!(suspects.verdict(now, harmless), Verdict::Isolated);
         suspects.trial_started(now, harmless);
         suspects.trial_succeeded(harmless);
         assert_eq!(suspects.verdict(now, harmless), Verdict::Clear);
     }
-    assert_eq!(suspects.verdict(now, 0), Verdict::Alone);
+    assert_eq!(suspects.verdict(now, 0), Verdict::Isolated);
 }
 
 /// A peer reports that a request is only suspected while this daemon knows that it is quarantined.
@@ -67,7 +67,7 @@
     suspects.record_crash(now, &[1], false);
     suspects.trial_started(now, 1);
     let later = now + SuspectsConfig::default().trial_max;
-    assert_eq!(suspects.verdict(later, 1), Verdict::Alone);
+    assert_eq!(suspects.verdict(later, 1), Verdict::Isolated);
     assert_eq!(suspects.verdict(later + Duration::from_secs(601), 1), Verdict::Clear);
 }
 
--- a/crates/yuccarackd/src/coordination/gate/mod.rs
+++ b/crates/yuccarackd/src/coordination/gate/mod.rs
@@ -236,7 +236,7 @@
             caller: xxh3_64(call.head.caller.as_bytes()),
             route: route_index,
             deadline: call.deadline,
-            must_run_alone: trial.is_some(),
+            is_isolated: trial.is_some(),
         };
         let slot = match target.slots.admit(offer).await {
             Ok(slot) => slot,
--- a/crates/yuccarackd/src/coordination/gate/prerequisites.rs
+++ b/crates/yuccarackd/src/coordination/gate/prerequisites.rs
@@ -39,7 +39,7 @@
     ) -> Result<bool, Refusal> {
         match self.parts.suspects.verdict(service, fingerprint).await {
             Verdict::Clear => Ok(false),
-            Verdict::Alone => Ok(true),
+            Verdict::Isolated => Ok(true),
             Verdict::Quarantined { until } => {
                 let remaining = until.saturating_duration_since(Instant::now());
                 Err(Refusal::not_run(Reason::Quarantined).with_retry_after(remaining))
--- a/crates/yuccarackd/src/coordination/gate/target.rs
+++ b/crates/yuccarackd/src/coordination/gate/target.rs
@@ -5,7 +5,7 @@
 use http::Method;
 use yuccarack_config::rules::{RouteRules, ServiceRules};
 use yuccarack_platform::rows::TargetState;
-use yuccarack_policy::admission::{AdmissionConfig, RouteShare};
+use yuccarack_policy::admission::{AdmissionConfig, RouteLimits};
 
 use super::slots::Slots;
 use crate::{
@@ -88,7 +88,7 @@
         slots,
         limits: rules.limits.clone(),
         routes: routes
-            .map(|route| RouteShare { slot_share_percent: route.slot_share_percent })
+            .map(|route| RouteLimits { slot_share_percent: route.slot_share_percent })
             .collect(),
     }
 }
--- a/crates/yuccarackd/src/coordination/suspects/cache.rs
+++ b/crates/yuccarackd/src/coordination/suspects/cache.rs
@@ -36,7 +36,7 @@
     pub fn verdict(&mut self, now: Instant, fingerprint: Fingerprint) -> Verdict {
         let verdict = self.suspects.verdict(now, fingerprint);
         let crash_count = self.crashes.get(&fingerprint).map_or(0, HashSet::len);
-        if verdict == Verdict::Alone && crash_count >= CRASHES_MAX {
+        if verdict == Verdict::Isolated && crash_count >= CRASHES_MAX {
             // The quarantine is over; the crashes that led to it must not count for the next one.
             self.crashes.remove(&fingerprint);
         }
--- a/crates/yuccarackd/src/coordination/suspects/tracker.rs
+++ b/crates/yuccarackd/src/coordination/suspects/tracker.rs
@@ -86,7 +86,7 @@
         let verdict = self.shared.cache.lock().verdict(Instant::now(), fingerprint);
         let counter = match verdict {
             Verdict::Clear => return verdict,
-            Verdict::Alone => "suspects.alone",
+            Verdict::Isolated => "suspects.alone",
             Verdict::OnTrialElsewhere { .. } => "suspects.on_trial",
             Verdict::Quarantined { .. } => "suspects.quarantined",
         };
--- a/crates/yuccarackd/tests/suspects/trials.rs
+++ b/crates/yuccarackd/tests/suspects/trials.rs
@@ -37,7 +37,7 @@
 async fn a_successful_trial_clears_the_request_everywhere() {
     let gates = Gates::start(3).await;
     gates.record_crash(0, REQUEST).await;
-    gates.wait_for_all("suspected", REQUEST, |verdict| *verdict == Verdict::Alone).await;
+    gates.wait_for_all("suspected", REQUEST, |verdict| *verdict == Verdict::Isolated).await;
     gates.trial_granted(1, REQUEST).await.begin_dispatch().finish();
     gates.wait_for_all("clear", REQUEST, |verdict| *verdict == Verdict::Clear).await;
     eventually("the row is deleted", || gates.row(REQUEST).is_none()).await;
@@ -216,7 +216,7 @@
     let failed = gates.platform.stats().failed;
     eventually("the crash can't be written", || gates.platform.stats().failed > failed).await;
     gates.platform.set_faults(PlatformFaults::default());
-    gates.wait_for_all("suspected", REQUEST, |verdict| *verdict == Verdict::Alone).await;
+    gates.wait_for_all("suspected", REQUEST, |verdict| *verdict == Verdict::Isolated).await;
     gates.trial_granted(1, REQUEST).await.begin_dispatch().finish();
     gates.wait_for_all("clear", REQUEST, |verdict| *verdict == Verdict::Clear).await;
     // Another crash, which is written after the first one was processed.
