--- a/crates/yuccarack_policy/src/choice/explain.rs
+++ b/crates/yuccarack_policy/src/choice/explain.rs
@@ -1,4 +1,4 @@
-//! Views of the candidates of a chooser, for operators and logs.
+//! Views of the members and compared candidates of a chooser, for operators and logs.
 
 use std::time::{Duration, Instant};
 
@@ -9,9 +9,9 @@
     target::{ServiceMeans, Target},
 };
 
-/// What is known of a candidate, and how old that is.
+/// What is known of a member, and how old that is.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct CandidateView {
+pub struct MemberView {
     /// The target's key at this chooser.
     pub key: TargetKey,
     /// The target's instance.
@@ -26,17 +26,18 @@
     pub report: Option<GateLoadReport>,
     /// Age of the latest load report.
     pub report_age: Option<Duration>,
-    /// Expected response time of a request sent now, network included.
-    pub expected: Duration,
+    /// Expected response time of a request sent now, plus the remote penalty if the target is in
+    /// another failure domain.
+    pub expected_with_remote_penalty: Duration,
     /// Failures since the last successful response.
     pub failures_in_row: u8,
-    /// Time until an ejected target is probed; `None` when it isn't ejected.
-    pub ejected_for: Option<Duration>,
-    /// Progress of its slow start, in percent.
-    pub warm_percent: u8,
+    /// Remaining time until an ejected target may be probed; `None` when it isn't ejected.
+    pub probe_due_in: Option<Duration>,
+    /// Share of its slots that the target is given, in percent; below 100 during its slow start.
+    pub slow_start_percent: u8,
 }
 
-impl CandidateView {
+impl MemberView {
     pub(super) fn new(
         now: Instant,
         key: TargetKey,
@@ -44,8 +45,9 @@
         mean: &ServiceMeans,
         remote_penalty: Duration,
     ) -> Self {
-        let link = if target.is_local { Duration::ZERO } else { remote_penalty };
-        let expected = Duration::from_micros(target.expected_us(now, mean) as u64) + link;
+        let penalty = if target.is_local { Duration::ZERO } else { remote_penalty };
+        let expected_with_remote_penalty =
+            Duration::from_micros(target.expected_us(now, mean) as u64) + penalty;
         Self {
             key,
             instance: target.instance.clone(),
@@ -54,10 +56,10 @@
             outstanding: target.outstanding,
             report: target.reported_at.map(|_| target.report),
             report_age: target.reported_at.map(|at| now.saturating_duration_since(at)),
-            expected,
+            expected_with_remote_penalty,
             failures_in_row: target.failures_in_row,
-            ejected_for: target.ejected_until.map(|until| until.saturating_duration_since(now)),
-            warm_percent: (target.warmth(now) * 100.0) as u8,
+            probe_due_in: target.ejected_until.map(|until| until.saturating_duration_since(now)),
+            slow_start_percent: (target.slow_start_share(now) * 100.0) as u8,
         }
     }
 }
@@ -67,7 +69,7 @@
 pub struct ComparedCandidateView {
     /// Its instance.
     pub instance: InstanceId,
-    /// Expected response time at the choice, without the network.
+    /// Expected response time at the choice, without the remote penalty.
     pub expected: Duration,
     /// Age of the latest load report about it.
     pub report_age: Option<Duration>,
--- a/crates/yuccarack_policy/src/choice/mod.rs
+++ b/crates/yuccarack_policy/src/choice/mod.rs
@@ -1,5 +1,7 @@
 //! Choice of the target that a request is sent to.
 //!
+//! Used for calls by service.
+//!
 //! Load shifts within milliseconds, and reports of it are already old when they arrive. Following
 //! the latest report sends every entry to the same target, which is then the worst one (a herd);
 //! ignoring reports keeps sending to a straggler. So a few random candidates are compared by their
@@ -28,7 +30,7 @@
 use self::target::{ServiceMeans, Target};
 pub use self::{
     draw::{LOCAL_CANDIDATES, PROBE_ONE_IN, REMOTE_CANDIDATES},
-    explain::{CandidateView, ComparedCandidateView},
+    explain::{ComparedCandidateView, MemberView},
     member::{ChooserConfig, Member, MemberState, TargetAttemptOutcome},
     refusal::ChoiceRefusal,
 };
@@ -83,8 +85,8 @@
 
     /// Replaces the members; what is known of members with the same incarnation is kept.
     ///
-    /// The first members count as warm, since the start of this entry says nothing about how long
-    /// its targets have run. Those that join later start slowly.
+    /// The first members skip the slow start, since the start of this entry says nothing about how
+    /// long its targets have run. Those that join later start slowly.
     pub fn set_members(&mut self, now: Instant, members: &[Member]) {
         let are_first = self.targets.is_empty();
         let mut keys = HashMap::with_capacity(members.len());
@@ -195,19 +197,24 @@
     }
 
     /// Returns what is known of each member, sorted by instance.
-    pub fn explain(&self, now: Instant) -> Vec<CandidateView> {
+    pub fn explain(&self, now: Instant) -> Vec<MemberView> {
         let mut views: Vec<_> = self
             .targets
             .iter()
             .map(|(key, target)| {
-                CandidateView::new(now, key, target, &self.mean, self.config.remote_penalty)
+                MemberView::new(now, key, target, &self.mean, self.config.remote_penalty)
             })
             .collect();
         views.sort_by(|left, right| left.instance.cmp(&right.instance));
         views
     }
 
-    fn update_or_insert(&mut self, now: Instant, member: &Member, is_warm: bool) -> TargetKey {
+    fn update_or_insert(
+        &mut self,
+        now: Instant,
+        member: &Member,
+        skips_slow_start: bool,
+    ) -> TargetKey {
         let is_local = member.failure_domain == self.local_domain;
         if let Some(&key) = self.keys.get(&member.instance)
             && let Some(target) = self.targets.get_mut(key)
@@ -216,7 +223,7 @@
             target.update(now, member, is_local);
             return key;
         }
-        self.targets.insert(Target::new(now, member, is_local, is_warm))
+        self.targets.insert(Target::new(now, member, is_local, skips_slow_start))
     }
 
     fn rebuild_ready_lists(&mut self) {
--- a/crates/yuccarack_policy/src/choice/target.rs
+++ b/crates/yuccarack_policy/src/choice/target.rs
@@ -56,14 +56,14 @@
 /// Multiple of its service time for which a target with requests may stay silent.
 pub const SILENCE_FACTOR: f32 = 2.0;
 
-/// Time after which a target counts as warm whatever its number of responses.
+/// Time after which a target's slow start ends whatever its number of responses.
 pub const SLOW_START: Duration = Duration::from_secs(10);
 
-/// Number of responses after which a target counts as warm.
+/// Number of responses after which a target's slow start ends.
 pub const SLOW_START_RESPONSES: f32 = 32.0;
 
-/// Share of its slots that a cold target is given at first.
-const WARMTH_MIN: f32 = 0.1;
+/// Share of its slots that a target is given at the beginning of its slow start.
+const SLOW_START_SHARE_MIN: f32 = 0.1;
 
 /// Duration of the first ejection; each further one in a row is twice as long.
 pub const EJECTION_FIRST: Duration = Duration::from_secs(1);
@@ -115,7 +115,7 @@
 }
 
 impl Target {
-    pub fn new(now: Instant, member: &Member, is_local: bool, is_warm: bool) -> Self {
+    pub fn new(now: Instant, member: &Member, is_local: bool, skips_slow_start: bool) -> Self {
         Self {
             instance: member.instance.clone(),
             incarnation: member.incarnation,
@@ -136,7 +136,7 @@
             ejections_in_row: 0,
             responses_in_row: 0,
             ready_since: now,
-            responses: if is_warm { SLOW_START_RESPONSES } else { 0.0 },
+            responses: if skips_slow_start { SLOW_START_RESPONSES } else { 0.0 },
         }
     }
 
@@ -207,7 +207,7 @@
         }
     }
 
-    /// Returns the expected response time of a request sent now, in µs, without the network.
+    /// Returns the expected response time of a request sent now, in µs, without the remote penalty.
     pub fn expected_us(&self, now: Instant, mean: &ServiceMeans) -> f32 {
         let service_us = self.service_us(now, mean);
         let fill = self.fill(now, mean);
@@ -255,11 +255,11 @@
         self.start_slowly(now);
     }
 
-    /// Returns the share of its slots that the target is given, from [`WARMTH_MIN`] to 1.
-    pub fn warmth(&self, now: Instant) -> f32 {
+    /// Returns the share of its slots that the target is given, from [`SLOW_START_SHARE_MIN`] to 1.
+    pub fn slow_start_share(&self, now: Instant) -> f32 {
         let age = now.saturating_duration_since(self.ready_since).as_secs_f32();
         let by_time = age / SLOW_START.as_secs_f32();
-        by_time.max(self.responses / SLOW_START_RESPONSES).clamp(WARMTH_MIN, 1.0)
+        by_time.max(self.responses / SLOW_START_RESPONSES).clamp(SLOW_START_SHARE_MIN, 1.0)
     }
 
     fn start_slowly(&mut self, now: Instant) {
@@ -296,7 +296,7 @@
         let reported = (self.reported_load() + sent_since_report).max(own);
         let assumed = (mean.fill * self.limit()).max(own);
         let load = weight * reported + (1.0 - weight) * assumed;
-        (load + 1.0) / (self.limit() * self.warmth(now))
+        (load + 1.0) / (self.limit() * self.slow_start_share(now))
     }
 
     fn service_us(&self, now: Instant, mean: &ServiceMeans) -> f32 {
--- a/crates/yuccarack_policy/src/placement/gate.rs
+++ b/crates/yuccarack_policy/src/placement/gate.rs
@@ -42,7 +42,7 @@
 /// Age up to which a load report is taken as current; a slot becomes free every 20 to 30 ms.
 const LOAD_FRESH_MAX_AGE: Duration = Duration::from_millis(30);
 
-/// Weight of a new outcome in the share of failures, which covers about twenty outcomes.
+/// Weight of a new outcome in the share of failures, which covers about a dozen outcomes.
 const FAILURE_WEIGHT: f64 = 0.08;
 
 /// Concurrency assumed for a gate that has reported nothing yet; it is that of the fleet's targets.
@@ -119,7 +119,8 @@
         }
     }
 
-    /// Clears the unavailable state, since the gate's daemon has published itself again.
+    /// Clears the unavailable and unreachable states after a response or rejection, a successful
+    /// connection, or a changed row of the gate's daemon.
     pub fn mark_reachable(&mut self) {
         self.unavailable_until = None;
         self.unavailable_in_row = 0;
--- a/crates/yuccarack_policy/src/placement/mod.rs
+++ b/crates/yuccarack_policy/src/placement/mod.rs
@@ -1,11 +1,14 @@
 //! Choice of the gate that a request is sent to.
 //!
+//! Used for routed calls.
+//!
 //! Load shifts within milliseconds, while a report of it is as old as a request. If every entry
 //! sent to the gate that last looked best, that gate would fill up, and a target slowed down by
 //! other load on its machine looks idle until its responses are late. So an entry compares a few
 //! gates drawn at random by their expected response time, including what it sent itself. The first
 //! attempts ask for a free slot only: a gate without one says so within a network round trip,
-//! together with its load, and the request moves on. Only the last gate may queue it.
+//! together with its load, and the request moves on. Later attempts may be queued, and so may the
+//! first ones when no other gate is available or the chosen gate is known to be full.
 
 mod gate;
 
@@ -36,9 +39,10 @@
 
 /// Response time by which a gate in another failure domain must be better than a local one.
 ///
-/// A round trip between failure domains takes 1 to 3 ms, and traffic between them is paid for: 5 kB
-/// cost as much as 6 % of a response in time.
-pub const REMOTE_DOMAIN_COST: Duration = Duration::from_millis(150);
+/// A round trip between failure domains takes 1 to 3 ms of it. The rest stands for the traffic
+/// between them, which operators pay for: 5 kB cost as much as 6 % of the value of a response that
+/// arrives in time.
+pub const REMOTE_PENALTY: Duration = Duration::from_millis(150);
 
 /// Factor on the share of failures in a gate's cost; one failure in ten counts as much as a fifth
 /// of a service time.
@@ -134,7 +138,8 @@
         self.gates.remove(key);
     }
 
-    /// Clears the unavailable state of a gate that has published itself again.
+    /// Clears the unavailable and unreachable states of a gate after a successful connection or a
+    /// changed row of its daemon.
     pub fn mark_reachable(&mut self, key: GateKey) {
         if let Some(gate) = self.gates.get_mut(key) {
             gate.mark_reachable();
@@ -170,8 +175,8 @@
             // Unavailable gates would cost time, and the replies of the others won't change.
             return None;
         }
-        // All remaining gates may be unavailable, which only an attempt can show. Those that could
-        // be connected to go first.
+        // All untried gates are marked as unavailable; only an attempt can show whether they still
+        // are. Those that could be connected to go first.
         let unavailable = allowed()
             .filter(|(key, gate)| gate.is_unavailable(now) && !history.attempted.contains(key));
         let reachable = unavailable.clone().filter(|(_, gate)| !gate.is_unreachable);
@@ -224,8 +229,9 @@
         }
     }
 
-    /// Returns whether the best gate is known to have no free slot. Then none has, and an attempt
-    /// that may not wait would cost a round trip without result.
+    /// Returns whether the chosen gate is known to have no free slot. It is the best of a few
+    /// random ones, so the others are probably full too, and an attempt that may not wait would
+    /// probably cost a round trip without result.
     fn is_known_full(&self, now: Instant, key: GateKey) -> bool {
         self.gates.get(key).is_some_and(|gate| gate.is_load_fresh(now) && gate.excess(now) > 0.0)
     }
@@ -237,7 +243,7 @@
         if gate.is_local || !self.decisions.home_first {
             expected
         } else {
-            expected + REMOTE_DOMAIN_COST
+            expected + REMOTE_PENALTY
         }
     }
 }
--- a/crates/yuccarack_policy/tests/choice.rs
+++ b/crates/yuccarack_policy/tests/choice.rs
@@ -179,7 +179,7 @@
     let now = Instant::now();
     let mut chooser = chooser(now, &ready(0..6, "home"));
     spread(&mut chooser, now, 1_000, |_| TargetAttemptOutcome::Broken);
-    let ejected = chooser.explain(now).iter().filter(|view| view.ejected_for.is_some()).count();
+    let ejected = chooser.explain(now).iter().filter(|view| view.probe_due_in.is_some()).count();
     assert_eq!(ejected, 3);
 }
 
@@ -248,7 +248,7 @@
     );
 }
 
-/// A new target joins three warm ones under load. It is cold, so it must get little at first and
+/// A new target joins three others under load. It starts slowly, so it must get little at first and
 /// its share only after some responses.
 #[test]
 fn a_new_target_starts_slowly() {
@@ -261,8 +261,8 @@
     }
     let cold = spread(&mut chooser, now, 100, |_| TargetAttemptOutcome::Cancelled);
     assert_eq!(cold.get("target-3"), None);
-    let warm = now + Duration::from_secs(11);
-    let counts = spread(&mut chooser, warm, 100, |_| TargetAttemptOutcome::Cancelled);
+    let started = now + Duration::from_secs(11);
+    let counts = spread(&mut chooser, started, 100, |_| TargetAttemptOutcome::Cancelled);
     assert!(counts["target-3"] > 10, "{counts:?}");
 }
 
@@ -303,10 +303,10 @@
     assert_eq!(counts.get("target-0"), None);
 }
 
-/// An entry starts beside targets that have run for days. They must not count as cold: one request
-/// doesn't fill them, and calls don't spill over to another failure domain.
+/// An entry starts beside targets that have run for days. They must skip the slow start: one
+/// request doesn't fill them, and calls don't spill over to another failure domain.
 #[test]
-fn targets_of_a_new_entry_are_warm() {
+fn targets_of_a_new_entry_skip_the_slow_start() {
     let now = Instant::now();
     let mut members = ready(0..1, "home");
     members.extend(ready(1..3, "away"));
