--- a/crates/yuccarack_policy/src/adaptive_throttle.rs
+++ b/crates/yuccarack_policy/src/adaptive_throttle.rs
@@ -1,5 +1,7 @@
 //! Adaptive throttling of requests whose runs fail because another service is overloaded.
 //!
+//! Used for routed calls.
+//!
 //! A small service may be called by many runs of another one. When it is overloaded, a run whose
 //! call is rejected fails after it has held a slot, its other calls have used capacity for nothing,
 //! and its caller retries at once, so most of the work of both services is wasted. So an entry
--- a/crates/yuccarack_policy/src/budget.rs
+++ b/crates/yuccarack_policy/src/budget.rs
@@ -1,5 +1,7 @@
 //! Budget that is earned by first attempts and spent on extra ones.
 //!
+//! Used for calls by service and for routed calls.
+//!
 //! It bounds retry storms: when everything fails at once, extra attempts stay a fixed share of the
 //! requests that callers made, whatever the number of failures.
 
--- a/crates/yuccarack_policy/src/crash_counts.rs
+++ b/crates/yuccarack_policy/src/crash_counts.rs
@@ -1,5 +1,7 @@
 //! Requests that are no longer dispatched because targets crashed while running them.
 //!
+//! Used for routed calls.
+//!
 //! A single request may crash each target that starts to run it, while its caller sends it again
 //! and again, at any daemon. Target after target is then down for seconds, together with all that
 //! ran beside it. A request that was running at three crashes is taken for the cause; one that was
--- a/crates/yuccarack_policy/src/exchange_interval.rs
+++ b/crates/yuccarack_policy/src/exchange_interval.rs
@@ -1,5 +1,7 @@
 //! Interval at which callers of a service exchange updates with one of its members.
 //!
+//! Used for calls by service.
+//!
 //! Most of the fleet may call one service, and each caller requests updates from one of a few
 //! members every few seconds, so the members' cost grows with the fleet rather than with the
 //! service. With 2,400 callers and 11 members, a request every 3 s makes 73 a second at each
--- a/crates/yuccarack_policy/src/extra_attempts.rs
+++ b/crates/yuccarack_policy/src/extra_attempts.rs
@@ -1,5 +1,7 @@
 //! Decides whether a routed request without a successful response is sent to another gate.
 //!
+//! Used for routed calls.
+//!
 //! When a part of a service fails, each repeated request adds load to the remaining targets, and
 //! with all daemons of a fleet repeating theirs the second wave is as large as the first. So all
 //! daemons share one allowance: each earns a share of its own requests and holds a small part of
@@ -9,17 +11,17 @@
 
 use crate::budget::EarnedBudget;
 
-/// Part of the operators' share that is used, in percent.
+/// Part of the allowance set by the operators that is used, in percent.
 ///
 /// The rest is left for what a daemon can't see: when a request runs again, the calls that it makes
 /// are extra requests too, at the services that it calls.
-const USABLE_PERCENT: u32 = 60;
+const ALLOWANCE_USED_PERCENT: u32 = 60;
 
-/// Share of failed attempts that may have run above which no such request is repeated.
+/// Failure share of the attempts above which requests that may have run are not repeated.
 ///
-/// A few failures don't occur at another target. Many have a cause that the targets share, such as
-/// a service that they all call: each repeated request calls it again, and 150 of them add 214
-/// requests to a service that is already failing.
+/// Isolated failures usually don't occur again at another target. Frequent ones have a cause that
+/// the targets share, such as a failing service that they all call. Each repeated request calls it
+/// again: 150 repeated requests added 214 requests to the failing service, counted over 10 s.
 const FAILURE_SHARE_MAX: f64 = 0.1;
 
 /// Weight of one attempt in that share, which covers about fifty attempts.
@@ -97,7 +99,7 @@
     /// Creates an allowance of `percent` of the requests, with this entry's part of the `reserve`
     /// that `entries` share.
     pub fn new(percent: u8, reserve: u32, entries: usize) -> Self {
-        let percent = u32::from(percent) * USABLE_PERCENT / 100;
+        let percent = u32::from(percent) * ALLOWANCE_USED_PERCENT / 100;
         let percent = u8::try_from(percent).unwrap_or(100);
         let allowance = EarnedBudget::new(percent, entry_reserve(reserve, entries));
         Self { allowance, reserve, failure_share: 0.0 }
@@ -160,6 +162,6 @@
 /// Returns one entry's part of the reserve, in attempts; it is at least one.
 fn entry_reserve(reserve: u32, entries: usize) -> u16 {
     let entries = u32::try_from(entries).unwrap_or(u32::MAX).max(1);
-    let part = reserve * USABLE_PERCENT / 100 / entries;
+    let part = reserve * ALLOWANCE_USED_PERCENT / 100 / entries;
     u16::try_from(part).unwrap_or(u16::MAX).max(1)
 }
--- a/crates/yuccarack_policy/src/health_checks.rs
+++ b/crates/yuccarack_policy/src/health_checks.rs
@@ -1,5 +1,7 @@
 //! Schedule of the health checks by which a gate learns its target's slowdown.
 //!
+//! Used for routed calls.
+//!
 //! A target that gets few requests may be slowed down several times a second by other load on its
 //! machine. Each response reports the slowdown, but where responses are rare the gate learns of it
 //! late, and until then admits requests that another target would have answered in time. So it asks
@@ -32,7 +34,7 @@
 pub enum HealthCheckResult {
     /// The target reported its slowdown.
     SlowdownReported,
-    /// The target reported no slowdown.
+    /// The check gave no slowdown report: it failed, timed out, or its response carried none.
     NoReport,
 }
 
--- a/crates/yuccarack_policy/src/hedge.rs
+++ b/crates/yuccarack_policy/src/hedge.rs
@@ -1,5 +1,7 @@
 //! Hedged requests: whether and when a second target is tried before the first has responded.
 //!
+//! Used for calls by service.
+//!
 //! A straggler is a target that is slow for some milliseconds while the others are fast; the
 //! requests already dispatched to it make up the tail of the response times. A second attempt after
 //! the usual tail bounds it. Without a budget and a check for saturation, hedges would double the
@@ -77,7 +79,8 @@
         self.refusals.add(now);
     }
 
-    /// Returns the time after dispatch at which a hedge is sent; `None` while hedging is off.
+    /// Returns the time after dispatch at which a hedge is sent; `None` if none may be sent because
+    /// hedging is off, too few responses are known or the service is saturated.
     pub fn delay(&self, now: Instant) -> Option<Duration> {
         if self.budget.is_off()
             || self.response_times.count < RESPONSES_MIN
--- a/crates/yuccarack_policy/src/lib.rs
+++ b/crates/yuccarack_policy/src/lib.rs
@@ -2,6 +2,22 @@
 //!
 //! The crate uses no network, clock or threads. Callers pass `now` and the random generator in, and
 //! every type is driven by plain calls. Both the entry and the gate of a daemon use it.
+//!
+//! A daemon runs in one of two modes, and each mode has its own set of modules:
+//!
+//! - Calls by service, where the caller names the service. The entry chooses a target with
+//!   [`choice`] and repeats requests by [`retry`] and [`hedge`]; the gate admits them by
+//!   [`admission`] and isolates those that may crash targets by [`suspects`]. [`measuring`] and
+//!   [`hidden_load`] limit and evaluate the probes of a target's load, and [`store_poll`] and
+//!   [`exchange_interval`] limit the control traffic.
+//! - Routed calls, where the host and path of the request lead to the service. The entry chooses a
+//!   gate with [`placement`], divides a route over several services by [`split`], and limits what
+//!   it sends by [`extra_attempts`], [`adaptive_throttle`] and [`prior_wait`]. The gate queues
+//!   requests in [`work_queue`], which uses [`cold_rate`] and [`slowdown`]; it checks its target by
+//!   [`health_checks`] and counts crashes in [`crash_counts`]. [`relays`] and
+//!   [`unreachable_members`] limit the control traffic and the list of members.
+//!
+//! Both modes use [`budget`].
 
 pub mod adaptive_throttle;
 pub mod admission;
--- a/crates/yuccarack_policy/src/measuring.rs
+++ b/crates/yuccarack_policy/src/measuring.rs
@@ -1,5 +1,7 @@
 //! Budget for load measurements at a target.
 //!
+//! Used for calls by service.
+//!
 //! On a busy shared server the load endpoint responds slowly or not at all. With a fixed polling
 //! interval, measuring would cost most where the target has least capacity. So each measurement is
 //! charged by bytes, requests and time in flight, for the worst case while it is open, and the
@@ -121,7 +123,8 @@
         self.total_cost
     }
 
-    /// Returns the earliest time at which a measurement could start, as far as is known now.
+    /// Returns the earliest time at which a measurement could start, as far as is known now. If the
+    /// rules allow none, it is the time at which to ask again, [`PAUSE_MAX`] from now.
     pub fn next_at(&self, now: Instant) -> Instant {
         if self.spacing.is_none() || self.bytes_max < BYTES_MIN || self.time_max < TIME_MIN {
             return now + PAUSE_MAX;
--- a/crates/yuccarack_policy/src/relays.rs
+++ b/crates/yuccarack_policy/src/relays.rs
@@ -1,4 +1,6 @@
 //! Relays of a failure domain: the daemons that poll the store and pass updates on to the others.
+//!
+//! Used for routed calls.
 
 use std::time::Duration;
 
@@ -31,7 +33,7 @@
 
 /// Returns the role of `own` in a failure domain of `members`.
 ///
-/// Each change of a row is sent to each daemon that follows the table. If all of them polled the
+/// Each change of a row is sent to each daemon that receives the table. If all of them polled the
 /// store, 2,500 daemons that restart together would read 2,500 rows each and the store would send
 /// 1.25 GB at once; on a usual day each poll is paid for. With relays in each failure domain the
 /// store serves a tenth of the daemons, and what is passed on stays inside the failure domain.
@@ -62,10 +64,10 @@
 /// Returns the time between two polls of the store by a follower while its relays respond and the
 /// store serves none of them; `size` daemons are in the failure domain.
 ///
-/// When the store is unavailable for eight seconds, each of 245 daemons would poll it for two
-/// tables again and again. Relays poll it anyway and hear of each other. The followers only need to
-/// find out now and then whether the store fails for the relays alone, so their polls together
-/// don't grow with their number.
+/// When the store is unavailable for eight seconds, each of 245 daemons would poll it for two of
+/// its tables again and again. Relays poll it anyway and hear of each other. The followers only
+/// need to find out now and then whether the store fails for the relays alone, so their polls
+/// together don't grow with their number.
 pub fn store_poll_interval(size: usize) -> Duration {
     STORE_POLL_INTERVAL_MIN.max(Duration::from_secs(1).mul_f64(size as f64 / STORE_POLLS_PER_S))
 }
--- a/crates/yuccarack_policy/src/retry.rs
+++ b/crates/yuccarack_policy/src/retry.rs
@@ -1,14 +1,17 @@
 //! Decides whether a request without a response is retried.
 //!
+//! Used for calls by service.
+//!
 //! In a retry storm a service that fails for a moment gets its failed load again on top of the new
 //! one, multiplied by each layer of callers, up to 9 deep. Without a bound the second wave keeps
 //! the service down after the cause is gone.
 //!
-//! Two budgets bound it. A request rejected at a gate ran nothing, so another attempt costs one
-//! message and is allowed at any depth. A failure after dispatch has cost a target's time and
-//! perhaps a whole chain below it, so only the outermost entry repeats it. With that rule a chain
-//! of any depth runs at most `1 + budget_percent / 100` times as often as it was requested, rather
-//! than that number to the power of its depth.
+//! Two budgets bound it. A request that was rejected at a gate or whose connection broke before
+//! dispatch did not run, so another attempt costs one message and is allowed at any depth. A
+//! failure after dispatch has cost a target's time and perhaps a whole chain below it, so only the
+//! outermost entry repeats it. With that rule a chain of any depth runs at most
+//! `1 + budget_percent / 100` times as often as it was requested, rather than that number to the
+//! power of its depth.
 
 use std::time::{Duration, Instant};
 
@@ -22,14 +25,14 @@
 /// reach the caller. Ten is below one target's number of slots, so the reserve can't flood it.
 pub const FAILURE_RESERVE: u16 = 10;
 
-/// Retries after rejections that an idle entry may make at once.
-pub const REFUSAL_RESERVE: u16 = 20;
+/// Retries of requests that did not run that an idle entry may make at once.
+pub const NOT_RUN_RESERVE: u16 = 20;
 
-/// How many times more often a rejected request may be retried than a failed one.
+/// How many times more often a request that did not run may be retried than one that may have run.
 ///
 /// At 10 % for failures, half of all requests may be rejected once and still be served elsewhere; a
 /// service that rejects more than that has no capacity left.
-pub const REFUSAL_FACTOR: u8 = 5;
+pub const NOT_RUN_FACTOR: u8 = 5;
 
 /// Depth of a call whose caller is not a target itself.
 const OUTERMOST_DEPTH: u8 = 1;
@@ -104,8 +107,8 @@
     DeadlineClose,
     /// The budget for retries after dispatch is spent.
     FailureBudgetSpent,
-    /// The budget for retries after rejections is spent.
-    RefusalBudgetSpent,
+    /// The budget for retries of requests that did not run is spent.
+    NotRunBudgetSpent,
     /// Only the outermost entry repeats a request that has run.
     NotOutermost,
 }
@@ -115,24 +118,24 @@
 pub struct RetryPolicy {
     attempts_max: u8,
     failure_budget: EarnedBudget,
-    refusal_budget: EarnedBudget,
+    not_run_budget: EarnedBudget,
 }
 
 impl RetryPolicy {
     /// Creates the policy with full reserves.
     pub fn new(rules: &RetryRules) -> Self {
-        let refusal_percent = rules.budget_percent.saturating_mul(REFUSAL_FACTOR).min(100);
+        let not_run_percent = rules.budget_percent.saturating_mul(NOT_RUN_FACTOR).min(100);
         Self {
             attempts_max: rules.tries_max,
             failure_budget: EarnedBudget::new(rules.budget_percent, FAILURE_RESERVE),
-            refusal_budget: EarnedBudget::new(refusal_percent, REFUSAL_RESERVE),
+            not_run_budget: EarnedBudget::new(not_run_percent, NOT_RUN_RESERVE),
         }
     }
 
     /// Records a first attempt, which earns its share of both budgets.
     pub fn record_first_attempt(&mut self, _now: Instant) {
         self.failure_budget.earn();
-        self.refusal_budget.earn();
+        self.not_run_budget.earn();
     }
 
     /// Decides on an attempt that ended without a usable response, and spends the budget of a
@@ -168,8 +171,8 @@
         if failure.may_have_run() && !self.failure_budget.spend() {
             return Err(GiveUpReason::FailureBudgetSpent);
         }
-        if !failure.may_have_run() && !self.refusal_budget.spend() {
-            return Err(GiveUpReason::RefusalBudgetSpent);
+        if !failure.may_have_run() && !self.not_run_budget.spend() {
+            return Err(GiveUpReason::NotRunBudgetSpent);
         }
         Ok(failure.retry_reason())
     }
@@ -214,7 +217,7 @@
             Self::AttemptsUsedUp => "tries_used_up",
             Self::DeadlineClose => "deadline_close",
             Self::FailureBudgetSpent => "failure_budget_spent",
-            Self::RefusalBudgetSpent => "refusal_budget_spent",
+            Self::NotRunBudgetSpent => "refusal_budget_spent",
             Self::NotOutermost => "not_outermost",
         }
     }
--- a/crates/yuccarack_policy/src/slowdown.rs
+++ b/crates/yuccarack_policy/src/slowdown.rs
@@ -1,5 +1,7 @@
 //! Estimate of a target's current slowdown: its service time relative to the usual one.
 //!
+//! Used for routed calls.
+//!
 //! Other load on the same machine makes a target up to four times slower several times a second, so
 //! a report that is half a second old says little. A report counts while it is fresh and then fades
 //! toward the mean.
--- a/crates/yuccarack_policy/src/split.rs
+++ b/crates/yuccarack_policy/src/split.rs
@@ -1,5 +1,7 @@
 //! Weighted split of a route's requests over several services.
 //!
+//! Used for routed calls.
+//!
 //! The requests of a route are split by weight at many entries, each of which sees a few a second.
 //! If drawn at random, a share of two hundred requests would be off by several percent. So each
 //! entry assigns its requests by weighted round robin from a random start, and all entries together
--- a/crates/yuccarack_policy/src/store_poll.rs
+++ b/crates/yuccarack_policy/src/store_poll.rs
@@ -1,10 +1,13 @@
-//! Interval at which a daemon polls the table for its service.
+//! Interval at which a daemon polls the store for changes of its service.
 //!
-//! Updates travel between daemons; the table is only polled for updates that none of them has
-//! received. If every daemon polled at a fixed interval, the store's reads would grow with the
-//! fleet, and a service of 100 targets would cost as much as 100 services. With an interval that
-//! grows with the number of members the reads per service stay constant, and whoever finds an
-//! update passes it on to the others.
+//! Used for calls by service.
+//!
+//! The store is the platform's table service; its table holds the rules and the members of each
+//! service as rows. Updates travel between daemons; the store is only polled for changes that none
+//! of them has received. If every daemon polled at a fixed interval, the store's reads would grow
+//! with the fleet, and a service of 100 targets would cost as much as 100 services. With an
+//! interval that grows with the number of members the store's reads per service stay constant, and
+//! whoever finds an update passes it on to the others.
 
 use std::time::{Duration, Instant};
 
--- a/crates/yuccarack_policy/src/unreachable_members.rs
+++ b/crates/yuccarack_policy/src/unreachable_members.rs
@@ -1,4 +1,6 @@
 //! Detection of members that have been unreachable long enough to be removed.
+//!
+//! Used for routed calls.
 
 use std::{
     collections::HashMap,
@@ -9,11 +11,11 @@
 
 /// Unreachable members, and since when they are.
 ///
-/// Instances are lost without signing off, about eight a day at 2,500. Each leaves a row that would
-/// stay for good: every daemon knows it, probes it now and then, and counts it among those that
-/// share the reserve of extra attempts. A network partition of some minutes looks the same at
-/// first, so a member is removed only after a long time. A daemon that reaches nobody at all is cut
-/// off itself and reports none.
+/// Instances are lost without signing off, about eight a day in a fleet of 2,500. Each leaves a row
+/// that would stay for good: every daemon knows it, probes it now and then, and counts it among
+/// those that share the reserve of extra attempts. A network partition of some minutes looks the
+/// same at first, so a member is removed only after a long time. A daemon that reaches nobody at
+/// all is cut off itself and reports none.
 #[derive(Clone, Debug)]
 pub struct UnreachableMembers {
     remove_after: Duration,
--- a/crates/yuccarack_policy/tests/retry.rs
+++ b/crates/yuccarack_policy/tests/retry.rs
@@ -5,7 +5,7 @@
 use quickcheck::QuickCheck;
 use yuccarack_config::rules::RetryRules;
 use yuccarack_policy::retry::{
-    AttemptFailure, FAILURE_RESERVE, GiveUpReason, REFUSAL_RESERVE, RetryCandidate, RetryDecision,
+    AttemptFailure, FAILURE_RESERVE, GiveUpReason, NOT_RUN_RESERVE, RetryCandidate, RetryDecision,
     RetryPolicy, RetryReason,
 };
 
@@ -120,7 +120,7 @@
         let share = |percent: u32| firsts * percent / 100 + 1;
         let percent = u32::from(percent);
         failures <= u32::from(FAILURE_RESERVE) + share(percent)
-            && refusals <= u32::from(REFUSAL_RESERVE) + share(percent * 5)
+            && refusals <= u32::from(NOT_RUN_RESERVE) + share(percent * 5)
     }
     QuickCheck::new().tests(1_000).quickcheck(holds as fn(Vec<u8>, usize, u8) -> bool);
 }
--- a/crates/yuccarackd/src/coordination/load_prober.rs
+++ b/crates/yuccarackd/src/coordination/load_prober.rs
@@ -107,7 +107,7 @@
             }
         }
         let slots = target.view.announcement.slots;
-        let usable = self.hidden.usable_slots(slots);
+        let usable = self.hidden.slots_without_hidden_load(slots);
         if usable < slots {
             self.counters.add("measuring.slots_lowered");
         }
