--- a/crates/yuccarackd/src/coordination/routed/log_lines/cluster_state.rs
+++ b/crates/yuccarackd/src/coordination/routed/log_lines/cluster_state.rs
@@ -42,7 +42,8 @@
         revision: Revision,
     }
 
-    /// The row of such an instance could not be deleted; it is attempted again later.
+    /// The row of a lost instance, or of one whose address is in use by another, could not be
+    /// deleted; retried later.
     MemberRowNotDeleted = "member_not_ended", "row of a lost member could not be deleted", Warning,
         None;
     {
@@ -89,12 +90,12 @@
         cause: String,
     }
 
-    /// A field of the operators' document is missing or not understood, and was replaced by a safe
-    /// value.
+    /// A field of the routing table in the store is missing or not understood, and was replaced by
+    /// a safe value.
     RoutingFieldSubstituted = "routing_substituted",
-        "field of the operators' document replaced by a safe value", Warning, None;
+        "field of the routing table replaced by a safe value", Warning, None;
     {
-        /// Version of the document.
+        /// Version of the table.
         version: RoutingVersion,
         /// Name of the field.
         field: &'static str,
@@ -106,8 +107,8 @@
         count: usize,
     }
 
-    /// The operators' document could not be parsed; the table in force stays.
-    RoutingDocumentRejected = "routing_kept_out", "unreadable operators' document ignored", Warning,
+    /// The routing table in the store could not be parsed; the table in force stays.
+    RoutingDocumentRejected = "routing_kept_out", "unreadable routing table ignored", Warning,
         None;
     {
         /// Revision of its row.
@@ -177,7 +178,7 @@
         revision: Revision,
     }
 
-    /// The row could not be written; it is attempted again.
+    /// The row of this instance could not be written; retried.
     RowNotWritten = "row_not_written", "own member row could not be written", Warning, None;
     {
         /// Revision that was to be replaced.
@@ -193,7 +194,7 @@
         revision: Revision,
     }
 
-    /// The row could not be deleted although the instance leaves.
+    /// The row of this instance could not be deleted although the instance leaves.
     RowNotDeleted = "row_not_taken_away", "own member row could not be deleted", Warning, None;
     {
         /// Error of the write.
--- a/crates/yuccarackd/src/coordination/routed/log_lines/targets.rs
+++ b/crates/yuccarackd/src/coordination/routed/log_lines/targets.rs
@@ -89,19 +89,19 @@
         gate: String,
     }
 
-    /// The store holds the row of a target that leaves.
-    LeavingStored = "leaving_kept", "departure of the target stored", Info, None;
+    /// The departure of the target was stored, or deleted if the target stays after all.
+    DepartureStored = "leaving_kept", "departure of the target stored", Info, None;
     {
         /// Name of the target; unset if it stays after all.
         target: Option<String>,
         /// Incarnation that leaves.
         life: Option<TargetIncarnation>,
-        /// Revision of the row.
+        /// Revision of the departure's row.
         revision: Revision,
     }
 
-    /// The row could not be written yet.
-    LeavingNotStored = "leaving_not_kept", "departure of the target could not be stored", Warning,
+    /// The departure of the target could not be written to the store yet.
+    DepartureNotStored = "leaving_not_kept", "departure of the target could not be stored", Warning,
         None;
     {
         /// Error of the write.
@@ -110,8 +110,8 @@
 
     /// It is unknown whether the target announced to an earlier process of this daemon that it
     /// leaves.
-    LeavingNotRead = "leaving_not_looked_up", "departure of the target could not be read", Warning,
-        None;
+    DepartureNotRead = "leaving_not_looked_up", "departure of the target could not be read",
+        Warning, None;
     {
         /// Error of the read.
         cause: String,
--- a/crates/yuccarackd/src/coordination/routed/row_publisher.rs
+++ b/crates/yuccarackd/src/coordination/routed/row_publisher.rs
@@ -16,8 +16,8 @@
 use super::{
     events::EventLog,
     log_lines::{
-        LeavingNotRead, LeavingNotStored, LeavingStored, MemberRowDeleted, MemberRowNotDeleted,
-        RowDeleted, RowNotDeleted, RowNotWritten, RowWritten,
+        DepartureNotRead, DepartureNotStored, DepartureStored, MemberRowDeleted,
+        MemberRowNotDeleted, RowDeleted, RowNotDeleted, RowNotWritten, RowWritten,
     },
     store_client::StoreClient,
     store_follower::MEMBERS_TABLE,
@@ -39,10 +39,11 @@
 
 /// Table of targets that have announced that they leave, one row for each instance. No daemon
 /// follows it, so a row costs one write, and one read at each start of a daemon.
-const LEAVING_TABLE: &str = "leaving";
+const DEPARTURES_TABLE: &str = "leaving";
 
-/// Longest wait for that row at a start; a target sends its next heartbeat 1.5 s later.
-const LOAD_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// Longest wait for the store at a start, be it for the departure row or for the write of the first
+/// member row; a target sends its next heartbeat 1.5 s later.
+const START_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// Time over which the first rows of a fleet are spread. One partition of the store handles about
 /// 150 transactions a second and refuses those that would wait for more than a second.
@@ -50,7 +51,7 @@
 
 wire_data! {
     /// A target that has announced that it leaves.
-    struct LeavingRow {
+    struct DepartureRow {
         /// Name of the target.
         target: TargetId,
         /// Last incarnation of the target that leaves.
@@ -152,9 +153,9 @@
     async fn create_row(&mut self, service: ServiceName) -> bool {
         sleep(FIRST_WRITE_SPREAD.mul_f64(generator().random())).await;
         let member = RoutedMember { service: Some(service), ..self.member.clone() };
-        let write = self.row_write(&member, 0, Some(LEAVING_TABLE));
+        let write = self.row_write(&member, 0, Some(DEPARTURES_TABLE));
         let written = async { self.store.write(&write?).await };
-        match timeout(LOAD_TIMEOUT, written).await {
+        match timeout(START_TIMEOUT, written).await {
             Ok(Ok(revision)) => {
                 let service = member.service.clone();
                 self.events.write(|| RowWritten { service, revision });
@@ -180,32 +181,32 @@
     /// again. While the store is unavailable the target's own heartbeats have to do.
     async fn load_departure(&self) {
         // Only the own row: the table grows with all instances that ever left.
-        let row = self.store.row(LEAVING_TABLE, &self.member.instance);
-        let row = match timeout(LOAD_TIMEOUT, row).await {
+        let row = self.store.row(DEPARTURES_TABLE, &self.member.instance);
+        let row = match timeout(START_TIMEOUT, row).await {
             Ok(Ok(row)) => row,
             Ok(Err(error)) => {
-                self.events.write(|| LeavingNotRead { cause: error.to_string() });
+                self.events.write(|| DepartureNotRead { cause: error.to_string() });
                 None
             }
             Err(_) => {
-                self.events.write(|| LeavingNotRead {
+                self.events.write(|| DepartureNotRead {
                     cause: "no response from the store in time".to_owned(),
                 });
                 None
             }
         };
         let row = row.and_then(|row| row.value);
-        let row = row.and_then(|text| self.decode_leaving_row(&text));
+        let row = row.and_then(|text| self.decode_departure_row(&text));
         let departed =
             row.map(|row| DepartedTarget { target: row.target, last_incarnation: row.last_life });
         self.target.restore_departed(departed);
     }
 
-    fn decode_leaving_row(&self, text: &[u8]) -> Option<LeavingRow> {
+    fn decode_departure_row(&self, text: &[u8]) -> Option<DepartureRow> {
         match serde_json::from_slice(text) {
             Ok(row) => Some(row),
             Err(error) => {
-                self.events.write(|| LeavingNotRead { cause: error.to_string() });
+                self.events.write(|| DepartureNotRead { cause: error.to_string() });
                 None
             }
         }
@@ -214,14 +215,14 @@
     /// Stores the departure of the target for a later process of this daemon; without one the row
     /// is deleted.
     async fn store_departure(&self, departed: Option<&DepartedTarget>) {
-        let row = departed.map(|departed| LeavingRow {
+        let row = departed.map(|departed| DepartureRow {
             target: departed.target.clone(),
             last_life: departed.last_incarnation,
         });
         let value = match row.as_ref().map(serde_json::to_vec).transpose() {
             Ok(value) => value.map(Bytes::from),
             Err(error) => {
-                self.events.write(|| LeavingNotStored { cause: error.to_string() });
+                self.events.write(|| DepartureNotStored { cause: error.to_string() });
                 return;
             }
         };
@@ -229,7 +230,7 @@
         let mut retry = RETRY_FIRST;
         loop {
             let write = FeedWrite {
-                table: LEAVING_TABLE,
+                table: DEPARTURES_TABLE,
                 key: self.member.instance.clone(),
                 expected_revision,
                 value: value.clone(),
@@ -237,7 +238,7 @@
             };
             match self.store.write(&write).await {
                 Ok(revision) => {
-                    self.events.write(|| LeavingStored {
+                    self.events.write(|| DepartureStored {
                         target: row.as_ref().map(|row| row.target.clone()),
                         life: row.as_ref().map(|row| row.last_life),
                         revision,
@@ -250,7 +251,7 @@
                     expected_revision = current_revision;
                 }
                 Err(error) => {
-                    self.events.write(|| LeavingNotStored { cause: error.to_string() });
+                    self.events.write(|| DepartureNotStored { cause: error.to_string() });
                     sleep(jittered(retry)).await;
                     retry = (retry * 2).min(RETRY_MAX);
                 }
