--- a/crates/yuccarackd/src/coordination/routed/catch_up.rs
+++ b/crates/yuccarackd/src/coordination/routed/catch_up.rs
@@ -48,7 +48,7 @@
     pub async fn run(self) {
         loop {
             let notice = self.peers.next_newer_table().await;
-            if !notice.is_omitted && self.follower.sync_state.source() != UpdateSource::Unassigned {
+            if !notice.is_table_missing && self.follower.sync_state.source() != UpdateSource::None {
                 self.wait_for_update(notice.version).await;
             }
             self.fetch(notice).await;
@@ -65,7 +65,10 @@
 
     /// Attempts to fetch until the newest known version is in force.
     async fn fetch(&self, notice: NewerTableNotice) {
-        let first = if notice.is_omitted { Source::Store } else { Source::Peer };
+        // A relay that sent neither the table nor changes which lead to it has no small changes, so
+        // the whole table is read from the store. Any other peer may have changes, which are
+        // smaller than the table.
+        let first = if notice.is_table_missing { Source::Store } else { Source::Peer };
         let mut source = first;
         let mut address = Some(notice.address);
         let mut retry = RETRY_FIRST;
@@ -102,7 +105,7 @@
     /// which retries it anyway.
     fn next_source(&self, source: Source) -> Source {
         match source {
-            Source::Peer if self.follower.sync_state.source() != UpdateSource::Unassigned => {
+            Source::Peer if self.follower.sync_state.source() != UpdateSource::None => {
                 Source::Store
             }
             Source::Peer | Source::Store => Source::Peer,
--- a/crates/yuccarackd/src/coordination/routed/peers/mod.rs
+++ b/crates/yuccarackd/src/coordination/routed/peers/mod.rs
@@ -58,7 +58,8 @@
 /// reaches the others within a second or two.
 const QUERY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time between two checks of a daemon that queries the store against another one that does.
+/// Interval at which a daemon that receives updates from the store queries a relay for a newer
+/// routing table, in case its own polls have stalled.
 ///
 /// The store may accept a poll and never respond, or its link may be cut while the connection
 /// stands. Until the poll times out after half a minute, neither this daemon nor those that it
@@ -133,8 +134,8 @@
     /// Daemons that sent requests to this one, queried while no member is known.
     senders: Mutex<Vec<SocketAddr>>,
     newer_tables: NewerTableNotices,
-    /// Whether a peer's last changes did not fit the own table, so that the next query asks for all
-    /// routes.
+    /// Whether a peer's last changes could not be unpacked or applied, other than for their base
+    /// version; the next query then requests all routes.
     needs_full_routing: AtomicBool,
     /// Held during a query, so that there is one at a time.
     query_lock: tokio::sync::Mutex<()>,
@@ -164,15 +165,14 @@
         }
     }
 
-    /// Queries peers while the store is unavailable, and checks against other relays while it is
-    /// available.
+    /// Queries random peers while this daemon has no other source of updates, and random relays
+    /// while the store is its source.
     pub async fn run(self, stop: CancellationToken) {
         let mut source_changes = self.inner.parts.sync_state.subscribe();
         loop {
             let source = *source_changes.borrow_and_update();
             self.query_random_peer(source).await;
-            let pause =
-                if source == UpdateSource::Unassigned { QUERY_INTERVAL } else { CHECK_INTERVAL };
+            let pause = if source == UpdateSource::None { QUERY_INTERVAL } else { CHECK_INTERVAL };
             tokio::select! {
                 () = stop.cancelled() => return,
                 () = sleep(jittered(pause)) => {}
@@ -183,7 +183,7 @@
 
     async fn query_random_peer(&self, source: UpdateSource) {
         let (scope, candidates) = match source {
-            UpdateSource::Unassigned => (UpdateScope::All, self.all_addresses()),
+            UpdateSource::None => (UpdateScope::All, self.all_addresses()),
             UpdateSource::Store => (UpdateScope::Routing, self.relays()),
             // The relay checks on behalf of all daemons that it sends updates to.
             UpdateSource::Relay => return,
@@ -245,8 +245,8 @@
             AcceptedChanges::All => (None, packer.changes_since(base)),
         };
         let routing = routing.filter(|routing| is_newer(routing.version()));
-        // Rows that were removed before this daemon listed the members are not among its known
-        // changes.
+        // Member rows that were deleted before this daemon's last full read of the table are not
+        // recorded, so a query from an older revision gets all members (`is_whole`).
         let after = query.members_after;
         let knows_changes = |after: Revision| parts.sync_state.knows_removals_after(after);
         let is_whole = known.is_some() && after.is_some_and(|after| !knows_changes(after));
--- a/crates/yuccarackd/src/coordination/routed/peers/newer_table.rs
+++ b/crates/yuccarackd/src/coordination/routed/peers/newer_table.rs
@@ -17,8 +17,9 @@
     pub address: SocketAddr,
     /// Version of the table.
     pub version: RoutingVersion,
-    /// Whether that daemon's update omitted the table for its size, so that it has to be fetched.
-    pub is_omitted: bool,
+    /// Whether that daemon's update came without the table and without changes that lead to it, so
+    /// that the table has to be fetched.
+    pub is_table_missing: bool,
 }
 
 /// The last notice of a newer table.
@@ -60,12 +61,17 @@
 impl Peers {
     /// Notes that the daemon at `address` has the routing table of `version`.
     pub fn note_version(&self, address: SocketAddr, version: RoutingVersion) {
-        self.inner.newer_tables.note(NewerTableNotice { address, version, is_omitted: false });
+        self.inner.newer_tables.note(NewerTableNotice {
+            address,
+            version,
+            is_table_missing: false,
+        });
     }
 
-    /// Notes the same of a daemon whose update omitted the table for its size.
-    pub fn note_omitted_table(&self, address: SocketAddr, version: RoutingVersion) {
-        self.inner.newer_tables.note(NewerTableNotice { address, version, is_omitted: true });
+    /// Notes the same of a daemon whose update came without the table and without changes that lead
+    /// to it.
+    pub fn note_missing_table(&self, address: SocketAddr, version: RoutingVersion) {
+        self.inner.newer_tables.note(NewerTableNotice { address, version, is_table_missing: true });
     }
 
     /// Waits for a notice of a routing table that is newer than the one in force.
--- a/crates/yuccarackd/src/coordination/routed/relay_follower.rs
+++ b/crates/yuccarackd/src/coordination/routed/relay_follower.rs
@@ -45,18 +45,20 @@
 /// relays.
 const RELAYS_ONLY_MAX: Duration = Duration::from_millis(400);
 
-/// Delay between two attempts at relays that can't be reached within that time.
+/// Delay between two attempts at relays that can't be reached, until [`RELAYS_ONLY_MAX`] has
+/// passed.
 const RETRY_AT_START: Duration = Duration::from_millis(50);
 
 /// Time for which a lost relay is avoided; a restart takes about 3 s.
 const AVOID_LOST: Duration = Duration::from_secs(3);
 
-/// Time for which a daemon that reports that it is no relay is avoided. While many daemons start,
-/// their views of the members differ for about as long, and an unavailable store may be available
-/// again. The time grows with the time in which the store serves no relay.
+/// First time for which a daemon that reports that it is no relay is avoided. While many daemons
+/// start, their lists of members differ for about 1 s, and an unavailable store may be available
+/// again after it. The time grows with the store's outage, up to [`AVOID_NO_RELAY_MAX`].
 const AVOID_NO_RELAY: Duration = Duration::from_secs(1);
 
-/// Longest such time; peers are queried for changes meanwhile.
+/// Longest time for which a daemon that reports that it is no relay is avoided; peers are queried
+/// for changes meanwhile.
 const AVOID_NO_RELAY_MAX: Duration = Duration::from_secs(4);
 
 /// Longest line that is accepted; a routing table of 2,500 routes takes about 1 MB.
@@ -92,15 +94,17 @@
 #[derive(Clone, Copy, Debug)]
 struct AvoidedRelay {
     until: Instant,
-    /// Whether the relay responded that the store doesn't serve it.
-    is_unserved: bool,
+    /// Whether the daemon reported that it is no relay: it doesn't query the store, gets no
+    /// response from it, or is leaving.
+    is_not_relay: bool,
 }
 
-/// A period in which the store serves no relay.
+/// A period in which all relays are reachable but report that they are none, usually because the
+/// store is unavailable.
 #[derive(Clone, Copy, Debug)]
-struct UnservedPeriod {
+struct StoreOutage {
     since: Instant,
-    /// When this daemon next polls the store to find out whether the store serves it.
+    /// When this daemon next queries the store to find out whether it responds.
     poll_at: Instant,
 }
 
@@ -109,8 +113,8 @@
 struct NoRelayAvailable {
     /// When the first relay can be queried again.
     retry_at: Instant,
-    /// Whether all relays responded that the store doesn't serve them.
-    are_unserved: bool,
+    /// Whether all of them reported that they are no relays.
+    are_all_not_relays: bool,
 }
 
 /// Keeps this daemon's tables up to date through a relay, and decides when it queries the store.
@@ -119,8 +123,8 @@
     instance: InstanceId,
     failure_domain: DomainName,
     avoided: HashMap<InstanceId, AvoidedRelay>,
-    /// Set while all relays are reachable and the store serves none of them.
-    unserved: Option<UnservedPeriod>,
+    /// Set while all relays are reachable but report that they are none.
+    outage: Option<StoreOutage>,
     store: StoreClient,
     /// Until when a daemon without routes queries relays only.
     relays_only_until: Instant,
@@ -128,7 +132,7 @@
 
 impl RelayFollower {
     /// Creates the follower of `instance` in `failure_domain`, which queries relays through
-    /// `peers`, and `store` where the store serves no relay.
+    /// `peers`, and `store` during an outage.
     pub fn new(
         peers: Peers,
         store: StoreClient,
@@ -140,7 +144,7 @@
             instance,
             failure_domain,
             avoided: HashMap::new(),
-            unserved: None,
+            outage: None,
             store,
             relays_only_until: Instant::now(),
         }
@@ -154,7 +158,7 @@
         let mut changes = members.subscribe();
         loop {
             changes.borrow_and_update();
-            let RelayRole::Follower(relays) = self.standing() else {
+            let RelayRole::Follower(relays) = self.own_role() else {
                 self.peers.parts().sync_state.set_queries_store(true);
                 if changes.changed().await.is_err() {
                     return;
@@ -184,35 +188,40 @@
         self.peers.parts().routing.version() == 0 && Instant::now() < self.relays_only_until
     }
 
-    fn standing(&self) -> RelayRole {
+    /// Returns whether this daemon is a relay of its failure domain, or which relays it follows.
+    fn own_role(&self) -> RelayRole {
         let members = self.peers.parts().members.all();
         let local = members.iter().filter(|member| member.failure_domain == self.failure_domain);
         relay_role(&self.instance, local.map(|member| member.instance.as_str()))
     }
 
-    /// Lets the store be queried in place of relays; while those are reachable, only at this
-    /// daemon's turn. Returns when to go on.
+    /// Queries the store in place of relays, and returns when to query relays again.
+    ///
+    /// If all relays are reachable but report that they are none, the store is probably
+    /// unavailable. A daemon with routes then only probes it once in a jittered interval, which
+    /// grows with the failure domain, to bound the load of all daemons together.
     async fn query_store_without_relay(&mut self, none: NoRelayAvailable) -> Instant {
         let sync_state = self.peers.parts().sync_state.clone();
-        let is_served = sync_state.queries_store() && sync_state.source() == UpdateSource::Store;
+        let is_store_in_use =
+            sync_state.queries_store() && sync_state.source() == UpdateSource::Store;
         let has_routes = self.peers.parts().routing.version() > 0;
-        if is_served || !none.are_unserved || !has_routes {
+        if is_store_in_use || !none.are_all_not_relays || !has_routes {
             sync_state.set_queries_store(true);
             return none.retry_at;
         }
         sync_state.set_queries_store(false);
-        sync_state.set_source(UpdateSource::Unassigned);
+        sync_state.set_source(UpdateSource::None);
         let interval = store_poll_interval(self.domain_size());
         let now = Instant::now();
-        let new_period =
-            || UnservedPeriod { since: now, poll_at: now + interval.mul_f64(rand::random()) };
-        let unserved = self.unserved.get_or_insert_with(new_period);
-        if unserved.poll_at > now {
-            return unserved.poll_at.min(none.retry_at);
+        let new_outage =
+            || StoreOutage { since: now, poll_at: now + interval.mul_f64(rand::random()) };
+        let outage = self.outage.get_or_insert_with(new_outage);
+        if outage.poll_at > now {
+            return outage.poll_at.min(none.retry_at);
         }
-        unserved.poll_at = now + jittered(interval);
+        outage.poll_at = now + jittered(interval);
         if self.store.row(MEMBERS_TABLE, &self.instance).await.is_ok() {
-            // Other daemons find out by querying all daemons that they know.
+            // Other daemons get the changes that this one reads, as they query random daemons.
             sync_state.set_queries_store(true);
         }
         none.retry_at
@@ -241,9 +250,9 @@
         let avoided = relays.iter().filter_map(|relay| self.avoided.get(relay));
         let retry_at =
             avoided.clone().map(|avoided| avoided.until).min().unwrap_or(now + AVOID_LOST);
-        let are_unserved =
-            avoided.clone().count() > 0 && avoided.clone().all(|relay| relay.is_unserved);
-        Err(NoRelayAvailable { retry_at, are_unserved })
+        let are_all_not_relays =
+            avoided.clone().count() > 0 && avoided.clone().all(|relay| relay.is_not_relay);
+        Err(NoRelayAvailable { retry_at, are_all_not_relays })
     }
 
     /// Applies updates of `relay` until it fails, or until this daemon is to query the store
@@ -255,16 +264,16 @@
         let cause = error.to_string();
         parts.events.write(|| RelayLost { relay: relay.clone(), cause });
         if parts.sync_state.source() == UpdateSource::Relay {
-            self.unserved = None;
+            self.outage = None;
         }
-        let is_unserved = matches!(error, RelayError::NotRelay);
-        let unserved_for =
-            self.unserved.map_or(Duration::ZERO, |unserved| unserved.since.elapsed());
-        let avoid_for = match is_unserved {
-            true => unserved_for.clamp(AVOID_NO_RELAY, AVOID_NO_RELAY_MAX),
+        let is_not_relay = matches!(error, RelayError::NotRelay);
+        let outage_duration = self.outage.map_or(Duration::ZERO, |outage| outage.since.elapsed());
+        let avoid_for = match is_not_relay {
+            true => outage_duration.clamp(AVOID_NO_RELAY, AVOID_NO_RELAY_MAX),
             false => AVOID_LOST,
         };
-        self.avoided.insert(relay, AvoidedRelay { until: Instant::now() + avoid_for, is_unserved });
+        self.avoided
+            .insert(relay, AvoidedRelay { until: Instant::now() + avoid_for, is_not_relay });
     }
 
     /// Receives lines; a daemon that has neither routes nor a line after a while queries the store
@@ -308,11 +317,11 @@
             }
             let update: PeerUpdate = serde_json::from_slice(&line)?;
             let (known, version) = (update.known.clone(), update.routing_version);
-            let is_omitted = update.routing.is_none() && update.changes.is_none();
+            let is_table_missing = update.routing.is_none() && update.changes.is_none();
             self.peers.apply_update(address, update);
             // Fetched separately, so that the following lines don't wait.
-            match is_omitted {
-                true => self.peers.note_omitted_table(address, version),
+            match is_table_missing {
+                true => self.peers.note_missing_table(address, version),
                 false => self.peers.note_version(address, version),
             }
             // The update of a daemon that is no relay is valid all the same, but no more will
@@ -323,7 +332,7 @@
             if parts.sync_state.set_source(UpdateSource::Relay) != UpdateSource::Relay {
                 parts.events.write(|| RelayConnected { relay: relay.to_owned() });
             }
-            if self.standing() == RelayRole::Relay {
+            if self.own_role() == RelayRole::Relay {
                 return Ok(());
             }
         }
--- a/crates/yuccarackd/src/coordination/routed/routing_packer.rs
+++ b/crates/yuccarackd/src/coordination/routed/routing_packer.rs
@@ -40,13 +40,14 @@
         self.pack(base, usize::MAX)
     }
 
-    /// Returns the same, but none if it takes more than [`SMALL_CHANGES_MAX_BYTES`].
+    /// Returns the same, but none if it takes more than [`SMALL_CHANGES_MAX_BYTES`], or if it isn't
+    /// packed yet and has more than [`SMALL_ROUTES_MAX`] routes.
     pub fn small_changes_since(&self, base: RoutingVersion) -> Option<Arc<PackedChanges>> {
         let changes = self.pack(base, SMALL_ROUTES_MAX)?;
         Some(changes).filter(|changes| changes.body.len() <= SMALL_CHANGES_MAX_BYTES)
     }
 
-    /// Packs changes of up to `routes_max` routes.
+    /// Returns cached changes of any size, or packs them if they have at most `routes_max` routes.
     fn pack(&self, base: RoutingVersion, routes_max: usize) -> Option<Arc<PackedChanges>> {
         let mut packed = self.packed.lock();
         let version = self.routing.version();
--- a/crates/yuccarackd/src/coordination/routed/store_client.rs
+++ b/crates/yuccarackd/src/coordination/routed/store_client.rs
@@ -29,8 +29,9 @@
         Self { client, counters }
     }
 
-    /// Returns all rows of `table`, as of one moment or as of the moments of its pages. `on_bytes`
-    /// receives the length of each chunk that arrives.
+    /// Returns all rows of `table`. Pages are read one after the other, so they may differ in age;
+    /// the revision is that of the first page, after which the feed returns the changes made
+    /// meanwhile. `on_bytes` receives the length of each chunk that arrives.
     ///
     /// # Errors
     ///
@@ -44,7 +45,8 @@
             let page = self.send(request, RESPONSE_TIMEOUT, &on_bytes).await;
             let page = page.and_then(|(status, body)| store::decode_rows(status, &body));
             let page = self.count_failure("store.reads_failed", page)?;
-            // The feed returns changes between two pages again, from the first page on.
+            // The feed is read from the first page's revision on, so that it returns changes made
+            // between two pages again.
             if snapshot.revision == 0 {
                 snapshot.revision = page.revision;
             }
--- a/crates/yuccarackd/src/coordination/routed/store_follower.rs
+++ b/crates/yuccarackd/src/coordination/routed/store_follower.rs
@@ -1,4 +1,5 @@
-//! Follows the operators' document and the members table by long polls of the store.
+//! Follows the store's routing rows, which are the routing table and the evacuations, and its
+//! members table by long polls.
 
 mod intake;
 
@@ -45,12 +46,12 @@
 /// unknown until those polls time out. Changes have to be in force within seconds.
 const FEED_WAIT_CAUTIOUS: Duration = Duration::from_secs(2);
 
-/// Poll time of a daemon's first query while the store does not serve it yet.
+/// Poll time while the store is not this daemon's source of updates; it then responds at once.
 ///
 /// A daemon that becomes a relay would otherwise have its first poll held open for as long as
-/// nothing changes, and report until then that it is no relay. Two pairs of daemons that take each
-/// other for relays would wait for each other.
-const FEED_WAIT_FIRST: Duration = Duration::ZERO;
+/// nothing changes, and report until then that it is no relay. Two pairs of daemons whose lists of
+/// members differ, so that each takes the other for the relays, would wait for each other.
+const FEED_WAIT_UNCONFIRMED: Duration = Duration::ZERO;
 
 /// How long [`FEED_WAIT_CAUTIOUS`] applies after a failure.
 const CAUTIOUS_PERIOD: Duration = Duration::from_secs(12);
@@ -135,7 +136,7 @@
 }
 
 impl StoreFollower {
-    /// Follows the operators' document until `stop` is cancelled.
+    /// Follows the routing rows until `stop` is cancelled.
     pub async fn follow_routing(self, stop: CancellationToken) {
         self.follow(FollowedTable::Routing, stop).await;
     }
@@ -168,8 +169,8 @@
         self.mark_available(FollowedTable::Members);
     }
 
-    /// Queries the members once, and lets the operators' document be queried beside them when the
-    /// response is late.
+    /// Queries the members once, and lets the routing rows be queried beside them when the response
+    /// is late.
     ///
     /// After a loss of power the store is slow. With one query after the other, first to the store
     /// and then to a relay that has waited as long, callers would wait twice as long for the first
@@ -183,7 +184,7 @@
         poll.await
     }
 
-    /// Reads the operators' document once and applies it; a failure is logged.
+    /// Reads the routing rows once and applies them; a failure is logged.
     pub async fn fetch_routing_table(&self) {
         let started_at = Instant::now();
         let transfer = self.transfers.begin();
@@ -209,7 +210,7 @@
             let wait = match self.sync_state.source() {
                 UpdateSource::Store if Instant::now() >= cautious_until => FEED_WAIT,
                 UpdateSource::Store => FEED_WAIT_CAUTIOUS,
-                UpdateSource::Relay | UpdateSource::Unassigned => FEED_WAIT_FIRST,
+                UpdateSource::Relay | UpdateSource::None => FEED_WAIT_UNCONFIRMED,
             };
             let result = tokio::select! {
                 () = stop.cancelled() => return,
@@ -276,14 +277,14 @@
 
     fn mark_available(&self, table: FollowedTable) {
         self.last_response.record();
-        if self.sync_state.set_source(UpdateSource::Store) == UpdateSource::Unassigned {
+        if self.sync_state.set_source(UpdateSource::Store) == UpdateSource::None {
             self.events.write(|| StoreAvailable { table: table_name(table) });
         }
     }
 
     fn mark_unavailable(&self, table: FollowedTable, error: &FeedError) {
         self.counters.add("store.failures");
-        if self.sync_state.set_source(UpdateSource::Unassigned) != UpdateSource::Unassigned {
+        if self.sync_state.set_source(UpdateSource::None) != UpdateSource::None {
             let (table, cause) = (table_name(table), error.to_string());
             self.events.write(|| StoreUnavailable { table, cause });
         }
--- a/crates/yuccarackd/src/coordination/routed/store_follower/intake.rs
+++ b/crates/yuccarackd/src/coordination/routed/store_follower/intake.rs
@@ -30,7 +30,7 @@
         self.members.mark_loaded();
     }
 
-    /// Applies a full read of the operators' table; evacuations that it doesn't list have ended.
+    /// Applies a full read of the routing rows; evacuations that it doesn't list have ended.
     pub(super) fn apply_full_routing(&self, snapshot: FeedRows) {
         let domains = snapshot.rows.iter().filter_map(|row| routing::evacuated_domain(&row.key));
         let listed: Vec<_> = domains.map(str::to_owned).collect();
--- a/crates/yuccarackd/src/coordination/routed/sweeper.rs
+++ b/crates/yuccarackd/src/coordination/routed/sweeper.rs
@@ -106,7 +106,8 @@
                 self.members.merge(&member, revision, None);
                 self.events.write(|| MemberRowDeleted { member, revision });
             }
-            // The next probe deletes it, or another relay has.
+            // Retried after the next round of probes, unless another relay has deleted the row by
+            // then.
             Err(error) => {
                 let cause = error.to_string();
                 self.events.write(|| MemberRowNotDeleted { member, cause });
--- a/crates/yuccarackd/src/daemon/routed/wiring.rs
+++ b/crates/yuccarackd/src/daemon/routed/wiring.rs
@@ -194,7 +194,7 @@
         metrics.register_gauge(
             "store_served",
             "Whether the store's news come in, 1 or 0.",
-            move || i64::from(sync_state.source() != UpdateSource::Unassigned),
+            move || i64::from(sync_state.source() != UpdateSource::None),
         );
         metrics.register_gauge(
             "news_relayed",
--- a/crates/yuccarackd/src/state/routed/update_source.rs
+++ b/crates/yuccarackd/src/state/routed/update_source.rs
@@ -12,7 +12,7 @@
 pub enum UpdateSource {
     /// Neither the store nor a relay provides updates; peers are polled instead.
     #[default]
-    Unassigned,
+    None,
     /// The store itself.
     Store,
     /// Another daemon of the failure domain, which queries the store.
--- a/crates/yuccarackd/tests/catch_up.rs
+++ b/crates/yuccarackd/tests/catch_up.rs
@@ -191,7 +191,7 @@
     let peer = Peer::start(0).await;
     let transfer = daemon.transfers.begin();
     transfer.record_bytes(PROGRESS_MIN_BYTES);
-    daemon.peers.note_omitted_table(peer.server.address(), 9);
+    daemon.peers.note_missing_table(peer.server.address(), 9);
     let transferring = async {
         for _ in 0..100 {
             transfer.record_bytes(PROGRESS_MIN_BYTES);
@@ -241,7 +241,7 @@
 /// again.
 #[tokio::test]
 async fn all_routes_are_requested_after_changes_that_do_not_fit() {
-    let daemon = start_fetching(UpdateSource::Unassigned).await;
+    let daemon = start_fetching(UpdateSource::None).await;
     assert!(daemon.routing.install_if_newer(table(4, 7)));
     let other = RoutingState::new();
     assert!(other.install_if_newer(table(4, 2)) && other.install_if_newer(table(9, 5)));
@@ -268,7 +268,7 @@
 /// Guards against a list of all members twice a second while the store is unavailable.
 #[tokio::test]
 async fn a_daemon_without_the_store_requests_only_changed_members() {
-    let daemon = start_fetching(UpdateSource::Unassigned).await;
+    let daemon = start_fetching(UpdateSource::None).await;
     daemon.sync_state.set_synced_up_to(FollowedTable::Members, Some(7));
     let peer = Peer::start(0).await;
     daemon.peers.note_sender(peer.server.address());
--- a/crates/yuccarackd/tests/news_source.rs
+++ b/crates/yuccarackd/tests/news_source.rs
@@ -40,7 +40,7 @@
         (UpdateSource::Store, false, false),
         (UpdateSource::Relay, false, false),
         (UpdateSource::Relay, true, false),
-        (UpdateSource::Unassigned, true, false),
+        (UpdateSource::None, true, false),
     ] {
         state.set_source(source);
         state.set_queries_store(queries_store);
--- a/crates/yuccarackd/tests/relay_lines.rs
+++ b/crates/yuccarackd/tests/relay_lines.rs
@@ -136,7 +136,7 @@
         match is_leaving {
             true => relay.leaving.cancel(),
             false => {
-                relay.sync_state.set_source(UpdateSource::Unassigned);
+                relay.sync_state.set_source(UpdateSource::None);
             }
         }
         assert_eq!(relay.next_update().await.known, None);
