--- a/crates/yuccarack_policy/src/health_checks.rs
+++ b/crates/yuccarack_policy/src/health_checks.rs
@@ -35,7 +35,7 @@
     /// The target reported its slowdown.
     SlowdownReported,
     /// The check gave no slowdown report: it failed, timed out, or its response carried none.
-    NoReport,
+    Unreported,
 }
 
 /// Schedule of the health checks of one target.
@@ -69,7 +69,7 @@
     pub fn record(&mut self, now: Instant, result: HealthCheckResult) {
         match result {
             HealthCheckResult::SlowdownReported => *self = Self::new(),
-            HealthCheckResult::NoReport => {
+            HealthCheckResult::Unreported => {
                 let pause = PAUSE_FIRST * 2_u32.saturating_pow(self.failed_in_row.min(8));
                 self.paused_until = Some(now + pause.min(PAUSE_MAX));
                 self.failed_in_row += 1;
--- a/crates/yuccarack_policy/tests/pace_looks.rs
+++ b/crates/yuccarack_policy/tests/pace_looks.rs
@@ -93,7 +93,7 @@
         match schedule.due_at(1, SERVICE_TIME, &slowdown) {
             Some(at) if at <= now => {
                 asked += 1;
-                schedule.record(now, HealthCheckResult::NoReport);
+                schedule.record(now, HealthCheckResult::Unreported);
             }
             _ => now += Duration::from_millis(1),
         }
--- a/crates/yuccarackd/src/coordination/routed/control_server.rs
+++ b/crates/yuccarackd/src/coordination/routed/control_server.rs
@@ -111,7 +111,7 @@
             heard: format!("{effect:?}"),
         });
         match effect {
-            // A success would promise the dead process something that has no effect.
+            // A 200 would tell a process that has been replaced that its heartbeat was applied.
             HeartbeatEffect::OlderLife => StatusCode::CONFLICT,
             HeartbeatEffect::TooSoon => StatusCode::SERVICE_UNAVAILABLE,
             HeartbeatEffect::NewLife
@@ -121,8 +121,8 @@
         }
     }
 
-    /// Returns the start of the latest process that may have left by now, for a leave that doesn't
-    /// name its own.
+    /// Returns the current time as an incarnation, which is the start time of a process: a leave
+    /// without an incarnation covers every process that has started by now.
     ///
     /// If the clock can't be used, all processes count: a request to a target that has left is
     /// worse than none to one that is joining.
--- a/crates/yuccarackd/src/coordination/routed/entry/attempts.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/attempts.rs
@@ -120,8 +120,8 @@
         }
     }
 
-    /// Classifies a failed attempt and counts the targets that may have run the request. Returns
-    /// `None` after a success.
+    /// Classifies a failed attempt for the decision on a retry, and counts the targets that may
+    /// have run the request. Returns `None` after a success.
     fn classify_failure(&mut self, reply: &Reply) -> Option<GateAttemptFailure> {
         match reply {
             Reply::Answered(response) if response.status().is_server_error() => {
@@ -162,7 +162,7 @@
                 gate: gate.member.instance.clone(),
                 ended: format!("{failure:?}"),
                 how: reply.describe(),
-                took_ms: now.duration_since(self.call.came_at).as_millis() as u64,
+                took_ms: now.duration_since(self.call.received_at).as_millis() as u64,
                 next,
             });
         }
@@ -211,8 +211,9 @@
     }
 
     async fn send_remote(&mut self, gate: &ChosenGate, hop: Hop) -> Reply {
-        let is_offered = self.entry.parts.settings.current().decisions.offered_bodies;
-        let request = self.call.request(&hop, is_offered);
+        // `offered_bodies` enables `Expect: 100-continue` for streamed bodies.
+        let expects_continue = self.entry.parts.settings.current().decisions.offered_bodies;
+        let request = self.call.request(&hop, expects_continue);
         let upstream = &self.entry.parts.upstream;
         match upstream.send(gate.address(), request, Freshness::Pooled).await {
             Ok(response) => self.receive_response(gate, response),
@@ -272,10 +273,15 @@
             Self::Refused(refusal) if matches!(refusal.reason, Reason::Admission(_)) => {
                 if may_wait { GateReply::NoQueueSpace } else { GateReply::NoFreeSlot }
             }
+            // A gate that refused for another reason or whose target responded with an error is not
+            // chosen again. A success is recorded in the same way, which has no effect, as the call
+            // ends with it.
             _ => GateReply::Unavailable,
         }
     }
 
+    /// Classifies the reply for the record of the gate's reliability and reachability, which later
+    /// calls choose their gates by.
     fn to_outcome(&self) -> GateAttemptOutcome {
         match self {
             Self::Answered(response) if response.status().is_server_error() => {
@@ -288,6 +294,8 @@
                     Reason::Admission(_) | Reason::DeadlinePassed | Reason::Quarantined,
                 ) => GateAttemptOutcome::Refused,
                 (Outcome::NotRun, Reason::Shed) => GateAttemptOutcome::Failed,
+                // The gate is unreachable. `Reason::Unreachable`, which a gate sends for an
+                // unreachable target, is one of the reasons below.
                 (Outcome::NotRun, Reason::NoConnection) => GateAttemptOutcome::Unreachable,
                 (Outcome::NotRun, _) => GateAttemptOutcome::Unavailable,
                 (_, Reason::DeadlinePassed) => GateAttemptOutcome::Failed,
@@ -296,6 +304,7 @@
         }
     }
 
+    /// Returns the name of the reply in the list of attempted gates.
     fn label(&self) -> &'static str {
         match self {
             Self::Answered(_) => "answered",
--- a/crates/yuccarackd/src/coordination/routed/entry/call.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/call.rs
@@ -29,14 +29,15 @@
     pub request_id: HeaderValue,
     /// When the entry gives up on the call.
     pub deadline: CallDeadline,
-    /// Until when the response has its full value for the caller.
+    /// Until when the response counts as on time by the route's `on_time_ms`. The estimated wait of
+    /// the caller with earlier, refused requests is deducted.
     pub soft_deadline: Instant,
     /// When the call arrived at the entry.
-    pub came_at: Instant,
+    pub received_at: Instant,
     /// Service whose targets may run the call.
     pub service: ServiceName,
-    /// Requests of one kind have similar service times.
-    pub kind: u64,
+    /// Hash of the route's name, which groups requests with similar service times.
+    pub route_hash: u64,
     /// Rank of the call's route, by which gates order their queues.
     pub rank: u8,
     /// Regions whose targets may run the call; all regions if empty.
@@ -90,9 +91,9 @@
         Hop {
             attempt,
             service: self.service.clone(),
-            kind: self.kind,
+            route_hash: self.route_hash,
             left_ms: millis(self.deadline.remaining(now)),
-            on_time_left_ms: millis(self.soft_deadline.saturating_duration_since(now)),
+            soft_deadline_left_ms: millis(self.soft_deadline.saturating_duration_since(now)),
             rank: self.rank,
             is_repeatable: self.is_repeatable,
             may_wait,
@@ -108,11 +109,11 @@
 
     /// Builds the request of an attempt at another daemon's gate.
     ///
-    /// If `is_offered`, a streamed body is held back until the gate has a slot for the request and
-    /// responds with `100 Continue`. After a refusal the body is still complete for another gate,
-    /// and no bytes were sent for nothing.
-    pub fn request(&self, hop: &Hop, is_offered: bool) -> Request<CallBody> {
-        let Some(body) = self.body.streamed().filter(|_| is_offered) else {
+    /// If `expects_continue`, a streamed body is held back until the gate has a slot for the
+    /// request and responds with `100 Continue`. After a refusal the body is still complete for
+    /// another gate, and no bytes were sent for nothing.
+    pub fn request(&self, hop: &Hop, expects_continue: bool) -> Request<CallBody> {
+        let Some(body) = self.body.streamed().filter(|_| expects_continue) else {
             return self.request_with_body(hop, self.body.next_body());
         };
         let demand = DemandSignal::new();
--- a/crates/yuccarackd/src/coordination/routed/entry/call_trace.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/call_trace.rs
@@ -7,14 +7,14 @@
 
 use super::{REFUSED, RoutedEntry, attempted_gates::AttemptedGates};
 use crate::{
-    coordination::routed::log_lines::{CallAnswered, CallFailed},
+    coordination::routed::log_lines::{CallFailed, CallSucceeded},
     protocol::{body::CallBody, refusal::Refusal},
 };
 
 /// Attributes of a call for its log line, filled in as they become known.
 pub struct CallTrace {
     /// When the call arrived at the entry.
-    pub came_at: Instant,
+    pub received_at: Instant,
     /// Address of the caller.
     pub peer: SocketAddr,
     /// Request ID; empty if the head can't be parsed.
@@ -30,10 +30,10 @@
 }
 
 impl CallTrace {
-    /// Creates a trace of a call from `peer` that arrived at `came_at`.
-    pub fn new(came_at: Instant, peer: SocketAddr) -> Self {
+    /// Creates a trace of a call from `peer` that arrived at `received_at`.
+    pub fn new(received_at: Instant, peer: SocketAddr) -> Self {
         Self {
-            came_at,
+            received_at,
             peer,
             request: String::new(),
             route: String::new(),
@@ -77,7 +77,7 @@
                 .events
                 .write(|| CallFailed { status, ..trace.failure_line(took_ms) });
         }
-        self.parts.events.write(|| CallAnswered {
+        self.parts.events.write(|| CallSucceeded {
             request: trace.request.clone(),
             peer: trace.peer.to_string(),
             route: trace.route.clone(),
--- a/crates/yuccarackd/src/coordination/routed/entry/mod.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/mod.rs
@@ -83,7 +83,7 @@
     pub evacuations: Evacuations,
     /// The gate in the same process, which is called directly.
     pub gate: Arc<Gate>,
-    /// Versions that other daemons report with their responses.
+    /// Peer exchange, which is told the routing table versions that gates report.
     pub peers: Peers,
     /// Connection pool for requests to other gates.
     pub upstream: Upstream,
@@ -108,9 +108,10 @@
 impl CallHandler for RoutedEntry {
     const ACCEPTS_PIPELINING: bool = true;
 
-    /// Allows an early start only for repeatable requests, as the caller sends the request again if
-    /// an earlier response closes the connection. While this daemon leaves it closes connections,
-    /// so none starts early.
+    /// Lets a pipelined request run before earlier ones on its connection are answered, only if it
+    /// is repeatable: the caller sends it again if an earlier response closes the connection. While
+    /// this daemon leaves it closes connections, so no request runs early. The switch `early_reads`
+    /// enables this.
     fn may_start_early(&self, head: &Parts) -> bool {
         let is_enabled = self.parts.settings.current().decisions.early_reads;
         if !is_enabled || self.parts.leaving.is_cancelled() {
@@ -160,7 +161,7 @@
         body: CallBody,
         trace: &mut CallTrace,
     ) -> Result<Response<CallBody>, Refusal> {
-        let head = RoutedHead::parse(&parts, trace.came_at)?;
+        let head = RoutedHead::parse(&parts, trace.received_at)?;
         trace.request = String::from_utf8_lossy(head.request_id.as_bytes()).into_owned();
         let routing = self.parts.routing.current().ok_or_else(no_routing_refusal)?;
         trace.routing_version = routing.version();
@@ -169,14 +170,14 @@
             .ok_or(Refusal::not_run(Reason::UnknownRoute))?;
         trace.route.clone_from(&route.name);
         check_body_size(&routing, &parts)?;
-        let kind = kind_of(route);
-        if !self.stats.admits(kind) {
+        let route_hash = hash_route(route);
+        if !self.stats.admits(route_hash) {
             return Err(Refusal::not_run(Reason::DependencyShortage));
         }
-        let call = self.build_call(&routing, route, head, parts, body, trace.came_at).await?;
+        let call = self.build_call(&routing, route, head, parts, body, trace.received_at).await?;
         trace.service.clone_from(&call.service);
         let result = self.run(call, &trace.gates).await;
-        self.record_result(kind, &trace.service, &result);
+        self.record_result(route_hash, &trace.service, &result);
         result
     }
 
@@ -187,15 +188,15 @@
         head: RoutedHead,
         parts: Parts,
         body: CallBody,
-        came_at: Instant,
+        received_at: Instant,
     ) -> Result<RoutedCall, Refusal> {
-        let wait_by = came_at + Duration::from_millis(route.wait_max_ms.into());
+        let wait_by = received_at + Duration::from_millis(route.wait_max_ms.into());
         let give_up_at = head.deadline.map_or(wait_by, |deadline| deadline.min(wait_by));
-        let kind = kind_of(route);
+        let route_hash = hash_route(route);
         let prior_wait = match head.deadline {
             Some(deadline) => {
-                let left = deadline.saturating_duration_since(came_at);
-                self.stats.prior_wait(came_at, kind, left)
+                let left = deadline.saturating_duration_since(received_at);
+                self.stats.prior_wait(received_at, route_hash, left)
             }
             None => Duration::ZERO,
         };
@@ -215,10 +216,10 @@
         Ok(RoutedCall {
             request_id: head.request_id,
             deadline,
-            soft_deadline: came_at + on_time.saturating_sub(prior_wait),
-            came_at,
+            soft_deadline: received_at + on_time.saturating_sub(prior_wait),
+            received_at,
             service: self.choose_service(route)?,
-            kind,
+            route_hash,
             rank: route.rank,
             home_regions: route.home_regions.clone(),
             is_repeatable: route.is_repeatable,
@@ -249,20 +250,20 @@
         }
     }
 
-    /// Updates the statistics of `kind` and `service` with the result of a call.
+    /// Updates the statistics of the route and of `service` with the result of a call.
     fn record_result(
         &self,
-        kind: u64,
+        route_hash: u64,
         service: &str,
         result: &Result<Response<CallBody>, Refusal>,
     ) {
         let now = Instant::now();
         match result {
             Ok(response) if response.status().is_server_error() => {
-                self.stats.record_run(now, kind, service, RunResult::Failed);
+                self.stats.record_call_result(now, route_hash, service, RunResult::Failed);
             }
-            Ok(_) => self.stats.record_run(now, kind, service, RunResult::Succeeded),
-            Err(refusal) if refusal.is_not_run() => self.stats.record_refusal(now, kind),
+            Ok(_) => self.stats.record_call_result(now, route_hash, service, RunResult::Succeeded),
+            Err(refusal) if refusal.is_not_run() => self.stats.record_refusal(now, route_hash),
             Err(_) => {}
         }
     }
@@ -313,7 +314,7 @@
         result: Result<Response<CallBody>, Refusal>,
         trace: &CallTrace,
     ) -> Response<CallBody> {
-        let took = trace.came_at.elapsed();
+        let took = trace.received_at.elapsed();
         let took_ms = took.as_millis() as u64;
         self.parts.metrics.observe_call(end_label(&result), took);
         let mut response = match result {
@@ -322,7 +323,7 @@
                 response
             }
             Err(refusal) => {
-                let refusal = with_retry_after_default(refusal);
+                let refusal = normalize_retry_after(refusal);
                 self.log_refusal(&refusal, trace, took_ms);
                 refusal.into_routed_response()
             }
@@ -335,8 +336,9 @@
     }
 }
 
-/// Returns the kind of a route's requests, which have similar service times and similar callers.
-fn kind_of(route: &Route) -> u64 {
+/// Returns the hash of a route's name, which groups requests with similar service times and similar
+/// callers.
+fn hash_route(route: &Route) -> u64 {
     xxh3_64(route.name.as_bytes())
 }
 
@@ -344,9 +346,8 @@
     Refusal::not_run(Reason::NoRouting).with_retry_after(NO_ROUTING_RETRY_AFTER)
 }
 
-/// Gives a request that has not run a `Retry-After` if the refusal has none, and removes it
-/// otherwise.
-fn with_retry_after_default(refusal: Refusal) -> Refusal {
+/// Adds a default `Retry-After` if the request has not run, and removes any if it may have run.
+fn normalize_retry_after(refusal: Refusal) -> Refusal {
     let is_not_run = refusal.outcome == crate::protocol::refusal::Outcome::NotRun;
     match refusal.retry_after {
         None if is_not_run => refusal.with_retry_after(NO_TARGET_RETRY_AFTER),
--- a/crates/yuccarackd/src/coordination/routed/entry/route_stats.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/route_stats.rs
@@ -15,43 +15,46 @@
 /// Limit of tracked routes, which is above the number of routes in an operator's table.
 const ROUTES_MAX: usize = 4_096;
 
-/// Statistics by kind of request, and shortages by service.
+/// Statistics by route, and shortages by service.
 pub struct RouteStats {
     decisions: Decisions,
-    by_kind: Mutex<HashMap<u64, KindStats>>,
+    /// Keys are the hashes of the routes' names.
+    by_route: Mutex<HashMap<u64, StatsOfRoute>>,
     shortages: Mutex<Shortages>,
 }
 
 #[derive(Default)]
-struct KindStats {
+struct StatsOfRoute {
     prior_waits: PriorWaitEstimator,
     throttle: AdaptiveThrottle,
 }
 
 impl RouteStats {
-    /// Creates empty statistics; `decisions` selects the ones in use.
+    /// Creates empty statistics; `decisions` are the feature switches that enable their use.
     pub fn new(decisions: Decisions) -> Self {
-        Self { decisions, by_kind: Mutex::default(), shortages: Mutex::default() }
+        Self { decisions, by_route: Mutex::default(), shortages: Mutex::default() }
     }
 
     /// Estimates how long the caller had waited with earlier, refused requests before this one
     /// arrived at `now`.
-    pub fn prior_wait(&self, now: Instant, kind: u64, left: Duration) -> Duration {
+    pub fn prior_wait(&self, now: Instant, route_hash: u64, left: Duration) -> Duration {
+        // `patience` enables the estimate of prior waits.
         if !self.decisions.patience {
             return Duration::ZERO;
         }
-        self.update(kind, |stats| stats.prior_waits.estimate(now, left))
+        self.update(route_hash, |stats| stats.prior_waits.estimate(now, left))
     }
 
-    /// Returns whether a request of `kind` is admitted.
-    pub fn admits(&self, kind: u64) -> bool {
+    /// Returns whether the throttle of the route admits a request.
+    pub fn admits(&self, route_hash: u64) -> bool {
+        // `futile_runs` enables the throttle.
         !self.decisions.futile_runs
-            || self.update(kind, |stats| stats.throttle.admits(&mut rand::rng()))
+            || self.update(route_hash, |stats| stats.throttle.admits(&mut rand::rng()))
     }
 
-    /// Records that a request of `kind` was refused.
-    pub fn record_refusal(&self, now: Instant, kind: u64) {
-        self.update(kind, |stats| stats.prior_waits.record_refusal(now));
+    /// Records that a request of the route was refused.
+    pub fn record_refusal(&self, now: Instant, route_hash: u64) {
+        self.update(route_hash, |stats| stats.prior_waits.record_refusal(now));
     }
 
     /// Records that `service` refused a request for lack of capacity.
@@ -59,18 +62,25 @@
         self.shortages.lock().record_refusal(now, service);
     }
 
-    /// Records how a run of `kind` at `service` ended.
-    pub fn record_run(&self, now: Instant, kind: u64, service: &str, result: RunResult) {
+    /// Records the result of a call that `service` ran. Failures while another service lacks
+    /// capacity throttle the route, as its calls probably depend on that service.
+    pub fn record_call_result(
+        &self,
+        now: Instant,
+        route_hash: u64,
+        service: &str,
+        result: RunResult,
+    ) {
         let is_short = self.shortages.lock().is_other_service_short(now, service);
-        self.update(kind, |stats| stats.throttle.record_run(result, is_short));
+        self.update(route_hash, |stats| stats.throttle.record_run(result, is_short));
     }
 
-    fn update<T>(&self, kind: u64, change: impl FnOnce(&mut KindStats) -> T) -> T {
-        let mut by_kind = self.by_kind.lock();
-        if by_kind.len() >= ROUTES_MAX && !by_kind.contains_key(&kind) {
+    fn update<T>(&self, route_hash: u64, change: impl FnOnce(&mut StatsOfRoute) -> T) -> T {
+        let mut by_route = self.by_route.lock();
+        if by_route.len() >= ROUTES_MAX && !by_route.contains_key(&route_hash) {
             // The map also holds routes that operators have removed.
-            by_kind.clear();
+            by_route.clear();
         }
-        change(by_kind.entry(kind).or_default())
+        change(by_route.entry(route_hash).or_default())
     }
 }
--- a/crates/yuccarackd/src/coordination/routed/events.rs
+++ b/crates/yuccarackd/src/coordination/routed/events.rs
@@ -11,11 +11,11 @@
 /// Kinds of log lines, each with a rate limit of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum EventKind {
-    /// A call received its target's response.
-    CallAnswered,
-    /// A call received a refusal or a target's failure.
+    /// A target responded to the call with a 2xx status.
+    CallSucceeded,
+    /// A daemon refused the call, or its target responded with another status.
     CallFailed,
-    /// An attempt ended without a successful response of a target.
+    /// An attempt failed other than by a gate's refusal.
     AttemptEnded,
     /// A gate refused a request or received no complete response.
     GateRefused,
@@ -25,12 +25,12 @@
     MemberChanged,
     /// A routing table could not be fetched.
     RoutingNotFetched,
-    /// A relay is connected or lost; lost relays are queried again about each second.
+    /// A relay is connected or lost; a lost relay is queried again after 1 to 4 s.
     Relay,
 }
 
 const EVENT_KINDS: [EventKind; 8] = [
-    EventKind::CallAnswered,
+    EventKind::CallSucceeded,
     EventKind::CallFailed,
     EventKind::AttemptEnded,
     EventKind::GateRefused,
@@ -43,7 +43,7 @@
 impl EventKind {
     fn as_str(self) -> &'static str {
         match self {
-            Self::CallAnswered => "call_answered",
+            Self::CallSucceeded => "call_answered",
             Self::CallFailed => "call_failed",
             Self::AttemptEnded => "try_ended",
             Self::GateRefused => "gate_refused",
@@ -59,7 +59,7 @@
     /// 0.3 % of a core.
     fn lines_per_s(self) -> f64 {
         match self {
-            Self::CallAnswered => 5.0,
+            Self::CallSucceeded => 5.0,
             Self::CallFailed => 60.0,
             Self::AttemptEnded | Self::GateRefused => 40.0,
             Self::Heartbeat | Self::MemberChanged | Self::RoutingNotFetched | Self::Relay => 5.0,
--- a/crates/yuccarackd/src/coordination/routed/gate/cold.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/cold.rs
@@ -37,6 +37,7 @@
         if !view.is_cold || cold_start.is_zero() {
             return None;
         }
+        // An incarnation is the start time of the target's process in ms since 1970.
         let age = match unix_ms() {
             Ok(now_ms) => Duration::from_millis(now_ms.saturating_sub(view.incarnation)),
             Err(error) => {
--- a/crates/yuccarackd/src/coordination/routed/gate/exchange.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/exchange.rs
@@ -71,7 +71,7 @@
         let view = &self.active.view;
         let target_request = request.target_request(&view.target);
         let freshness = match request.hop.is_repeatable {
-            true => self.active.pooled.freshness(Instant::now()),
+            true => self.active.idle_drops.freshness(Instant::now()),
             false => Freshness::New,
         };
         let sent = self.gate.parts.upstream.send(view.address, target_request, freshness).await;
@@ -83,7 +83,7 @@
             self.gate.mark_unreachable(self.active);
         }
         if matches!(error, SendError::Broken(_)) {
-            self.active.pooled.record_broken(Instant::now());
+            self.active.idle_drops.record_broken(Instant::now());
         }
         let (reason, outcome) = match error {
             SendError::Unreachable { .. } => (Reason::Unreachable, Outcome::NotRun),
--- a/crates/yuccarackd/src/coordination/routed/gate/health_checks.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/health_checks.rs
@@ -45,7 +45,8 @@
 async fn run_checks(gate: &Gate, active: &ActiveTarget) {
     let mut schedule = HealthCheckSchedule::new();
     loop {
-        let (started, check_due) = (active.slots.started(), active.slots.health_check_due());
+        let (started, check_due) =
+            (active.slots.started_at_once(), active.slots.health_check_due());
         let now = Instant::now();
         let due_at = active.slots.read(|queue| due_at(gate, &schedule, queue, now));
         match due_at {
@@ -73,6 +74,7 @@
     now: Instant,
 ) -> Option<Instant> {
     let cold_check_at = queue.cold_rate().health_check_due_at(now);
+    // `pace_looks` enables the health checks that query the slowdown.
     let is_enabled = gate.parts.decisions.pace_looks;
     let slowdown_check_at =
         || schedule.due_at(queue.running(), queue.mean_service_time(), queue.slowdown());
@@ -84,7 +86,7 @@
 async fn check(gate: &Gate, active: &ActiveTarget) -> HealthCheckResult {
     let sent_at = Instant::now();
     active.slots.change(|queue, now| queue.cold_rate_mut().record_health_check(now));
-    let Some(path) = gate.load_path(active) else { return HealthCheckResult::NoReport };
+    let Some(path) = gate.health_check_path(active) else { return HealthCheckResult::Unreported };
     gate.parts.counters.add("gate.pace_looks");
     let report = match timeout_at(
         (sent_at + HEALTH_CHECK_TIMEOUT).into(),
@@ -95,7 +97,7 @@
         Ok(Some(report)) => report,
         Ok(None) | Err(_) => {
             gate.parts.counters.add("gate.pace_looks_in_vain");
-            return HealthCheckResult::NoReport;
+            return HealthCheckResult::Unreported;
         }
     };
     active.slots.change(|queue, now| {
@@ -110,7 +112,7 @@
     if report.slowdown_percent.is_some() {
         HealthCheckResult::SlowdownReported
     } else {
-        HealthCheckResult::NoReport
+        HealthCheckResult::Unreported
     }
 }
 
--- a/crates/yuccarackd/src/coordination/routed/gate/pooled_connections.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/idle_drop_tracker.rs
@@ -14,13 +14,13 @@
 /// idle connections does so for seconds.
 const CAUTIOUS_PERIOD: Duration = Duration::from_secs(5);
 
-/// Tracks whether the target drops pooled connections.
+/// Tracks whether the target drops idle connections of the pool.
 #[derive(Debug, Default)]
-pub struct PooledConnections {
+pub struct IdleDropTracker {
     cautious_until: Mutex<Option<Instant>>,
 }
 
-impl PooledConnections {
+impl IdleDropTracker {
     /// Records that a connection broke while a request was on it.
     pub fn record_broken(&self, now: Instant) {
         *self.cautious_until.lock() = Some(now + CAUTIOUS_PERIOD);
--- a/crates/yuccarackd/src/coordination/routed/gate/mod.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/mod.rs
@@ -4,7 +4,7 @@
 mod crash_tracker;
 mod exchange;
 mod health_checks;
-mod pooled_connections;
+mod idle_drop_tracker;
 mod request;
 mod server;
 mod work_slots;
@@ -29,7 +29,7 @@
     request::GateRequest,
     server::GateServer,
 };
-use self::{exchange::Exchange, pooled_connections::PooledConnections, work_slots::WorkSlots};
+use self::{exchange::Exchange, idle_drop_tracker::IdleDropTracker, work_slots::WorkSlots};
 use super::{
     events::EventLog,
     log_lines::{GateRefused, TargetAdmitted, TargetReachable, TargetUnreachable},
@@ -94,7 +94,7 @@
     pub background: TaskTracker,
     /// Cancelled when this daemon starts to leave.
     pub leaving: CancellationToken,
-    /// Optional decisions that the settings switch on.
+    /// Feature switches from the settings.
     pub decisions: Decisions,
 }
 
@@ -114,7 +114,7 @@
     slots: WorkSlots,
     stop: CancellationToken,
     is_unreachable: AtomicBool,
-    pooled: PooledConnections,
+    idle_drops: IdleDropTracker,
 }
 
 impl Gate {
@@ -249,6 +249,7 @@
             return reject(Reason::Evacuated);
         }
         if active.is_unreachable.load(Ordering::Acquire) {
+            // The target is meant here; `NoConnection` is the reason for an unreachable gate.
             return reject(Reason::Unreachable);
         }
         Ok(())
@@ -325,7 +326,7 @@
     }
 
     /// Returns the path of the target's health checks from the routing table.
-    fn load_path(&self, active: &ActiveTarget) -> Option<String> {
+    fn health_check_path(&self, active: &ActiveTarget) -> Option<String> {
         let routing = self.parts.routing.current()?;
         routing.service(&active.view.service).map(|service| service.load_path.clone())
     }
@@ -338,13 +339,13 @@
     fn activate_target(&self, view: Arc<RoutedTargetView>, cold_rate: ColdRate) -> ActiveTarget {
         let slots = WorkSlots::new(view.slots, cold_rate, self.parts.decisions);
         let stop = CancellationToken::new();
-        self.parts.background.spawn(slots.clone().run_clock(stop.clone()));
+        self.parts.background.spawn(slots.clone().run_timer(stop.clone()));
         ActiveTarget {
             view,
             slots,
             stop,
             is_unreachable: AtomicBool::new(false),
-            pooled: PooledConnections::default(),
+            idle_drops: IdleDropTracker::default(),
         }
     }
 
@@ -360,7 +361,7 @@
                 reason: refusal.reason.as_str(),
                 outcome: refusal.outcome.as_str(),
                 left_ms: millis(request.deadline.remaining(Instant::now())),
-                here_ms: millis(request.came_at.elapsed()),
+                here_ms: millis(request.received_at.elapsed()),
                 queued_ms: request.queued.map(millis),
                 running: load.running,
                 waiting: load.waiting,
--- a/crates/yuccarackd/src/coordination/routed/gate/request.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/request.rs
@@ -20,12 +20,12 @@
 pub struct GateRequest {
     /// Metadata from the entry's hop header.
     pub hop: Hop,
-    /// When the caller gives up.
+    /// When the entry gives up on the request.
     pub deadline: CallDeadline,
-    /// Until when the response has its full value for the caller.
+    /// Until when the response counts as on time by the route's `on_time_ms`.
     pub soft_deadline: Instant,
     /// When the request arrived at the gate.
-    pub came_at: Instant,
+    pub received_at: Instant,
     /// Time in the queue; `None` until the request gets a slot.
     pub queued: Option<Duration>,
     /// Request head without hop-by-hop headers and headers between daemons.
@@ -40,14 +40,14 @@
         forwarding::strip_hop_by_hop(&mut parts.headers);
         forwarding::strip_internal_headers(&mut parts.headers);
         let deadline = CallDeadline::new(now + Duration::from_millis(hop.left_ms.into()));
-        let soft_deadline = now + Duration::from_millis(hop.on_time_left_ms.into());
-        Self { hop, deadline, soft_deadline, came_at: now, queued: None, parts, body }
+        let soft_deadline = now + Duration::from_millis(hop.soft_deadline_left_ms.into());
+        Self { hop, deadline, soft_deadline, received_at: now, queued: None, parts, body }
     }
 
     /// Returns the attributes by which the queue orders and refuses the request.
     pub fn to_work_request(&self) -> WorkRequest {
         WorkRequest {
-            kind: self.hop.kind,
+            kind: self.hop.route_hash,
             rank: self.hop.rank,
             soft_deadline: self.soft_deadline,
             deadline: self.deadline.at(),
--- a/crates/yuccarackd/src/coordination/routed/gate/work_slots.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/work_slots.rs
@@ -15,7 +15,8 @@
     },
 };
 
-/// Sleep of the clock when nothing is due. The next request that is queued wakes it earlier.
+/// Sleep of the timer task when no queued request is due. The next request that is queued wakes it
+/// earlier.
 const IDLE_WAKE_INTERVAL: std::time::Duration = std::time::Duration::from_secs(60);
 
 /// Decision on a queued request: a slot or a refusal.
@@ -29,10 +30,10 @@
 
 struct Shared {
     state: Mutex<State>,
-    /// Wakes the clock when the next due time may have changed.
+    /// Wakes the timer task when the next due time may have changed.
     changed: Notify,
-    /// Notifies the health checks that a request has started.
-    started: Notify,
+    /// Notifies the health checks that a request got a slot without a wait.
+    started_at_once: Notify,
     /// Notifies the health checks that one is due to find out whether the target is cold.
     health_check_due: Notify,
 }
@@ -51,7 +52,7 @@
             shared: Arc::new(Shared {
                 state: Mutex::new(state),
                 changed: Notify::new(),
-                started: Notify::new(),
+                started_at_once: Notify::new(),
                 health_check_due: Notify::new(),
             }),
         }
@@ -77,7 +78,7 @@
             let mut state = self.shared.state.lock();
             match state.queue.offer(Instant::now(), request) {
                 QueueDecision::Run(key) => {
-                    self.shared.started.notify_waiters();
+                    self.shared.started_at_once.notify_waiters();
                     self.shared.notify_health_check_due(&state.queue);
                     return Ok(SlotLease::new(self.clone(), key));
                 }
@@ -112,8 +113,8 @@
     }
 
     /// Completes when a request gets a slot without a wait.
-    pub fn started(&self) -> Notified<'_> {
-        self.shared.started.notified()
+    pub fn started_at_once(&self) -> Notified<'_> {
+        self.shared.started_at_once.notified()
     }
 
     /// Completes when a health check is due to find out whether the target is cold.
@@ -127,7 +128,7 @@
     }
 
     /// Settles queued requests as their wait times expire, until `stop`.
-    pub async fn run_clock(self, stop: CancellationToken) {
+    pub async fn run_timer(self, stop: CancellationToken) {
         loop {
             let next = self.shared.state.lock().queue.next_wake(Instant::now());
             let due = next.unwrap_or_else(|| Instant::now() + IDLE_WAKE_INTERVAL);
--- a/crates/yuccarackd/src/coordination/routed/log_lines/calls.rs
+++ b/crates/yuccarackd/src/coordination/routed/log_lines/calls.rs
@@ -5,9 +5,9 @@
 use crate::coordination::routed::events::EventKind;
 
 log_lines! {
-    /// A call received a successful response.
-    CallAnswered = "call_answered", "call succeeded", Info,
-        Some(EventKind::CallAnswered);
+    /// A target responded to the call with a 2xx status.
+    CallSucceeded = "call_answered", "call succeeded", Info,
+        Some(EventKind::CallSucceeded);
     {
         /// Request id that the caller set.
         request: String,
@@ -27,7 +27,7 @@
         took_ms: u64,
     }
 
-    /// A call received a target's failure, or a refusal by this daemon.
+    /// The target responded with a status other than 2xx, or this daemon refused the call.
     CallFailed = "call_failed", "call failed", Info, Some(EventKind::CallFailed);
     {
         /// Request id that the caller set.
@@ -54,7 +54,8 @@
         took_ms: u64,
     }
 
-    /// An attempt that may have executed brought no successful response.
+    /// An attempt failed other than by a gate's refusal: the target responded with a server error
+    /// or shed the request, or the outcome is unknown.
     AttemptEnded = "try_ended", "attempt failed", Info, Some(EventKind::AttemptEnded);
     {
         /// Request id that the caller set.
--- a/crates/yuccarackd/src/protocol/hop.rs
+++ b/crates/yuccarackd/src/protocol/hop.rs
@@ -23,13 +23,13 @@
     pub attempt: AttemptId,
     /// Service that has to run the request.
     pub service: ServiceName,
-    /// Kind of the request: a hash of the name of its route, computed by the entry. Requests of one
-    /// kind have similar service times.
-    pub kind: u64,
+    /// Hash of the name of the request's route, computed by the entry. Requests of one route have
+    /// similar service times.
+    pub route_hash: u64,
     /// Time until nobody waits for the response any more, in ms from sending.
     pub left_ms: u32,
-    /// Time within which the response has its full value, in ms from sending.
-    pub on_time_left_ms: u32,
+    /// Time within which the response counts as on time, in ms from sending.
+    pub soft_deadline_left_ms: u32,
     /// Priority of the request; 0 is the most urgent.
     pub rank: u8,
     /// Whether the request may run more than once.
@@ -54,9 +54,9 @@
             "{};{};{:x};{};{};{};{};{};{};{}",
             format_id(self.attempt),
             self.service,
-            self.kind,
+            self.route_hash,
             self.left_ms,
-            self.on_time_left_ms,
+            self.soft_deadline_left_ms,
             self.rank,
             u8::from(self.is_repeatable),
             u8::from(self.may_wait),
@@ -76,9 +76,9 @@
         Ok(Self {
             attempt: u128::from_str_radix(next()?, 16).map_err(|_| HopError)?,
             service: next()?.to_owned(),
-            kind: u64::from_str_radix(next()?, 16).map_err(|_| HopError)?,
+            route_hash: u64::from_str_radix(next()?, 16).map_err(|_| HopError)?,
             left_ms: value(next()?)?,
-            on_time_left_ms: value(next()?)?,
+            soft_deadline_left_ms: value(next()?)?,
             rank: value(next()?)?,
             is_repeatable: flag(next()?)?,
             may_wait: flag(next()?)?,
