--- a/crates/yuccarack_config/src/decisions.rs
+++ b/crates/yuccarack_config/src/decisions.rs
@@ -7,7 +7,7 @@
     /// daemon falls back to the simplest behaviour.
     #[derive(Copy)]
     #[serde(default)]
-    pub struct Decisions {
+    pub struct FeatureSwitches {
         /// Pipelined reads behind a running request of the same caller start before it completes.
         pub early_reads: bool,
         /// A large request body is sent to a gate only once the gate has a free slot for it.
@@ -35,7 +35,7 @@
     }
 }
 
-impl Default for Decisions {
+impl Default for FeatureSwitches {
     fn default() -> Self {
         Self {
             early_reads: true,
--- a/crates/yuccarack_config/src/routed_settings.rs
+++ b/crates/yuccarack_config/src/routed_settings.rs
@@ -11,7 +11,7 @@
 use serde::{Deserialize, Deserializer, de::Error};
 
 use crate::{
-    decisions::Decisions,
+    decisions::FeatureSwitches,
     errors::{self, FileError},
     ids::{DomainName, InstanceId, RegionName, ServiceName},
     routing::RoutingTable,
@@ -68,7 +68,7 @@
         pub bounds: RoutedBounds,
         /// Switches of the scheduling and overload decisions.
         #[serde(default)]
-        pub decisions: Decisions,
+        pub decisions: FeatureSwitches,
     }
 
     /// Assigns a failure domain to its region.
--- a/crates/yuccarack_policy/src/placement/mod.rs
+++ b/crates/yuccarack_policy/src/placement/mod.rs
@@ -16,7 +16,7 @@
 
 use rand::{Rng, seq::IteratorRandom};
 use slotmap::{SlotMap, new_key_type};
-use yuccarack_config::decisions::Decisions;
+use yuccarack_config::decisions::FeatureSwitches;
 
 use self::gate::Gate;
 pub use self::gate::{GateAttemptOutcome, GateLoad};
@@ -113,7 +113,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Placement {
     gates: SlotMap<GateKey, Gate>,
-    decisions: Decisions,
+    decisions: FeatureSwitches,
 }
 
 impl Placement {
@@ -123,7 +123,7 @@
     }
 
     /// Sets which of the optional decisions are in use.
-    pub fn with_decisions(mut self, decisions: Decisions) -> Self {
+    pub fn with_decisions(mut self, decisions: FeatureSwitches) -> Self {
         self.decisions = decisions;
         self
     }
--- a/crates/yuccarack_policy/src/work_queue/mod.rs
+++ b/crates/yuccarack_policy/src/work_queue/mod.rs
@@ -26,7 +26,7 @@
 use std::time::{Duration, Instant};
 
 use slotmap::{SlotMap, new_key_type};
-use yuccarack_config::decisions::Decisions;
+use yuccarack_config::decisions::FeatureSwitches;
 
 pub use self::{
     decision::{QueueDecision, QueueRefusal, QueueRefusalReason, WaitResult},
@@ -97,7 +97,7 @@
     cold_rate: ColdRate,
     finished_waits: Vec<WaitResult>,
     is_draining: bool,
-    decisions: Decisions,
+    decisions: FeatureSwitches,
 }
 
 impl WorkQueue {
@@ -112,12 +112,12 @@
             cold_rate: ColdRate::default(),
             finished_waits: Vec::new(),
             is_draining: false,
-            decisions: Decisions::default(),
+            decisions: FeatureSwitches::default(),
         }
     }
 
     /// Sets which of the optional decisions are in use.
-    pub fn with_decisions(mut self, decisions: Decisions) -> Self {
+    pub fn with_decisions(mut self, decisions: FeatureSwitches) -> Self {
         self.decisions = decisions;
         self.cold_rate = self.cold_rate.with_spread(decisions.cold_spread);
         self
--- a/crates/yuccarackd/src/coordination/routed/entry/route_stats.rs
+++ b/crates/yuccarackd/src/coordination/routed/entry/route_stats.rs
@@ -6,7 +6,7 @@
 };
 
 use parking_lot::Mutex;
-use yuccarack_config::decisions::Decisions;
+use yuccarack_config::decisions::FeatureSwitches;
 use yuccarack_policy::{
     adaptive_throttle::{AdaptiveThrottle, RunResult, Shortages},
     prior_wait::PriorWaitEstimator,
@@ -17,7 +17,7 @@
 
 /// Statistics by route, and shortages by service.
 pub struct RouteStats {
-    decisions: Decisions,
+    decisions: FeatureSwitches,
     /// Keys are the hashes of the routes' names.
     by_route: Mutex<HashMap<u64, StatsOfRoute>>,
     shortages: Mutex<Shortages>,
@@ -31,7 +31,7 @@
 
 impl RouteStats {
     /// Creates empty statistics; `decisions` are the feature switches that enable their use.
-    pub fn new(decisions: Decisions) -> Self {
+    pub fn new(decisions: FeatureSwitches) -> Self {
         Self { decisions, by_route: Mutex::default(), shortages: Mutex::default() }
     }
 
--- a/crates/yuccarackd/src/coordination/routed/gate/mod.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/mod.rs
@@ -21,7 +21,7 @@
 use parking_lot::RwLock;
 use tokio::time::sleep;
 use tokio_util::{sync::CancellationToken, task::TaskTracker};
-use yuccarack_config::{decisions::Decisions, heartbeat::TargetPhase};
+use yuccarack_config::{decisions::FeatureSwitches, heartbeat::TargetPhase};
 use yuccarack_policy::{cold_rate::ColdRate, placement::GateLoad, work_queue::QueueRefusal};
 
 pub use self::{
@@ -95,7 +95,7 @@
     /// Cancelled when this daemon starts to leave.
     pub leaving: CancellationToken,
     /// Feature switches from the settings.
-    pub decisions: Decisions,
+    pub decisions: FeatureSwitches,
 }
 
 /// The gate of one target: queues, admits and dispatches its requests.
--- a/crates/yuccarackd/src/coordination/routed/gate/work_slots.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/work_slots.rs
@@ -5,7 +5,7 @@
 use parking_lot::Mutex;
 use tokio::sync::{Notify, futures::Notified, oneshot};
 use tokio_util::sync::CancellationToken;
-use yuccarack_config::decisions::Decisions;
+use yuccarack_config::decisions::FeatureSwitches;
 use yuccarack_policy::{
     cold_rate::ColdRate,
     placement::GateLoad,
@@ -45,7 +45,7 @@
 
 impl WorkSlots {
     /// Creates the queue of a target that runs `slots` requests at once.
-    pub fn new(slots: u16, cold_rate: ColdRate, decisions: Decisions) -> Self {
+    pub fn new(slots: u16, cold_rate: ColdRate, decisions: FeatureSwitches) -> Self {
         let queue = WorkQueue::new(slots).with_decisions(decisions).with_cold_rate(cold_rate);
         let state = State { queue, waiting: HashMap::new() };
         Self {
