--- a/crates/yuccarack_standins/src/bin/yuccarack-load.rs
+++ b/crates/yuccarack_standins/src/bin/yuccarack-load.rs
@@ -1,4 +1,4 @@
-//! Sends an open-loop load, prints counts and times, and fails on any answer that isn't sound.
+//! Sends an open-loop load, prints counts and latencies, and fails on any incorrect response.
 
 use std::{net::SocketAddr, process::ExitCode};
 
@@ -6,29 +6,29 @@
 use http::Method;
 use yuccarack_standins::load::{LoadPlan, RequestKind, run_load};
 
-/// Exit code when an answer was wrong, cut, missing or untyped.
+/// Exit code when a response was wrong, truncated, missing or untyped.
 const EXIT_UNSOUND: u8 = 1;
 
-/// Open-loop load with unique bodies, each answer checked against the echo
+/// Open-loop load with unique bodies; checks each response against the expected echo
 #[derive(Bpaf, Clone, Debug)]
 #[bpaf(options)]
 struct Options {
     /// Address to send to; several take turns
     #[bpaf(long, argument("ADDRESS"), some("at least one --to"))]
     to: Vec<SocketAddr>,
-    /// Requests a second
+    /// Requests per second
     #[bpaf(long, argument("N"), fallback(100))]
     rate: u32,
     /// Time to send for, in ms
     #[bpaf(long, argument("MS"), fallback(5_000))]
     duration_ms: u64,
-    /// Seed of bodies, times and choice
+    /// Seed of the bodies, send times and choice of kind
     #[bpaf(long, argument("N"), fallback(1))]
     seed: u64,
-    /// Deadline that each request says, in ms
+    /// Deadline that each request carries, in ms
     #[bpaf(long, argument("MS"), optional)]
     deadline_ms: Option<u64>,
-    /// Name under which the caller is counted
+    /// Caller name that each request carries
     #[bpaf(long, argument("NAME"), optional)]
     caller: Option<String>,
     /// Length of each body of a request that is not a GET, in bytes
--- a/crates/yuccarack_standins/src/bin/yuccarack-measure-control.rs
+++ b/crates/yuccarack_standins/src/bin/yuccarack-measure-control.rs
@@ -1,18 +1,18 @@
-//! Measures what control costs; prints a JSON line.
+//! Measures the cost of the control plane and prints a JSON line.
 
 use std::{path::PathBuf, process::ExitCode};
 
 use bpaf::Bpaf;
 use yuccarack_standins::measure::{MeasurePlan, run};
 
-/// Cost of control and times of news, with real daemons around a stand-in platform
+/// Cost of the control plane and propagation times, with real daemons and a stand-in platform
 #[derive(Bpaf, Clone, Debug)]
 #[bpaf(options)]
 struct Options {
-    /// The daemon's program
+    /// Path of the daemon's program
     #[bpaf(long, argument("FILE"))]
     program: PathBuf,
-    /// Daemons
+    /// Number of daemons
     #[bpaf(long, argument("N"), fallback(12))]
     daemons: usize,
     /// Members of each service
@@ -21,12 +21,12 @@
     /// Foreign services that each daemon calls
     #[bpaf(long, argument("N"), fallback(4))]
     calls_services: usize,
-    /// All call the first service only
+    /// All daemons call the first service only
     hot: bool,
     /// Length of each measured window, in s
     #[bpaf(long, argument("S"), fallback(30))]
     window_s: u64,
-    /// Calls that each daemon gets in the loaded window, in a second; 0 leaves it out
+    /// Calls per second and daemon in the loaded window; 0 omits that window
     #[bpaf(long, argument("N"), fallback(0))]
     calls_per_s: u32,
 }
--- a/crates/yuccarack_standins/src/bin/yuccarack-platform.rs
+++ b/crates/yuccarack_standins/src/bin/yuccarack-platform.rs
@@ -1,4 +1,4 @@
-//! Runs the platform stand-in until it is ended.
+//! Runs the platform stand-in until it gets SIGTERM or SIGINT.
 
 use std::{io, net::SocketAddr};
 
--- a/crates/yuccarack_standins/src/bin/yuccarack-proxy.rs
+++ b/crates/yuccarack_standins/src/bin/yuccarack-proxy.rs
@@ -1,4 +1,4 @@
-//! Runs a fault-injecting TCP proxy until it is ended.
+//! Runs a fault-injecting TCP proxy until it gets SIGTERM or SIGINT.
 
 use std::{io, net::SocketAddr};
 
@@ -8,7 +8,7 @@
     proxy::Proxy,
 };
 
-/// TCP proxy with faults to order
+/// TCP proxy with injected faults
 #[derive(Bpaf, Clone, Debug)]
 #[bpaf(options)]
 struct Options {
@@ -18,7 +18,7 @@
     /// Address for faults, with port 0 for any
     #[bpaf(long, argument("ADDRESS"), fallback(SocketAddr::from(([127, 0, 0, 1], 0))))]
     control: SocketAddr,
-    /// Address to carry to
+    /// Address to forward to
     #[bpaf(long, argument("ADDRESS"))]
     upstream: SocketAddr,
 }
--- a/crates/yuccarack_standins/src/bin/yuccarack-target.rs
+++ b/crates/yuccarack_standins/src/bin/yuccarack-target.rs
@@ -1,4 +1,4 @@
-//! Runs a target stand-in until it is ended or crashed.
+//! Runs a target stand-in until it gets SIGTERM or SIGINT, or crashes.
 
 use std::{io, net::SocketAddr, path::PathBuf, time::Duration};
 
@@ -8,23 +8,23 @@
     target::{CrashMode, RunLog, Target, TargetOptions},
 };
 
-/// Time without a request after which a draining target ends.
+/// Time without a request after which a draining target exits.
 const QUIET_BEFORE_END: Duration = Duration::from_secs(1);
 
-/// Stand-in of a target: echoes each request after its time of service
+/// Stand-in of a target: echoes each request after its service time
 #[derive(Bpaf, Clone, Debug)]
 #[bpaf(options)]
 struct Options {
     /// Service that it announces
     #[bpaf(long, argument("NAME"))]
     service: String,
-    /// Name in the record
+    /// Name in the run log
     #[bpaf(long, argument("NAME"), fallback("target".to_owned()))]
     name: String,
     /// Address for calls, with port 0 for any
     #[bpaf(long, argument("ADDRESS"), fallback(SocketAddr::from(([127, 0, 0, 1], 0))))]
     listen: SocketAddr,
-    /// Address for faults and the record, with port 0 for any
+    /// Address for faults and the run log, with port 0 for any
     #[bpaf(long, argument("ADDRESS"), fallback(SocketAddr::from(([127, 0, 0, 1], 0))))]
     control: SocketAddr,
     /// Admin address of the daemon to announce itself to
@@ -39,31 +39,31 @@
     /// Connections taken at once
     #[bpaf(long, argument("N"), fallback(250))]
     connections_max: u16,
-    /// Requests inside above which it sheds
+    /// Requests inside the target above which it sheds load
     #[bpaf(long, argument("N"), optional)]
     shed_above: Option<u16>,
-    /// Time of service, in ms
+    /// Service time, in ms
     #[bpaf(long, argument("MS"), fallback(1))]
     service_ms: u64,
-    /// Share of requests that take longer, in percent
+    /// Share of requests with a longer service time, in percent
     #[bpaf(long, argument("N"), fallback(0))]
     tail_percent: u8,
-    /// Mean of the time that these take on top, in ms
+    /// Mean additional service time of these, in ms
     #[bpaf(long, argument("MS"), fallback(0))]
     tail_ms: u64,
-    /// Time after the start in which each request takes longer, in ms
+    /// Cold period after the start, in ms
     #[bpaf(long, argument("MS"), fallback(0))]
     cold_for_ms: u64,
-    /// Time that each request takes on top while cold, in ms
+    /// Additional service time during the cold period, in ms
     #[bpaf(long, argument("MS"), fallback(0))]
     cold_extra_ms: u64,
-    /// Seed of the times of service
+    /// Seed of the random service times
     #[bpaf(long, argument("N"), fallback(1))]
     seed: u64,
-    /// Number of its life
+    /// Incarnation of the target
     #[bpaf(long, argument("N"), fallback(1))]
     boot_id: u64,
-    /// File that takes a line for each run's begin and end
+    /// File that a line is appended to for the start and the end of each run
     #[bpaf(long, argument("FILE"), optional)]
     record_file: Option<PathBuf>,
 }
--- a/crates/yuccarack_standins/src/client.rs
+++ b/crates/yuccarack_standins/src/client.rs
@@ -1,4 +1,4 @@
-//! A small HTTP/1.1 client for tests and stand-ins: one question, one whole answer.
+//! A small HTTP/1.1 client for tests and stand-ins that buffers complete responses.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -13,57 +13,57 @@
 use thiserror::Error;
 use tokio::time::timeout;
 
-/// Longest time to make a connection.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Longest time that a question of a test may take.
+/// Default timeout for a complete response.
 pub const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Why there is no whole answer.
+/// Why there is no complete response.
 #[derive(Debug, Error)]
 pub enum ClientError {
-    /// No connection could be made; nothing was sent.
+    /// No connection could be opened; nothing was sent.
     #[error("no connection")]
     Unreachable,
-    /// The connection broke before the answer's head.
-    #[error("no answer")]
+    /// The connection broke before the head of the response.
+    #[error("no response")]
     NoResponse,
-    /// The head came and the body was cut.
-    #[error("the answer of status {status} was cut")]
+    /// The head arrived, but the connection broke before the end of the body.
+    #[error("the response body of status {status} was truncated")]
     TruncatedBody {
-        /// The answer's status.
+        /// Status of the response.
         status: StatusCode,
     },
-    /// Nothing came in time.
-    #[error("no answer in time")]
+    /// The complete response didn't arrive within the timeout.
+    #[error("no response in time")]
     TimedOut,
-    /// The question has no form.
-    #[error("the question can't be written")]
+    /// The request can't be encoded.
+    #[error("the request can't be encoded")]
     InvalidRequest,
-    /// The answer isn't what was asked for.
-    #[error("the answer can't be read")]
+    /// The response has an unexpected status or can't be parsed.
+    #[error("unexpected or malformed response")]
     Malformed,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug)]
 pub struct ClientResponse {
-    /// Its status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Its headers.
+    /// Response headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Full body.
     pub body: Bytes,
 }
 
 impl ClientResponse {
-    /// The value of the header of `name`, empty when there is none.
+    /// Returns the value of the header `name`, or an empty string if it is missing.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or_default()
     }
 }
 
-/// A question on its way to becoming a request.
+/// A request to send with [`HttpClient::send`].
 #[derive(Clone, Debug)]
 pub struct ClientRequest {
     method: Method,
@@ -73,35 +73,35 @@
 }
 
 impl ClientRequest {
-    /// Asks for `path` with `method`.
+    /// Makes a request of `method` for `path`, without headers or body.
     pub fn new(method: Method, path: impl Into<String>) -> Self {
         Self { method, path: path.into(), headers: Vec::new(), body: Bytes::new() }
     }
 
-    /// Adds a header.
+    /// Appends a header.
     pub fn with_header(mut self, name: &str, value: impl ToString) -> Self {
         self.headers.push((name.to_owned(), value.to_string()));
         self
     }
 
-    /// Gives it a body.
+    /// Sets the body.
     pub fn with_body(mut self, body: impl Into<Bytes>) -> Self {
         self.body = body.into();
         self
     }
 
-    /// Its path with the query.
+    /// Returns the path with the query.
     pub fn path(&self) -> &str {
         &self.path
     }
 
-    /// Its body.
+    /// Returns the body.
     pub fn body(&self) -> &Bytes {
         &self.body
     }
 }
 
-/// Asks over pooled connections; it never sends a question twice.
+/// A client with pooled connections that never sends a request twice.
 #[derive(Clone, Debug)]
 pub struct HttpClient {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -115,7 +115,7 @@
 }
 
 impl HttpClient {
-    /// Makes a client that waits `response_timeout` for each whole answer.
+    /// Makes a client that waits `response_timeout` for each complete response.
     pub fn new(response_timeout: Duration) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -127,31 +127,31 @@
         Self { client, response_timeout }
     }
 
-    /// Asks `question` of `address`.
+    /// Sends `request` to `address` and waits for the complete response.
     ///
     /// # Errors
     ///
-    /// Any [`ClientError`] but a malformed answer.
+    /// Any [`ClientError`] but a malformed response.
     pub async fn send(
         &self,
         address: SocketAddr,
-        question: ClientRequest,
+        request: ClientRequest,
     ) -> Result<ClientResponse, ClientError> {
-        let mut request = Request::builder()
-            .method(question.method)
-            .uri(format!("http://{address}{}", question.path));
-        for (name, value) in &question.headers {
-            request = request.header(name, value);
+        let mut builder = Request::builder()
+            .method(request.method)
+            .uri(format!("http://{address}{}", request.path));
+        for (name, value) in &request.headers {
+            builder = builder.header(name, value);
         }
         let request =
-            request.body(Full::new(question.body)).map_err(|_| ClientError::InvalidRequest)?;
+            builder.body(Full::new(request.body)).map_err(|_| ClientError::InvalidRequest)?;
         match timeout(self.response_timeout, self.exchange(request)).await {
             Ok(result) => result,
             Err(_) => Err(ClientError::TimedOut),
         }
     }
 
-    /// Reads `path` of `address` as JSON.
+    /// Gets `path` from `address` and parses the body as JSON, whatever the status.
     ///
     /// # Errors
     ///
@@ -161,15 +161,15 @@
         address: SocketAddr,
         path: &str,
     ) -> Result<T, ClientError> {
-        let told = self.send(address, ClientRequest::new(Method::GET, path)).await?;
-        serde_json::from_slice(&told.body).map_err(|_| ClientError::Malformed)
+        let response = self.send(address, ClientRequest::new(Method::GET, path)).await?;
+        serde_json::from_slice(&response.body).map_err(|_| ClientError::Malformed)
     }
 
     /// Posts `value` as JSON to `path` of `address`.
     ///
     /// # Errors
     ///
-    /// Any [`ClientError`]; an answer that isn't a success counts as malformed.
+    /// Any [`ClientError`]; a response that isn't a success counts as malformed.
     pub async fn post_json<T: Serialize>(
         &self,
         address: SocketAddr,
@@ -177,23 +177,23 @@
         value: &T,
     ) -> Result<(), ClientError> {
         let body = serde_json::to_vec(value).map_err(|_| ClientError::InvalidRequest)?;
-        let question = ClientRequest::new(Method::POST, path)
+        let request = ClientRequest::new(Method::POST, path)
             .with_header("content-type", "application/json")
             .with_body(body);
-        let told = self.send(address, question).await?;
-        if told.status.is_success() {
+        let response = self.send(address, request).await?;
+        if response.status.is_success() {
             return Ok(());
         }
         Err(ClientError::Malformed)
     }
 
     async fn exchange(&self, request: Request<Full<Bytes>>) -> Result<ClientResponse, ClientError> {
-        let answer = match self.client.request(request).await {
-            Ok(answer) => answer,
+        let response = match self.client.request(request).await {
+            Ok(response) => response,
             Err(error) if error.is_connect() => return Err(ClientError::Unreachable),
             Err(_) => return Err(ClientError::NoResponse),
         };
-        let (head, body) = answer.into_parts();
+        let (head, body) = response.into_parts();
         let status = head.status;
         let body =
             body.collect().await.map_err(|_| ClientError::TruncatedBody { status })?.to_bytes();
--- a/crates/yuccarack_standins/src/fleet/mod.rs
+++ b/crates/yuccarack_standins/src/fleet/mod.rs
@@ -1,10 +1,11 @@
-//! A fleet for tests: real daemons and tools, stand-ins around them, a faulty link on each path.
+//! A fleet for tests: real daemons and tools among stand-ins, with a fault-injecting proxy on each
+//! link.
 
 mod node;
 mod operator;
 mod plan;
 pub mod process;
-mod storm;
+mod stress;
 mod wait;
 
 use std::{
@@ -26,7 +27,7 @@
     operator::{CommandOutput, Operator, route, rules_file, service_rules},
     plan::{DOMAINS, FleetPlan},
     process::Daemon,
-    storm::{StressCall, StressLoad, StressPlan, StressReport, check_stress_calls},
+    stress::{StressCall, StressLoad, StressPlan, StressReport, check_stress_calls},
     wait::{WAIT_MAX, wait_for, wait_until},
 };
 use crate::{
@@ -36,43 +37,43 @@
     target::RunLog,
 };
 
-/// Fleets of this process so far.
+/// Number of fleets that this process has started.
 static FLEETS: AtomicU32 = AtomicU32::new(0);
 
-/// Time that a request which must not repeat has, in ms.
+/// Deadline of a request that must run at most once, in ms.
 const ONCE_DEADLINE_MS: u32 = 2_000;
 
-/// Time that an operator gives a command, in ms.
-const OPERATOR_PATIENCE_MS: u32 = 10_000;
+/// Timeout of an operator's command, in ms.
+const OPERATOR_TIMEOUT_MS: u32 = 10_000;
 
-/// Time without a request after which a target counts as quiet.
-const QUIET: Duration = Duration::from_millis(200);
+/// Time without a request after which a target counts as idle.
+const IDLE_TIME: Duration = Duration::from_millis(200);
 
-/// Daemons that each new one may ask when the platform is away.
+/// Seed peers of each daemon, which it queries when the platform is unavailable.
 const SEED_PEERS: usize = 2;
 
 /// A running fleet.
 #[derive(Debug)]
 pub struct Fleet {
-    /// The platform; its faults hit everybody.
+    /// The platform; its faults affect all daemons.
     pub platform: Platform,
-    /// All runs on all targets.
+    /// Runs on all targets.
     pub run_log: RunLog,
-    /// The instances, in the order of the plan.
+    /// The instances, in the order of the plan's targets.
     pub nodes: Vec<Node>,
-    /// A caller.
+    /// HTTP client for calls and admin requests.
     pub client: HttpClient,
-    /// An operator.
+    /// Runs operator commands.
     pub operator: Operator,
     folder: PathBuf,
 }
 
 impl Fleet {
-    /// Starts the platform, all targets and all daemons of `plan`.
+    /// Starts the platform, the targets and the daemons of `plan`.
     ///
     /// # Errors
     ///
-    /// Something can't be started.
+    /// A part can't be started.
     pub async fn start(plan: FleetPlan) -> io::Result<Self> {
         let mut fleet = Self::without_daemons(plan).await?;
         for node in &mut fleet.nodes {
@@ -81,11 +82,11 @@
         Ok(fleet)
     }
 
-    /// Starts the platform and all targets of `plan`, and no daemon yet.
+    /// Starts the platform and the targets of `plan`, but no daemons.
     ///
     /// # Errors
     ///
-    /// Something can't be started.
+    /// A part can't be started.
     pub async fn without_daemons(plan: FleetPlan) -> io::Result<Self> {
         println!("seed {}", plan.seed);
         let folder = folder()?;
@@ -102,27 +103,32 @@
             program: plan.operator_program.clone(),
             platform: platform.address(),
             folder: folder.clone(),
-            timeout_ms: OPERATOR_PATIENCE_MS,
+            timeout_ms: OPERATOR_TIMEOUT_MS,
         };
         Ok(Self { platform, run_log, nodes, client: HttpClient::default(), operator, folder })
     }
 
-    /// Applies the rules of `services` as the first file.
+    /// Applies the rules of `services` as the first rules file.
     ///
     /// # Panics
     ///
-    /// The file isn't accepted.
+    /// The file is rejected, or the operators' program can't be run.
     pub async fn apply(&self, services: Vec<ServiceRules>) {
-        let ran = self.operator.apply("first", &rules_file(0, services)).await;
-        let ran = ran.expect("the operators' program can't be run; is it built?");
-        assert_eq!(ran.exit_code, 0, "not accepted: {} {}", ran.stdout_json, ran.stderr);
+        let output = self.operator.apply("first", &rules_file(0, services)).await;
+        let output = output.expect("the operators' program can't be run; build it first");
+        assert_eq!(
+            output.exit_code, 0,
+            "rules file rejected: {} {}",
+            output.stdout_json, output.stderr
+        );
     }
 
-    /// Starts a fleet of `plan` with the usual rules for all its services, ready for calls.
+    /// Starts a fleet of `plan` with the default rules for all its services and waits until it
+    /// serves calls.
     ///
     /// # Panics
     ///
-    /// It doesn't get ready.
+    /// The fleet doesn't start or doesn't become ready.
     pub async fn start_ready(plan: FleetPlan) -> Self {
         let mut services: Vec<_> = plan.targets.iter().map(|target| &target.service).collect();
         services.dedup();
@@ -130,19 +136,19 @@
         Self::start_ready_with(plan, rules).await
     }
 
-    /// Starts a fleet of `plan` with the rules `services`, ready for calls.
+    /// Starts a fleet of `plan` with the rules `services` and waits until it serves calls.
     ///
     /// # Panics
     ///
-    /// It doesn't get ready.
+    /// The fleet doesn't start or doesn't become ready.
     pub async fn start_ready_with(plan: FleetPlan, services: Vec<ServiceRules>) -> Self {
-        let fleet = Self::start(plan).await.expect("the fleet doesn't start");
+        let fleet = Self::start(plan).await.expect("the fleet failed to start");
         fleet.apply(services).await;
         fleet.wait_ready().await;
         fleet
     }
 
-    /// Waits until each daemon serves a call of each service, and knows all targets of its own.
+    /// Waits until each daemon serves a call of each service and knows all its targets.
     pub async fn wait_ready(&self) {
         for node in self.nodes.iter().filter(|node| node.daemon.is_some()) {
             for service in self.services() {
@@ -163,7 +169,7 @@
             .await;
     }
 
-    /// Instances of `service` that the daemon of `node` takes for ready.
+    /// Returns the instances of `service` that the daemon of `node` considers ready.
     pub async fn ready_targets(&self, node: &Node, service: &str) -> Vec<String> {
         let rows: Result<Vec<MemberRow>, _> =
             self.client.get_json(node.admin_address(), "/targets").await;
@@ -174,7 +180,7 @@
             .collect()
     }
 
-    /// Revision of the rules of `service` that the daemon of `node` has in force.
+    /// Returns the revision of the rules of `service` that are in force on the daemon of `node`.
     pub async fn rules_revision(&self, node: &Node, service: &str) -> Option<u64> {
         let status: Value = self.client.get_json(node.admin_address(), "/status").await.ok()?;
         let services = status["services"].as_array()?;
@@ -182,41 +188,42 @@
         found["rules_revision"].as_u64()
     }
 
-    /// Counters of the daemon of `node`.
+    /// Returns the counters of the daemon of `node`; empty if it can't be reached.
     pub async fn counters(&self, node: &Node) -> BTreeMap<String, u64> {
         self.client.get_json(node.admin_address(), "/counters").await.unwrap_or_default()
     }
 
-    /// Asks for a call of `service` at the daemon at `address`.
+    /// Sends a call of `service` to the daemon at `address`.
     ///
     /// # Errors
     ///
-    /// What a caller would see.
+    /// Any [`ClientError`] of the call.
     pub async fn call(
         &self,
         address: SocketAddr,
         service: &str,
-        question: ClientRequest,
+        request: ClientRequest,
     ) -> Result<ClientResponse, ClientError> {
-        self.client.send(address, question.with_header(headers::SERVICE, service)).await
+        self.client.send(address, request.with_header(headers::SERVICE, service)).await
     }
 
-    /// Prints what the daemons remember of `request`, and its runs.
+    /// Prints the runs of `request` and the daemons' explanations of it.
     pub async fn print_explanation(&self, request: &str) {
         println!("{request} ran as {:?}", self.run_log.runs_of_request(request));
         for node in &self.nodes {
             let path = format!("/explain/{request}");
-            let told: Result<Value, _> = self.client.get_json(node.admin_address(), &path).await;
-            println!("{} says {}", node.name(), told.unwrap_or_default());
+            let explanation: Result<Value, _> =
+                self.client.get_json(node.admin_address(), &path).await;
+            println!("{} says {}", node.name(), explanation.unwrap_or_default());
         }
     }
 
-    /// Sends a request that must not repeat, and judges its answer.
+    /// Sends a request that must run at most once and classifies the response.
     pub async fn send_once(&self, address: SocketAddr, service: &str, key: &str) -> Verdict {
         self.send_once_to(address, service, key, "/once").await
     }
 
-    /// Sends a request for `path` that must not repeat, and judges its answer.
+    /// Sends a request for `path` that must run at most once and classifies the response.
     pub async fn send_once_to(
         &self,
         address: SocketAddr,
@@ -225,21 +232,21 @@
         path: &str,
     ) -> Verdict {
         let body = format!("order {key}");
-        let question = ClientRequest::new(Method::POST, path)
+        let request = ClientRequest::new(Method::POST, path)
             .with_header(headers::IDEMPOTENCY_KEY, key)
             .with_header(headers::DEADLINE_MS, ONCE_DEADLINE_MS)
             .with_body(body.clone());
-        classify_response(path, body.as_bytes(), &self.call(address, service, question).await)
+        classify_response(path, body.as_bytes(), &self.call(address, service, request).await)
     }
 
-    /// Whether a call of `service` that may repeat gets its answer at `address`.
+    /// Whether a repeatable call of `service` at `address` gets the correct response.
     pub async fn read_succeeds(&self, address: SocketAddr, service: &str) -> bool {
-        let question = ClientRequest::new(Method::GET, "/read");
-        classify_response("/read", b"", &self.call(address, service, question).await)
+        let request = ClientRequest::new(Method::GET, "/read");
+        classify_response("/read", b"", &self.call(address, service, request).await)
             == Verdict::Correct
     }
 
-    /// Callers of `service` at all daemons.
+    /// Makes a plan of callers of `service` at all daemons.
     pub fn stress_plan(&self, service: &str, seed: u64) -> StressPlan {
         StressPlan {
             seed,
@@ -252,38 +259,38 @@
         }
     }
 
-    /// Waits until the callers of `storm` have made `count` more calls.
-    pub async fn wait_more_calls(&self, storm: &StressLoad, count: usize) {
-        let enough = storm.calls_made() + count;
+    /// Waits until the callers of `load` have finished `count` more calls.
+    pub async fn wait_more_calls(&self, load: &StressLoad, count: usize) {
+        let expected = load.calls_made() + count;
         let what = format!("{count} more calls were made");
-        wait_until(&what, || async { storm.calls_made() >= enough }).await;
+        wait_until(&what, || async { load.calls_made() >= expected }).await;
     }
 
-    /// Waits until no target runs anything any more.
+    /// Waits until all targets are idle.
     pub async fn wait_idle(&self) {
         for node in &self.nodes {
-            node.target.wait_idle(QUIET).await;
+            node.target.wait_idle(IDLE_TIME).await;
         }
     }
 
-    /// The node of the instance of `name`.
+    /// Returns the node of the instance `name`.
     ///
     /// # Panics
     ///
-    /// There is none.
+    /// No instance has this name.
     pub fn node(&mut self, name: &str) -> &mut Node {
         let found = self.nodes.iter_mut().find(|node| node.name() == name);
         found.unwrap_or_else(|| panic!("no instance {name}"))
     }
 
-    /// Stops everything and removes what was written.
+    /// Stops the fleet and deletes its settings and logs.
     pub async fn stop(mut self) {
         for node in std::mem::take(&mut self.nodes) {
             node.stop().await;
         }
         let Self { platform, folder, .. } = self;
         platform.stop().await;
-        // Only the logs of a test that passed are thrown away.
+        // A test that fails doesn't get here, so its logs are kept.
         let _ = fs::remove_dir_all(folder);
     }
 
--- a/crates/yuccarack_standins/src/fleet/node.rs
+++ b/crates/yuccarack_standins/src/fleet/node.rs
@@ -1,4 +1,4 @@
-//! One instance of a fleet: a target, its daemon, and a faulty link to each side.
+//! One instance of a fleet: a target, its daemon, and the proxies of their links.
 
 use std::{
     fs, io,
@@ -18,45 +18,45 @@
     target::{CrashMode, RunLog, Target, TargetOptions},
 };
 
-/// First of the ports of a daemon.
+/// First port of a daemon.
 const FIRST_PORT: u16 = 7_000;
 
-/// IP numbers that differ in their last part only.
+/// Number of IP addresses that differ in the last octet only.
 const LAST_PARTS: u32 = 250;
 
-/// Nodes of this process so far.
+/// Number of address sets that this process has allocated.
 static NODES: AtomicU32 = AtomicU32::new(0);
 
-/// Faulty links of one node.
+/// Fault-injecting proxies of one node.
 #[derive(Debug)]
 pub struct Links {
-    /// From its daemon to the platform.
+    /// From the daemon to the platform.
     pub platform: Proxy,
-    /// From other daemons to its gate.
+    /// From other daemons to the gate.
     pub gate: Proxy,
-    /// From other daemons to its control address.
+    /// From other daemons to the control address.
     pub control: Proxy,
-    /// From its daemon to its target.
+    /// From the daemon to its target.
     pub target: Proxy,
 }
 
-/// One instance.
+/// One instance of a fleet.
 #[derive(Debug)]
 pub struct Node {
-    /// What its daemon is told.
+    /// Settings of the daemon.
     pub settings: DaemonSettings,
-    /// Its target.
+    /// The target, which runs in this process.
     pub target: Target,
-    /// Its links.
+    /// Proxies of the links.
     pub links: Links,
-    /// Its daemon, while one runs.
+    /// The daemon process, while it runs.
     pub daemon: Option<Daemon>,
     program: PathBuf,
     folder: PathBuf,
 }
 
 impl Node {
-    /// Starts the target and the links of an instance, and no daemon yet.
+    /// Starts the target and the proxies of an instance, but no daemon.
     pub(super) async fn start(
         plan: &FleetPlan,
         number: usize,
@@ -70,8 +70,8 @@
         let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         let target_link = Proxy::start(any, any).await?;
         let options = TargetOptions {
-            // An address of its own, so that no outgoing connection is given the port of a target
-            // that is away.
+            // A separate IP address, so that the kernel can't assign the port of a target that is
+            // down to an outgoing connection.
             listen: self::addresses()[0],
             admin: Some(addresses[2]),
             announced: plan.has_target_links.then(|| target_link.address()),
@@ -108,26 +108,26 @@
         Ok(Self { settings, target, links, daemon: None, program, folder })
     }
 
-    /// Name of the instance.
+    /// Returns the name of the instance.
     pub fn name(&self) -> &str {
         &self.settings.instance
     }
 
-    /// Where its daemon takes calls.
+    /// Returns the daemon's address for calls.
     pub fn call_address(&self) -> SocketAddr {
         self.settings.call_address
     }
 
-    /// Where its daemon tells of itself.
+    /// Returns the daemon's admin address.
     pub fn admin_address(&self) -> SocketAddr {
         self.settings.admin_address
     }
 
-    /// Starts its daemon.
+    /// Starts the daemon and waits until it serves.
     ///
     /// # Errors
     ///
-    /// The daemon can't be started or doesn't get ready.
+    /// The daemon can't be started or exits before it serves.
     pub async fn start_daemon(&mut self) -> io::Result<()> {
         let settings = self.folder.join(format!("{}.json", self.name()));
         fs::write(&settings, serde_json::to_vec_pretty(&self.settings)?)?;
@@ -136,21 +136,21 @@
         Ok(())
     }
 
-    /// The daemon that runs.
+    /// Returns the running daemon.
     ///
     /// # Panics
     ///
-    /// None runs.
+    /// No daemon runs on this node.
     pub fn daemon(&mut self) -> &mut Daemon {
         self.daemon.as_mut().expect("no daemon runs on this node")
     }
 
-    /// Kills its daemon.
+    /// Kills the daemon.
     pub fn kill_daemon(&mut self) {
         self.daemon = None;
     }
 
-    /// Stops the target and the links.
+    /// Kills the daemon and stops the target and the proxies.
     pub(super) async fn stop(self) {
         let Self { target, links, daemon, .. } = self;
         drop(daemon);
@@ -162,10 +162,10 @@
     }
 }
 
-/// Addresses of one daemon, on an IP number of its own.
+/// Allocates the addresses of one daemon, on a separate loopback IP address.
 ///
-/// Ports that the kernel gives could be taken by a link while a daemon is being restarted; an IP
-/// number that nobody else dials from keeps them.
+/// A port assigned by the kernel could be taken by another connection while the daemon restarts.
+/// Ports of an IP address that no outgoing connection uses stay free.
 fn addresses() -> [SocketAddr; 4] {
     let node = NODES.fetch_add(1, Ordering::Relaxed);
     let process = std::process::id();
--- a/crates/yuccarack_standins/src/fleet/operator.rs
+++ b/crates/yuccarack_standins/src/fleet/operator.rs
@@ -1,4 +1,4 @@
-//! An operator at the command line of `yuccarackctl`.
+//! Runs operator commands with `yuccarackctl`.
 
 use std::{fs, io, net::SocketAddr, path::PathBuf, process::Stdio};
 
@@ -9,18 +9,18 @@
     rules::{RouteRules, RulesFile, ServiceRules},
 };
 
-/// What one command came to.
+/// Result of one command.
 #[derive(Clone, Debug)]
 pub struct CommandOutput {
-    /// Its exit code.
+    /// Exit code; -1 if a signal ended the command.
     pub exit_code: i32,
-    /// What it printed, as JSON.
+    /// Standard output, parsed as JSON; null if it isn't JSON.
     pub stdout_json: Value,
-    /// What it said besides.
+    /// Standard error.
     pub stderr: String,
 }
 
-/// An operator with a platform address.
+/// Runs commands against one platform address.
 #[derive(Clone, Debug)]
 pub struct Operator {
     pub(super) program: PathBuf,
@@ -30,12 +30,12 @@
 }
 
 impl Operator {
-    /// The same operator with another way to the platform.
+    /// Returns the same operator with another platform address.
     pub fn with_platform(&self, platform: SocketAddr) -> Self {
         Self { platform, ..self.clone() }
     }
 
-    /// The same operator with `timeout_ms` for a whole command.
+    /// Returns the same operator with another timeout per command.
     pub fn with_timeout_ms(&self, timeout_ms: u32) -> Self {
         Self { timeout_ms, ..self.clone() }
     }
@@ -55,7 +55,7 @@
         Ok(CommandOutput { exit_code: output.status.code().unwrap_or(-1), stdout_json, stderr })
     }
 
-    /// Applies `file`.
+    /// Writes `file` to disk and applies it.
     ///
     /// # Errors
     ///
@@ -64,7 +64,8 @@
         self.apply_with_hints(name, file, &[]).await
     }
 
-    /// Applies `file` and hints the daemons at the admin addresses `hinted`.
+    /// Like [`Operator::apply`], and hints the change to the daemons at the admin addresses
+    /// `hinted`.
     ///
     /// # Errors
     ///
@@ -84,12 +85,12 @@
     }
 }
 
-/// A rules file of `services` based on `based_on`.
+/// Makes a rules file of `services` based on the revision `based_on`.
 pub fn rules_file(based_on: Revision, services: Vec<ServiceRules>) -> RulesFile {
     RulesFile { format: 1, based_on, services, removed: Vec::new() }
 }
 
-/// Rules of `service`: `/once` runs at most once, all else may repeat.
+/// Makes rules of `service`: `/once` runs at most once, all other paths are repeatable.
 pub fn service_rules(service: &str) -> ServiceRules {
     ServiceRules {
         name: service.to_owned(),
@@ -102,7 +103,7 @@
     }
 }
 
-/// A route for all methods below `path_prefix`, with a deadline of 5 s.
+/// Makes a route for all methods below `path_prefix`, with a deadline of 5 s.
 pub fn route(name: &str, path_prefix: &str, repeatable: bool) -> RouteRules {
     RouteRules {
         name: name.to_owned(),
--- a/crates/yuccarack_standins/src/fleet/plan.rs
+++ b/crates/yuccarack_standins/src/fleet/plan.rs
@@ -1,4 +1,4 @@
-//! Which instances a fleet has.
+//! Plan of a fleet: its programs, targets and settings.
 
 use std::path::PathBuf;
 
@@ -6,29 +6,30 @@
 
 use crate::target::TargetOptions;
 
-/// Failure domains that instances are spread over.
+/// Failure domains; instances are assigned to them in turn.
 pub const DOMAINS: [&str; 3] = ["sapporo", "asahikawa", "kushiro"];
 
-/// Which instances a fleet has, and what they are told.
+/// Plan of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetPlan {
-    /// The daemon's program.
+    /// Path of the daemon's program.
     pub program: PathBuf,
-    /// The operators' program.
+    /// Path of the operators' program.
     pub operator_program: PathBuf,
-    /// Seed of all that is random in the test; printed at the start.
+    /// Seed of all random choices; printed at the start.
     pub seed: u64,
-    /// Times and sizes of the daemons.
+    /// Budgets in the settings of all daemons.
     pub budgets: BudgetSettings,
-    /// Targets; each has a daemon of its own.
+    /// Targets; each gets its own daemon.
     pub targets: Vec<TargetOptions>,
-    /// Whether a faulty link stands before each target. Without, a dead target refuses
-    /// connections, as a dead process does; a link would go on taking them.
+    /// Whether daemons reach their targets through a proxy. Without one, a target that is down
+    /// refuses connections, as a dead process does; a proxy still accepts them.
     pub has_target_links: bool,
 }
 
 impl FleetPlan {
-    /// A fleet of the daemon at `program`; the operators' program stands beside it.
+    /// Makes a plan for the daemon at `program` without targets; the operators' program is expected
+    /// in the same folder.
     pub fn new(program: &str, seed: u64) -> Self {
         let program = PathBuf::from(program);
         Self {
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Lets daemons reach their targets directly.
+    /// Removes the proxies between daemons and their targets.
     pub fn without_target_links(mut self) -> Self {
         self.has_target_links = false;
         self
@@ -52,7 +53,7 @@
         self.with_targets(service, count, |_| {})
     }
 
-    /// Adds `count` targets of `service`, each changed by `change`.
+    /// Adds `count` targets of `service`, with `change` applied to the options of each.
     pub fn with_targets(
         mut self,
         service: &str,
@@ -69,7 +70,7 @@
         self
     }
 
-    /// Changes the daemons' times and sizes.
+    /// Changes the daemons' budgets.
     pub fn with_budgets(mut self, change: impl Fn(&mut BudgetSettings)) -> Self {
         change(&mut self.budgets);
         self
--- a/crates/yuccarack_standins/src/fleet/process.rs
+++ b/crates/yuccarack_standins/src/fleet/process.rs
@@ -1,4 +1,4 @@
-//! A real process of the system, started, signalled and never left behind.
+//! Starts, signals and measures a real daemon process, and kills it at the end of a test.
 
 use std::{
     fs::File,
@@ -14,14 +14,14 @@
 use serde_json::Value;
 use tokio::{task::spawn_blocking, time::sleep};
 
-/// Time between two looks at whether a process has ended.
-const EXIT_LOOK_INTERVAL: Duration = Duration::from_millis(10);
+/// Poll interval for the exit of a process.
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A daemon that runs; killed when dropped.
+/// A daemon process; killed when dropped.
 #[derive(Debug)]
 pub struct Daemon {
     child: Child,
-    /// Writes what else it says on its standard output to its log, until it ends.
+    /// Thread that copies the standard output after the ready line to the log.
     output: Option<JoinHandle<()>>,
     log: PathBuf,
     ready: Value,
@@ -29,21 +29,21 @@
 }
 
 impl Daemon {
-    /// Starts `program` with the settings at `settings`, its log at `log`, and waits until it
-    /// serves.
+    /// Starts `program` with the settings file `settings` and the log file `log`, and waits until
+    /// it serves.
     ///
     /// # Errors
     ///
-    /// It can't be started or ended before it served.
+    /// The process can't be started, or it exits before it serves.
     pub async fn start(program: &Path, settings: &Path, log: &Path) -> io::Result<Self> {
         Self::start_with(program, "--settings", settings, log).await
     }
 
-    /// As [`Daemon::start`], with the option that names the settings.
+    /// Like [`Daemon::start`], with `option` as the command-line option for the settings file.
     ///
     /// # Errors
     ///
-    /// It can't be started or ended before it served.
+    /// The process can't be started, or it exits before it serves.
     pub async fn start_with(
         program: &Path,
         option: &str,
@@ -75,17 +75,17 @@
         })
     }
 
-    /// What it said when it was ready.
+    /// Returns the ready line, which holds the daemon's addresses.
     pub fn ready(&self) -> &Value {
         &self.ready
     }
 
-    /// Where its log is.
+    /// Returns the path of the log.
     pub fn log(&self) -> &Path {
         &self.log
     }
 
-    /// Most memory that it has had resident so far, in KiB.
+    /// Returns the peak resident memory, in KiB.
     ///
     /// # Errors
     ///
@@ -97,7 +97,7 @@
         number.and_then(|number| number.parse().ok()).ok_or(io::ErrorKind::InvalidData.into())
     }
 
-    /// Processor time that its threads have used; that of threads which have ended isn't counted.
+    /// Returns the CPU time used by its present threads; exited threads aren't counted.
     ///
     /// # Errors
     ///
@@ -112,7 +112,7 @@
         Ok(Duration::from_nanos(run_ns))
     }
 
-    /// Files and sockets that it holds open.
+    /// Returns the number of open file descriptors.
     ///
     /// # Errors
     ///
@@ -121,64 +121,65 @@
         Ok(std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))?.count())
     }
 
-    /// Ends it at once, as a power cut would.
+    /// Kills the process.
     pub fn kill(&mut self) {
-        // It may have ended by itself; then there is nothing to kill.
+        // Fails if the process has already exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
         if let Some(output) = self.output.take() {
-            // It has nothing to return, and ends with the process.
+            // The thread ends with the process, and a failed copy has no consequence.
             let _ = output.join();
         }
     }
 
-    /// Freezes it.
+    /// Suspends the process with SIGSTOP.
     pub fn pause(&self) {
         self.signal(Signal::STOP);
     }
 
-    /// Lets it go on.
+    /// Resumes the process with SIGCONT.
     pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Asks it to end gracefully.
+    /// Requests a graceful stop with SIGTERM.
     pub fn terminate(&self) {
         self.stopping.store(true, Ordering::Relaxed);
         self.signal(Signal::TERM);
     }
 
-    /// Asks it to read its settings anew.
+    /// Requests a reload of the settings with SIGHUP.
     pub fn reload(&self) {
         self.signal(Signal::HUP);
     }
 
-    /// Whether it was asked to end.
+    /// Whether a graceful stop has been requested.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Whether it still runs.
+    /// Whether the process is running.
     pub fn is_running(&mut self) -> bool {
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Waits for its end.
+    /// Waits until the process exits.
     ///
     /// # Errors
     ///
-    /// Its state can't be asked.
+    /// The state of the process can't be read.
     pub async fn wait_exit(&mut self) -> io::Result<ExitStatus> {
         loop {
             if let Some(status) = self.child.try_wait()? {
                 return Ok(status);
             }
-            sleep(EXIT_LOOK_INTERVAL).await;
+            sleep(EXIT_POLL_INTERVAL).await;
         }
     }
 
     fn signal(&self, signal: Signal) {
-        // A process that has ended takes no signal, and isn't reaped before `kill` or `ended`.
+        // Signalling an exited process fails without harm: it isn't reaped before `kill` or
+        // `wait_exit`, so its id can't belong to another process.
         let _ = kill_process(Pid::from_child(&self.child), signal);
     }
 }
@@ -189,7 +190,7 @@
     }
 }
 
-/// Reads lines until the one with the addresses; those before it are log lines of the start.
+/// Reads up to the ready line, which holds the addresses; the lines before it are log lines.
 fn read_ready_line(output: ChildStdout) -> io::Result<(BufReader<ChildStdout>, String)> {
     let mut reader = BufReader::new(output);
     loop {
@@ -202,6 +203,6 @@
 }
 
 fn copy_lines(mut output: BufReader<ChildStdout>, mut log: File) {
-    // A log that can't be written ends with the test that wanted it.
+    // An incomplete log isn't an error of the test.
     let _ = io::copy(&mut output, &mut log);
 }
--- a/crates/yuccarack_standins/src/fleet/storm.rs
+++ b/crates/yuccarack_standins/src/fleet/stress.rs
@@ -1,4 +1,5 @@
-//! Many callers at once, and the judgement of what they were told against the targets' records.
+//! Stress load of concurrent callers, and the check of their responses against the targets' run
+//! log.
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -14,46 +15,46 @@
     target::{Run, RunLog, RunState},
 };
 
-/// Longest body of a call in a storm, in bytes.
+/// Longest request body, in bytes.
 const BODY_MAX_BYTES: usize = 96 * 1024;
 
-/// Time that a caller waits beyond its deadline.
-const PATIENCE: Duration = Duration::from_millis(500);
+/// Time for which a caller waits after its deadline.
+const RESPONSE_GRACE: Duration = Duration::from_millis(500);
 
 /// Longest pause of a caller between two calls, in ms.
 const PAUSE_MAX_MS: u64 = 10;
 
-/// What the callers of a storm do.
+/// Parameters of a stress load.
 #[derive(Clone, Debug)]
 pub struct StressPlan {
-    /// Seed of all they do.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Service that they call.
+    /// Service that is called.
     pub service: String,
-    /// Where they call, at random.
+    /// Addresses of daemons; each call goes to a random one.
     pub addresses: Vec<SocketAddr>,
-    /// How many they are.
+    /// Number of concurrent callers.
     pub callers: u64,
-    /// Share of calls that must not repeat, in percent.
+    /// Share of calls that must run at most once, in percent.
     pub once_percent: u8,
-    /// Share of calls whose caller hangs up early, in percent.
+    /// Share of calls whose caller disconnects early, in percent.
     pub disconnect_percent: u8,
     /// Deadline of each call, in ms.
     pub deadline_ms: u64,
 }
 
-/// One call as its caller saw it.
+/// One call and its result as the caller saw it.
 #[derive(Clone, Debug)]
 pub struct StressCall {
-    /// Name that the caller gave the request.
+    /// Request id.
     pub request: String,
-    /// Its idempotency key, empty for a call that may repeat.
+    /// Idempotency key; empty for a repeatable call.
     pub key: String,
-    /// What came back; unset when the caller hung up.
+    /// Class of the response; `None` if the caller disconnected early.
     pub verdict: Option<Verdict>,
 }
 
-/// Callers that go on until they are told to stop.
+/// Running callers; end them with [`StressLoad::stop`].
 #[derive(Debug)]
 pub struct StressLoad {
     stop: CancellationToken,
@@ -61,23 +62,23 @@
     calls: Arc<parking_lot::Mutex<Vec<StressCall>>>,
 }
 
-/// What a storm came to.
+/// Result of the check of a stress load.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StressReport {
-    /// Calls made.
+    /// Number of calls.
     pub calls: usize,
-    /// Calls with a right answer.
+    /// Number of calls with a correct response.
     pub correct: usize,
-    /// Calls that were told they did not run.
+    /// Number of calls with the outcome `not_run`.
     pub not_run: usize,
-    /// Breaches of what must always hold, in words.
+    /// Descriptions of violated invariants.
     pub violations: Vec<String>,
 }
 
 impl StressLoad {
-    /// Lets the callers of `plan` loose.
+    /// Starts the callers of `plan`.
     pub fn start(plan: &StressPlan) -> Self {
-        let storm = Self {
+        let load = Self {
             stop: CancellationToken::new(),
             tasks: TaskTracker::new(),
             calls: Arc::default(),
@@ -85,22 +86,22 @@
         for number in 0..plan.callers {
             let caller = Caller {
                 plan: plan.clone(),
-                // A frozen daemon answers nothing; a caller goes on after its deadline.
-                asker: HttpClient::new(Duration::from_millis(plan.deadline_ms) + PATIENCE),
+                // A suspended daemon never responds, so a caller gives up after its deadline.
+                client: HttpClient::new(Duration::from_millis(plan.deadline_ms) + RESPONSE_GRACE),
                 random: StdRng::seed_from_u64(plan.seed ^ (number << 32)),
-                calls: Arc::clone(&storm.calls),
+                calls: Arc::clone(&load.calls),
             };
-            storm.tasks.spawn(caller.run(storm.stop.clone()));
+            load.tasks.spawn(caller.run(load.stop.clone()));
         }
-        storm
+        load
     }
 
-    /// Calls made so far.
+    /// Returns the number of calls finished so far.
     pub fn calls_made(&self) -> usize {
         self.calls.lock().len()
     }
 
-    /// Stops the callers after their present calls, and says what all of them saw.
+    /// Stops the callers after their current calls and returns all calls.
     pub async fn stop(self) -> Vec<StressCall> {
         self.stop.cancel();
         self.tasks.close();
@@ -111,7 +112,7 @@
 
 struct Caller {
     plan: StressPlan,
-    asker: HttpClient,
+    client: HttpClient,
     random: StdRng,
     calls: Arc<parking_lot::Mutex<Vec<StressCall>>>,
 }
@@ -122,10 +123,10 @@
             let key = self.key();
             let path = self.path(&key);
             let body = self.body(&key);
-            let sends = if key.is_empty() { 1 } else { self.random.random_range(1..=3) };
-            for _ in 0..sends {
+            let attempts_max = if key.is_empty() { 1 } else { self.random.random_range(1..=3) };
+            for _ in 0..attempts_max {
                 let verdict = self.send(&key, &path, &body).await;
-                // A caller that has its answer doesn't ask again, nor one that was told to stop.
+                // A keyed call is repeated until the correct response, a limit or the stop.
                 if verdict == Some(Verdict::Correct) || stop.is_cancelled() {
                     break;
                 }
@@ -167,21 +168,24 @@
     async fn send(&mut self, key: &str, path: &str, body: &[u8]) -> Option<Verdict> {
         let request = format!("{:032x}", self.random.random::<u128>());
         let method = if body.is_empty() { Method::GET } else { Method::POST };
-        let mut question = ClientRequest::new(method, path)
+        let mut outgoing = ClientRequest::new(method, path)
             .with_header(headers::SERVICE, &self.plan.service)
             .with_header(headers::REQUEST_ID, &request)
             .with_header(headers::DEADLINE_MS, self.plan.deadline_ms)
             .with_body(body.to_vec());
         if !key.is_empty() {
-            question = question.with_header(headers::IDEMPOTENCY_KEY, key);
+            outgoing = outgoing.with_header(headers::IDEMPOTENCY_KEY, key);
         }
         let address = self.plan.addresses[self.random.random_range(0..self.plan.addresses.len())];
-        let asked = self.asker.send(address, question);
+        let exchange = self.client.send(address, outgoing);
         let verdict = if self.random.random_range(0..100) < self.plan.disconnect_percent {
-            let patience = Duration::from_millis(self.random.random_range(1..40));
-            timeout(patience, asked).await.ok().map(|told| classify_response(path, body, &told))
+            let disconnect_after = Duration::from_millis(self.random.random_range(1..40));
+            timeout(disconnect_after, exchange)
+                .await
+                .ok()
+                .map(|response| classify_response(path, body, &response))
         } else {
-            Some(classify_response(path, body, &asked.await))
+            Some(classify_response(path, body, &exchange.await))
         };
         let call = StressCall { request, key: key.to_owned(), verdict: verdict.clone() };
         self.calls.lock().push(call);
@@ -189,7 +193,8 @@
     }
 }
 
-/// Holds what callers were told against what ran.
+/// Checks the responses that callers got against the runs: at most one run per key, a finished
+/// run behind each correct response, and no run behind `not_run`.
 pub fn check_stress_calls(calls: &[StressCall], run_log: &RunLog) -> StressReport {
     let runs = run_log.runs();
     let by_request = grouped(&runs, |run| &run.request);
@@ -214,7 +219,7 @@
             Some(Verdict::Refused { outcome, .. }) if outcome == "not_run" => {
                 report.not_run += 1;
                 if !ran.is_empty() {
-                    report.violations.push(format!("{call:?} was told not_run, runs {ran:?}"));
+                    report.violations.push(format!("{call:?} got not_run, runs {ran:?}"));
                 }
             }
             Some(Verdict::WrongBody) => {
--- a/crates/yuccarack_standins/src/fleet/wait.rs
+++ b/crates/yuccarack_standins/src/fleet/wait.rs
@@ -1,48 +1,48 @@
-//! Waits on what can be seen, with limits that only a broken system reaches.
+//! Waits for observable conditions, with a limit that only a broken system reaches.
 
 use std::time::{Duration, Instant};
 
 use tokio::time::sleep;
 
-/// Longest wait for anything; generous, since the machine may be busy.
+/// Longest wait for a condition; much longer than needed, since the machine may be busy.
 pub const WAIT_MAX: Duration = Duration::from_secs(30);
 
-/// Time between two looks.
-const LOOK_INTERVAL: Duration = Duration::from_millis(20);
+/// Poll interval.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Waits until `look` finds something, and says how long that took.
+/// Polls `poll` until it returns a value; returns the value and the time that it elapsed.
 ///
 /// # Panics
 ///
-/// Nothing is found within [`WAIT_MAX`]; `what` is named.
-pub async fn wait_for<T, F>(what: &str, mut look: impl FnMut() -> F) -> (T, Duration)
+/// No value within [`WAIT_MAX`]; the message names `what`.
+pub async fn wait_for<T, F>(what: &str, mut poll: impl FnMut() -> F) -> (T, Duration)
 where
     F: Future<Output = Option<T>>,
 {
     let start = Instant::now();
     loop {
-        if let Some(found) = look().await {
-            let took = start.elapsed();
-            println!("{:>6} ms until {what}", took.as_millis());
-            return (found, took);
+        if let Some(found) = poll().await {
+            let elapsed = start.elapsed();
+            println!("{:>6} ms until {what}", elapsed.as_millis());
+            return (found, elapsed);
         }
-        assert!(start.elapsed() < WAIT_MAX, "waited in vain until {what}");
-        sleep(LOOK_INTERVAL).await;
+        assert!(start.elapsed() < WAIT_MAX, "timed out waiting until {what}");
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Waits until `holds` is true, and says how long that took.
+/// Polls `condition` until it is true; returns the time that it elapsed.
 ///
 /// # Panics
 ///
-/// It doesn't hold within [`WAIT_MAX`]; `what` is named.
-pub async fn wait_until<F>(what: &str, mut holds: impl FnMut() -> F) -> Duration
+/// The condition doesn't hold within [`WAIT_MAX`]; the message names `what`.
+pub async fn wait_until<F>(what: &str, mut condition: impl FnMut() -> F) -> Duration
 where
     F: Future<Output = bool>,
 {
-    let look = || {
-        let holds = holds();
-        async { holds.await.then_some(()) }
+    let poll = || {
+        let condition = condition();
+        async { condition.await.then_some(()) }
     };
-    wait_for(what, look).await.1
+    wait_for(what, poll).await.1
 }
--- a/crates/yuccarack_standins/src/lib.rs
+++ b/crates/yuccarack_standins/src/lib.rs
@@ -1,4 +1,5 @@
-//! Small stand-ins of what surrounds the system, for tests, the demo and measurements.
+//! Stand-ins of the system's environment (platform, targets, network, callers) for tests, the demo
+//! and measurements.
 
 pub mod client;
 pub mod echo;
--- a/crates/yuccarack_standins/src/link_rate.rs
+++ b/crates/yuccarack_standins/src/link_rate.rs
@@ -1,4 +1,4 @@
-//! A link of limited bandwidth that several transfers share.
+//! Bandwidth limit of a link that several transfers share.
 
 use std::time::Duration;
 
@@ -14,24 +14,25 @@
 #[derive(Debug, Default)]
 struct State {
     bytes_per_s: Option<u64>,
-    /// When all that was handed over so far has passed.
+    /// When all bytes queued so far have been transmitted.
     idle_at: Option<Instant>,
 }
 
 impl LinkRate {
-    /// Sets the bandwidth; none lifts the limit.
+    /// Sets the bandwidth; `None` lifts the limit.
     pub fn set(&self, bytes_per_s: Option<u64>) {
         *self.state.lock() = State { bytes_per_s, idle_at: None };
     }
 
-    /// Largest piece that is handed over at once, so that transfers take turns; none without a limit.
+    /// Returns the largest chunk to transmit at once, so that transfers share the link fairly;
+    /// `None` without a limit.
     pub fn chunk_bytes(&self) -> Option<usize> {
         const TURNS_PER_S: u64 = 100;
         let bytes_per_s = self.state.lock().bytes_per_s?;
         Some(usize::try_from((bytes_per_s / TURNS_PER_S).max(1)).unwrap_or(usize::MAX))
     }
 
-    /// Waits until `bytes` have passed the link behind all that was handed over before.
+    /// Waits until `bytes` have been transmitted, after all bytes queued before.
     pub async fn transmit(&self, bytes: usize) {
         let Some(passed_at) = self.passed_at(bytes) else { return };
         sleep_until(passed_at).await;
--- a/crates/yuccarack_standins/src/load/report.rs
+++ b/crates/yuccarack_standins/src/load/report.rs
@@ -1,4 +1,4 @@
-//! Counts of answers and their times.
+//! Counts and latencies of responses.
 
 use std::{collections::BTreeMap, fmt, time::Duration};
 
@@ -7,16 +7,16 @@
 
 use super::Verdict;
 
-/// Digits that the histogram of times keeps.
-const TIME_DIGITS: u8 = 3;
+/// Significant digits of the latency histogram.
+const LATENCY_DIGITS: u8 = 3;
 
-/// Longest time that the histogram tells apart, in µs; longer ones count as this.
-const TIME_MAX_US: u64 = 120_000_000;
+/// Highest latency in the histogram, in µs; longer ones are clamped to it.
+const LATENCY_MAX_US: u64 = 120_000_000;
 
-/// Answers so far.
+/// Counts of the responses so far.
 #[derive(Debug)]
 pub struct Tally {
-    times_us: Histogram<u64>,
+    latencies_us: Histogram<u64>,
     right: u64,
     wrong: u64,
     cut: u64,
@@ -26,33 +26,33 @@
 }
 
 wire_data! {
-    /// What came of a load.
+    /// Result of a load.
     pub struct LoadReport {
         /// Requests sent.
         pub sent: u64,
-        /// Whole answers to their own requests.
+        /// Correct responses.
         pub right: u64,
-        /// Successes with another body than the one expected.
+        /// Successes with another body than expected.
         pub wrong: u64,
-        /// Answers that were cut.
+        /// Truncated responses.
         pub cut: u64,
-        /// Requests without an answer.
+        /// Requests without a response.
         pub missing: u64,
         /// Typed refusals and losses, by outcome and reason.
         pub refused: BTreeMap<String, u64>,
-        /// Answers that are neither a success nor typed, by status.
+        /// Failures without outcome and reason headers, by status.
         pub untyped: BTreeMap<u16, u64>,
-        /// Right answers a second.
+        /// Correct responses per second.
         pub right_per_second: u64,
-        /// Time of right answers, half of them at most, in µs.
+        /// Median latency of correct responses, in µs.
         pub p50_us: u64,
-        /// Time of right answers, 90 in 100 at most, in µs.
+        /// 90th percentile of the latency of correct responses, in µs.
         pub p90_us: u64,
-        /// Time of right answers, 99 in 100 at most, in µs.
+        /// 99th percentile of the latency of correct responses, in µs.
         pub p99_us: u64,
-        /// Time of right answers, 999 in 1000 at most, in µs.
+        /// 99.9th percentile of the latency of correct responses, in µs.
         pub p999_us: u64,
-        /// Longest time of a right answer, in µs.
+        /// Highest latency of a correct response, in µs.
         pub longest_us: u64,
     }
 }
@@ -60,7 +60,7 @@
 impl Default for Tally {
     fn default() -> Self {
         Self {
-            times_us: Histogram::new_with_bounds(1, TIME_MAX_US, TIME_DIGITS)
+            latencies_us: Histogram::new_with_bounds(1, LATENCY_MAX_US, LATENCY_DIGITS)
                 .expect("the bounds and digits are in range"),
             right: 0,
             wrong: 0,
@@ -73,13 +73,13 @@
 }
 
 impl Tally {
-    /// Counts one answer that took `time`.
+    /// Counts one response that arrived after `time`.
     pub fn count(&mut self, verdict: &Verdict, time: Duration) {
         match verdict {
             Verdict::Correct => {
                 self.right += 1;
                 let time_us = u64::try_from(time.as_micros()).unwrap_or(u64::MAX);
-                self.times_us.saturating_record(time_us);
+                self.latencies_us.saturating_record(time_us);
             }
             Verdict::Refused { outcome, reason } => {
                 *self.refused.entry(format!("{outcome} {reason}")).or_default() += 1;
@@ -93,11 +93,11 @@
 }
 
 impl LoadReport {
-    /// Sums up `tally` after `elapsed`.
+    /// Makes the report of `tally` for a load that took `elapsed`.
     pub fn new(tally: &Tally, elapsed: Duration) -> Self {
         let refused: u64 = tally.refused.values().sum();
         let untyped: u64 = tally.untyped.values().sum();
-        let times = &tally.times_us;
+        let latencies = &tally.latencies_us;
         Self {
             sent: tally.right + tally.wrong + tally.cut + tally.missing + refused + untyped,
             right: tally.right,
@@ -107,15 +107,15 @@
             refused: tally.refused.clone(),
             untyped: tally.untyped.clone(),
             right_per_second: (tally.right as f64 / elapsed.as_secs_f64()) as u64,
-            p50_us: times.value_at_quantile(0.5),
-            p90_us: times.value_at_quantile(0.9),
-            p99_us: times.value_at_quantile(0.99),
-            p999_us: times.value_at_quantile(0.999),
-            longest_us: times.max(),
+            p50_us: latencies.value_at_quantile(0.5),
+            p90_us: latencies.value_at_quantile(0.9),
+            p99_us: latencies.value_at_quantile(0.99),
+            p999_us: latencies.value_at_quantile(0.999),
+            longest_us: latencies.max(),
         }
     }
 
-    /// Whether no answer was wrong, cut, missing or untyped.
+    /// Whether no response was wrong, truncated, missing or untyped.
     pub fn has_only_correct_or_refused(&self) -> bool {
         self.wrong == 0 && self.cut == 0 && self.missing == 0 && self.untyped.is_empty()
     }
@@ -133,8 +133,8 @@
             writeln!(f, "untyped {count:>5}   status {status}")?;
         }
         writeln!(f, "{:>10} {:>10} {:>10} {:>10} {:>10}", "p50", "p90", "p99", "p99.9", "longest")?;
-        let times = [self.p50_us, self.p90_us, self.p99_us, self.p999_us, self.longest_us];
-        let cells: Vec<_> = times.iter().map(|us| format!("{:>7.2} ms", ms(*us))).collect();
+        let latencies = [self.p50_us, self.p90_us, self.p99_us, self.p999_us, self.longest_us];
+        let cells: Vec<_> = latencies.iter().map(|us| format!("{:>7.2} ms", ms(*us))).collect();
         write!(f, "{}", cells.join(" "))
     }
 }
--- a/crates/yuccarack_standins/src/measure/daemons.rs
+++ b/crates/yuccarack_standins/src/measure/daemons.rs
@@ -1,4 +1,4 @@
-//! Real daemons that are told of their targets by this process.
+//! Starts the measured daemons, announces their targets and sends them calls.
 
 use std::{
     io::{self, BufRead, BufReader},
@@ -20,16 +20,16 @@
 use super::MeasurePlan;
 use crate::client::{ClientRequest, HttpClient};
 
-/// Time between two announcements of a target.
+/// Interval of a target's announcements.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(1);
-/// Longest wait for an answer of a daemon.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Failure domains that daemons are spread over.
+/// Timeout for a daemon's response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Failure domains; daemons are assigned to them in turn.
 const DOMAINS: [&str; 3] = ["sapporo", "asahikawa", "kushiro"];
-/// Tries of the first call of a service, which waits for it to be loaded.
-const FIRST_CALLS: usize = 50;
+/// Most attempts of the first call of a service, which fail until the service is loaded.
+const FIRST_CALL_ATTEMPTS_MAX: usize = 50;
 
-/// One daemon.
+/// One measured daemon.
 pub(super) struct Daemon {
     pub(super) instance: String,
     pub(super) admin: SocketAddr,
@@ -45,7 +45,7 @@
 /// All daemons of a measurement.
 pub(super) struct Daemons {
     all: Vec<Daemon>,
-    asker: HttpClient,
+    client: HttpClient,
     tasks: TaskTracker,
     stop: CancellationToken,
     load_tasks: TaskTracker,
@@ -53,13 +53,13 @@
     folder: PathBuf,
 }
 
-/// Name of the service of `number`.
+/// Returns the name of the service with index `number`.
 pub(super) fn service_name(number: usize) -> String {
     format!("service-{number}")
 }
 
 impl Daemons {
-    /// Starts all daemons, and announces their targets each second.
+    /// Starts all daemons and announces their targets each second.
     pub(super) async fn start(
         plan: &MeasurePlan,
         platform: SocketAddr,
@@ -69,7 +69,7 @@
         std::fs::create_dir_all(&folder)?;
         let mut daemons = Self {
             all: Vec::new(),
-            asker: HttpClient::new(ANSWER_TIMEOUT),
+            client: HttpClient::new(RESPONSE_TIMEOUT),
             tasks: TaskTracker::new(),
             stop: CancellationToken::new(),
             load_tasks: TaskTracker::new(),
@@ -84,21 +84,21 @@
         Ok(daemons)
     }
 
-    pub(super) fn asker(&self) -> &HttpClient {
-        &self.asker
+    pub(super) fn client(&self) -> &HttpClient {
+        &self.client
     }
 
-    /// Daemons that weren't killed.
+    /// Returns the daemons that weren't killed.
     pub(super) fn running(&self) -> impl Iterator<Item = &Daemon> {
         self.all.iter().filter(|daemon| !daemon.is_killed)
     }
 
-    /// Calls each daemon's foreign services once, so that it learns of them.
+    /// Calls each daemon's foreign services once, so that it loads them.
     pub(super) async fn call_all_services(&self) {
         let calls =
             self.all.iter().flat_map(|daemon| daemon.calls.iter().map(move |c| (daemon, c)));
         let call = async |(daemon, service): (&Daemon, &usize)| {
-            for _ in 0..FIRST_CALLS {
+            for _ in 0..FIRST_CALL_ATTEMPTS_MAX {
                 if self.call(daemon.call, *service).await {
                     return;
                 }
@@ -109,17 +109,17 @@
     }
 
     async fn call(&self, address: SocketAddr, service: usize) -> bool {
-        let question = ClientRequest::new(Method::GET, "/")
+        let request = ClientRequest::new(Method::GET, "/")
             .with_header(headers::SERVICE, service_name(service));
-        self.asker.send(address, question).await.is_ok_and(|told| told.status.is_success())
+        self.client.send(address, request).await.is_ok_and(|response| response.status.is_success())
     }
 
-    /// Calls each daemon's services in turn, `rate` times a second, until told to stop.
+    /// Calls each daemon's services in turn, `rate` times per second, until [`Daemons::stop_load`].
     pub(super) fn start_load(&self, rate: u32) {
         for daemon in self.running() {
             let mut services = daemon.calls.clone();
             services.push(daemon.service);
-            let (asker, address) = (self.asker.clone(), daemon.call);
+            let (client, address) = (self.client.clone(), daemon.call);
             let stop = self.stop_load.clone();
             self.load_tasks.spawn(async move {
                 let mut ticks = interval(Duration::from_secs(1) / rate);
@@ -129,10 +129,10 @@
                         () = stop.cancelled() => return,
                         _ = ticks.tick() => {}
                     }
-                    let question = ClientRequest::new(Method::GET, "/")
+                    let request = ClientRequest::new(Method::GET, "/")
                         .with_header(headers::SERVICE, service_name(service));
-                    // Only the cost is looked at here; answers are checked by other tests.
-                    let _ = asker.send(address, question).await;
+                    // Only the cost is measured here; other tests check responses.
+                    let _ = client.send(address, request).await;
                 }
             });
         }
@@ -144,38 +144,39 @@
         self.load_tasks.wait().await;
     }
 
-    /// Whether all that serve or call `service` have its rules of `revision` in force.
+    /// Whether all daemons that serve or call the first service have rules of `service` in force
+    /// at `revision` or later.
     pub(super) async fn all_have_rules(&self, service: &str, revision: u64) -> bool {
         let has = async |daemon: &Daemon| {
-            let status = self.asker.get_json(daemon.admin, "/status").await;
+            let status = self.client.get_json(daemon.admin, "/status").await;
             has_revision(&status.unwrap_or(Value::Null), service, revision)
         };
-        join_all(self.concerned().map(has)).await.into_iter().all(|has| has)
+        join_all(self.affected().map(has)).await.into_iter().all(|has| has)
     }
 
-    /// Whether all that serve or call the first service know `instance` in `state`; none for not
-    /// at all.
+    /// Whether all daemons that serve or call the first service know `instance` in `state`; `None`
+    /// means that they don't know it.
     pub(super) async fn all_know(&self, instance: &str, state: Option<&str>) -> bool {
         let knows = async |daemon: &Daemon| {
-            let targets = self.asker.get_json(daemon.admin, "/targets").await;
+            let targets = self.client.get_json(daemon.admin, "/targets").await;
             known_state(&targets.unwrap_or(Value::Null), instance).as_deref() == state
         };
-        join_all(self.concerned().map(knows)).await.into_iter().all(|knows| knows)
+        join_all(self.affected().map(knows)).await.into_iter().all(|knows| knows)
     }
 
-    /// Has the target of a member of the first service say that it drains.
+    /// Announces the target of the daemon with index `round` as draining; returns its instance.
     pub(super) async fn drain(&mut self, round: usize) -> String {
         let daemon = &self.all[round];
         *daemon.state.lock() = "draining";
         daemon.instance.clone()
     }
 
-    /// Kills the last daemon of the first service.
+    /// Kills the last daemon of the first service; returns its instance.
     pub(super) async fn kill_last_of_first_service(&mut self) -> String {
         let last = self.all.iter_mut().rfind(|daemon| daemon.service == 0);
         let Some(daemon) = last else { return String::new() };
         daemon.is_killed = true;
-        // Whether it had ended by itself doesn't matter.
+        // It doesn't matter if the process has already exited.
         let _ = daemon.process.kill();
         let _ = daemon.process.wait();
         daemon.instance.clone()
@@ -189,17 +190,17 @@
             let _ = daemon.process.kill();
             let _ = daemon.process.wait();
         }
-        // Settings are of no use after the run.
+        // A folder that can't be deleted does no harm.
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 
-    /// Daemons that serve or call the first service.
-    fn concerned(&self) -> impl Iterator<Item = &Daemon> {
+    /// Returns the running daemons that serve or call the first service.
+    fn affected(&self) -> impl Iterator<Item = &Daemon> {
         self.running().filter(|daemon| daemon.service == 0 || daemon.calls.contains(&0))
     }
 
     fn announce(&self, daemon: &Daemon, target: SocketAddr) {
-        let (asker, admin, stop) = (self.asker.clone(), daemon.admin, self.stop.clone());
+        let (client, admin, stop) = (self.client.clone(), daemon.admin, self.stop.clone());
         let (service, state) = (service_name(daemon.service), Arc::clone(&daemon.state));
         self.tasks.spawn(async move {
             let mut ticks = interval(ANNOUNCE_INTERVAL);
@@ -214,8 +215,8 @@
                     "service": service, "boot_id": 1, "call_address": target, "slots": 10,
                     "connections_max": 250, "state": state,
                 });
-                // A daemon that was killed can't hear it.
-                let _ = asker.post_json(admin, "/announce", &announcement).await;
+                // A killed daemon can't be reached; that is expected.
+                let _ = client.post_json(admin, "/announce", &announcement).await;
             }
         });
     }
--- a/crates/yuccarack_standins/src/measure/mod.rs
+++ b/crates/yuccarack_standins/src/measure/mod.rs
@@ -1,4 +1,5 @@
-//! What control costs a daemon, and how fast news reach all, with real daemons around one platform.
+//! Measures the cost of the control plane per daemon and the propagation time of updates, with
+//! real daemons around one platform.
 
 mod daemons;
 mod usage;
@@ -29,79 +30,79 @@
     server::{Server, listen, respond},
 };
 
-/// Time from the last start to the first measurement, for what starts cost to pass.
-const SETTLE: Duration = Duration::from_secs(15);
-/// Time between two looks at all daemons while news spread.
-const LOOK_INTERVAL: Duration = Duration::from_millis(100);
-/// Longest wait for news to reach all.
-const SPREAD_MAX: Duration = Duration::from_secs(60);
-/// Connections that the one stand-in of all targets takes.
+/// Time from the last start to the first measurement, so that the cost of starting is excluded.
+const WARMUP: Duration = Duration::from_secs(15);
+/// Poll interval of all daemons while an update propagates.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Longest wait for an update to reach all daemons.
+const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(60);
+/// Most open connections of the single server that stands in for all targets.
 const CONNECTIONS_MAX: usize = 20_000;
-/// Rounds of each kind of news.
+/// Measurements of each kind of update.
 const ROUNDS: usize = 3;
 
 wire_data! {
-    /// Sizes of one measurement.
+    /// Parameters of one measurement.
     pub struct MeasurePlan {
-        /// The daemon's program.
+        /// Path of the daemon's program.
         pub program: PathBuf,
-        /// Daemons.
+        /// Number of daemons.
         pub daemons: usize,
-        /// Members of each service.
+        /// Number of members of each service.
         pub members: usize,
-        /// Foreign services that each daemon calls.
+        /// Number of foreign services that each daemon calls.
         pub calls_services: usize,
-        /// Whether all call the first service only.
+        /// Whether all daemons call the first service only.
         pub is_hot: bool,
         /// Length of each measured window, in s.
         pub window_s: u64,
-        /// Calls that each daemon gets in the loaded window, in a second; 0 leaves it out.
+        /// Calls per second and daemon in the loaded window; 0 omits that window.
         pub calls_per_s: u32,
     }
 
-    /// What was measured.
+    /// Result of one measurement.
     pub struct MeasureReport {
-        /// Sizes of the measurement.
+        /// Parameters of the measurement.
         pub plan: MeasurePlan,
-        /// Costs with no calls.
+        /// Costs without calls.
         pub idle: CostReport,
         /// Costs with calls.
         pub loaded: Option<CostReport>,
-        /// Times until a drain was known to the members of the service and its callers, in ms.
+        /// Times until all members and callers of the service knew of a drain, in ms.
         pub drain_ms: Vec<u64>,
-        /// Times until new rules were in force on the same, without a hint to any, in ms.
+        /// Times until new rules were in force on these daemons, without hints, in ms.
         pub rules_ms: Vec<u64>,
-        /// Time until the row of a killed daemon was left out by all, in ms.
+        /// Time until all of them had removed the member row of a killed daemon, in ms.
         pub death_ms: Option<u64>,
     }
 
     /// Costs of one daemon, on average, and of the platform.
     pub struct CostReport {
-        /// Bytes of control messages sent, in a second, headers of TCP/IP estimated.
+        /// Bytes of control messages sent per second, with estimated TCP/IP headers.
         pub sent_bytes_per_s: u64,
-        /// Bytes of control messages received, in a second.
+        /// Bytes of control messages received per second.
         pub received_bytes_per_s: u64,
-        /// Most that one daemon sent and received, in a second.
+        /// Highest sum of bytes sent and received by one daemon per second.
         pub most_bytes_per_s: u64,
-        /// Bytes between one daemon and the store, in a second, bodies only.
+        /// Bytes between one daemon and the store per second, bodies only.
         pub store_bytes_per_s: u64,
-        /// Processor time of the threads for control, in millionths of a core.
+        /// CPU time of the control threads, in millionths of a core.
         pub control_cpu_ppm: u64,
-        /// Processor time of the threads of the admin endpoint, in millionths of a core.
+        /// CPU time of the admin endpoint's threads, in millionths of a core.
         pub admin_cpu_ppm: u64,
-        /// Processor time of all other threads, in millionths of a core.
+        /// CPU time of all other threads, in millionths of a core.
         pub other_cpu_ppm: u64,
         /// Resident memory, in KiB.
         pub resident_kib: u64,
-        /// Most resident memory of one daemon, in KiB.
+        /// Highest resident memory of one daemon, in KiB.
         pub resident_most_kib: u64,
-        /// Threads of one daemon.
+        /// Number of threads of one daemon.
         pub threads: u64,
-        /// Reads at the store by all daemons together, in thousandths a second.
+        /// Store reads per 1,000 s by all daemons together.
         pub store_reads_per_1000s: u64,
-        /// Commits at the store by all daemons together, in thousandths a second.
+        /// Store commits per 1,000 s by all daemons together.
         pub store_commits_per_1000s: u64,
-        /// Exchanges that the byte budget left out, of all daemons, in the window.
+        /// Exchanges that all daemons skipped in the window because of the byte budget.
         pub skipped_exchanges: u64,
     }
 }
@@ -122,15 +123,15 @@
     }
     let mut daemons = Daemons::start(&plan, platform.address(), target.address()).await?;
     daemons.call_all_services().await;
-    sleep(SETTLE).await;
+    sleep(WARMUP).await;
 
-    let idle = cost(&plan, &daemons, &platform).await;
+    let idle = measure_cost(&plan, &daemons, &platform).await;
     let loaded = match plan.calls_per_s {
         0 => None,
         rate => {
             daemons.start_load(rate);
-            sleep(SETTLE).await;
-            let loaded = cost(&plan, &daemons, &platform).await;
+            sleep(WARMUP).await;
+            let loaded = measure_cost(&plan, &daemons, &platform).await;
             daemons.stop_load().await;
             Some(loaded)
         }
@@ -138,24 +139,24 @@
     let mut rules_ms = Vec::new();
     let mut drain_ms = Vec::new();
     for round in 0..ROUNDS {
-        rules_ms.extend(time_of_rules(&daemons, &platform, round).await);
-        drain_ms.extend(time_of_drain(&mut daemons, round).await);
+        rules_ms.extend(measure_rules_propagation(&daemons, &platform, round).await);
+        drain_ms.extend(measure_drain_propagation(&mut daemons, round).await);
     }
-    let death_ms = time_of_death(&mut daemons).await;
+    let death_ms = measure_removal_propagation(&mut daemons).await;
     daemons.stop().await;
     target.stop().await;
     platform.stop().await;
     Ok(MeasureReport { plan, idle, loaded, drain_ms, rules_ms, death_ms })
 }
 
-async fn cost(plan: &MeasurePlan, daemons: &Daemons, platform: &Platform) -> CostReport {
+async fn measure_cost(plan: &MeasurePlan, daemons: &Daemons, platform: &Platform) -> CostReport {
     let (before, before_stats) = (sample(daemons).await, platform.stats());
     sleep(Duration::from_secs(plan.window_s)).await;
     let (after, after_stats) = (sample(daemons).await, platform.stats());
     let count = u64::try_from(after.len().max(1)).unwrap_or(1);
-    let spent: Vec<Usage> =
+    let usages: Vec<Usage> =
         after.iter().zip(&before).map(|(after, before)| after.since(before)).collect();
-    let mean = |of: fn(&Usage) -> u64| spent.iter().map(of).sum::<u64>() / count;
+    let mean = |of: fn(&Usage) -> u64| usages.iter().map(of).sum::<u64>() / count;
     let mean_per_s = |of: fn(&Usage) -> u64| mean(of) / plan.window_s;
     let per_1000s = |number: u64| number * 1_000 / plan.window_s;
     let store_bytes = after_stats.received_bytes + after_stats.sent_bytes
@@ -165,50 +166,54 @@
     CostReport {
         sent_bytes_per_s: mean_per_s(|usage| usage.sent_bytes),
         received_bytes_per_s: mean_per_s(|usage| usage.received_bytes),
-        most_bytes_per_s: spent.iter().map(both).max().unwrap_or(0) / plan.window_s,
+        most_bytes_per_s: usages.iter().map(both).max().unwrap_or(0) / plan.window_s,
         store_bytes_per_s: store_bytes / count / plan.window_s,
         control_cpu_ppm: mean_per_s(|usage| usage.control_us),
         admin_cpu_ppm: mean_per_s(|usage| usage.admin_us),
         other_cpu_ppm: mean_per_s(|usage| usage.other_us),
         resident_kib: mean(|usage| usage.resident_kib),
-        resident_most_kib: spent.iter().map(|usage| usage.resident_kib).max().unwrap_or(0),
+        resident_most_kib: usages.iter().map(|usage| usage.resident_kib).max().unwrap_or(0),
         threads: mean(|usage| usage.threads),
         store_reads_per_1000s: per_1000s(after_stats.reads - before_stats.reads),
         store_commits_per_1000s: per_1000s(after_stats.commits - before_stats.commits),
-        skipped_exchanges: spent.iter().map(|usage| usage.skipped_exchanges).sum(),
+        skipped_exchanges: usages.iter().map(|usage| usage.skipped_exchanges).sum(),
     }
 }
 
-async fn time_of_rules(daemons: &Daemons, platform: &Platform, round: usize) -> Option<u64> {
+async fn measure_rules_propagation(
+    daemons: &Daemons,
+    platform: &Platform,
+    round: usize,
+) -> Option<u64> {
     let service = service_name(0);
     let deadline_ms = 2_000 + u32::try_from(round).unwrap_or(0);
     let revision = put_rules(platform, &service, deadline_ms);
     time_until(async || daemons.all_have_rules(&service, revision).await).await
 }
 
-async fn time_of_drain(daemons: &mut Daemons, round: usize) -> Option<u64> {
+async fn measure_drain_propagation(daemons: &mut Daemons, round: usize) -> Option<u64> {
     let instance = daemons.drain(round).await;
     time_until(async || daemons.all_know(&instance, Some("draining")).await).await
 }
 
-async fn time_of_death(daemons: &mut Daemons) -> Option<u64> {
+async fn measure_removal_propagation(daemons: &mut Daemons) -> Option<u64> {
     let instance = daemons.kill_last_of_first_service().await;
     time_until(async || daemons.all_know(&instance, None).await).await
 }
 
-/// Time until `holds`, in ms, or none when that takes too long.
-async fn time_until(holds: impl AsyncFn() -> bool) -> Option<u64> {
-    let began = Instant::now();
-    while began.elapsed() < SPREAD_MAX {
-        if holds().await {
-            return u64::try_from(began.elapsed().as_millis()).ok();
+/// Time until `condition`, in ms, or none when that takes too long.
+async fn time_until(condition: impl AsyncFn() -> bool) -> Option<u64> {
+    let start = Instant::now();
+    while start.elapsed() < PROPAGATION_TIMEOUT {
+        if condition().await {
+            return u64::try_from(start.elapsed().as_millis()).ok();
         }
-        sleep(LOOK_INTERVAL).await;
+        sleep(POLL_INTERVAL).await;
     }
     None
 }
 
-/// Puts rules into the table as the operators' tool would; gives their revision back.
+/// Writes rules to the table as the operators' tool does; returns their revision.
 fn put_rules(platform: &Platform, service: &str, deadline_ms: u32) -> Revision {
     let routes = json!([{"name": "all", "path_prefix": "/", "deadline_ms": deadline_ms}]);
     let rules = json!({"name": service, "routes": routes});
--- a/crates/yuccarack_standins/src/measure/usage.rs
+++ b/crates/yuccarack_standins/src/measure/usage.rs
@@ -1,15 +1,15 @@
-//! What daemons have used so far, from the operating system and from their counters.
+//! Reads the resource usage of daemons from the operating system and from their counters.
 
 use std::{collections::BTreeMap, fs};
 
 use super::daemons::{Daemon, Daemons};
 
-/// Starts of the names of threads that do control work.
+/// Name prefixes of the threads that do control work.
 const CONTROL_THREADS: [&str; 2] = ["control", "nng:"];
-/// Starts of the names of threads that serve the admin endpoint.
+/// Name prefixes of the threads that serve the admin endpoint.
 const ADMIN_THREADS: [&str; 2] = ["admin", "xitca"];
 
-/// What one daemon has used so far.
+/// Resource usage of one daemon since its start.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Usage {
     pub(super) sent_bytes: u64,
@@ -23,7 +23,7 @@
 }
 
 impl Usage {
-    /// What was used since `before`; memory and threads stay as they are now.
+    /// Returns the usage since `before`; memory and threads keep their current values.
     pub(super) fn since(&self, before: &Self) -> Self {
         Self {
             sent_bytes: self.sent_bytes.saturating_sub(before.sent_bytes),
@@ -50,7 +50,7 @@
     }
 }
 
-/// What each running daemon has used so far.
+/// Returns the usage of each running daemon.
 pub(super) async fn sample(daemons: &Daemons) -> Vec<Usage> {
     let mut usages = Vec::new();
     for daemon in daemons.running() {
@@ -62,7 +62,7 @@
 async fn usage(daemons: &Daemons, daemon: &Daemon) -> Usage {
     let mut usage = Usage::default();
     let counters: BTreeMap<String, u64> =
-        daemons.asker().get_json(daemon.admin, "/counters").await.unwrap_or_default();
+        daemons.client().get_json(daemon.admin, "/counters").await.unwrap_or_default();
     let counter = |name: &str| counters.get(name).copied().unwrap_or(0);
     usage.sent_bytes = counter("control.sent_bytes");
     usage.received_bytes = counter("control.received_bytes");
--- a/crates/yuccarack_standins/src/platform/mod.rs
+++ b/crates/yuccarack_standins/src/platform/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in of the platform: a transactional table and an object store, with faults to order.
+//! Stand-in of the platform: a transactional table and an object store, with injected faults.
 
 mod table;
 
@@ -19,19 +19,19 @@
     ConnectionAborted, HandlerResult, Server, listen, read_json, respond, respond_json,
 };
 
-/// Connections that the platform takes at once.
+/// Most open connections.
 const CONNECTIONS_MAX: usize = 10_000;
 
 wire_kind! {
-    /// Whether the platform serves at all.
+    /// Whether the platform serves requests.
     #[derive(Default)]
     pub enum PlatformMode {
-        /// It serves.
+        /// Serves requests.
         #[default]
         Up,
-        /// It answers 503 at once and does nothing.
+        /// Responds with status 503 at once and does nothing else.
         Down,
-        /// It takes questions and never answers; nothing is done.
+        /// Accepts requests, does nothing and never responds.
         BlackHole,
     }
 }
@@ -41,17 +41,17 @@
     #[derive(Default)]
     #[serde(default)]
     pub struct PlatformFaults {
-        /// Whether it serves at all.
+        /// Whether it serves requests.
         pub mode: PlatformMode,
-        /// Delay of each answer, in ms.
+        /// Delay of each response, in ms.
         pub delay_ms: u64,
-        /// Whether a delayed write takes effect at the delay's end, not at its start.
+        /// Whether a delayed write takes effect at the end of the delay instead of its start.
         pub late_effect: bool,
-        /// Commits still to come that take effect and whose answer is lost.
+        /// Number of further commits that take effect but whose response is lost.
         pub lose_answers: u32,
     }
 
-    /// What the platform has done so far.
+    /// Counters of the platform.
     #[derive(Default)]
     #[serde(default)]
     pub struct PlatformStats {
@@ -59,20 +59,20 @@
         pub reads: u64,
         /// Commits that took effect.
         pub commits: u64,
-        /// Commits whose conditions didn't hold.
+        /// Commits rejected because a condition didn't hold.
         pub conflicts: u64,
-        /// Rows and objects written.
+        /// Rows and objects write_count.
         pub writes: u64,
-        /// Questions refused or left unanswered by a fault.
+        /// Requests refused or left without a response by a fault.
         pub failed: u64,
-        /// Bytes of bodies read from callers.
+        /// Bytes of request bodies.
         pub received_bytes: u64,
-        /// Bytes of bodies sent to callers.
+        /// Bytes of response bodies.
         pub sent_bytes: u64,
     }
 }
 
-/// A running platform.
+/// A running platform stand-in.
 #[derive(Debug)]
 pub struct Platform {
     server: Server,
@@ -104,7 +104,7 @@
         Ok(Self { server, shared })
     }
 
-    /// The address it listens on.
+    /// Returns the address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
@@ -114,22 +114,22 @@
         *self.shared.faults.lock() = faults;
     }
 
-    /// What it has done so far.
+    /// Returns its counters.
     pub fn stats(&self) -> PlatformStats {
         self.shared.stats.lock().clone()
     }
 
-    /// Commits that have come and not taken effect yet, or whose answers are still on their way.
+    /// Returns the number of commits that have not taken effect yet or whose responses are delayed.
     pub fn pending_commits(&self) -> usize {
         self.shared.commits.len()
     }
 
-    /// Looks at the table past all faults.
-    pub fn with_table<T>(&self, look: impl FnOnce(&mut Table) -> T) -> T {
-        look(&mut self.shared.table.lock())
+    /// Accesses the table directly, past all faults.
+    pub fn with_table<T>(&self, access: impl FnOnce(&mut Table) -> T) -> T {
+        access(&mut self.shared.table.lock())
     }
 
-    /// Stops and joins all it spawned.
+    /// Closes all connections and waits for the pending commits.
     pub async fn stop(self) {
         self.server.crash().await;
         self.shared.commits.close();
@@ -183,8 +183,8 @@
         };
         let shared = Arc::clone(&self);
         let (delay_ms, late_effect) = (faults.delay_ms, faults.late_effect);
-        // A write goes its way also when its sender has hung up.
-        let committing = self.commits.spawn(async move {
+        // Spawned, so that a commit takes effect even when its caller has disconnected.
+        let task = self.commits.spawn(async move {
             if late_effect {
                 delay(delay_ms).await;
             }
@@ -194,28 +194,28 @@
             }
             answer
         });
-        committing.await.map_err(|_| ConnectionAborted)?
+        task.await.map_err(|_| ConnectionAborted)?
     }
 
     fn apply(&self, commit: Commit) -> HandlerResult {
-        let written = commit.writes.len() as u64;
+        let write_count = commit.writes.len() as u64;
         let result = self.table.lock().commit(commit);
         let mut stats = self.stats.lock();
         match result {
-            Ok(committed) => {
+            Ok(response) => {
                 stats.commits += 1;
-                stats.writes += written;
+                stats.writes += write_count;
                 let mut faults = self.faults.lock();
                 if faults.lose_answers > 0 {
                     faults.lose_answers -= 1;
                     stats.failed += 1;
                     return Err(ConnectionAborted);
                 }
-                respond_json(StatusCode::OK, &committed)
+                respond_json(StatusCode::OK, &response)
             }
-            Err(conflicted) => {
+            Err(conflict) => {
                 stats.conflicts += 1;
-                respond_json(StatusCode::CONFLICT, &conflicted)
+                respond_json(StatusCode::CONFLICT, &conflict)
             }
         }
     }
@@ -233,11 +233,11 @@
         }
         let found = match path {
             "/table/row" => {
-                let row = self.table.lock().row(&argument(&query, "key"));
+                let row = self.table.lock().row(&query_argument(&query, "key"));
                 row.map(|row| serde_json::to_vec(&row))
             }
             "/table/rows" => {
-                let rows = self.table.lock().rows(&argument(&query, "prefix"));
+                let rows = self.table.lock().rows(&query_argument(&query, "prefix"));
                 Some(serde_json::to_vec(&rows))
             }
             _ => self.objects.lock().get(path).map(|bytes| Ok(bytes.to_vec())),
@@ -259,13 +259,14 @@
     }
 }
 
-fn argument(query: &str, name: &str) -> String {
+fn query_argument(query: &str, name: &str) -> String {
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
-    let found = pairs.filter(|(key, _)| *key == name).map(|(_, value)| unescaped(value)).next();
+    let found =
+        pairs.filter(|(key, _)| *key == name).map(|(_, value)| percent_decode(value)).next();
     found.unwrap_or_default()
 }
 
-fn unescaped(text: &str) -> String {
+fn percent_decode(text: &str) -> String {
     let mut bytes = Vec::with_capacity(text.len());
     let mut rest = text.as_bytes();
     while let Some((&first, after)) = rest.split_first() {
--- a/crates/yuccarack_standins/src/platform/table.rs
+++ b/crates/yuccarack_standins/src/platform/table.rs
@@ -1,4 +1,4 @@
-//! The table: rows, a revision for each commit, conditions.
+//! In-memory table with transactional commits, conditions and revisions.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
     Commit, CommitResponse, Condition, ConflictResponse, FailedCondition, Precondition, Row, Rows,
 };
 
-/// All rows, in memory.
+/// Rows of the table and the revision of the newest commit.
 #[derive(Debug, Default)]
 pub struct Table {
     revision: Revision,
@@ -16,11 +16,11 @@
 }
 
 impl Table {
-    /// Writes all of `commit`, or nothing.
+    /// Applies all writes of `commit`, or none if a condition doesn't hold.
     ///
     /// # Errors
     ///
-    /// The conditions that don't hold.
+    /// The conditions that don't hold, with the current revisions.
     pub fn commit(&mut self, commit: Commit) -> Result<CommitResponse, ConflictResponse> {
         let failed: Vec<_> = commit
             .conditions
@@ -44,13 +44,13 @@
         Ok(CommitResponse { revision: self.revision })
     }
 
-    /// The row of `key`.
+    /// Returns the row of `key`.
     pub fn row(&self, key: &str) -> Option<Row> {
         let (revision, value) = self.rows.get(key)?;
         Some(Row { key: key.to_owned(), revision: *revision, value: value.clone() })
     }
 
-    /// All rows whose keys start with `prefix`.
+    /// Returns all rows whose keys start with `prefix`.
     pub fn rows(&self, prefix: &str) -> Rows {
         let from = self.rows.range(prefix.to_owned()..);
         let rows = from
--- a/crates/yuccarack_standins/src/process.rs
+++ b/crates/yuccarack_standins/src/process.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins' programs share: the ready line and the wait for their end.
+//! Parts that the stand-in programs share: the ready line and the wait for a stop signal.
 
 use std::{
     io::{self, Write},
@@ -9,21 +9,21 @@
 use yuccarack_config::wire_data;
 
 wire_data! {
-    /// The line that a stand-in prints when it serves.
+    /// JSON line that a stand-in prints once it serves.
     pub struct ReadyLine {
-        /// Address it listens on.
+        /// Address that it listens on.
         pub listening: SocketAddr,
-        /// Address for its faults, when that is another one.
+        /// Control address for faults, if it has a separate one.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         pub control: Option<SocketAddr>,
     }
 }
 
-/// Prints the ready line.
+/// Prints the ready line on the standard output.
 ///
 /// # Errors
 ///
-/// Nothing can be written to the standard output.
+/// The standard output can't be written.
 pub fn print_ready_line(ready: &ReadyLine) -> io::Result<()> {
     let line = serde_json::to_string(ready)?;
     let mut out = io::stdout().lock();
@@ -35,7 +35,7 @@
 ///
 /// # Errors
 ///
-/// The signals can't be listened for.
+/// The signal handlers can't be installed.
 pub async fn wait_for_shutdown() -> io::Result<()> {
     let mut terminate = signal(SignalKind::terminate())?;
     let mut interrupt = signal(SignalKind::interrupt())?;
--- a/crates/yuccarack_standins/src/proxy.rs
+++ b/crates/yuccarack_standins/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A TCP proxy that delays, cuts, swallows and loses what it carries.
+//! A fault-injecting TCP proxy that delays, throttles, drops and cuts off traffic.
 
 use std::{io, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -23,18 +23,18 @@
     server::{HandlerResult, Server, listen, read_json, respond},
 };
 
-/// Largest piece that is carried at once, in bytes.
+/// Largest piece that is forwarded at once, in bytes.
 const PIECE_BYTES: usize = 16 * 1024;
 
-/// Connections that the control address takes.
+/// Most open connections of the control address.
 const CONTROL_CONNECTIONS_MAX: usize = 16;
 
 wire_kind! {
-    /// A way through the proxy.
+    /// Direction of traffic through the proxy.
     pub enum Direction {
-        /// From who connected to whom it is connected to.
+        /// From the client to the upstream address.
         Upstream,
-        /// Back.
+        /// From the upstream address to the client.
         Downstream,
     }
 }
@@ -46,33 +46,34 @@
     pub struct ProxyFaults {
         /// Delay of each piece, in ms.
         pub delay_ms: u64,
-        /// Whether new connections are closed at once and old ones cut.
+        /// Whether new connections are closed at once; setting it closes the open ones.
         pub refuse: bool,
-        /// A way on which nothing is carried any more, while the other goes on.
+        /// A direction in which all traffic is dropped, while the other one works.
         pub half_open: Option<Direction>,
-        /// Whether nothing is carried any more; connections stay open.
+        /// Whether all traffic is dropped; connections stay open.
         pub black_hole: bool,
-        /// Cuts each connection once so much has gone one way since the fault was set.
+        /// Closes each connection once it has forwarded so many bytes in one direction.
         pub cut_after_bytes: Option<CutAfter>,
-        /// Whether what comes back is dropped and the connection cut at its first byte.
+        /// Whether a connection is closed at the first byte of the response, which is dropped.
         pub swallow_answer: bool,
-        /// Connections that the last two faults still hit; unset, all.
+        /// Number of times that the last two faults still take effect; `None` for no limit.
         pub times: Option<u32>,
-        /// Bytes a second that pass each way over all connections together; unset, any number.
+        /// Bandwidth per direction over all connections together, in bytes per second; `None` for
+        /// no limit.
         pub bytes_per_s: Option<u64>,
     }
 
-    /// Where a connection is cut.
+    /// Point at which a connection is closed.
     #[derive(Copy)]
     pub struct CutAfter {
-        /// The way that is counted.
+        /// Direction whose bytes are counted.
         pub direction: Direction,
-        /// Bytes that still pass.
+        /// Bytes that are still forwarded.
         pub bytes: u64,
     }
 }
 
-/// A running proxy; its owner ends it with [`Proxy::stop`].
+/// A running proxy; end it with [`Proxy::stop`].
 #[derive(Debug)]
 pub struct Proxy {
     address: SocketAddr,
@@ -91,16 +92,16 @@
     end: CancellationToken,
 }
 
-/// What a carrier does with a piece.
+/// What happens to a piece of traffic.
 enum ForwardDecision {
-    /// It passes up to this many bytes, and the connection is cut after them when `cut`.
+    /// Its first `bytes` are forwarded; the connection is closed after them if `cut`.
     Pass { bytes: usize, cut: bool },
-    /// It isn't carried; the connection stays open.
+    /// It is dropped; the connection stays open.
     Drop,
 }
 
 impl Proxy {
-    /// Listens on `address` and carries to `upstream`.
+    /// Listens on `address` and forwards to `upstream`.
     ///
     /// # Errors
     ///
@@ -122,12 +123,12 @@
         Ok(Self { address, shared, tasks })
     }
 
-    /// The address it listens on.
+    /// Returns the address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Carries new connections to another address.
+    /// Forwards new connections to another address.
     pub fn set_upstream(&self, upstream: SocketAddr) {
         *self.shared.upstream.lock() = upstream;
     }
@@ -137,7 +138,7 @@
         self.shared.set_faults(faults);
     }
 
-    /// Cuts all connections that are open now.
+    /// Closes all connections that are open now.
     pub fn cut_connections(&self) {
         self.shared.cut_connections();
     }
@@ -155,7 +156,7 @@
         })
     }
 
-    /// Cuts everything and joins all it spawned.
+    /// Closes the listener and all connections and waits for their tasks.
     pub async fn stop(self) {
         self.shared.end.cancel();
         self.tasks.close();
@@ -194,8 +195,8 @@
         }
     }
 
-    /// Decides about a piece of `length` after `carried` bytes on the same way.
-    fn decide(&self, direction: Direction, length: usize, carried: u64) -> ForwardDecision {
+    /// Decides what happens to `length` bytes after `forwarded` bytes in the same direction.
+    fn decide(&self, direction: Direction, length: usize, forwarded: u64) -> ForwardDecision {
         let mut faults = self.faults.lock();
         if faults.black_hole || faults.half_open == Some(direction) {
             return ForwardDecision::Drop;
@@ -204,8 +205,8 @@
             return ForwardDecision::Pass { bytes: 0, cut: true };
         }
         match faults.cut_after_bytes {
-            Some(cut) if cut.direction == direction && carried + length as u64 > cut.bytes => {
-                let bytes = usize::try_from(cut.bytes.saturating_sub(carried)).unwrap_or(length);
+            Some(cut) if cut.direction == direction && forwarded + length as u64 > cut.bytes => {
+                let bytes = usize::try_from(cut.bytes.saturating_sub(forwarded)).unwrap_or(length);
                 if !faults.take_hit() {
                     return ForwardDecision::Pass { bytes: length, cut: false };
                 }
@@ -217,7 +218,7 @@
 }
 
 impl ProxyFaults {
-    /// Whether a fault with a count hits once more.
+    /// Returns whether a counted fault takes effect once more, and counts it.
     fn take_hit(&mut self) -> bool {
         match &mut self.times {
             None => true,
@@ -246,23 +247,23 @@
             tokio::select! {
                 () = cut.cancelled() => {}
                 () = shared.end.cancelled() => {}
-                // A broken connection shows at both ends; there is no one else to tell.
+                // An I/O error closes the connection at both ends; nothing else depends on it.
                 _ = forward(stream, &shared) => {}
             }
         });
     }
 }
 
-async fn forward(caller: TcpStream, shared: &Shared) -> io::Result<()> {
+async fn forward(client: TcpStream, shared: &Shared) -> io::Result<()> {
     let upstream = *shared.upstream.lock();
-    let callee = TcpStream::connect(upstream).await?;
-    caller.set_nodelay(true)?;
-    callee.set_nodelay(true)?;
-    let (caller_read, caller_write) = caller.into_split();
-    let (callee_read, callee_write) = callee.into_split();
-    let there = forward_one_way(caller_read, callee_write, Direction::Upstream, shared);
-    let back = forward_one_way(callee_read, caller_write, Direction::Downstream, shared);
-    tokio::try_join!(there, back)?;
+    let server = TcpStream::connect(upstream).await?;
+    client.set_nodelay(true)?;
+    server.set_nodelay(true)?;
+    let (client_read, client_write) = client.into_split();
+    let (server_read, server_write) = server.into_split();
+    let upstream_copy = forward_one_way(client_read, server_write, Direction::Upstream, shared);
+    let downstream_copy = forward_one_way(server_read, client_write, Direction::Downstream, shared);
+    tokio::try_join!(upstream_copy, downstream_copy)?;
     Ok(())
 }
 
@@ -273,28 +274,28 @@
     shared: &Shared,
 ) -> io::Result<()> {
     let mut piece = vec![0; PIECE_BYTES];
-    let mut carried = 0;
+    let mut forwarded = 0;
     loop {
         let rate = shared.rate(direction);
-        let most = rate.chunk_bytes().unwrap_or(PIECE_BYTES).min(PIECE_BYTES);
-        let length = from.read(&mut piece[..most]).await?;
+        let length_max = rate.chunk_bytes().unwrap_or(PIECE_BYTES).min(PIECE_BYTES);
+        let length = from.read(&mut piece[..length_max]).await?;
         rate.transmit(length).await;
         let delay_ms = shared.faults.lock().delay_ms;
         if delay_ms > 0 {
             sleep(Duration::from_millis(delay_ms)).await;
         }
         if length == 0 {
-            // An end of the stream is lost like any piece while the way is closed.
-            while matches!(shared.decide(direction, 0, carried), ForwardDecision::Drop) {
+            // The end of the stream is held back while traffic in this direction is dropped.
+            while matches!(shared.decide(direction, 0, forwarded), ForwardDecision::Drop) {
                 shared.changed.notified().await;
             }
             return to.shutdown().await;
         }
-        match shared.decide(direction, length, carried) {
+        match shared.decide(direction, length, forwarded) {
             ForwardDecision::Drop => {}
             ForwardDecision::Pass { bytes, cut } => {
                 to.write_all(&piece[..bytes]).await?;
-                carried += bytes as u64;
+                forwarded += bytes as u64;
                 if cut {
                     to.flush().await?;
                     return Err(io::ErrorKind::ConnectionAborted.into());
--- a/crates/yuccarack_standins/src/server.rs
+++ b/crates/yuccarack_standins/src/server.rs
@@ -1,4 +1,4 @@
-//! A small HTTP/1.1 server that can be stopped gracefully or cut off at once, as a crash would.
+//! A small HTTP/1.1 server that can stop gracefully or close all connections at once, like a crash.
 
 use std::{
     io,
@@ -23,23 +23,24 @@
 };
 use tokio_util::{sync::CancellationToken, task::TaskTracker};
 
-/// Longest wait for a port that is in use.
-const LISTEN_MAX: Duration = Duration::from_secs(10);
-/// Wait between two tries to get it.
-const LISTEN_PAUSE: Duration = Duration::from_millis(10);
+/// Longest wait for a port in use.
+const LISTEN_TIMEOUT: Duration = Duration::from_secs(10);
+/// Pause between two attempts to bind it.
+const LISTEN_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Body of an answer; an error cuts the connection in mid-body.
+/// Body of a response; an error in it closes the connection in the middle of the body.
 pub type ResponseBody = UnsyncBoxBody<Bytes, ConnectionAborted>;
 
-/// An answer, or none and a cut connection.
+/// A response, or an error that closes the connection without one.
 pub type HandlerResult = Result<Response<ResponseBody>, ConnectionAborted>;
 
-/// Says that the connection is cut instead of answered.
+/// Makes the server close the connection instead of completing the response.
 #[derive(Clone, Copy, Debug, Error)]
-#[error("the stand-in cuts the connection")]
+#[error("the stand-in closes the connection")]
 pub struct ConnectionAborted;
 
-/// A running server; its owner ends it by [`Server::crash`] or [`Server::stop`].
+/// A running server; end it with [`Server::crash`] or [`Server::stop`]. A drop closes all
+/// connections without waiting for their tasks.
 #[derive(Debug)]
 pub struct Server {
     address: SocketAddr,
@@ -49,11 +50,11 @@
     connections: Arc<Connections>,
 }
 
-/// Connections of one server, now and at most.
+/// Current and peak number of connections of a server.
 #[derive(Debug, Default)]
 struct Connections {
     open: AtomicUsize,
-    most: AtomicUsize,
+    peak: AtomicUsize,
 }
 
 impl Server {
@@ -94,31 +95,31 @@
                     continue;
                 }
                 let open = OpenConnection::new(Arc::clone(&connections));
-                let ends = (crash.clone(), stop.clone());
-                tasks.spawn(serve(stream, ends, handler.clone(), open));
+                let tokens = (crash.clone(), stop.clone());
+                tasks.spawn(serve(stream, tokens, handler.clone(), open));
             }
         });
         Ok(server)
     }
 
-    /// The address it listens on.
+    /// Returns the address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Most connections that were open at once.
+    /// Returns the highest number of connections that were open at once.
     pub fn peak_connections(&self) -> usize {
-        self.connections.most.load(Ordering::Relaxed)
+        self.connections.peak.load(Ordering::Relaxed)
     }
 
-    /// Closes the listener and all connections at once, answered or not.
+    /// Closes the listener and all connections at once, also with requests in flight.
     pub async fn crash(&self) {
         self.crash.cancel();
         self.tasks.close();
         self.tasks.wait().await;
     }
 
-    /// Stops listening, lets the requests in flight end, and joins all connections.
+    /// Stops listening and waits until the requests in flight are finished.
     pub async fn stop(&self) {
         self.stop.cancel();
         self.tasks.close();
@@ -132,13 +133,13 @@
     }
 }
 
-/// Counts one connection for as long as it is open.
+/// Counts a connection as open until dropped.
 struct OpenConnection(Arc<Connections>);
 
 impl OpenConnection {
     fn new(connections: Arc<Connections>) -> Self {
         let open = connections.open.fetch_add(1, Ordering::Relaxed) + 1;
-        connections.most.fetch_max(open, Ordering::Relaxed);
+        connections.peak.fetch_max(open, Ordering::Relaxed);
         Self(connections)
     }
 }
@@ -173,31 +174,31 @@
                 stopping = true;
                 connection.as_mut().graceful_shutdown();
             }
-            // A caller that hung up or an answer that was cut ends the connection either way.
+            // The result doesn't matter: a disconnected caller and an aborted response both end it.
             _ = connection.as_mut() => return,
         }
     }
 }
 
-/// A whole body.
+/// Makes a body of `bytes`.
 pub fn full_body(bytes: impl Into<Bytes>) -> ResponseBody {
     Full::new(bytes.into()).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// An answer of `status` with `body`.
+/// Makes a response of `status` with `body`.
 ///
 /// # Errors
 ///
-/// Never in practice; the type is that of all answers.
+/// Never in practice; the return type is that of all handlers.
 pub fn respond(status: StatusCode, body: impl Into<Bytes>) -> HandlerResult {
     Response::builder().status(status).body(full_body(body)).map_err(|_| ConnectionAborted)
 }
 
-/// An answer of 200 with `value` as JSON.
+/// Makes a response of `status` with `value` as JSON.
 ///
 /// # Errors
 ///
-/// The value has no form in JSON.
+/// The value can't be serialized.
 pub fn respond_json<T: Serialize>(status: StatusCode, value: &T) -> HandlerResult {
     let body = serde_json::to_vec(value).map_err(|_| ConnectionAborted)?;
     Response::builder()
@@ -207,34 +208,34 @@
         .map_err(|_| ConnectionAborted)
 }
 
-/// Reads a whole body and takes it as JSON.
+/// Reads the full body of a request and parses it as JSON.
 ///
 /// # Errors
 ///
-/// The caller hung up or sent something else.
+/// The caller disconnected, or the body isn't the expected JSON.
 pub async fn read_json<T: DeserializeOwned>(body: Incoming) -> Result<T, ConnectionAborted> {
     let bytes = body.collect().await.map_err(|_| ConnectionAborted)?.to_bytes();
     serde_json::from_slice(&bytes).map_err(|_| ConnectionAborted)
 }
 
-/// Listens on `address`.
+/// Listens on `address`, with retries while the port is in use.
 ///
-/// Failure: a stand-in that crashed comes back on its port while another test starts a process. Until
-/// that process has been replaced by its program it holds a copy of the old listener, and the
-/// port is in use for some milliseconds. So a port in use is tried again for a while.
+/// The retries are for a stand-in that restarts on its port while another test starts a process:
+/// between fork and exec the child holds a copy of the old listener, so the port stays in use for
+/// some milliseconds.
 ///
 /// # Errors
 ///
 /// The address can't be bound.
 pub async fn listen(address: SocketAddr) -> io::Result<TcpListener> {
-    let give_up_at = Instant::now() + LISTEN_MAX;
+    let deadline = Instant::now() + LISTEN_TIMEOUT;
     loop {
         match listen_once(address) {
             Err(error) if error.kind() == io::ErrorKind::AddrInUse => {
-                if Instant::now() >= give_up_at {
+                if Instant::now() >= deadline {
                     return Err(error);
                 }
-                sleep(LISTEN_PAUSE).await;
+                sleep(LISTEN_RETRY_INTERVAL).await;
             }
             result => return result,
         }
@@ -246,7 +247,7 @@
         SocketAddr::V4(_) => tokio::net::TcpSocket::new_v4()?,
         SocketAddr::V6(_) => tokio::net::TcpSocket::new_v6()?,
     };
-    // A stand-in that crashed comes back on the same port while old connections linger.
+    // A restarted stand-in binds its old port while old connections are in TIME_WAIT.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     socket.listen(1024)
--- a/crates/yuccarack_standins/src/target/announce.rs
+++ b/crates/yuccarack_standins/src/target/announce.rs
@@ -1,4 +1,4 @@
-//! A target tells its daemon of itself, each second and at each change.
+//! Announces a target to its daemon, periodically and at each change of state.
 
 use std::{
     net::SocketAddr,
@@ -12,26 +12,26 @@
 use super::{Announcement, Inner, LOAD_PATH};
 use crate::client::HttpClient;
 
-/// Longest wait for the daemon's answer.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout for the daemon's response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Announces until `end`.
+/// Announces the target until `end` is cancelled.
 pub(super) async fn announce(inner: Arc<Inner>, address: SocketAddr, end: CancellationToken) {
     let Some(admin) = inner.options.admin else { return };
-    let asker = HttpClient::new(ANSWER_TIMEOUT);
+    let client = HttpClient::new(RESPONSE_TIMEOUT);
     let interval = Duration::from_millis(inner.options.announce_interval_ms);
     loop {
-        if !inner.faults.lock().stop_announcing && !inner.away.load(Ordering::Relaxed) {
+        if !inner.faults.lock().stop_announcing && !inner.is_down.load(Ordering::Relaxed) {
             let announcement = announcement(&inner, address);
             tokio::select! {
                 () = end.cancelled() => return,
-                // A daemon that is away hears the next one.
-                _ = asker.post_json(admin, "/announce", &announcement) => {}
+                // A failure is ignored: an unreachable daemon gets the next announcement.
+                _ = client.post_json(admin, "/announce", &announcement) => {}
             }
         }
         tokio::select! {
             () = end.cancelled() => return,
-            () = inner.changed.notified() => {}
+            () = inner.state_changed.notified() => {}
             () = sleep(interval) => {}
         }
     }
--- a/crates/yuccarack_standins/src/target/calls.rs
+++ b/crates/yuccarack_standins/src/target/calls.rs
@@ -1,4 +1,4 @@
-//! One call to a target: shed, fail, crash, or run and echo.
+//! Handles calls to a target: sheds, fails, crashes, or runs and echoes the request.
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -21,26 +21,27 @@
     server::{ConnectionAborted, HandlerResult, full_body, respond},
 };
 
-/// Longest body that a target reads before it begins; a longer one runs while it arrives.
+/// Longest body that a target reads before the run starts; a longer one is streamed during the
+/// run.
 const READ_FIRST_BYTES: usize = 64 * 1024;
 
-/// Time between the last piece of a cut answer and the cut.
-const CUT_DELAY: Duration = Duration::from_millis(20);
+/// Time between the last piece of a truncated response and the end of the connection.
+const TRUNCATION_DELAY: Duration = Duration::from_millis(20);
 
-/// Serves one call.
+/// Handles one call.
 pub(super) async fn call(inner: Arc<Inner>, request: Request<Incoming>) -> HandlerResult {
     let faults = inner.faults.lock().clone();
-    let inside = Inside::new(Arc::clone(&inner));
+    let inside = InsideGuard::new(Arc::clone(&inner));
     let shed_above = inner.options.shed_above.map_or(u64::MAX, u64::from);
     if faults.refuse_all || inside.count > shed_above {
         return shed(&inner);
     }
     let (head, body) = request.into_parts();
-    let mut reading = Reading::new(&head, body);
-    reading.first_part().await?;
+    let mut reader = RequestReader::new(&head, body);
+    reader.read_first_part().await?;
     let slot = inner.slots.acquire().await.map_err(|_| ConnectionAborted)?;
-    let mut run = inner.run_log.begin(run(&inner, &head, &reading));
-    if reading.has_mark() {
+    let mut run = inner.run_log.begin(new_run(&inner, &head, &reader));
+    if reader.has_crash_marker() {
         return crash(&inner, run).await;
     }
     if let Some(status) = faults.fail_fast {
@@ -52,23 +53,26 @@
     }
     run.set_state_on_drop(RunState::Cancelled);
     let deadline_ms = number(&head.headers, headers::DEADLINE_MS).unwrap_or(u64::MAX >> 16);
-    if timeout(Duration::from_millis(deadline_ms), work(&inner, &faults, &reading)).await.is_err() {
+    if timeout(Duration::from_millis(deadline_ms), wait_service_time(&inner, &faults, &reader))
+        .await
+        .is_err()
+    {
         run.end(RunState::Late);
         return respond(StatusCode::GATEWAY_TIMEOUT, "the stand-in gave up at the deadline");
     }
     drop(slot);
     if let Some(length) = faults.cut_answers_after {
         run.end(RunState::Finished);
-        return reading.cut_answer(length);
+        return reader.truncated_response(length);
     }
-    if reading.ended {
+    if reader.ended {
         run.end(RunState::Finished);
-        let body = reading.pieces.concat();
+        let body = reader.pieces.concat();
         return Response::builder()
-            .body(full_body(echo::expected_body(&reading.path, &body)))
+            .body(full_body(echo::expected_body(&reader.path, &body)))
             .map_err(|_| ConnectionAborted);
     }
-    reading.streamed_answer(run, inside)
+    reader.streamed_response(run, inside)
 }
 
 fn shed(inner: &Inner) -> HandlerResult {
@@ -80,20 +84,20 @@
         .map_err(|_| ConnectionAborted)
 }
 
-/// Ends the process, or hangs until the owner cuts all connections.
+/// Aborts the process, or hangs until the owner closes all connections.
 async fn crash(inner: &Inner, mut run: RunGuard) -> HandlerResult {
-    if inner.on_crash == CrashMode::AbortProcess {
+    if inner.crash_mode == CrashMode::AbortProcess {
         run.end(RunState::Crashed);
         std::process::abort();
     }
     run.set_state_on_drop(RunState::Crashed);
-    inner.away.store(true, Ordering::Relaxed);
+    inner.is_down.store(true, Ordering::Relaxed);
     inner.crashed.notify_one();
     std::future::pending().await
 }
 
-async fn work(inner: &Inner, faults: &TargetFaults, reading: &Reading) {
-    let ms = echo::query_number(&reading.path, "work_ms").unwrap_or_else(|| service_ms(inner));
+async fn wait_service_time(inner: &Inner, faults: &TargetFaults, reader: &RequestReader) {
+    let ms = echo::query_number(&reader.path, "work_ms").unwrap_or_else(|| service_ms(inner));
     let cold =
         inner.started_at.lock().elapsed().as_millis() < u128::from(inner.options.cold_for_ms);
     let cold_ms = if cold { inner.options.cold_extra_ms } else { 0 };
@@ -117,7 +121,7 @@
     options.service_ms + (spread * options.tail_ms as f64) as u64
 }
 
-fn run(inner: &Inner, head: &Parts, reading: &Reading) -> Run {
+fn new_run(inner: &Inner, head: &Parts, reader: &RequestReader) -> Run {
     Run {
         target: inner.options.name.clone(),
         boot_id: inner.boot_id.load(Ordering::Relaxed),
@@ -125,15 +129,15 @@
         attempt: text(&head.headers, headers::ATTEMPT_ID),
         key: text(&head.headers, headers::IDEMPOTENCY_KEY),
         method: head.method.to_string(),
-        path: reading.path.clone(),
-        body_hash: reading.check.value(),
+        path: reader.path.clone(),
+        body_hash: reader.check.value(),
         began_at_unix_ms: unix_ms(),
         state: RunState::Running,
     }
 }
 
-/// A request's body on its way in.
-struct Reading {
+/// The body of a request while it is being read.
+struct RequestReader {
     path: String,
     length: Option<u64>,
     body: Incoming,
@@ -142,7 +146,7 @@
     ended: bool,
 }
 
-impl Reading {
+impl RequestReader {
     fn new(head: &Parts, body: Incoming) -> Self {
         let path = head.uri.path_and_query().map_or_else(|| "/".to_owned(), ToString::to_string);
         let length = number(&head.headers, http::header::CONTENT_LENGTH.as_str());
@@ -150,7 +154,7 @@
         Self { path, length, body, pieces: Vec::new(), check, ended: false }
     }
 
-    async fn first_part(&mut self) -> Result<(), ConnectionAborted> {
+    async fn read_first_part(&mut self) -> Result<(), ConnectionAborted> {
         let mut size = 0;
         while size <= READ_FIRST_BYTES {
             let Some(frame) = self.body.frame().await else {
@@ -165,62 +169,64 @@
         Ok(())
     }
 
-    fn has_mark(&self) -> bool {
-        self.path.contains(CRASH_MARKER) || is_marked(&self.pieces.concat())
+    fn has_crash_marker(&self) -> bool {
+        self.path.contains(CRASH_MARKER) || contains_crash_marker(&self.pieces.concat())
     }
 
-    /// The echo's first `length` bytes, then a cut; its whole length is told unless the query says
-    /// `chunked=1`.
-    fn cut_answer(self, length: u64) -> HandlerResult {
-        let answer = echo::expected_body(&self.path, &self.pieces.concat());
-        let whole_length = answer.len();
-        let kept = answer.slice(..whole_length.min(usize::try_from(length).unwrap_or(usize::MAX)));
-        // Time for the first piece to go out; cut at once, nothing of the answer would.
+    /// Sends the first `length` bytes of the echo and closes the connection. The response has the
+    /// full content length unless the query has `chunked=1`.
+    fn truncated_response(self, length: u64) -> HandlerResult {
+        let response = echo::expected_body(&self.path, &self.pieces.concat());
+        let full_length = response.len();
+        let truncated =
+            response.slice(..full_length.min(usize::try_from(length).unwrap_or(usize::MAX)));
+        // Without a delay the connection would close before the first piece is sent.
         let cut = async {
-            sleep(CUT_DELAY).await;
+            sleep(TRUNCATION_DELAY).await;
             Err(ConnectionAborted)
         };
-        let pieces = stream::once(ready(Ok(Frame::data(kept)))).chain(stream::once(cut));
-        let mut answer = Response::builder();
+        let pieces = stream::once(ready(Ok(Frame::data(truncated)))).chain(stream::once(cut));
+        let mut response = Response::builder();
         if echo::query_number(&self.path, "chunked") != Some(1) {
-            answer = answer.header(http::header::CONTENT_LENGTH, whole_length + 1);
+            response = response.header(http::header::CONTENT_LENGTH, full_length + 1);
         }
-        answer.body(BodyExt::boxed_unsync(StreamBody::new(pieces))).map_err(|_| ConnectionAborted)
+        response.body(BodyExt::boxed_unsync(StreamBody::new(pieces))).map_err(|_| ConnectionAborted)
     }
 
-    /// The echo of a body that is still arriving.
-    fn streamed_answer(self, run: RunGuard, inside: Inside) -> HandlerResult {
+    /// Echoes a body that is still being received.
+    fn streamed_response(self, run: RunGuard, inside: InsideGuard) -> HandlerResult {
         let filler = echo::filler(&self.path);
         let length = self.length.map(|body| body + (filler.len() + HASH_BYTES) as u64);
         let mut first = self.pieces;
         first.insert(0, filler);
         first.reverse();
-        let state = Streaming { first, body: self.body, check: self.check, run: Some(run), inside };
-        let pieces = stream::unfold(state, Streaming::next);
-        let mut answer = Response::builder();
+        let state =
+            StreamedEcho { first, body: self.body, check: self.check, run: Some(run), inside };
+        let pieces = stream::unfold(state, StreamedEcho::next);
+        let mut response = Response::builder();
         if let Some(length) = length {
-            answer = answer.header(http::header::CONTENT_LENGTH, length);
+            response = response.header(http::header::CONTENT_LENGTH, length);
         }
-        answer.body(BodyExt::boxed_unsync(StreamBody::new(pieces))).map_err(|_| ConnectionAborted)
+        response.body(BodyExt::boxed_unsync(StreamBody::new(pieces))).map_err(|_| ConnectionAborted)
     }
 }
 
-fn is_marked(body: &[u8]) -> bool {
+fn contains_crash_marker(body: &[u8]) -> bool {
     let mark = CRASH_MARKER.as_bytes();
     body.windows(mark.len()).any(|part| part == mark)
 }
 
-/// An echo in the middle of its body.
-struct Streaming {
+/// State of a streamed echo.
+struct StreamedEcho {
     first: Vec<Bytes>,
     body: Incoming,
     check: EchoHash,
     run: Option<RunGuard>,
-    /// Counts the request as inside for as long as it streams.
-    inside: Inside,
+    /// Counts the request as in flight for as long as the response streams.
+    inside: InsideGuard,
 }
 
-impl Streaming {
+impl StreamedEcho {
     async fn next(mut self) -> Option<(Result<Frame<Bytes>, ConnectionAborted>, Self)> {
         if let Some(piece) = self.first.pop() {
             return Some((Ok(Frame::data(piece)), self));
@@ -229,9 +235,9 @@
         while let Some(frame) = self.body.frame().await {
             let Ok(frame) = frame else { return Some((Err(ConnectionAborted), self)) };
             let Ok(piece) = frame.into_data() else { continue };
-            if is_marked(&piece) {
+            if contains_crash_marker(&piece) {
                 let run = self.run.take()?;
-                // Never ends: the answer's beginning is out, and its end doesn't come.
+                // Never returns: the start of the response has been sent, the end never is.
                 let _ = crash(&self.inside.inner, run).await;
             }
             self.check.update(&piece);
@@ -242,13 +248,13 @@
     }
 }
 
-/// Counts one request as inside the target.
-struct Inside {
+/// Counts a request as inside the target until dropped.
+struct InsideGuard {
     inner: Arc<Inner>,
     count: u64,
 }
 
-impl Inside {
+impl InsideGuard {
     fn new(inner: Arc<Inner>) -> Self {
         let mut stats = inner.stats.lock();
         stats.inside += 1;
@@ -259,7 +265,7 @@
     }
 }
 
-impl Drop for Inside {
+impl Drop for InsideGuard {
     fn drop(&mut self) {
         self.inner.stats.lock().inside -= 1;
     }
--- a/crates/yuccarack_standins/src/target/mod.rs
+++ b/crates/yuccarack_standins/src/target/mod.rs
@@ -1,10 +1,11 @@
-//! Stand-in of a target: slots, load report, drain, cold start, shedding, crashes, a record.
+//! Stand-in of a target with slots, load reports, drain, cold start, shedding and crashes; it logs
+//! every run.
 
 mod announce;
 mod calls;
 mod load;
 mod options;
-mod record;
+mod run_log;
 
 use std::{
     io,
@@ -29,32 +30,32 @@
 
 pub use self::{
     options::{Announcement, TargetFaults, TargetOptions, TargetStats},
-    record::{Run, RunGuard, RunLog, RunState, unix_ms},
+    run_log::{Run, RunGuard, RunLog, RunState, unix_ms},
 };
 use crate::server::{HandlerResult, Server, listen, read_json, respond, respond_json};
 
-/// What makes a target crash, anywhere in a request's path or body.
+/// Marker that makes a target crash when a request's path or body contains it.
 pub const CRASH_MARKER: &str = "crash-the-target";
 
 /// Path of the load endpoint.
 pub const LOAD_PATH: &str = "/load";
 
-/// Connections that the control address takes.
+/// Most open connections of the control address.
 const CONTROL_CONNECTIONS_MAX: usize = 64;
 
-/// Time between two looks at whether a target is quiet.
-const QUIET_LOOK_INTERVAL: Duration = Duration::from_millis(10);
+/// Poll interval while waiting for an idle target.
+const IDLE_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What a marked request does to the target.
+/// How a request with [`CRASH_MARKER`] crashes the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CrashMode {
-    /// The process ends at once.
+    /// The process aborts.
     AbortProcess,
-    /// All connections are cut and the target stays away until [`Target::restart`].
+    /// All connections are closed, and the target is down until [`Target::restart`].
     CloseConnections,
 }
 
-/// A target; its owner ends it with [`Target::stop`].
+/// A running target; end it with [`Target::stop`].
 #[derive(Debug)]
 pub struct Target {
     inner: Arc<Inner>,
@@ -65,11 +66,11 @@
     end: CancellationToken,
 }
 
-/// What the parts of a target share.
+/// State that the tasks of a target share.
 #[derive(Debug)]
 struct Inner {
     options: TargetOptions,
-    on_crash: CrashMode,
+    crash_mode: CrashMode,
     run_log: RunLog,
     faults: Mutex<TargetFaults>,
     stats: Mutex<TargetStats>,
@@ -77,12 +78,12 @@
     started_at: Mutex<Instant>,
     boot_id: AtomicU64,
     draining: AtomicBool,
-    away: AtomicBool,
+    is_down: AtomicBool,
     crashed: Notify,
-    changed: Notify,
+    state_changed: Notify,
     slots: Semaphore,
     random: Mutex<StdRng>,
-    lagging_load: Mutex<Option<(Instant, u64)>>,
+    stale_load: Mutex<Option<(Instant, u64)>>,
 }
 
 impl Target {
@@ -93,10 +94,10 @@
     /// An address can't be bound.
     pub async fn start(
         options: TargetOptions,
-        on_crash: CrashMode,
+        crash_mode: CrashMode,
         run_log: RunLog,
     ) -> io::Result<Self> {
-        let inner = Arc::new(Inner::new(options, on_crash, run_log));
+        let inner = Arc::new(Inner::new(options, crash_mode, run_log));
         let calls = serve_calls(&inner, inner.options.listen).await?;
         let for_control = Arc::clone(&inner);
         let control_listener = listen(inner.options.control_listen).await?;
@@ -112,17 +113,17 @@
         Ok(Self { inner, call_address, calls: Some(calls), control, tasks, end })
     }
 
-    /// The address for calls.
+    /// Returns the address for calls.
     pub fn address(&self) -> SocketAddr {
         self.call_address
     }
 
-    /// The address for faults and the record.
+    /// Returns the control address for faults and the run log.
     pub fn control_address(&self) -> SocketAddr {
         self.control.address()
     }
 
-    /// What it was told at its start.
+    /// Returns its options.
     pub fn options(&self) -> &TargetOptions {
         &self.inner.options
     }
@@ -132,7 +133,7 @@
         self.inner.set_faults(faults);
     }
 
-    /// What it has counted.
+    /// Returns its counters.
     pub fn stats(&self) -> TargetStats {
         let mut stats = self.inner.stats.lock().clone();
         stats.connections_most =
@@ -140,58 +141,58 @@
         stats
     }
 
-    /// Tells the daemon that it takes no more work.
+    /// Announces to the daemon that the target drains and accepts no more requests.
     pub fn drain(&self) {
         self.inner.draining.store(true, Ordering::Relaxed);
-        self.inner.changed.notify_one();
+        self.inner.state_changed.notify_one();
     }
 
-    /// Waits until no request has been inside for `quiet`.
-    pub async fn wait_idle(&self, quiet: Duration) {
-        let mut quiet_since = Instant::now();
-        while quiet_since.elapsed() < quiet {
+    /// Waits until no request has been in flight for `idle_time`.
+    pub async fn wait_idle(&self, idle_time: Duration) {
+        let mut idle_since = Instant::now();
+        while idle_since.elapsed() < idle_time {
             if self.inner.stats.lock().inside > 0 {
-                quiet_since = Instant::now();
+                idle_since = Instant::now();
             }
-            sleep(QUIET_LOOK_INTERVAL).await;
+            sleep(IDLE_POLL_INTERVAL).await;
         }
     }
 
-    /// Whether a marked request or [`Target::kill`] has ended it.
+    /// Whether a crash or [`Target::kill`] has taken it down.
     pub fn is_down(&self) -> bool {
-        self.inner.away.load(Ordering::Relaxed)
+        self.inner.is_down.load(Ordering::Relaxed)
     }
 
-    /// Waits until a marked request has crashed it, then cuts all its connections.
+    /// Waits until a request with [`CRASH_MARKER`] crashes it, then closes all its connections.
     pub async fn wait_crashed(&mut self) {
         self.inner.crashed.notified().await;
         self.kill().await;
     }
 
-    /// Cuts all connections and stays away, as a killed process would.
+    /// Closes the listener and all connections, as a killed process would.
     pub async fn kill(&mut self) {
-        self.inner.away.store(true, Ordering::Relaxed);
+        self.inner.is_down.store(true, Ordering::Relaxed);
         if let Some(calls) = self.calls.take() {
             calls.crash().await;
         }
     }
 
-    /// Comes back on the same address with a new life.
+    /// Restarts on the same address as a new incarnation.
     ///
     /// # Errors
     ///
-    /// The address can't be bound again.
+    /// The address can't be bound.
     pub async fn restart(&mut self) -> io::Result<()> {
         self.inner.boot_id.fetch_add(1, Ordering::Relaxed);
         self.inner.draining.store(false, Ordering::Relaxed);
         *self.inner.started_at.lock() = Instant::now();
         self.calls = Some(serve_calls(&self.inner, self.call_address).await?);
-        self.inner.away.store(false, Ordering::Relaxed);
-        self.inner.changed.notify_one();
+        self.inner.is_down.store(false, Ordering::Relaxed);
+        self.inner.state_changed.notify_one();
         Ok(())
     }
 
-    /// Lets the requests in flight end and joins all it spawned.
+    /// Waits for the requests in flight and stops all tasks.
     pub async fn stop(mut self) {
         self.end.cancel();
         self.tasks.close();
@@ -210,10 +211,10 @@
 }
 
 impl Inner {
-    fn new(options: TargetOptions, on_crash: CrashMode, run_log: RunLog) -> Self {
+    fn new(options: TargetOptions, crash_mode: CrashMode, run_log: RunLog) -> Self {
         let now = Instant::now();
         Self {
-            on_crash,
+            crash_mode,
             run_log,
             faults: Mutex::default(),
             stats: Mutex::default(),
@@ -221,12 +222,12 @@
             started_at: Mutex::new(now),
             boot_id: AtomicU64::new(options.boot_id),
             draining: AtomicBool::new(false),
-            away: AtomicBool::new(false),
+            is_down: AtomicBool::new(false),
             crashed: Notify::new(),
-            changed: Notify::new(),
+            state_changed: Notify::new(),
             slots: Semaphore::new(usize::from(options.slots)),
             random: Mutex::new(StdRng::seed_from_u64(options.seed)),
-            lagging_load: Mutex::default(),
+            stale_load: Mutex::default(),
             options,
         }
     }
@@ -261,7 +262,7 @@
         }
         (&Method::POST, "/drain") => {
             inner.draining.store(true, Ordering::Relaxed);
-            inner.changed.notify_one();
+            inner.state_changed.notify_one();
             respond(StatusCode::NO_CONTENT, Bytes::new())
         }
         (&Method::GET, "/record") => respond_json(StatusCode::OK, &inner.run_log.runs()),
--- a/crates/yuccarack_standins/src/target/options.rs
+++ b/crates/yuccarack_standins/src/target/options.rs
@@ -1,45 +1,45 @@
-//! What a target stand-in is told at its start, and its faults.
+//! Options, faults, counters and announcements of a target stand-in.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
 use yuccarack_config::wire_data;
 
 wire_data! {
-    /// What a target is told at its start.
+    /// Options of a target stand-in.
     pub struct TargetOptions {
-        /// Name in the record.
+        /// Name of the target in the run log.
         pub name: String,
         /// Service that it announces.
         pub service: String,
         /// Address for calls.
         pub listen: SocketAddr,
-        /// Address for faults and the record.
+        /// Control address for faults and the run log.
         pub control_listen: SocketAddr,
-        /// Admin address of its daemon; without one nothing is announced.
+        /// Admin address of its daemon; without one the target isn't announced.
         pub admin: Option<SocketAddr>,
-        /// Address that it announces, when it isn't the one it listens on.
+        /// Address to announce instead of the one that it listens on.
         pub announced: Option<SocketAddr>,
-        /// Requests that run at once; more wait inside the target.
+        /// Requests that run at once; further ones wait inside the target.
         pub slots: u16,
-        /// Connections that it takes at once.
+        /// Most open connections; further ones are closed.
         pub connections_max: u16,
-        /// Requests inside the target above which it sheds.
+        /// Requests inside the target above which it sheds load.
         pub shed_above: Option<u16>,
-        /// Time of service, in ms; a request's `work_ms` goes before it.
+        /// Service time, in ms; `work_ms` in a request's query overrides it.
         pub service_ms: u64,
-        /// Share of requests that take longer, in percent.
+        /// Share of requests with a longer service time, in percent.
         pub tail_percent: u8,
-        /// Mean of the time that these take on top, in ms.
+        /// Mean additional service time of these, in ms.
         pub tail_ms: u64,
-        /// Time after the start in which each request takes longer, in ms.
+        /// Cold period after the start, in ms.
         pub cold_for_ms: u64,
-        /// Time that each request takes on top while cold, in ms.
+        /// Additional service time during the cold period, in ms.
         pub cold_extra_ms: u64,
-        /// Time between two announcements, in ms.
+        /// Interval of announcements, in ms.
         pub announce_interval_ms: u64,
-        /// Seed of the times of service.
+        /// Seed of the random service times.
         pub seed: u64,
-        /// Number of its life.
+        /// Incarnation of the target.
         pub boot_id: u64,
     }
 
@@ -47,69 +47,70 @@
     #[derive(Default)]
     #[serde(default)]
     pub struct TargetFaults {
-        /// Time that each request takes on top, in ms.
+        /// Additional service time of each request, in ms.
         pub slow_ms: u64,
-        /// Time from now on in which nothing goes on, in ms.
+        /// Time from now on in which no request makes progress, in ms.
         pub stall_for_ms: u64,
-        /// Status with which each request fails at once, after it counts as run.
+        /// Status with which each request fails at once, after its run is logged.
         pub fail_fast: Option<u16>,
         /// Whether each request is shed.
         pub refuse_all: bool,
-        /// Requests in flight that the load endpoint says instead of the truth.
+        /// False number of requests in flight that the load endpoint reports.
         pub lie_load: Option<u16>,
-        /// Whether the load endpoint never answers.
+        /// Whether the load endpoint never responds.
         pub hang_load: bool,
-        /// Bytes of noise that the load endpoint answers.
+        /// Length of a meaningless body that the load endpoint responds with, in bytes; 0 for none.
         pub noisy_load_bytes: u64,
-        /// Age of what the load endpoint says, in ms.
+        /// Longest age of the reported load, in ms.
         pub lag_load_ms: u64,
-        /// Whether announcements stop.
+        /// Whether the target isn't announced any more.
         pub stop_announcing: bool,
-        /// Length after which each answer's body is cut, in bytes.
+        /// Length at which each response body is truncated, in bytes.
         pub cut_answers_after: Option<u64>,
     }
 
-    /// What a target has counted.
+    /// Counters of a target.
     #[derive(Default)]
     #[serde(default)]
     pub struct TargetStats {
-        /// Requests inside it now.
+        /// Requests inside the target now, running or waiting.
         pub inside: u64,
-        /// Most requests inside it at once.
+        /// Highest number of requests inside the target at once.
         pub inside_most: u64,
-        /// Most connections open at once.
+        /// Highest number of open connections.
         pub connections_most: u64,
         /// Requests shed.
         pub shed: u64,
-        /// Times that its load was asked for.
+        /// Requests to the load endpoint.
         pub load_requests: u64,
-        /// Bytes of load answers that were taken from it.
+        /// Bytes of load reports that callers read.
         pub load_bytes: u64,
-        /// Time that questions for its load were open, in ms.
+        /// Total time for which requests to the load endpoint were open, in ms.
         pub load_open_ms: u64,
     }
 
-    /// The announcement, as the daemon's admin address takes it.
+    /// Announcement to the daemon's admin address.
     pub struct Announcement {
         /// Service of the target.
         pub service: String,
-        /// Life of the target.
+        /// Incarnation of the target.
         pub boot_id: u64,
         /// Address for calls.
         pub call_address: SocketAddr,
-        /// Path of its load endpoint.
+        /// Path of the load endpoint.
         pub load_path: Option<String>,
         /// Requests that it runs at once.
         pub slots: u16,
-        /// Connections that it takes at once.
+        /// Most open connections.
         pub connections_max: u16,
-        /// Where it is in its life: `starting`, `ready` or `draining`.
+        /// Phase of its lifecycle: `starting`, `ready` or `draining`.
         pub state: String,
     }
 }
 
 impl TargetOptions {
-    /// A target of `service` named `name`, of the users' size, on ports given by the kernel.
+    /// Makes options of a target of `service` named `name`, with the users' usual slots and
+    /// connections, on ports assigned by the kernel.
     pub fn new(name: &str, service: &str) -> Self {
         let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         Self {
--- a/crates/yuccarack_standins/src/target/record.rs
+++ b/crates/yuccarack_standins/src/target/run_log.rs
@@ -1,4 +1,4 @@
-//! The record of every request that began to run on a target, kept past the target's death.
+//! Log of every request that started to run on a target; it outlives the target.
 
 use std::{
     fs::File,
@@ -12,48 +12,48 @@
 use yuccarack_config::{wire_data, wire_kind};
 
 wire_kind! {
-    /// How a run went on.
+    /// State of a run.
     pub enum RunState {
-        /// It began and has not ended.
+        /// Started and not yet ended.
         Running,
-        /// It has had its whole effect.
+        /// Completed; it has had its full effect.
         Finished,
-        /// It was given up, since the connection was gone.
+        /// Cancelled because the connection was closed.
         Cancelled,
-        /// It was given up at its deadline.
+        /// Cancelled at its deadline.
         Late,
-        /// Its target died with it.
+        /// Interrupted by a crash of the target.
         Crashed,
     }
 }
 
 wire_data! {
-    /// One request that began to run.
+    /// One request that started to run.
     pub struct Run {
-        /// Instance or service that ran it, as the target names itself.
+        /// Name of the target that ran it.
         pub target: String,
-        /// Life of the target.
+        /// Incarnation of the target.
         pub boot_id: u64,
-        /// The request's name, as the daemon said it.
+        /// Request id that the daemon sent.
         pub request: String,
-        /// The attempt's name, as the daemon said it.
+        /// Attempt id that the daemon sent.
         pub attempt: String,
-        /// The caller's key, empty without one.
+        /// Idempotency key; empty without one.
         pub key: String,
-        /// Method of the request.
+        /// HTTP method.
         pub method: String,
-        /// Path and query of the request.
+        /// Path and query.
         pub path: String,
-        /// Hash over path and body as far as it was read when the run began.
+        /// Hash over the path and the part of the body that had been read when the run started.
         pub body_hash: u64,
-        /// Wall clock at the begin, in ms since 1970.
+        /// Wall clock time of the start, in ms since 1970.
         pub began_at_unix_ms: u64,
-        /// How it went on.
+        /// State of the run.
         pub state: RunState,
     }
 }
 
-/// Runs of one or more targets; clones share them.
+/// Runs of one or more targets; clones share the log.
 #[derive(Clone, Debug, Default)]
 pub struct RunLog {
     shared: Arc<Shared>,
@@ -66,7 +66,8 @@
 }
 
 impl RunLog {
-    /// Makes a log that also writes a line for each begin and each end to the file at `path`.
+    /// Makes a log that also appends a line for the start and the end of each run to the file at
+    /// `path`.
     ///
     /// # Errors
     ///
@@ -78,34 +79,34 @@
         Ok(run_log)
     }
 
-    /// All runs so far, in the order of their begin.
+    /// Returns all runs so far, in the order of their starts.
     pub fn runs(&self) -> Vec<Run> {
         self.shared.runs.lock().iter().map(|(run, _)| run.clone()).collect()
     }
 
-    /// The runs of the request with the caller's `key`.
+    /// Returns the runs with the idempotency key `key`.
     pub fn runs_of_key(&self, key: &str) -> Vec<Run> {
-        self.runs_that(|run| run.key == key)
+        self.filter_runs(|run| run.key == key)
     }
 
-    /// The runs of the attempts of the request named `request`.
+    /// Returns the runs of all attempts of the request with the id `request`.
     pub fn runs_of_request(&self, request: &str) -> Vec<Run> {
-        self.runs_that(|run| run.request == request)
+        self.filter_runs(|run| run.request == request)
     }
 
-    /// The runs whose path contains `part`.
+    /// Returns the runs whose path contains `part`.
     pub fn runs_of_path(&self, part: &str) -> Vec<Run> {
-        self.runs_that(|run| run.path.contains(part))
+        self.filter_runs(|run| run.path.contains(part))
     }
 
-    /// The runs that began after `instant`.
+    /// Returns the runs that started after `instant`.
     pub fn runs_since(&self, instant: Instant) -> Vec<Run> {
         let runs = self.shared.runs.lock();
         let later = runs.iter().filter(|(_, began_at)| *began_at > instant);
         later.map(|(run, _)| run.clone()).collect()
     }
 
-    /// Writes down that `run` begins, before any of it does.
+    /// Logs the start of `run`; to be called before the run has any effect.
     pub fn begin(&self, run: Run) -> RunGuard {
         self.write_line(&run);
         let mut runs = self.shared.runs.lock();
@@ -117,9 +118,9 @@
         }
     }
 
-    fn runs_that(&self, fits: impl Fn(&Run) -> bool) -> Vec<Run> {
+    fn filter_runs(&self, matches_run: impl Fn(&Run) -> bool) -> Vec<Run> {
         let runs = self.shared.runs.lock();
-        runs.iter().map(|(run, _)| run).filter(|run| fits(run)).cloned().collect()
+        runs.iter().map(|(run, _)| run).filter(|run| matches_run(run)).cloned().collect()
     }
 
     fn end(&self, place: usize, state: RunState) {
@@ -137,12 +138,12 @@
         let Some(file) = file.as_mut() else { return };
         let Ok(mut line) = serde_json::to_vec(run) else { return };
         line.push(b'\n');
-        // A record that can't be kept makes every proof void, so the stand-in ends.
-        file.write_all(&line).expect("the record's file takes no more");
+        // Tests can't be checked against an incomplete log, so the stand-in panics.
+        file.write_all(&line).expect("the run log's file can't be written");
     }
 }
 
-/// A run that has begun; dropped without an end, it counts as cancelled.
+/// A started run; dropped without an end, it counts as cancelled.
 #[derive(Debug)]
 pub struct RunGuard {
     run_log: RunLog,
@@ -151,12 +152,12 @@
 }
 
 impl RunGuard {
-    /// Writes down how the run ended; only the first end counts.
+    /// Logs how the run ended; only the first end counts.
     pub fn end(&self, state: RunState) {
         self.run_log.end(self.index, state);
     }
 
-    /// Says what a drop without an end stands for.
+    /// Sets the state that a drop without an end logs.
     pub fn set_state_on_drop(&mut self, state: RunState) {
         self.state_on_drop = state;
     }
@@ -168,7 +169,7 @@
     }
 }
 
-/// The wall clock, in ms since 1970.
+/// Returns the wall clock time, in ms since 1970.
 pub fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
