--- a/crates/yuccarack_policy/src/admission/queue.rs
+++ b/crates/yuccarack_policy/src/admission/queue.rs
@@ -168,13 +168,13 @@
         if self.earliest_expiry.is_none_or(|at| now < at) {
             return Vec::new();
         }
-        let overdue: Vec<_> = self
+        let expired: Vec<_> = self
             .iter()
             .filter(|(_, waiting)| waiting.expires_at <= now)
             .map(|(key, _)| key)
             .collect();
         let taken: Vec<_> =
-            overdue.into_iter().filter_map(|key| Some((key, self.remove(key)?))).collect();
+            expired.into_iter().filter_map(|key| Some((key, self.remove(key)?))).collect();
         self.earliest_expiry = self.iter().map(|(_, waiting)| waiting.expires_at).min();
         taken
     }
--- a/crates/yuccarack_policy/tests/admission.rs
+++ b/crates/yuccarack_policy/tests/admission.rs
@@ -36,7 +36,7 @@
         self.admission.offer(self.now, offer)
     }
 
-    fn offer_alone(&mut self) -> AdmissionDecision {
+    fn offer_isolated(&mut self) -> AdmissionDecision {
         let deadline = self.now + Duration::from_secs(1);
         self.admission.offer(self.now, Offer { caller: 99, route: 0, deadline, is_isolated: true })
     }
@@ -193,19 +193,19 @@
     assert_eq!(gate.admission.in_flight(), 0);
 }
 
-/// A request may have crashed a target. It must wait until nothing else runs and then run alone
+/// A request may have crashed a target. It must wait until nothing else runs and then run isolated
 /// while others wait, so that a second crash affects no other request.
 #[test]
-fn a_suspect_runs_alone() {
+fn a_suspect_runs_isolated() {
     let mut gate = Gate::new(4);
     let run = gate.run(1, 0);
-    let AdmissionDecision::Wait(suspect) = gate.offer_alone() else { panic!("should wait") };
+    let AdmissionDecision::Wait(suspect) = gate.offer_isolated() else { panic!("should wait") };
     let other = gate.wait(2, 0);
     let outcomes = gate.complete(run);
-    let [WaitOutcome::Run(key, alone)] = outcomes[..] else { panic!("{outcomes:?}") };
+    let [WaitOutcome::Run(key, isolated)] = outcomes[..] else { panic!("{outcomes:?}") };
     assert_eq!(key, suspect);
     let late = gate.wait(3, 0);
-    let outcomes = gate.complete(alone);
+    let outcomes = gate.complete(isolated);
     let started: Vec<_> = outcomes.iter().map(|outcome| outcome.wait_key()).collect();
     assert_eq!(started, [other, late]);
 }
--- a/crates/yuccarack_policy/tests/suspects.rs
+++ b/crates/yuccarack_policy/tests/suspects.rs
@@ -8,8 +8,8 @@
     Suspects::new(SuspectsConfig::default())
 }
 
-/// A request crashes its target and its caller sends it again, so it runs alone, on one target at a
-/// time. That one crashes too, and the request must be rejected until the quarantine ends with
+/// A request crashes its target and its caller sends it again, so it runs isolated, on one target
+/// at a time. That one crashes too, and the request must be rejected until the quarantine ends with
 /// another trial.
 #[test]
 fn a_request_that_crashes_two_targets_is_quarantined() {
