--- a/crates/yuccarack_config/src/derives.rs
+++ b/crates/yuccarack_config/src/derives.rs
@@ -3,7 +3,7 @@
 /// Declares plain data that enters or leaves a process: comparable, cloneable and serializable.
 ///
 /// Unknown fields are rejected, so that a misspelled field name never falls back to its default. For
-/// data between daemons of several versions, use [`shared_data`].
+/// data between daemons of several versions, use [`shared_data`](crate::shared_data).
 #[macro_export]
 macro_rules! wire_data {
     ($($item:item)*) => {
--- a/crates/yuccarack_config/src/schema.rs
+++ b/crates/yuccarack_config/src/schema.rs
@@ -66,7 +66,8 @@
     /// A [`Kind::ListenAddress`] that is advertised to peers, so the unspecified IP address,
     /// 0.0.0.0 or ::, isn't accepted.
     AdvertisedAddress,
-    /// IP address and port of another process.
+    /// IP address and port (1 to 65535) of another process; the unspecified IP address isn't
+    /// accepted.
     PeerAddress,
     /// A list of `length_min` to `length_max` items.
     List {
@@ -146,15 +147,10 @@
                  characters, without '?' and '#'"
             ),
             Self::OneOf(values) => write!(f, "one of {}", values.join(", ")),
-            Self::IpAddress => write!(f, "an IP address"),
-            Self::ListenAddress => write!(f, "an IP address and a port"),
-            Self::AdvertisedAddress => {
-                write!(f, "the instance's own IP address (not 0.0.0.0 or ::) and a port")
-            }
-            Self::PeerAddress => write!(
-                f,
-                "another process's IP address (not 0.0.0.0 or ::) and a port from 1 to 65535"
-            ),
+            Self::IpAddress => write!(f, "an IP number"),
+            Self::ListenAddress => write!(f, "an IP number and a port"),
+            Self::AdvertisedAddress => write!(f, "the instance's own IP number and a port"),
+            Self::PeerAddress => write!(f, "another's IP number and a port from 1 to 65535"),
             Self::List { of, length_min, length_max, .. } => {
                 write!(f, "a list of {length_min} to {length_max}, each {of}")
             }
--- a/crates/yuccarack_config/tests/settings.rs
+++ b/crates/yuccarack_config/tests/settings.rs
@@ -92,7 +92,7 @@
         "failure_domain: missing",
         "call_thread: unknown field, accepted instance, failure_domain",
         "call_threads: found 0, accepted a whole number from 1 to 64",
-        "seed_peers[1]: found \"127.0.0.1\", accepted another process's IP address (not 0.0.0.0 or ::)",
+        "seed_peers[1]: found \"127.0.0.1\", accepted another's IP number",
         "budgets.drain_max_ms: found 10, accepted a whole number from 100 to 3600000",
         "budgets.gossip_interval_ms: found \"1s\", accepted a whole number from 20 to 10000",
         "budgets.drain_notice_ms: found 1000, accepted less than drain_max_ms, which is 10",
