--- a/crates/yuccarack_standins/src/fleet/wait.rs
+++ b/crates/yuccarack_standins/src/fleet/wait.rs
@@ -10,7 +10,7 @@
 /// Poll interval.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Polls `poll` until it returns a value; returns the value and the time that it elapsed.
+/// Polls `poll` until it returns a value; returns the value and the elapsed time.
 ///
 /// # Panics
 ///
@@ -31,7 +31,7 @@
     }
 }
 
-/// Polls `condition` until it is true; returns the time that it elapsed.
+/// Polls `condition` until it is true; returns the elapsed time.
 ///
 /// # Panics
 ///
--- a/crates/yuccarack_standins/src/measure/mod.rs
+++ b/crates/yuccarack_standins/src/measure/mod.rs
@@ -201,7 +201,7 @@
     time_until(async || daemons.all_know(&instance, None).await).await
 }
 
-/// Time until `condition`, in ms, or none when that takes too long.
+/// Returns the time until `condition` is true, in ms; `None` after [`PROPAGATION_TIMEOUT`].
 async fn time_until(condition: impl AsyncFn() -> bool) -> Option<u64> {
     let start = Instant::now();
     while start.elapsed() < PROPAGATION_TIMEOUT {
