--- a/crates/yuccarackd/src/coordination/claims/claim.rs
+++ b/crates/yuccarackd/src/coordination/claims/claim.rs
@@ -94,8 +94,8 @@
         self.held_row.row.state = ClaimState::Done;
         self.held_row.row.outcome = Some(outcome);
         let HeldRow { row_key, row, revision, change_sender, .. } = self.held_row;
-        // The writer ends after all claims. If it has ended all the same, the row stays open, which
-        // is safe.
+        // The writer is stopped only after the last claim is dropped. If it has ended nevertheless,
+        // the row stays without an outcome, which is safe: the request isn't run again.
         let _ = change_sender.send(ClaimChange::Record { row_key, revision, row });
     }
 
--- a/crates/yuccarackd/src/coordination/claims/tracker.rs
+++ b/crates/yuccarackd/src/coordination/claims/tracker.rs
@@ -25,8 +25,9 @@
 };
 use crate::state::counters::Counters;
 
-/// Most claims that wait for the writer. A gate has about ten slots, so the queue only fills up
-/// under overload.
+/// Most claims that wait for the writer. A gate's slots, about ten, don't bound the queue, as a
+/// request claims its key before it takes a slot. It fills up only under overload or with a slow
+/// store.
 const CLAIM_QUEUE_MAX: usize = 1024;
 /// Shortest delay that callers are told to wait while the store is unavailable.
 const RETRY_AFTER_MIN: Duration = Duration::from_secs(1);
--- a/crates/yuccarackd/src/coordination/claims/verdict.rs
+++ b/crates/yuccarackd/src/coordination/claims/verdict.rs
@@ -1,4 +1,4 @@
-//! Request of a gate for a claim, and the verdict.
+//! A gate's request for a claim, and the verdict.
 
 use std::time::{Duration, Instant};
 
@@ -7,7 +7,7 @@
 
 use super::claim::Claim;
 
-/// Request of a gate to run a request that must not repeat.
+/// Request for a claim on the idempotency key of one attempt, which must not run without it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimRequest {
     /// Service that the request is for.
