--- a/crates/yuccarackd/src/coordination/suspects/attempt.rs
+++ b/crates/yuccarackd/src/coordination/suspects/attempt.rs
@@ -1,4 +1,4 @@
-//! An attempt to get a trial by a conditional write, which succeeds for one gate at most.
+//! Acquisition of a trial by a conditional write, which succeeds for one gate at most.
 
 use std::time::{Duration, Instant};
 
@@ -14,7 +14,7 @@
 use super::{
     row::{Change, RowStatus, new_row, row_status, trial_row, unix_ms},
     shared::{Shared, StoredSuspect},
-    trial::{Trial, TrialEnd, TrialParts, TrialVerdict},
+    trial::{Trial, TrialEnd, TrialIdentity, TrialVerdict},
 };
 use crate::protocol::suspect_update::SuspectEvent;
 
@@ -24,14 +24,14 @@
 /// lost response.
 const WRITES_MAX: u8 = 4;
 
-/// An attempt to get a trial. If it is dropped while a write is in progress, it has that write
+/// Acquisition of one trial. If it is dropped while a write is in progress, it has that write
 /// undone.
-pub struct TrialAttempt {
+pub struct TrialAcquisition {
     shared: Shared,
-    parts: TrialParts,
+    identity: TrialIdentity,
     trial_end_sender: UnboundedSender<TrialEnd>,
-    /// Whether a write may have taken effect, or may still.
-    is_open: bool,
+    /// Whether a write may have taken effect, or may still take effect.
+    may_be_written: bool,
 }
 
 enum Step {
@@ -40,14 +40,14 @@
     Rejected(TrialVerdict),
 }
 
-impl TrialAttempt {
-    /// Creates an attempt for the trial of `parts`, whose end is reported to `trial_end_sender`.
+impl TrialAcquisition {
+    /// Creates an acquisition of the trial of `identity`, whose end is reported to `trial_end_sender`.
     pub fn new(
         shared: Shared,
-        parts: TrialParts,
+        identity: TrialIdentity,
         trial_end_sender: UnboundedSender<TrialEnd>,
     ) -> Self {
-        Self { shared, parts, trial_end_sender, is_open: false }
+        Self { shared, identity, trial_end_sender, may_be_written: false }
     }
 
     /// Writes the trial to the table.
@@ -67,7 +67,7 @@
     }
 
     async fn step(&mut self) -> Step {
-        let key = suspect_key(&self.parts.service, self.parts.fingerprint);
+        let key = suspect_key(&self.identity.service, self.identity.fingerprint);
         let Ok(stored) = self.shared.read(&key).await else {
             return Step::Rejected(self.store_unavailable());
         };
@@ -93,15 +93,15 @@
             return Step::Rejected(self.store_unavailable());
         };
         // Set before the write, so that a call that is dropped during the write has it undone.
-        let was_open = std::mem::replace(&mut self.is_open, true);
+        let may_have_been_written = std::mem::replace(&mut self.may_be_written, true);
         match self.shared.commit_over(stored, Write::put(key, value)).await {
             Ok(()) => Step::Written,
             Err(PlatformError::Conflict { .. }) => {
-                self.is_open = was_open;
+                self.may_be_written = may_have_been_written;
                 Step::Retry
             }
             Err(error) if error.is_not_written() => {
-                self.is_open = was_open;
+                self.may_be_written = may_have_been_written;
                 Step::Rejected(self.store_unavailable())
             }
             Err(_) => Step::Retry,
@@ -110,29 +110,33 @@
 
     /// Returns the row to write; `None` if the crashes known here and in the table forbid a trial.
     fn row_to_write(&self, stored: &StoredSuspect) -> Option<SuspectRow> {
-        let TrialParts { service, fingerprint, .. } = &self.parts;
+        let TrialIdentity { service, fingerprint, .. } = &self.identity;
         let now = unix_ms();
         let row = stored.value.clone().unwrap_or_else(|| new_row(service, *fingerprint, now));
         let instances = self.shared.cache.lock().crashed_instances(*fingerprint);
-        trial_row(row, &self.parts, &instances, now)
+        trial_row(row, &self.identity, &instances, now)
     }
 
     fn is_own(&self, stored: &StoredSuspect) -> bool {
-        stored.value.as_ref().is_some_and(|row| row.trial == Some(self.parts.trial))
+        stored.value.as_ref().is_some_and(|row| row.trial == Some(self.identity.trial_id))
     }
 
     fn grant(mut self) -> TrialVerdict {
-        self.is_open = false;
-        let TrialParts { service, fingerprint, .. } = &self.parts;
-        self.shared.cache.lock().record_trial_start(Instant::now(), *fingerprint);
+        self.may_be_written = false;
+        let TrialIdentity { service, fingerprint, .. } = &self.identity;
+        self.shared.cache.lock().record_trial_grant(Instant::now(), *fingerprint);
         self.shared.counters.add("suspects.trial_started");
-        self.shared.broadcast(service, &[(*fingerprint, SuspectEvent::TrialStarted)]);
+        self.shared.queue_updates(service, &[(*fingerprint, SuspectEvent::TrialStarted)]);
         let cache = self.shared.cache.clone();
-        TrialVerdict::Granted(Trial::new(self.parts.clone(), self.trial_end_sender.clone(), cache))
+        TrialVerdict::Granted(Trial::new(
+            self.identity.clone(),
+            self.trial_end_sender.clone(),
+            cache,
+        ))
     }
 
     fn record_quarantine(&self, stored: &StoredSuspect) {
-        let TrialParts { service, fingerprint, .. } = &self.parts;
+        let TrialIdentity { service, fingerprint, .. } = &self.identity;
         let mut instances = self.shared.cache.lock().crashed_instances(*fingerprint);
         instances.extend(stored.value.iter().flat_map(|row| row.died.iter().cloned()));
         self.shared.queue_change(
@@ -140,7 +144,7 @@
             *fingerprint,
             Change::Crashed { instances, is_quarantined: true },
         );
-        self.shared.broadcast(service, &[(*fingerprint, SuspectEvent::Quarantined)]);
+        self.shared.queue_updates(service, &[(*fingerprint, SuspectEvent::Quarantined)]);
     }
 
     fn reject_on_trial(&self) -> TrialVerdict {
@@ -156,7 +160,7 @@
     }
 
     fn merge_phase(&self, phase: SuspectPhase) -> Verdict {
-        let fingerprint: Fingerprint = self.parts.fingerprint;
+        let fingerprint: Fingerprint = self.identity.fingerprint;
         let now = Instant::now();
         let mut cache = self.shared.cache.lock();
         cache.merge(now, fingerprint, phase, &[]);
@@ -169,11 +173,15 @@
     }
 }
 
-impl Drop for TrialAttempt {
+impl Drop for TrialAcquisition {
     fn drop(&mut self) {
-        if self.is_open {
-            let TrialParts { service, fingerprint, trial } = &self.parts;
-            self.shared.queue_change(service, *fingerprint, Change::TrialVoid { trial: *trial });
+        if self.may_be_written {
+            let TrialIdentity { service, fingerprint, trial_id } = &self.identity;
+            self.shared.queue_change(
+                service,
+                *fingerprint,
+                Change::TrialVoid { trial_id: *trial_id },
+            );
         }
     }
 }
--- a/crates/yuccarackd/src/coordination/suspects/cache.rs
+++ b/crates/yuccarackd/src/coordination/suspects/cache.rs
@@ -10,8 +10,9 @@
 
 use crate::protocol::suspect_update::{SuspectEvent, SuspectUpdate};
 
-/// Target crashes with a request in flight after which the request is quarantined.
-pub(super) const CRASHES_MAX: usize = 2;
+/// Number of instances whose target crashed with a request in flight from which on the request is
+/// quarantined. Several crashes on one instance count once.
+pub(super) const QUARANTINE_INSTANCE_COUNT: usize = 2;
 
 /// Most suspects whose crashes are recorded by instance; as many as the policy remembers.
 const CRASH_RECORDS_MAX: usize = 1_024;
@@ -36,7 +37,7 @@
     pub fn verdict(&mut self, now: Instant, fingerprint: Fingerprint) -> Verdict {
         let verdict = self.suspects.verdict(now, fingerprint);
         let crash_count = self.crashes.get(&fingerprint).map_or(0, HashSet::len);
-        if verdict == Verdict::Isolated && crash_count >= CRASHES_MAX {
+        if verdict == Verdict::Isolated && crash_count >= QUARANTINE_INSTANCE_COUNT {
             // The quarantine is over; the crashes that led to it must not count for the next one.
             self.crashes.remove(&fingerprint);
         }
@@ -45,7 +46,7 @@
 
     /// Records that the own target crashed, and returns the event of each request in flight.
     ///
-    /// Running trials of this gate count as in flight even after their caller disconnected.
+    /// Dispatched trials of this gate count as in flight even after their caller disconnected.
     /// Otherwise a request whose caller disconnects just before each crash would never be found.
     pub fn record_own_target_crash(
         &mut self,
@@ -57,14 +58,16 @@
         let mut events = Vec::with_capacity(in_flight.len() + trials.len());
         let mut counted = HashSet::new();
         let others = in_flight.iter().copied();
-        for (fingerprint, alone) in trials.into_iter().map(|trial| (trial, true)).chain(others) {
+        for (fingerprint, is_on_trial) in
+            trials.into_iter().map(|trial| (trial, true)).chain(others)
+        {
             if !counted.insert(fingerprint) {
                 continue;
             }
-            let phases = self.suspects.record_crash(now, &[fingerprint], alone);
-            let is_second = self.add_crash(now, fingerprint, instance);
-            let is_quarantined =
-                is_second || phases.iter().any(|(_, phase)| *phase == SuspectPhase::Quarantined);
+            let phases = self.suspects.record_crash(now, &[fingerprint], is_on_trial);
+            let reaches_limit = self.add_crash(now, fingerprint, instance);
+            let is_quarantined = reaches_limit
+                || phases.iter().any(|(_, phase)| *phase == SuspectPhase::Quarantined);
             if is_quarantined {
                 events.push((fingerprint, SuspectEvent::Quarantined));
             } else {
@@ -119,28 +122,28 @@
     }
 
     /// Records that this gate was granted a trial.
-    pub fn record_trial_start(&mut self, now: Instant, fingerprint: Fingerprint) {
+    pub fn record_trial_grant(&mut self, now: Instant, fingerprint: Fingerprint) {
         self.suspects.trial_started(now, fingerprint);
     }
 
     /// Records that a trial's request is being dispatched to the target.
-    pub fn record_trial_dispatch(&mut self, fingerprint: Fingerprint, trial: AttemptId) {
-        self.trials.insert(fingerprint, trial);
+    pub fn record_trial_dispatch(&mut self, fingerprint: Fingerprint, trial_id: AttemptId) {
+        self.trials.insert(fingerprint, trial_id);
     }
 
     /// Ends a trial whose request was never dispatched.
-    pub fn abandon_unstarted_trial(&mut self, now: Instant, fingerprint: Fingerprint) {
+    pub fn abandon_undispatched_trial(&mut self, now: Instant, fingerprint: Fingerprint) {
         self.suspects.trial_abandoned(now, fingerprint);
     }
 
     /// Ends a trial of this gate that succeeded, and clears the request. Returns false if the
     /// target has crashed meanwhile.
-    pub fn finish_trial(&mut self, fingerprint: Fingerprint, trial: AttemptId) -> bool {
-        let is_open = self.end_trial(fingerprint, trial);
-        if is_open {
+    pub fn finish_trial(&mut self, fingerprint: Fingerprint, trial_id: AttemptId) -> bool {
+        let is_running = self.end_trial(fingerprint, trial_id);
+        if is_running {
             self.clear(fingerprint);
         }
-        is_open
+        is_running
     }
 
     /// Ends a trial of this gate without a result. Returns false if the target has crashed
@@ -149,21 +152,21 @@
         &mut self,
         now: Instant,
         fingerprint: Fingerprint,
-        trial: AttemptId,
+        trial_id: AttemptId,
     ) -> bool {
-        let is_open = self.end_trial(fingerprint, trial);
-        if is_open {
+        let is_running = self.end_trial(fingerprint, trial_id);
+        if is_running {
             self.suspects.trial_abandoned(now, fingerprint);
         }
-        is_open
+        is_running
     }
 
-    fn end_trial(&mut self, fingerprint: Fingerprint, trial: AttemptId) -> bool {
-        let is_open = self.trials.get(&fingerprint) == Some(&trial);
-        if is_open {
+    fn end_trial(&mut self, fingerprint: Fingerprint, trial_id: AttemptId) -> bool {
+        let is_running = self.trials.get(&fingerprint) == Some(&trial_id);
+        if is_running {
             self.trials.remove(&fingerprint);
         }
-        is_open
+        is_running
     }
 
     /// Records a crash with the request in flight and returns whether the request is quarantined.
@@ -177,10 +180,10 @@
         }
         let instances = self.crashes.entry(fingerprint).or_default();
         instances.insert(instance.to_owned());
-        let is_second = instances.len() >= CRASHES_MAX;
-        if is_second {
+        let reaches_limit = instances.len() >= QUARANTINE_INSTANCE_COUNT;
+        if reaches_limit {
             self.suspects.merge(now, fingerprint, SuspectPhase::Quarantined);
         }
-        is_second
+        reaches_limit
     }
 }
--- a/crates/yuccarackd/src/coordination/suspects/event_handler.rs
+++ b/crates/yuccarackd/src/coordination/suspects/event_handler.rs
@@ -16,20 +16,21 @@
 use super::{
     row::Change,
     shared::Shared,
-    trial::{TrialEnd, TrialParts},
+    trial::{TrialEnd, TrialIdentity},
 };
 use crate::protocol::{control::UrgentUpdate, suspect_update::SuspectEvent};
 
-/// Time for which a request whose caller disconnected still counts as a cause of a target crash.
-const DISCONNECTED_TRIAL_RETENTION: Duration = Duration::from_secs(10);
+/// Time for which a request whose trial was dropped unfinished still counts as a cause of a target
+/// crash.
+const UNFINISHED_TRIAL_RETENTION: Duration = Duration::from_secs(10);
 
 /// Applies updates and ends of trials to the cache.
 pub struct EventHandler {
     shared: Shared,
     updates: Receiver<UrgentUpdate>,
     trial_ends: UnboundedReceiver<TrialEnd>,
-    /// Trials whose caller disconnected, each with the time when it is abandoned.
-    disconnected: VecDeque<(Instant, TrialParts)>,
+    /// Trials that were dropped unfinished, each with the time when it is abandoned.
+    unfinished: VecDeque<(Instant, TrialIdentity)>,
 }
 
 impl EventHandler {
@@ -39,13 +40,13 @@
         updates: Receiver<UrgentUpdate>,
         trial_ends: UnboundedReceiver<TrialEnd>,
     ) -> Self {
-        Self { shared, updates, trial_ends, disconnected: VecDeque::new() }
+        Self { shared, updates, trial_ends, unfinished: VecDeque::new() }
     }
 
     /// Handles events until `stop`, then the trial ends that are already queued.
     pub async fn run(mut self, stop: CancellationToken) {
         loop {
-            let due = self.disconnected.front().map(|(at, _)| *at);
+            let due = self.unfinished.front().map(|(at, _)| *at);
             tokio::select! {
                 Some(update) = self.updates.recv() => self.apply_update(&update),
                 Some(trial_end) = self.trial_ends.recv() => self.end_trial(trial_end),
@@ -69,51 +70,57 @@
 
     fn end_trial(&mut self, trial_end: TrialEnd) {
         match trial_end {
-            TrialEnd::Succeeded(parts) => self.clear(&parts),
-            TrialEnd::NotStarted(parts) => {
+            TrialEnd::Succeeded(identity) => self.clear(&identity),
+            TrialEnd::NotDispatched(identity) => {
                 let now = Instant::now();
-                self.shared.cache.lock().abandon_unstarted_trial(now, parts.fingerprint);
-                self.announce_abandoned(&parts);
+                self.shared.cache.lock().abandon_undispatched_trial(now, identity.fingerprint);
+                self.announce_abandoned(&identity);
             }
-            TrialEnd::NotRun(parts) => self.abandon(&parts),
-            TrialEnd::CallerDisconnected(parts) => {
-                self.disconnected.push_back((Instant::now() + DISCONNECTED_TRIAL_RETENTION, parts));
+            TrialEnd::NotRun(identity) => self.abandon(&identity),
+            TrialEnd::Unfinished(identity) => {
+                self.unfinished.push_back((Instant::now() + UNFINISHED_TRIAL_RETENTION, identity));
             }
         }
     }
 
     fn abandon_expired(&mut self, now: Instant) {
-        while self.disconnected.front().is_some_and(|(at, _)| *at <= now) {
-            if let Some((_, parts)) = self.disconnected.pop_front() {
-                self.abandon(&parts);
+        while self.unfinished.front().is_some_and(|(at, _)| *at <= now) {
+            if let Some((_, identity)) = self.unfinished.pop_front() {
+                self.abandon(&identity);
             }
         }
     }
 
-    fn clear(&self, parts: &TrialParts) {
-        let is_open = self.shared.cache.lock().finish_trial(parts.fingerprint, parts.trial);
-        if !is_open {
+    fn clear(&self, identity: &TrialIdentity) {
+        let is_running =
+            self.shared.cache.lock().finish_trial(identity.fingerprint, identity.trial_id);
+        if !is_running {
             return;
         }
         self.shared.counters.add("suspects.cleared");
-        self.shared.broadcast(&parts.service, &[(parts.fingerprint, SuspectEvent::Cleared)]);
-        let change = Change::Cleared { trial: parts.trial };
-        self.shared.queue_change(&parts.service, parts.fingerprint, change);
+        self.shared
+            .queue_updates(&identity.service, &[(identity.fingerprint, SuspectEvent::Cleared)]);
+        let change = Change::Cleared { trial_id: identity.trial_id };
+        self.shared.queue_change(&identity.service, identity.fingerprint, change);
     }
 
-    fn abandon(&self, parts: &TrialParts) {
-        let TrialParts { fingerprint, trial, .. } = parts;
+    fn abandon(&self, identity: &TrialIdentity) {
+        let TrialIdentity { fingerprint, trial_id, .. } = identity;
         let now = Instant::now();
-        let is_open = self.shared.cache.lock().abandon_trial(now, *fingerprint, *trial);
-        if is_open {
-            self.announce_abandoned(parts);
+        let is_running = self.shared.cache.lock().abandon_trial(now, *fingerprint, *trial_id);
+        if is_running {
+            self.announce_abandoned(identity);
         }
     }
 
-    fn announce_abandoned(&self, parts: &TrialParts) {
-        let TrialParts { service, fingerprint, trial } = parts;
+    fn announce_abandoned(&self, identity: &TrialIdentity) {
+        let TrialIdentity { service, fingerprint, trial_id } = identity;
         self.shared.counters.add("suspects.trial_abandoned");
-        self.shared.broadcast(service, &[(*fingerprint, SuspectEvent::TrialAbandoned)]);
-        self.shared.queue_change(service, *fingerprint, Change::TrialAbandoned { trial: *trial });
+        self.shared.queue_updates(service, &[(*fingerprint, SuspectEvent::TrialAbandoned)]);
+        self.shared.queue_change(
+            service,
+            *fingerprint,
+            Change::TrialAbandoned { trial_id: *trial_id },
+        );
     }
 }
--- a/crates/yuccarackd/src/coordination/suspects/recorder.rs
+++ b/crates/yuccarackd/src/coordination/suspects/recorder.rs
@@ -108,8 +108,9 @@
 
     /// Returns whether a crash is pending for a request that has been cleared since.
     ///
-    /// With a slow store, another gate may try and clear a request that didn't cause the crash
-    /// before the crash is written here. The late row would make it run alone once more.
+    /// With a slow store, another gate may run the request on trial and clear it before this crash
+    /// is written. Writing the crash then would make the request a suspect again, although it
+    /// didn't cause the crash.
     fn is_outdated(&self, pending: &PendingChange) -> bool {
         let is_crash = matches!(pending.change, Change::Crashed { .. });
         let now = Instant::now();
--- a/crates/yuccarackd/src/coordination/suspects/row.rs
+++ b/crates/yuccarackd/src/coordination/suspects/row.rs
@@ -6,12 +6,12 @@
 use yuccarack_platform::rows::{SuspectRow, SuspectState};
 use yuccarack_policy::suspects::{SuspectPhase, SuspectsConfig};
 
-use super::{cache::CRASHES_MAX, trial::TrialParts};
+use super::{cache::QUARANTINE_INSTANCE_COUNT, trial::TrialIdentity};
 
 /// Status of a suspect's row at a given time.
 ///
-/// The wall clocks of two daemons differ. They only decide when a row expires, and an expired row
-/// is given the more severe of its two possible meanings, see [`RowStatus::TrialLost`].
+/// The wall clocks of two daemons differ. They only decide when a row expires, and an expired trial
+/// counts as the more severe of its two possible ends, see [`RowStatus::TrialLost`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RowStatus {
     /// There is no row, or it has expired.
@@ -43,7 +43,7 @@
     /// A trial ended without a result.
     TrialAbandoned {
         /// Id of the trial.
-        trial: AttemptId,
+        trial_id: AttemptId,
     },
     /// A trial's write may or may not have taken effect, and no gate holds the trial.
     ///
@@ -52,12 +52,12 @@
     /// the earlier revision, then fails.
     TrialVoid {
         /// Id of the trial.
-        trial: AttemptId,
+        trial_id: AttemptId,
     },
     /// A trial succeeded.
     Cleared {
         /// Id of the trial.
-        trial: AttemptId,
+        trial_id: AttemptId,
     },
 }
 
@@ -117,26 +117,26 @@
                 let old = counted.cloned();
                 merge_crashes(old, new, instances, *is_quarantined, now_unix_ms)
             }
-            Self::TrialAbandoned { trial } => match row {
-                Some(row) if row.trial == Some(*trial) => {
+            Self::TrialAbandoned { trial_id } => match row {
+                Some(row) if row.trial == Some(*trial_id) => {
                     ChangeResult::Put(Box::new(suspected(row, now_unix_ms)))
                 }
                 _ => ChangeResult::Unchanged,
             },
-            Self::TrialVoid { trial } => {
+            Self::TrialVoid { trial_id } => {
                 let Some(row) = row else {
                     return ChangeResult::Put(Box::new(new_row(service, fingerprint, now_unix_ms)));
                 };
                 match row_status(Some(row), now_unix_ms) {
                     RowStatus::Clear | RowStatus::Suspected => {}
-                    _ if row.trial == Some(*trial) => {}
+                    _ if row.trial == Some(*trial_id) => {}
                     // Another daemon has written the row since, so the late write fails anyway.
                     _ => return ChangeResult::Unchanged,
                 }
                 ChangeResult::Put(Box::new(suspected(row, now_unix_ms)))
             }
-            Self::Cleared { trial } => match row {
-                Some(row) if row.trial == Some(*trial) => ChangeResult::Delete,
+            Self::Cleared { trial_id } => match row {
+                Some(row) if row.trial == Some(*trial_id) => ChangeResult::Delete,
                 _ => ChangeResult::Unchanged,
             },
         }
@@ -155,7 +155,7 @@
     let before = row.clone();
     add_crashes(&mut row, instances);
     let has_more = row.died.len() > before.died.len();
-    if is_quarantined || row.died.len() >= CRASHES_MAX {
+    if is_quarantined || row.died.len() >= QUARANTINE_INSTANCE_COUNT {
         if row.state != SuspectState::Quarantined || has_more {
             set_state(&mut row, SuspectState::Quarantined, now_unix_ms);
         }
@@ -170,15 +170,18 @@
 
 fn suspected(row: &SuspectRow, now_unix_ms: u64) -> SuspectRow {
     let mut row = row.clone();
-    forget_served_quarantine(&mut row);
+    clear_quarantined_crashes(&mut row);
     set_state(&mut row, SuspectState::Suspected, now_unix_ms);
     row.trial = None;
     row
 }
 
-/// Clears the crashes that led to a quarantine which is over, so that they don't count for the next
-/// one.
-fn forget_served_quarantine(row: &mut SuspectRow) {
+/// Clears the crashes of a quarantined row that becomes a suspect or starts a trial, so that they
+/// don't count for the next quarantine.
+///
+/// It doesn't check that the quarantine is over: `Change::TrialAbandoned` and `Change::TrialVoid`
+/// also pass a row that was quarantined while their trial was open.
+fn clear_quarantined_crashes(row: &mut SuspectRow) {
     if row.state == SuspectState::Quarantined {
         row.died.clear();
     }
@@ -187,16 +190,16 @@
 /// Returns the row of a trial; `None` if the crashes in the row and in `instances` forbid it.
 pub fn trial_row(
     mut row: SuspectRow,
-    parts: &TrialParts,
+    identity: &TrialIdentity,
     instances: &[InstanceId],
     now_unix_ms: u64,
 ) -> Option<SuspectRow> {
-    forget_served_quarantine(&mut row);
+    clear_quarantined_crashes(&mut row);
     add_crashes(&mut row, instances);
-    if row.died.len() >= CRASHES_MAX {
+    if row.died.len() >= QUARANTINE_INSTANCE_COUNT {
         return None;
     }
-    row.trial = Some(parts.trial);
+    row.trial = Some(identity.trial_id);
     set_state(&mut row, SuspectState::OnTrial, now_unix_ms);
     Some(row)
 }
--- a/crates/yuccarackd/src/coordination/suspects/shared.rs
+++ b/crates/yuccarackd/src/coordination/suspects/shared.rs
@@ -54,16 +54,19 @@
     pub counters: Counters,
     /// Suspects that this daemon knows.
     pub cache: Arc<Mutex<SuspectCache>>,
-    /// Queue of updates to all members of the service.
+    /// Queue of updates to other members of the service.
     pub update_sender: Sender<UrgentUpdate>,
     /// Queue of changes to the recorder.
     pub changes: UnboundedSender<PendingChange>,
 }
 
 impl Shared {
-    /// Queues updates to all members. If the queue is full the update is dropped and counted, and
-    /// the members learn of it at their next poll of the table.
-    pub fn broadcast(&self, service: &str, events: &[(Fingerprint, SuspectEvent)]) {
+    /// Queues updates to other members of the service, of whom [`Gossip::send_urgent`] reaches 64
+    /// random ones at most. The others learn of an update at their next poll of the table, as do
+    /// all if the queue is full: the update is then dropped and counted.
+    ///
+    /// [`Gossip::send_urgent`]: crate::coordination::gossip::Gossip::send_urgent
+    pub fn queue_updates(&self, service: &str, events: &[(Fingerprint, SuspectEvent)]) {
         for events in events.chunks(EVENTS_PER_MESSAGE_MAX) {
             let updates = events.iter().map(|&(fingerprint, event)| SuspectUpdate {
                 service: service.to_owned(),
--- a/crates/yuccarackd/src/coordination/suspects/tracker.rs
+++ b/crates/yuccarackd/src/coordination/suspects/tracker.rs
@@ -14,13 +14,13 @@
 use yuccarack_policy::suspects::Verdict;
 
 use super::{
-    attempt::TrialAttempt,
+    attempt::TrialAcquisition,
     cache::SuspectCache,
     event_handler::EventHandler,
     recorder::Recorder,
     row::Change,
     shared::Shared,
-    trial::{TrialEnd, TrialParts, TrialVerdict},
+    trial::{TrialEnd, TrialIdentity, TrialVerdict},
 };
 use crate::{
     protocol::{control::UrgentUpdate, suspect_update::SuspectEvent},
@@ -39,7 +39,7 @@
 impl SuspectTracker {
     /// Creates a tracker and spawns its tasks on `tasks`.
     ///
-    /// Updates for all members of the service are sent to `update_sender`; their updates arrive at
+    /// Updates for other members of the service are sent to `update_sender`; their updates arrive at
     /// `update_receiver`. `stop` must be cancelled only after the gate's last call has ended.
     pub fn start(
         platform: PlatformClient,
@@ -98,22 +98,24 @@
     ///
     /// The future may be dropped at any time; a trial that was written meanwhile is abandoned.
     pub async fn begin_trial(&self, service: &str, fingerprint: Fingerprint) -> TrialVerdict {
-        let trial = self.trial_ids.lock().random::<AttemptId>();
-        let parts = TrialParts { service: service.to_owned(), fingerprint, trial };
-        TrialAttempt::new(self.shared.clone(), parts, self.trial_end_sender.clone()).run().await
+        let trial_id = self.trial_ids.lock().random::<AttemptId>();
+        let identity = TrialIdentity { service: service.to_owned(), fingerprint, trial_id };
+        TrialAcquisition::new(self.shared.clone(), identity, self.trial_end_sender.clone())
+            .run()
+            .await
     }
 
     /// Records that the own target crashed with these requests in flight, each with whether it ran
-    /// alone.
+    /// on trial.
     ///
-    /// When this returns the update to the members is queued, hence before a caller can send its
+    /// When this returns the update to other members is queued, hence before a caller can send its
     /// request again. The rows are written in the background.
     pub async fn record_target_crash(&self, service: &str, in_flight: Vec<(Fingerprint, bool)>) {
         let mut cache = self.shared.cache.lock();
         let events =
             cache.record_own_target_crash(Instant::now(), &self.shared.instance, &in_flight);
         self.shared.counters.add_many("suspects.blamed", events.len() as u64);
-        self.shared.broadcast(service, &events);
+        self.shared.queue_updates(service, &events);
         for (fingerprint, event) in events {
             let is_quarantined = event == SuspectEvent::Quarantined;
             let change =
--- a/crates/yuccarackd/src/coordination/suspects/trial.rs
+++ b/crates/yuccarackd/src/coordination/suspects/trial.rs
@@ -26,7 +26,8 @@
         /// End of the quarantine.
         until: Instant,
     },
-    /// The store is unavailable, so it may run elsewhere; it is confirmed not to run here.
+    /// The store is unavailable, so no trial can be granted: another gate may hold it. This attempt is
+    /// confirmed not to run.
     StoreUnavailable {
         /// Time after which the caller should try again.
         retry_after: Duration,
@@ -43,7 +44,7 @@
 
 /// A trial whose request may have reached the target.
 ///
-/// If it is dropped unfinished, as when the caller disconnects, the request stays on trial for some
+/// If it is dropped unfinished, see [`TrialEnd::Unfinished`], the request stays on trial for some
 /// seconds, since the target may still crash because of it. Only then may it be tried again.
 #[derive(Debug)]
 #[must_use = "a trial that isn't ended keeps its request from running"]
@@ -53,43 +54,47 @@
 
 #[derive(Debug)]
 struct TrialHandle {
-    parts: Option<TrialParts>,
+    identity: Option<TrialIdentity>,
     trial_end_sender: UnboundedSender<TrialEnd>,
-    end_on_drop: fn(TrialParts) -> TrialEnd,
+    end_on_drop: fn(TrialIdentity) -> TrialEnd,
 }
 
 /// Identification of a trial.
 #[derive(Clone, Debug)]
-pub struct TrialParts {
+pub struct TrialIdentity {
     /// Service that the request is for.
     pub service: ServiceName,
     /// Fingerprint of the request.
     pub fingerprint: Fingerprint,
     /// Random id of the trial.
-    pub trial: AttemptId,
+    pub trial_id: AttemptId,
 }
 
 /// How a trial ended.
 #[derive(Debug)]
 pub enum TrialEnd {
     /// The response is complete and the target hasn't crashed.
-    Succeeded(TrialParts),
+    Succeeded(TrialIdentity),
     /// The trial was dropped before the dispatch began.
-    NotStarted(TrialParts),
+    NotDispatched(TrialIdentity),
     /// The request is confirmed not to have run.
-    NotRun(TrialParts),
-    /// The caller disconnected; the request may still be running.
-    CallerDisconnected(TrialParts),
+    NotRun(TrialIdentity),
+    /// The trial was dropped unfinished: the caller disconnected, the connection to the target broke
+    /// or the deadline passed. The request may still be running.
+    Unfinished(TrialIdentity),
 }
 
 impl Trial {
     pub(super) fn new(
-        parts: TrialParts,
+        identity: TrialIdentity,
         trial_end_sender: UnboundedSender<TrialEnd>,
         cache: Arc<Mutex<SuspectCache>>,
     ) -> Self {
-        let handle =
-            TrialHandle { parts: Some(parts), trial_end_sender, end_on_drop: TrialEnd::NotStarted };
+        let handle = TrialHandle {
+            identity: Some(identity),
+            trial_end_sender,
+            end_on_drop: TrialEnd::NotDispatched,
+        };
         Self { handle, cache }
     }
 
@@ -98,17 +103,13 @@
     /// Only from here on a crash of the target counts against the request. One that still waits for
     /// its slot when another request crashes the target can't be the cause.
     pub fn begin_dispatch(mut self) -> RunningTrial {
-        let parts = self.handle.parts.take();
-        if let Some(parts) = &parts {
-            self.cache.lock().record_trial_dispatch(parts.fingerprint, parts.trial);
+        let identity = self.handle.identity.take();
+        if let Some(identity) = &identity {
+            self.cache.lock().record_trial_dispatch(identity.fingerprint, identity.trial_id);
         }
         let trial_end_sender = self.handle.trial_end_sender.clone();
         RunningTrial {
-            handle: TrialHandle {
-                parts,
-                trial_end_sender,
-                end_on_drop: TrialEnd::CallerDisconnected,
-            },
+            handle: TrialHandle { identity, trial_end_sender, end_on_drop: TrialEnd::Unfinished },
         }
     }
 }
@@ -126,10 +127,10 @@
 }
 
 impl TrialHandle {
-    fn end(&mut self, how: fn(TrialParts) -> TrialEnd) {
-        if let Some(parts) = self.parts.take() {
+    fn end(&mut self, how: fn(TrialIdentity) -> TrialEnd) {
+        if let Some(identity) = self.identity.take() {
             // If the event handler has ended, the row stays on trial until it expires.
-            let _ = self.trial_end_sender.send(how(parts));
+            let _ = self.trial_end_sender.send(how(identity));
         }
     }
 }
