--- a/crates/yuccarackd/src/coordination/entry/attempt_sender.rs
+++ b/crates/yuccarackd/src/coordination/entry/attempt_sender.rs
@@ -29,9 +29,9 @@
 pub struct FailedAttempt {
     /// How the attempt failed.
     pub failure: AttemptFailure,
-    /// Whether another attempt is safe even for a request that must not repeat, as a gate has to
-    /// claim its key first.
-    pub is_guarded: bool,
+    /// Whether a retry is safe even for a request that must not repeat. Set only if the connection
+    /// to the gate failed: the next gate has to claim the key first, and only one gate can.
+    pub is_retry_safe: bool,
     /// Response or refusal for the caller if no further attempt is made.
     pub response: Result<Response<CallBody>, Refusal>,
 }
@@ -72,11 +72,11 @@
     ) -> Result<Response<CallBody>, Box<FailedAttempt>> {
         let mut record = AttemptRecord::new(self.service, &prepared.chosen);
         self.tracker.record_sent();
-        let result = if prepared.chosen.instance == self.entry.parts.instance {
+        let result = if prepared.chosen.instance == self.entry.deps.instance {
             Ok(self.send_local(prepared.attempt, prepared.request).await)
         } else {
             let address = prepared.chosen.address;
-            self.entry.parts.upstream.send(address, prepared.request, Freshness::Pooled).await
+            self.entry.deps.upstream.send(address, prepared.request, Freshness::Pooled).await
         };
         match result {
             Ok(response) => self.classify_response(response, &mut record),
@@ -92,7 +92,7 @@
         let (parts, body) = request.into_parts();
         let head = self.head.clone();
         let call = GateCall { head, attempt, deadline: self.deadline, parts, body };
-        self.entry.parts.gate.handle(call).await
+        self.entry.deps.gate.handle(call).await
     }
 
     fn classify_response(
@@ -137,7 +137,7 @@
         if is_final(&response) {
             return Ok(response);
         }
-        Err(Box::new(FailedAttempt { failure, is_guarded: false, response: Ok(response) }))
+        Err(Box::new(FailedAttempt { failure, is_retry_safe: false, response: Ok(response) }))
     }
 
     /// Classifies an attempt whose connection failed.
@@ -150,19 +150,19 @@
         record: &mut AttemptRecord<'_>,
     ) -> FailedAttempt {
         record.finish(TargetAttemptOutcome::Broken, None);
-        let counters = &self.entry.parts.counters;
+        let counters = &self.entry.deps.counters;
         if error.is_not_sent() {
             self.tracker.record_not_run();
             counters.add("entry.gate_unreachable");
             let refusal = Refusal::not_run(Reason::Unreachable);
             let failure = AttemptFailure::BrokenNotRun;
-            return FailedAttempt { failure, is_guarded: true, response: Err(refusal) };
+            return FailedAttempt { failure, is_retry_safe: true, response: Err(refusal) };
         }
         counters.add("entry.gate_link_broken");
         let refusal = Refusal::unknown(Reason::Broken);
         FailedAttempt {
             failure: AttemptFailure::BrokenUnknown,
-            is_guarded: true,
+            is_retry_safe: true,
             response: Err(refusal),
         }
     }
@@ -171,17 +171,17 @@
         let revision = response.headers().get(headers::RULES_REVISION);
         let revision = revision.and_then(|value| value.to_str().ok()?.parse().ok());
         if let Some(revision) = revision {
-            self.entry.parts.directory.note_rules_revision(&self.head.service, revision);
+            self.entry.deps.directory.note_rules_revision(&self.head.service, revision);
         }
     }
 
     fn log_event(&self, event: CallEvent) {
-        self.entry.parts.call_log.note(self.head.request_id, event);
+        self.entry.deps.call_log.note(self.head.request_id, event);
     }
 }
 
-/// A running attempt, whose end is reported to the service; dropped unfinished, it is reported as
-/// cancelled.
+/// A running attempt, whose outcome is reported to the service; dropped unfinished, it is reported
+/// as cancelled.
 struct AttemptRecord<'a> {
     service: &'a EntryService,
     key: Option<TargetKey>,
@@ -199,9 +199,9 @@
         self.started_at.elapsed()
     }
 
-    fn finish(&mut self, end: TargetAttemptOutcome, load: Option<GateLoadReport>) {
+    fn finish(&mut self, outcome: TargetAttemptOutcome, load: Option<GateLoadReport>) {
         if let Some(key) = self.key.take() {
-            self.service.record_attempt_end(Instant::now(), key, end, load);
+            self.service.record_attempt_outcome(Instant::now(), key, outcome, load);
         }
     }
 }
--- a/crates/yuccarackd/src/coordination/entry/attempts.rs
+++ b/crates/yuccarackd/src/coordination/entry/attempts.rs
@@ -72,7 +72,7 @@
     fn prepare_attempt(&mut self) -> Result<PreparedAttempt, Refusal> {
         let chosen =
             self.service.start_attempt(Instant::now(), &self.attempted).map_err(|reason| {
-                self.entry.parts.counters.add_reason("choice.refused", reason.as_str());
+                self.entry.deps.counters.add_reason("choice.refused", reason.as_str());
                 Refusal::not_run(Reason::NoTarget).with_retry_after(super::LOOKUP_RETRY_AFTER)
             })?;
         self.attempted.push(chosen.key);
@@ -86,10 +86,10 @@
             number,
             deadline: self.call.deadline,
             failure: failed.failure,
-            is_repeatable: self.call.is_repeatable || failed.is_guarded,
+            is_repeatable: self.call.is_repeatable || failed.is_retry_safe,
             depth: self.call.head.depth,
         };
-        let counters = &self.entry.parts.counters;
+        let counters = &self.entry.deps.counters;
         if !self.call.can_be_sent() {
             counters.add_reason("retry.gave_up", "body_not_kept");
             return false;
@@ -137,7 +137,7 @@
             // The other attempt is dropped, which cancels it at its gate.
             Ok(response) => {
                 let winner = if is_first { "first_won" } else { "second_won" };
-                self.entry.parts.counters.add_reason("hedge", winner);
+                self.entry.deps.counters.add_reason("hedge", winner);
                 Ok(response)
             }
             Err(_) if is_first => second.await,
@@ -146,7 +146,7 @@
     }
 
     fn prepare_hedge(&mut self) -> Option<PreparedAttempt> {
-        let counters = &self.entry.parts.counters;
+        let counters = &self.entry.deps.counters;
         if !self.service.spend_hedge(Instant::now()) {
             counters.add_reason("hedge", "budget_spent");
             return None;
@@ -168,6 +168,6 @@
     }
 
     fn log_event(&self, event: CallEvent) {
-        self.entry.parts.call_log.note(self.call.head.request_id, event);
+        self.entry.deps.call_log.note(self.call.head.request_id, event);
     }
 }
--- a/crates/yuccarackd/src/coordination/entry/mod.rs
+++ b/crates/yuccarackd/src/coordination/entry/mod.rs
@@ -55,7 +55,7 @@
 const REFUSED: &str = "entry.refused";
 
 /// Dependencies of an [`Entry`].
-pub struct EntryParts {
+pub struct EntryDependencies {
     /// Instance that this daemon runs on, whose gate is called directly.
     pub instance: InstanceId,
     /// Failure domain of this instance, whose targets are preferred.
@@ -72,13 +72,14 @@
     pub call_log: CallLog,
     /// Counters of calls, refusals and attempts.
     pub counters: Counters,
-    /// Cancelled when this daemon starts to leave, so that callers send their next call elsewhere.
+    /// Cancelled when this daemon begins to shut down. Responses then close their connections, so
+    /// that callers send their next call to another entry.
     pub leaving: CancellationToken,
 }
 
 /// The entry of one daemon, which accepts calls and forwards them to gates.
 pub struct Entry {
-    parts: EntryParts,
+    deps: EntryDependencies,
     services: RwLock<HashMap<ServiceName, Arc<EntryService>>>,
 }
 
@@ -91,7 +92,7 @@
         request: Request<CallBody>,
     ) -> Response<CallBody> {
         let Arrival { peer, received_at: now } = arrival;
-        self.parts.counters.add("entry.calls");
+        self.deps.counters.add("entry.calls");
         let (parts, body) = request.into_parts();
         let head = match CallHead::parse(&parts, peer.ip(), now, &mut rand::rng()) {
             Ok(head) => head,
@@ -105,8 +106,8 @@
 
 impl Entry {
     /// Creates an entry without known services.
-    pub fn new(parts: EntryParts) -> Self {
-        Self { parts, services: RwLock::default() }
+    pub fn new(deps: EntryDependencies) -> Self {
+        Self { deps, services: RwLock::default() }
     }
 
     async fn process(
@@ -121,7 +122,7 @@
         let rules = view.rules.as_ref().ok_or(Refusal::not_run(Reason::UnknownService))?;
         let (deadline, is_repeatable) = resolve_route(rules, &head, &parts, now)?;
         let service = self.service(&view)?;
-        let buffered_max = self.parts.buffered_body_max_bytes;
+        let buffered_max = self.deps.buffered_body_max_bytes;
         let reading = EntryCall::read(head, deadline, is_repeatable, parts, body, buffered_max);
         let call = match timeout_at(deadline.into(), reading).await {
             Ok(Ok(call)) => call,
@@ -158,10 +159,10 @@
         service: &str,
         lookup_deadline: Instant,
     ) -> Result<Arc<ServiceView>, Refusal> {
-        if let Some(view) = self.parts.directory.view(service) {
+        if let Some(view) = self.deps.directory.view(service) {
             return Ok(view);
         }
-        let loaded = self.parts.directory.get_or_load(service, lookup_deadline).await;
+        let loaded = self.deps.directory.get_or_load(service, lookup_deadline).await;
         loaded.map_err(|error| match error {
             DirectoryError::UnknownService => Refusal::not_run(Reason::UnknownService),
             DirectoryError::DeadlinePassed => Refusal::not_run(Reason::DeadlinePassed),
@@ -176,7 +177,7 @@
             service.sync_view(view);
             return Ok(Arc::clone(service));
         }
-        let local_domain = self.parts.failure_domain.clone();
+        let local_domain = self.deps.failure_domain.clone();
         let service = EntryService::new(view, local_domain)
             .map_err(|_| Refusal::not_run(Reason::UnknownService))?;
         let mut services = self.services.write();
@@ -193,9 +194,9 @@
         let mut response = match response {
             Ok(response) => response,
             Err(refusal) => {
-                self.parts.counters.add_reason(REFUSED, refusal.reason.as_str());
+                self.deps.counters.add_reason(REFUSED, refusal.reason.as_str());
                 if let Some(id) = request_id {
-                    self.parts.call_log.note(id, CallEvent::refused(&refusal));
+                    self.deps.call_log.note(id, CallEvent::refused(&refusal));
                 }
                 refusal.into_response()
             }
@@ -206,7 +207,7 @@
         if let Some(id) = request_id {
             forwarding::set_header(map, headers::REQUEST_ID, &format_id(id));
         }
-        if self.parts.leaving.is_cancelled() {
+        if self.deps.leaving.is_cancelled() {
             map.insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
         response
--- a/crates/yuccarackd/src/coordination/entry/service.rs
+++ b/crates/yuccarackd/src/coordination/entry/service.rs
@@ -40,7 +40,7 @@
     rng: SmallRng,
 }
 
-/// A gate chosen for an attempt, which counts as sent there.
+/// A gate chosen for an attempt. The chooser already counts the attempt as in flight there.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ChosenGate {
     /// Key of the gate's target in the chooser.
@@ -122,16 +122,16 @@
     }
 
     /// Records how an attempt ended and the load that its gate reported.
-    pub fn record_attempt_end(
+    pub fn record_attempt_outcome(
         &self,
         now: Instant,
         key: TargetKey,
-        end: TargetAttemptOutcome,
+        outcome: TargetAttemptOutcome,
         load: Option<GateLoadReport>,
     ) {
         let mut policies = self.policies.lock();
-        policies.chooser.record_outcome(now, key, end, load);
-        match end {
+        policies.chooser.record_outcome(now, key, outcome, load);
+        match outcome {
             TargetAttemptOutcome::Answered { response_time } => {
                 policies.hedge.record_response(now, response_time)
             }
--- a/crates/yuccarackd/src/coordination/gate/call.rs
+++ b/crates/yuccarackd/src/coordination/gate/call.rs
@@ -1,4 +1,4 @@
-//! A request at its gate: metadata, head and body.
+//! One attempt of a call as received by a gate: metadata, head and body.
 
 use std::time::Instant;
 
@@ -19,7 +19,7 @@
     },
 };
 
-/// A request at a gate.
+/// One attempt of a call, as received by a gate.
 pub struct GateCall {
     /// Metadata from the request's head.
     pub head: CallHead,
--- a/crates/yuccarackd/src/coordination/gate/dispatch.rs
+++ b/crates/yuccarackd/src/coordination/gate/dispatch.rs
@@ -82,7 +82,7 @@
     /// Returns a refusal whose outcome says whether the request is confirmed not to have run.
     pub async fn run(self, call: GateCall) -> Result<Response<CallBody>, Refusal> {
         let response_deadline = call.deadline;
-        self.exchange(call, Freshness::Pooled, response_deadline).await
+        self.send_to_target(call, Freshness::Pooled, response_deadline).await
     }
 
     /// Dispatches a claimed request and records its outcome.
@@ -106,9 +106,9 @@
         let deadline = call.deadline;
         let response_deadline = deadline + CLAIMED_RESPONSE_GRACE;
         let (sender, response_receiver) = oneshot::channel();
-        let requests = self.gate.parts.requests.clone();
+        let requests = self.gate.deps.requests.clone();
         requests.spawn(async move {
-            let response = self.exchange(call, Freshness::New, response_deadline).await;
+            let response = self.send_to_target(call, Freshness::New, response_deadline).await;
             let response = record_outcome(response, claim).await;
             // The receiver may be dropped because the caller has disconnected; the outcome is
             // recorded nevertheless.
@@ -120,7 +120,7 @@
         }
     }
 
-    async fn exchange(
+    async fn send_to_target(
         self,
         call: GateCall,
         freshness: Freshness,
@@ -134,13 +134,13 @@
         let crash_check = CrashCheck { gate: Arc::clone(&gate), target: Arc::clone(&target) };
         let running = RunningRequest {
             slot,
-            in_flight: gate.in_flight.register(in_flight_request),
+            in_flight: gate.crash_candidates.register(in_flight_request),
             trial,
             crash_check,
         };
         let on_progress = running.slot.progress_callback();
         let request = call.into_target_request().map(|body| with_progress(body, on_progress));
-        let sent = gate.parts.upstream.send(target.address(), request, freshness);
+        let sent = gate.deps.upstream.send(target.address(), request, freshness);
         match timeout_at(response_deadline.into(), sent).await {
             Ok(Ok(response)) => target_response(response, running, response_deadline),
             Ok(Err(error)) => Err(gate.finish_failed(error, running).await),
@@ -161,7 +161,7 @@
             if is_connection_refused(&error) {
                 // The process has exited: requests that broke or were abandoned just before are
                 // suspects.
-                self.blame_in_flight(&target).await;
+                self.report_in_flight_as_suspects(&target).await;
             }
             return send_error_refusal(Reason::Unreachable, true);
         }
@@ -184,14 +184,14 @@
         for delay in CRASH_CHECK_DELAYS {
             sleep(delay).await;
             let probe =
-                Connection::open(target.address(), BodyLength::Short, &self.parts.background).await;
+                Connection::open(target.address(), BodyLength::Short, &self.deps.background).await;
             has_crashed = probe.is_err_and(|error| is_connection_refused(&error));
             if has_crashed {
                 break;
             }
         }
         if has_crashed {
-            self.blame_in_flight(target).await;
+            self.report_in_flight_as_suspects(target).await;
         }
         has_crashed
     }
@@ -207,7 +207,7 @@
     /// Starts the check in the background. The task returns whether the target has crashed.
     pub fn start(self) -> JoinHandle<bool> {
         let Self { gate, target } = self;
-        let tasks = gate.parts.background.clone();
+        let tasks = gate.deps.background.clone();
         tasks.spawn(async move { gate.check_crash(&target).await })
     }
 }
@@ -262,7 +262,7 @@
     }
 }
 
-/// Settles a claim with the outcome of its request.
+/// Records the outcome of a claimed request, or releases the claim if the request hasn't run.
 async fn record_outcome(
     response: Result<Response<CallBody>, Refusal>,
     claim: RunningClaim,
--- a/crates/yuccarackd/src/coordination/gate/in_flight.rs
+++ b/crates/yuccarackd/src/coordination/gate/in_flight.rs
@@ -1,4 +1,4 @@
-//! Records the requests in flight at the target, which become suspects if it crashes.
+//! Records the requests in flight at a gate's target, which become suspects if it crashes.
 
 use std::{
     sync::Arc,
@@ -26,11 +26,12 @@
 pub struct InFlightRequest {
     /// Fingerprint that identifies the request when it is sent again.
     pub fingerprint: Fingerprint,
-    /// Whether no other request was in flight.
-    pub is_alone: bool,
+    /// Whether the request runs on trial, hence without others on the target.
+    pub is_on_trial: bool,
 }
 
-/// Requests in flight at one target; clones share them.
+/// Requests in flight at a gate's target, and those abandoned there shortly before; clones share
+/// them. They are kept when the target's process is replaced.
 #[derive(Clone, Debug, Default)]
 pub struct InFlightRequests {
     state: Arc<Mutex<State>>,
--- a/crates/yuccarackd/src/coordination/gate/mod.rs
+++ b/crates/yuccarackd/src/coordination/gate/mod.rs
@@ -30,7 +30,7 @@
     call::GateCall,
     dispatch::Dispatch,
     in_flight::InFlightRequests,
-    prerequisites::{ClaimResult, claim_request, release_claim},
+    prerequisites::{ClaimResult, build_claim_request, release_claim},
     slots::SlotLease,
     target::GateTarget,
 };
@@ -48,14 +48,15 @@
     transport::upstream::Upstream,
 };
 
-/// `Retry-After` of a draining or unready target. By then the caller's entry knows of that state.
-const NOT_READY_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// `Retry-After` of refusals while the target drains or isn't ready, and of a request whose earlier
+/// attempt is still in progress. Within this time the caller's entry learns the target's new state.
+const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Prefix of the gate's refusal counters; the reason follows.
 const REFUSED: &str = "gate.refused";
 
 /// Dependencies of a [`Gate`].
-pub struct GateParts {
+pub struct GateDependencies {
     /// Instance that this daemon runs on; responses carry it in a header.
     pub instance: String,
     /// The target as reported by its own announcements.
@@ -74,29 +75,31 @@
     pub logger: Logger,
     /// Tracker of the tasks that run claimed requests, which may outlive their callers.
     pub requests: TaskTracker,
-    /// Tracker of tasks that run as long as the gate.
+    /// Tracker of background tasks: crash checks with their connections, which take milliseconds,
+    /// and the timers of waiting requests, which run until the daemon stops.
     pub background: TaskTracker,
 }
 
 /// The gate of one target: admits and dispatches its requests.
 pub struct Gate {
-    parts: GateParts,
-    in_flight: InFlightRequests,
+    deps: GateDependencies,
+    /// Requests that become suspects if the target crashes.
+    crash_candidates: InFlightRequests,
     target: RwLock<Option<Arc<GateTarget>>>,
     draining: CancellationToken,
-    /// Boot ID of the last target process whose crash was blamed on its requests.
-    blamed_boot_id: Mutex<Option<u64>>,
+    /// Boot ID of the last target process whose crash was reported.
+    last_reported_boot_id: Mutex<Option<u64>>,
 }
 
 impl Gate {
     /// Creates a gate without a target.
-    pub fn new(parts: GateParts) -> Self {
+    pub fn new(deps: GateDependencies) -> Self {
         Self {
-            parts,
-            in_flight: InFlightRequests::new(),
+            deps,
+            crash_candidates: InFlightRequests::new(),
             target: RwLock::new(None),
             draining: CancellationToken::new(),
-            blamed_boot_id: Mutex::new(None),
+            last_reported_boot_id: Mutex::new(None),
         }
     }
 
@@ -106,7 +109,7 @@
         let mut response = match self.run(call).await {
             Ok(response) => response,
             Err(refusal) => {
-                self.parts.counters.add_reason(REFUSED, refusal.reason.as_str());
+                self.deps.counters.add_reason(REFUSED, refusal.reason.as_str());
                 refusal.into_response()
             }
         };
@@ -123,7 +126,7 @@
     }
 
     /// Returns the number of requests that run on the target.
-    pub fn in_flight(&self) -> usize {
+    pub fn running_count(&self) -> usize {
         self.target.read().as_ref().map_or(0, |target| target.slots.in_flight())
     }
 
@@ -134,8 +137,8 @@
 
     /// Applies changes of the target's announcements and of the rules until `stop`.
     pub async fn follow(self: Arc<Self>, stop: CancellationToken) {
-        let mut announcements = self.parts.own_target.subscribe();
-        let mut rules = self.parts.directory.subscribe();
+        let mut announcements = self.deps.own_target.subscribe();
+        let mut rules = self.deps.directory.subscribe();
         loop {
             self.apply_changes(&stop).await;
             tokio::select! {
@@ -147,12 +150,12 @@
     }
 
     async fn apply_changes(&self, stop: &CancellationToken) {
-        let Some(view) = self.parts.own_target.current() else {
+        let Some(view) = self.deps.own_target.current() else {
             return;
         };
         let service = view.announcement.service.as_str();
-        self.parts.suspects.watch_service(service.to_owned());
-        let service_view = self.parts.directory.view(service);
+        self.deps.suspects.watch_service(service.to_owned());
+        let service_view = self.deps.directory.view(service);
         let Some(rules) = service_view.as_ref().and_then(|service_view| service_view.rules.clone())
         else {
             *self.target.write() = None;
@@ -169,21 +172,21 @@
             return;
         }
         if let Some(previous) = self.target() {
-            self.blame_in_flight(&previous).await;
+            self.report_in_flight_as_suspects(&previous).await;
         }
-        info!(self.parts.logger, "target admitted";
+        info!(self.deps.logger, "target admitted";
             "service" => service, "boot_id" => view.announcement.boot_id,
             "slots" => view.announcement.slots);
         let target = GateTarget::new(view, rules);
         target.slots.set_alternatives(has_alternatives);
-        let clock = target.slots.clone();
+        let slots = target.slots.clone();
         let stop = stop.clone();
-        self.parts.background.spawn(async move { clock.run_clock(stop).await });
+        self.deps.background.spawn(async move { slots.run_timer(stop).await });
         *self.target.write() = Some(Arc::new(target));
     }
 
     fn has_other_ready_target(&self, members: &[MemberRow]) -> bool {
-        let mut others = members.iter().filter(|member| member.instance != self.parts.instance);
+        let mut others = members.iter().filter(|member| member.instance != self.deps.instance);
         others.any(|member| member.state == TargetState::Ready)
     }
 
@@ -192,19 +195,20 @@
     /// A new boot ID after broken connections is a crash too: the target restarted before its port
     /// could be found closed.
     ///
-    /// Each process is blamed at most once. Every request that finds the port closed and the first
-    /// announcement of the new process come here, and by then requests may be in flight that only
-    /// connect or already run on the new process; a trial among them would be quarantined.
-    async fn blame_in_flight(&self, target: &GateTarget) {
+    /// The crash of each process is reported at most once, although every request that finds the
+    /// port closed and the first announcement of the new process lead here. Later reports would
+    /// include requests that are still connecting or run on the new process, and would quarantine a
+    /// trial that isn't to blame for the crash.
+    async fn report_in_flight_as_suspects(&self, target: &GateTarget) {
         if target.view.state() != TargetState::Ready {
-            // It announced that it would leave, so its closed port is no crash.
+            // A target that starts or drains may close its port without a crash.
             return;
         }
         let boot_id = target.view.announcement.boot_id;
-        if self.blamed_boot_id.lock().replace(boot_id) == Some(boot_id) {
+        if self.last_reported_boot_id.lock().replace(boot_id) == Some(boot_id) {
             return;
         }
-        let suspects = self.in_flight.take_crash_suspects(Instant::now());
+        let suspects = self.crash_candidates.take_crash_suspects(Instant::now());
         if !suspects.is_empty() {
             self.report_crash(suspects).await;
         }
@@ -219,7 +223,7 @@
         let is_repeatable = route.is_repeatable(call.method().as_str()) && !call.is_once();
         let fingerprint = call.fingerprint().await?;
         let is_suspect = self.is_suspect(&call.head.service, fingerprint).await?;
-        let claim = match claim_request(&call, is_repeatable, fingerprint)? {
+        let claim = match build_claim_request(&call, is_repeatable, fingerprint)? {
             None => None,
             Some(request) => match self.claim(request).await? {
                 ClaimResult::Recorded(response) => return Ok(response),
@@ -251,14 +255,13 @@
 
     fn ready_target(&self, call: &GateCall) -> Result<Arc<GateTarget>, Refusal> {
         if self.draining.is_cancelled() {
-            return Err(Refusal::not_run(Reason::Draining).with_retry_after(NOT_READY_RETRY_AFTER));
+            return Err(Refusal::not_run(Reason::Draining).with_retry_after(RETRY_AFTER));
         }
-        let not_ready =
-            || Refusal::not_run(Reason::NotReady).with_retry_after(NOT_READY_RETRY_AFTER);
+        let not_ready = || Refusal::not_run(Reason::NotReady).with_retry_after(RETRY_AFTER);
         let target = self.target().ok_or_else(not_ready)?;
         target
             .check_ready(&call.head.service)
-            .map_err(|refusal| refusal.with_retry_after(NOT_READY_RETRY_AFTER))?;
+            .map_err(|refusal| refusal.with_retry_after(RETRY_AFTER))?;
         Ok(target)
     }
 
@@ -276,7 +279,7 @@
             target,
             in_flight_request: in_flight::InFlightRequest {
                 fingerprint,
-                is_alone: trial.is_some(),
+                is_on_trial: trial.is_some(),
             },
             slot,
             trial,
@@ -287,27 +290,30 @@
         }
     }
 
-    /// Reports to all members of the service which requests were in flight when the target crashed.
+    /// Reports to other members of the service which requests were in flight when the target
+    /// crashed.
     async fn report_crash(&self, suspects: Vec<in_flight::InFlightRequest>) {
-        let Some(service) = self.parts.directory.own_service() else {
+        let Some(service) = self.deps.directory.own_service() else {
             return;
         };
-        self.parts.counters.add("gate.target_died");
-        info!(self.parts.logger, "target crashed";
+        self.deps.counters.add("gate.target_died");
+        info!(self.deps.logger, "target crashed";
             "service" => &service, "in_flight" => suspects.len());
-        let fingerprints =
-            suspects.into_iter().map(|suspect| (suspect.fingerprint, suspect.is_alone)).collect();
-        self.parts.suspects.record_target_crash(&service, fingerprints).await;
+        let fingerprints = suspects
+            .into_iter()
+            .map(|suspect| (suspect.fingerprint, suspect.is_on_trial))
+            .collect();
+        self.deps.suspects.record_target_crash(&service, fingerprints).await;
     }
 
     /// Adds load and rules revision to a response, so that they need no message of their own.
     fn add_status_headers(&self, response: &mut Response<CallBody>) {
         let map = response.headers_mut();
-        forwarding::set_header(map, headers::INSTANCE, &self.parts.instance);
+        forwarding::set_header(map, headers::INSTANCE, &self.deps.instance);
         if let Some(target) = self.target() {
             forwarding::set_header(map, headers::LOAD, &target.slots.load().to_string());
         }
-        let revision = self.parts.directory.own_rules_revision();
+        let revision = self.deps.directory.own_rules_revision();
         map.insert(headers::RULES_REVISION, HeaderValue::from(revision));
     }
 }
--- a/crates/yuccarackd/src/coordination/gate/prerequisites.rs
+++ b/crates/yuccarackd/src/coordination/gate/prerequisites.rs
@@ -7,7 +7,7 @@
 use yuccarack_platform::rows::RecordedOutcome;
 use yuccarack_policy::suspects::Verdict;
 
-use super::{Gate, NOT_READY_RETRY_AFTER, call::GateCall};
+use super::{Gate, RETRY_AFTER, call::GateCall};
 use crate::{
     coordination::{
         claims::{Claim, ClaimRequest, ClaimVerdict},
@@ -37,7 +37,7 @@
         service: &str,
         fingerprint: Fingerprint,
     ) -> Result<bool, Refusal> {
-        match self.parts.suspects.verdict(service, fingerprint).await {
+        match self.deps.suspects.verdict(service, fingerprint).await {
             Verdict::Clear => Ok(false),
             Verdict::Isolated => Ok(true),
             Verdict::Quarantined { until } => {
@@ -57,7 +57,7 @@
         service: &str,
         fingerprint: Fingerprint,
     ) -> Result<Trial, Refusal> {
-        match self.parts.suspects.begin_trial(service, fingerprint).await {
+        match self.deps.suspects.begin_trial(service, fingerprint).await {
             TrialVerdict::Granted(trial) => Ok(trial),
             TrialVerdict::OnTrialElsewhere { retry_after } => {
                 Err(Refusal::not_run(Reason::OnTrial).with_retry_after(retry_after))
@@ -77,11 +77,11 @@
     /// The claim precedes the slot, so that a slow store doesn't block slots that requests without
     /// a claim could use.
     pub(super) async fn claim(&self, request: ClaimRequest) -> Result<ClaimResult, Refusal> {
-        match self.parts.claims.claim(request).await {
+        match self.deps.claims.claim(request).await {
             ClaimVerdict::Granted(claim) => Ok(ClaimResult::Granted(claim)),
             ClaimVerdict::Recorded(outcome) => Ok(ClaimResult::Recorded(replay_response(outcome)?)),
             ClaimVerdict::InProgress => {
-                Err(Refusal::unknown(Reason::InProgress).with_retry_after(NOT_READY_RETRY_AFTER))
+                Err(Refusal::unknown(Reason::InProgress).with_retry_after(RETRY_AFTER))
             }
             ClaimVerdict::KeyReused => Err(Refusal::not_run(Reason::KeyReused)),
             ClaimVerdict::StoreUnavailable { retry_after } => {
@@ -98,8 +98,8 @@
     }
 }
 
-/// Returns the claim that a request needs before it may run; `None` if the request may repeat.
-pub(super) fn claim_request(
+/// Builds the claim request for a request that must not repeat; `None` if the request may repeat.
+pub(super) fn build_claim_request(
     call: &GateCall,
     is_repeatable: bool,
     fingerprint: Fingerprint,
--- a/crates/yuccarackd/src/coordination/gate/slots.rs
+++ b/crates/yuccarackd/src/coordination/gate/slots.rs
@@ -15,11 +15,12 @@
     WaitOutcome,
 };
 
-/// Sleep of the clock when nothing is due. The next request that is queued wakes it earlier.
+/// Longest sleep of the timer task when nothing is due. The next request that is queued wakes it
+/// earlier.
 const IDLE_WAIT: Duration = Duration::from_secs(60);
 
 /// Decision on a waiting request: a slot or a refusal.
-type Settlement = Result<RunKey, Refusal>;
+type WaitDecision = Result<RunKey, Refusal>;
 
 /// Slots and queue of one target; clones share them.
 #[derive(Clone)]
@@ -29,13 +30,13 @@
 
 struct Shared {
     state: Mutex<State>,
-    /// Wakes the clock when the next due time may have changed.
+    /// Wakes the timer task when the next due time may have changed.
     changed: Notify,
 }
 
 struct State {
     admission: Admission,
-    waiting: HashMap<WaitKey, oneshot::Sender<Settlement>>,
+    waiting: HashMap<WaitKey, oneshot::Sender<WaitDecision>>,
 }
 
 impl Slots {
@@ -68,13 +69,13 @@
     ///
     /// Returns the policy's refusal; nothing of the request has run.
     pub async fn admit(&self, offer: Offer) -> Result<SlotLease, Refusal> {
-        let (key, settled) = match self.offer(offer) {
+        let (key, decision) = match self.offer(offer) {
             Ok(lease) => return Ok(lease),
             Err(NotStarted::Refused(refusal)) => return Err(refusal),
-            Err(NotStarted::Queued(key, settled)) => (key, settled),
+            Err(NotStarted::Queued(key, decision)) => (key, decision),
         };
-        let waiter = Waiter { slots: self.clone(), key: Some(key), settled };
-        waiter.settle().await
+        let waiter = Waiter { slots: self.clone(), key: Some(key), decision };
+        waiter.wait().await
     }
 
     /// Records that a piece of a long request or response has been transferred.
@@ -92,8 +93,8 @@
         self.shared.state.lock().admission.in_flight()
     }
 
-    /// Settles waiting requests as their wait times expire, until `stop`.
-    pub async fn run_clock(&self, stop: CancellationToken) {
+    /// Decides on waiting requests as their wait times expire, until `stop`.
+    pub async fn run_timer(&self, stop: CancellationToken) {
         loop {
             let next = self.shared.state.lock().admission.next_wake();
             let due = next.unwrap_or_else(|| Instant::now() + IDLE_WAIT);
@@ -111,46 +112,47 @@
             AdmissionDecision::Run(key) => Ok(SlotLease::new(self.clone(), key)),
             AdmissionDecision::Refused(refusal) => Err(NotStarted::Refused(refusal)),
             AdmissionDecision::Wait(key) => {
-                let (sender, settled) = oneshot::channel();
+                let (sender, decision) = oneshot::channel();
                 state.waiting.insert(key, sender);
                 drop(state);
                 self.shared.changed.notify_one();
-                Err(NotStarted::Queued(key, settled))
+                Err(NotStarted::Queued(key, decision))
             }
         }
     }
 
-    /// Changes the state, then notifies the waiting requests that the change has settled.
+    /// Changes the state, then notifies the waiting requests that the change admitted or
+    /// refused.
     fn with_state<T>(&self, change: impl FnOnce(&mut State, Instant) -> T) -> T {
         let mut state = self.shared.state.lock();
         let now = Instant::now();
         let result = change(&mut state, now);
-        state.settle(now);
+        state.decide_waiting(now);
         result
     }
 
-    fn release(&self, key: RunKey, end: RunOutcome) {
-        self.with_state(|state, now| state.admission.release(now, key, end));
+    fn release(&self, key: RunKey, outcome: RunOutcome) {
+        self.with_state(|state, now| state.admission.release(now, key, outcome));
     }
 }
 
 impl State {
-    /// Settles waiting requests until nothing changes, as a slot whose waiter is dropped becomes
+    /// Decides on waiting requests until nothing changes, as a slot whose waiter is dropped becomes
     /// free again.
-    fn settle(&mut self, now: Instant) {
+    fn decide_waiting(&mut self, now: Instant) {
         loop {
-            let settled = self.admission.poll(now);
-            if settled.is_empty() {
+            let outcomes = self.admission.poll(now);
+            if outcomes.is_empty() {
                 return;
             }
-            for settled in settled {
-                self.notify_waiter(now, settled);
+            for outcome in outcomes {
+                self.notify_waiter(now, outcome);
             }
         }
     }
 
-    fn notify_waiter(&mut self, now: Instant, settled: WaitOutcome) {
-        match settled {
+    fn notify_waiter(&mut self, now: Instant, outcome: WaitOutcome) {
+        match outcome {
             WaitOutcome::Run(wait, run) => self.assign_slot(now, wait, run),
             WaitOutcome::Refused(wait, refusal) => {
                 if let Some(waiter) = self.waiting.remove(&wait) {
@@ -175,25 +177,27 @@
 
 enum NotStarted {
     Refused(Refusal),
-    Queued(WaitKey, oneshot::Receiver<Settlement>),
+    Queued(WaitKey, oneshot::Receiver<WaitDecision>),
 }
 
 /// A waiting request, which leaves the queue when it is dropped, as after its caller disconnects.
 struct Waiter {
     slots: Slots,
     key: Option<WaitKey>,
-    settled: oneshot::Receiver<Settlement>,
+    decision: oneshot::Receiver<WaitDecision>,
 }
 
 impl Waiter {
-    async fn settle(mut self) -> Result<SlotLease, Refusal> {
-        let settled = (&mut self.settled).await;
+    async fn wait(mut self) -> Result<SlotLease, Refusal> {
+        let decision = (&mut self.decision).await;
         self.key = None;
-        match settled {
+        match decision {
             Ok(Ok(run)) => Ok(SlotLease::new(self.slots.clone(), run)),
             Ok(Err(refusal)) => Err(refusal),
             // The state keeps the sender until it is used, and `self` keeps the state.
-            Err(_) => unreachable!("the sender of a waiting request was dropped unsettled"),
+            Err(_) => {
+                unreachable!("the sender of a waiting request was dropped unused")
+            }
         }
     }
 }
@@ -206,7 +210,7 @@
         self.slots.with_state(|state, now| {
             state.waiting.remove(&key);
             // The slot may have been assigned just before this drop.
-            match self.settled.try_recv() {
+            match self.decision.try_recv() {
                 Ok(Ok(run)) => state.admission.release(now, run, RunOutcome::Cancelled),
                 Ok(Err(_)) => {}
                 Err(_) => state.admission.cancel_wait(now, key),
@@ -250,7 +254,8 @@
         self.release(RunOutcome::Completed { service_time });
     }
 
-    /// Releases the slot after the target failed.
+    /// Releases the slot of a request without a complete response: it couldn't be sent, its
+    /// connection broke or its deadline passed.
     pub fn finish_failed(mut self) {
         let service_time = self.started_at.elapsed();
         self.release(RunOutcome::Failed { service_time });
@@ -261,9 +266,9 @@
         self.release(RunOutcome::Shed);
     }
 
-    fn release(&mut self, end: RunOutcome) {
+    fn release(&mut self, outcome: RunOutcome) {
         if let Some(key) = self.key.take() {
-            self.slots.release(key, end);
+            self.slots.release(key, outcome);
         }
     }
 }
--- a/crates/yuccarackd/src/daemon/assembly.rs
+++ b/crates/yuccarackd/src/daemon/assembly.rs
@@ -12,8 +12,8 @@
     coordination::{
         claims::ClaimTracker,
         control_plane::ControlPlane,
-        entry::{Entry, EntryParts},
-        gate::{Gate, GateParts, server::GateServer},
+        entry::{Entry, EntryDependencies},
+        gate::{Gate, GateDependencies, server::GateServer},
         load_prober::LoadProber,
         suspects::SuspectTracker,
     },
@@ -42,7 +42,7 @@
 impl Assembly {
     /// Starts the gate with its trackers of claims and suspects, and the load probes of its target.
     pub fn start_gate(&self, control: &mut ControlPlane) -> Arc<Gate> {
-        let gate = Arc::new(Gate::new(GateParts {
+        let gate = Arc::new(Gate::new(GateDependencies {
             instance: self.settings.instance.clone(),
             own_target: control.own_target.clone(),
             directory: control.directory.clone(),
@@ -63,7 +63,7 @@
 
     /// Creates the entry, which shares the daemon with `gate`.
     pub fn new_entry(&self, control: &ControlPlane, gate: Arc<Gate>, call_log: CallLog) -> Entry {
-        Entry::new(EntryParts {
+        Entry::new(EntryDependencies {
             instance: self.settings.instance.clone(),
             failure_domain: self.settings.failure_domain.clone(),
             buffered_body_max_bytes: self.settings.budgets.replay_body_max_bytes as usize,
--- a/crates/yuccarackd/src/daemon/mod.rs
+++ b/crates/yuccarackd/src/daemon/mod.rs
@@ -92,7 +92,7 @@
     /// [`DaemonError::DrainTimeout`] if calls had to be cut off.
     pub async fn stop(self) -> Result<(), DaemonError> {
         let Assembly { settings, logger, upstream, tasks, stops, .. } = self.assembly;
-        info!(logger, "stopping"; "in_flight" => self.gate.in_flight());
+        info!(logger, "stopping"; "in_flight" => self.gate.running_count());
         let budgets = &settings.budgets;
         let drain_by = Instant::now() + Duration::from_millis(budgets.drain_max_ms.into());
         stops.leaving.cancel();
