--- a/crates/yuccarackd/src/coordination/claims/breaker.rs
+++ b/crates/yuccarackd/src/coordination/claims/breaker.rs
@@ -10,9 +10,9 @@
 
 /// Circuit breaker that only the writer probes.
 ///
-/// When the store hangs, each call that needs a claim would otherwise wait for a timeout, and pending
-/// claims would fill the claim queue of each gate. The breaker admits no claim between a failure and
-/// the next success, so at most one timeout is waited for.
+/// When the store hangs, each call that needs a claim would otherwise wait for a timeout, and
+/// pending claims would fill the claim queue of each gate. The breaker admits no claim between a
+/// failure and the next success, so at most one timeout is waited for.
 #[derive(Debug, Default)]
 pub struct Breaker {
     outage: Option<Outage>,
--- a/crates/yuccarackd/src/coordination/control_parts.rs
+++ b/crates/yuccarackd/src/coordination/control_components.rs
@@ -1,4 +1,4 @@
-//! Shared state of the control tasks, and their construction.
+//! Components that the control tasks share, and the construction of the tasks.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,12 +11,12 @@
 use crate::{
     coordination::{
         control_handler::ControlHandler,
-        gossip::{Gossip, GossipParts},
+        gossip::{Gossip, GossipDependencies},
         member_remover::MemberRemover,
-        membership::{Membership, MembershipParts},
+        membership::{Membership, MembershipDependencies},
         reconciler::Reconciler,
-        rules_sync::{RulesSync, RulesSyncParts},
         table::Table,
+        table_sync::{TableSync, TableSyncDependencies},
     },
     protocol::control::UrgentUpdate,
     state::{
@@ -26,8 +26,8 @@
     transport::control_channel::ControlClient,
 };
 
-/// Shared state of the control tasks.
-pub(super) struct ControlParts {
+/// Components that the control tasks share.
+pub(super) struct ControlComponents {
     pub(super) settings: Arc<DaemonSettings>,
     pub(super) counters: Counters,
     pub(super) logger: Logger,
@@ -42,7 +42,7 @@
     pub(super) stop: CancellationToken,
 }
 
-impl ControlParts {
+impl ControlComponents {
     pub(super) fn new(
         settings: Arc<DaemonSettings>,
         counters: Counters,
@@ -64,7 +64,7 @@
             logger.clone(),
             Arc::clone(&own_service_changed),
         );
-        let gossip = Gossip::new(GossipParts {
+        let gossip = Gossip::new(GossipDependencies {
             settings: Arc::clone(&settings),
             directory: directory.clone(),
             client: ControlClient::new(budget.clone()),
@@ -90,8 +90,8 @@
         }
     }
 
-    pub(super) fn rules_sync(&self) -> RulesSync {
-        RulesSync::new(RulesSyncParts {
+    pub(super) fn table_sync(&self) -> TableSync {
+        TableSync::new(TableSyncDependencies {
             settings: Arc::clone(&self.settings),
             directory: self.directory.clone(),
             table: self.table.clone(),
@@ -103,7 +103,7 @@
     }
 
     pub(super) fn membership(&self, draining: watch::Receiver<bool>) -> Membership {
-        let parts = MembershipParts {
+        let deps = MembershipDependencies {
             settings: Arc::clone(&self.settings),
             own_target: self.own_target.clone(),
             directory: self.directory.clone(),
@@ -112,7 +112,7 @@
             counters: self.counters.clone(),
             logger: self.logger.clone(),
         };
-        Membership::new(parts, draining, Arc::clone(&self.own_service_changed))
+        Membership::new(deps, draining, Arc::clone(&self.own_service_changed))
     }
 
     pub(super) fn member_remover(&self) -> MemberRemover {
@@ -130,14 +130,14 @@
 
     pub(super) fn control_handler(
         &self,
-        urgent_sender: mpsc::Sender<UrgentUpdate>,
+        received_urgent_sender: mpsc::Sender<UrgentUpdate>,
     ) -> ControlHandler {
         ControlHandler {
             settings: Arc::clone(&self.settings),
             directory: self.directory.clone(),
             reconciler: self.reconciler.clone(),
             gossip: self.gossip.clone(),
-            urgent_sender,
+            received_urgent_sender,
             counters: self.counters.clone(),
         }
     }
--- a/crates/yuccarackd/src/coordination/control_handler.rs
+++ b/crates/yuccarackd/src/coordination/control_handler.rs
@@ -30,7 +30,7 @@
     /// Pings members for probes of other daemons.
     pub gossip: Gossip,
     /// Queue of received urgent updates.
-    pub urgent_sender: mpsc::Sender<UrgentUpdate>,
+    pub received_urgent_sender: mpsc::Sender<UrgentUpdate>,
     /// Counters of the daemon.
     pub counters: Counters,
 }
@@ -75,7 +75,7 @@
     }
 
     fn accept_urgent(&self, update: UrgentUpdate) -> ControlResponse {
-        let counter = match self.urgent_sender.try_send(update) {
+        let counter = match self.received_urgent_sender.try_send(update) {
             Ok(()) => "urgent.received",
             Err(_) => "urgent.dropped",
         };
--- a/crates/yuccarackd/src/coordination/control_plane.rs
+++ b/crates/yuccarackd/src/coordination/control_plane.rs
@@ -18,7 +18,7 @@
 use yuccarack_config::settings::DaemonSettings;
 
 use crate::{
-    coordination::{control_parts::ControlParts, gossip::Gossip, rules_sync::RulesSync},
+    coordination::{control_components::ControlComponents, gossip::Gossip, table_sync::TableSync},
     protocol::control::UrgentUpdate,
     state::{
         byte_budget::ByteBudget, counters::Counters, directory::Directory, own_target::OwnTarget,
@@ -65,10 +65,10 @@
     pub own_target: OwnTarget,
     /// Whether the store responds.
     pub store_health: StoreHealth,
-    /// Queue of updates that members of the own service need at once. Senders must not wait while
-    /// the queue is full.
-    pub urgent_sender: mpsc::Sender<UrgentUpdate>,
-    urgent_receiver: Option<mpsc::Receiver<UrgentUpdate>>,
+    /// Queue of outgoing updates that members of the own service need at once. Senders must not
+    /// wait while the queue is full.
+    pub outgoing_urgent_sender: mpsc::Sender<UrgentUpdate>,
+    received_urgent_receiver: Option<mpsc::Receiver<UrgentUpdate>>,
     control_address: SocketAddr,
     admin: AdminServer,
     draining: watch::Sender<bool>,
@@ -104,41 +104,49 @@
         let settings = with_bound_addresses(&settings, &server, &admin_listener)?;
 
         let store_health = StoreHealth::new();
-        let parts = ControlParts::new(settings, counters, logger, &store_health, budget);
+        let components = ControlComponents::new(settings, counters, logger, &store_health, budget);
         let (draining, is_draining) = watch::channel(false);
-        let (urgent_sender, send_queue) = mpsc::channel(URGENT_QUEUE_MAX);
-        let (received_sender, urgent_receiver) = mpsc::channel(URGENT_QUEUE_MAX);
-        let directory = parts.directory.clone();
-        let own_target = parts.own_target.clone();
-        let stop = parts.stop.clone();
+        let (outgoing_urgent_sender, outgoing_urgent_receiver) = mpsc::channel(URGENT_QUEUE_MAX);
+        let (received_urgent_sender, received_urgent_receiver) = mpsc::channel(URGENT_QUEUE_MAX);
+        let directory = components.directory.clone();
+        let own_target = components.own_target.clone();
+        let stop = components.stop.clone();
 
-        let rules_sync = parts.rules_sync();
-        let rules_sync_hint = rules_sync.clone();
+        let table_sync = components.table_sync();
+        let poll_requester = table_sync.clone();
         let admin_state = AdminState {
-            settings: Arc::clone(&parts.settings),
-            counters: parts.counters.clone(),
+            settings: Arc::clone(&components.settings),
+            counters: components.counters.clone(),
             directory: directory.clone(),
             own_target: own_target.clone(),
             store_health: store_health.clone(),
             draining: is_draining.clone(),
             explain,
-            hint: Arc::new(move || rules_sync_hint.hint()),
+            hint: Arc::new(move || poll_requester.request_poll()),
         };
-        let control_address = parts.settings.control_address;
+        let control_address = components.settings.control_address;
         let admin = AdminServer::start(admin_state, admin_listener).map_err(ControlError::Admin)?;
         let thread = std::thread::Builder::new()
             .name("control".to_owned())
             .spawn(move || {
-                run(runtime, parts, server, rules_sync, is_draining, send_queue, received_sender)
+                run(
+                    runtime,
+                    components,
+                    server,
+                    table_sync,
+                    is_draining,
+                    outgoing_urgent_receiver,
+                    received_urgent_sender,
+                )
             })
             .map_err(ControlError::Thread)?;
-        let urgent_receiver = Some(urgent_receiver);
+        let received_urgent_receiver = Some(received_urgent_receiver);
         Ok(Self {
             directory,
             own_target,
             store_health,
-            urgent_sender,
-            urgent_receiver,
+            outgoing_urgent_sender,
+            received_urgent_receiver,
             control_address,
             admin,
             draining,
@@ -149,7 +157,7 @@
 
     /// Takes the receiver of urgent updates from other daemons; `None` if it was already taken.
     pub fn take_urgent_receiver(&mut self) -> Option<mpsc::Receiver<UrgentUpdate>> {
-        self.urgent_receiver.take()
+        self.received_urgent_receiver.take()
     }
 
     /// Returns the bound address of the admin endpoint.
@@ -209,29 +217,34 @@
 /// Runs all control tasks on this thread until they end.
 fn run(
     runtime: Runtime,
-    parts: ControlParts,
+    components: ControlComponents,
     server: ControlServer,
-    rules_sync: RulesSync,
+    table_sync: TableSync,
     draining: watch::Receiver<bool>,
-    send_queue: mpsc::Receiver<UrgentUpdate>,
-    received_sender: mpsc::Sender<UrgentUpdate>,
+    outgoing_urgent_receiver: mpsc::Receiver<UrgentUpdate>,
+    received_urgent_sender: mpsc::Sender<UrgentUpdate>,
 ) {
     runtime.block_on(async {
-        let (tracker, stop) = (&parts.tracker, &parts.stop);
+        let (tracker, stop) = (&components.tracker, &components.stop);
         // Requests of peers are served until this daemon has announced that it leaves.
         let stop_serving = CancellationToken::new();
-        let control_handler = parts.control_handler(received_sender);
+        let control_handler = components.control_handler(received_urgent_sender);
         let respond = move |request| control_handler.clone().respond(request);
         server.serve(respond, tracker, &stop_serving);
-        tracker.spawn(parts.gossip.clone().run_exchanges(stop.clone()));
-        tracker.spawn(parts.gossip.clone().run_broadcasts(stop.clone()));
-        tracker.spawn(send_urgent(parts.gossip.clone(), send_queue, tracker.clone(), stop.clone()));
-        tracker.spawn(parts.member_remover().run(stop.clone()));
-        tracker.spawn(rules_sync.clone().poll(stop.clone()));
-        if let Some(lookups) = parts.directory.take_lookup_receiver() {
-            tracker.spawn(rules_sync.serve_lookups(lookups, tracker.clone(), stop.clone()));
+        tracker.spawn(components.gossip.clone().run_exchanges(stop.clone()));
+        tracker.spawn(components.gossip.clone().run_change_exchanges(stop.clone()));
+        tracker.spawn(send_urgent(
+            components.gossip.clone(),
+            outgoing_urgent_receiver,
+            tracker.clone(),
+            stop.clone(),
+        ));
+        tracker.spawn(components.member_remover().run(stop.clone()));
+        tracker.spawn(table_sync.clone().poll(stop.clone()));
+        if let Some(lookups) = components.directory.take_lookup_receiver() {
+            tracker.spawn(table_sync.serve_lookups(lookups, tracker.clone(), stop.clone()));
         }
-        parts.membership(draining).run(stop.clone()).await;
+        components.membership(draining).run(stop.clone()).await;
         stop_serving.cancel();
         tracker.close();
         tracker.wait().await;
@@ -241,14 +254,14 @@
 
 async fn send_urgent(
     gossip: Gossip,
-    mut send_queue: mpsc::Receiver<UrgentUpdate>,
+    mut outgoing_urgent_receiver: mpsc::Receiver<UrgentUpdate>,
     tracker: TaskTracker,
     stop: CancellationToken,
 ) {
     loop {
         let update = tokio::select! {
             () = stop.cancelled() => return,
-            update = send_queue.recv() => update,
+            update = outgoing_urgent_receiver.recv() => update,
         };
         let Some(update) = update else { return };
         // A task for each update: a member that doesn't respond must not delay the next update.
--- a/crates/yuccarackd/src/coordination/foreign_schedule.rs
+++ b/crates/yuccarackd/src/coordination/foreign_schedule.rs
@@ -1,4 +1,5 @@
-//! Schedule of exchanges about foreign services.
+//! Schedule of exchanges about foreign services: those known to this daemon, as callers use them,
+//! other than the service that its own target serves.
 
 use std::{
     collections::HashMap,
--- a/crates/yuccarackd/src/coordination/gossip.rs
+++ b/crates/yuccarackd/src/coordination/gossip.rs
@@ -36,13 +36,14 @@
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Remaining bytes below which the budget counts as low; about ten exchanges.
 const LOW_BUDGET_BYTES: u32 = 4_096;
-/// Members to which a change is sent at once; each of them forwards it to as many.
+/// Members with which a change is exchanged at once; each of them passes it on to as many.
 ///
-/// With three, a change reaches 94 of 100 members within the first wave (all but the share that
-/// e^-3x leaves out); the periodic exchanges bring it to the others.
+/// With three, a change reaches a share x of the members with x = 1 - e^(-3x), which is 94 of 100;
+/// the periodic exchanges bring it to the others.
 const FANOUT: usize = 3;
-/// Shortest time between two broadcasts, so that changes in quick succession are sent together.
-const BROADCAST_INTERVAL_MIN: Duration = Duration::from_millis(20);
+/// Shortest time between two exchanges of changes, so that changes in quick succession are sent
+/// together.
+const CHANGE_EXCHANGE_INTERVAL_MIN: Duration = Duration::from_millis(20);
 /// Most members of the own service to which an urgent update is sent.
 const URGENT_FANOUT_MAX: usize = 64;
 
@@ -63,7 +64,8 @@
 /// Outcome of an exchange with another daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ExchangeOutcome {
-    /// The other daemon knows the service, and both daemons now have the same data of it.
+    /// The other daemon knows the service, and updates were exchanged. Members may still differ, as
+    /// an update may contain only the latest changes.
     Synced,
     /// The other daemon doesn't know the service; daemons at these control addresses may.
     Referred(Vec<SocketAddr>),
@@ -104,8 +106,8 @@
     shared: Arc<Shared>,
 }
 
-/// Components of a [`Gossip`].
-pub struct GossipParts {
+/// Dependencies of a [`Gossip`].
+pub struct GossipDependencies {
     /// Settings of the daemon.
     pub settings: Arc<DaemonSettings>,
     /// Services and members that this daemon knows.
@@ -125,17 +127,17 @@
 }
 
 impl Gossip {
-    /// Creates a gossip from its components.
-    pub fn new(parts: GossipParts) -> Self {
+    /// Creates a gossip from its dependencies.
+    pub fn new(deps: GossipDependencies) -> Self {
         let shared = Shared {
-            settings: parts.settings,
-            directory: parts.directory,
-            client: parts.client,
-            budget: parts.budget,
-            counters: parts.counters,
-            reconciler: parts.reconciler,
-            reachability: parts.reachability,
-            own_service_changed: parts.own_service_changed,
+            settings: deps.settings,
+            directory: deps.directory,
+            client: deps.client,
+            budget: deps.budget,
+            counters: deps.counters,
+            reconciler: deps.reconciler,
+            reachability: deps.reachability,
+            own_service_changed: deps.own_service_changed,
             foreign_schedule: ForeignSchedule::default(),
         };
         Self { shared: Arc::new(shared) }
@@ -155,26 +157,27 @@
         }
     }
 
-    /// Sends changes of the own service to some members at once, until `stop`.
-    pub async fn run_broadcasts(self, stop: CancellationToken) {
+    /// Exchanges with some members as soon as the own service has changed, until `stop`.
+    pub async fn run_change_exchanges(self, stop: CancellationToken) {
         loop {
             tokio::select! {
                 () = stop.cancelled() => return,
-                () = self.shared.own_service_changed.notified() => self.broadcast_changes().await,
+                () = self.shared.own_service_changed.notified() => self.exchange_changes().await,
             }
-            sleep(BROADCAST_INTERVAL_MIN).await;
+            sleep(CHANGE_EXCHANGE_INTERVAL_MIN).await;
         }
     }
 
-    /// Exchanges with `FANOUT` members of the own service now.
-    pub async fn broadcast_changes(&self) {
+    /// Exchanges with `FANOUT` random members of the own service now.
+    pub async fn exchange_changes(&self) {
         let Some(view) = self.own_view() else { return };
         self.shared.counters.add("gossip.waves");
         let peers = self.random_members(&view, FANOUT);
         join_all(peers.iter().map(|peer| self.exchange_with(&view.name, peer))).await;
     }
 
-    /// Sends an update that can't wait for the next exchange to members of the own service.
+    /// Sends an update that can't wait for the next exchange to up to `URGENT_FANOUT_MAX` random
+    /// members of the own service, which don't pass it on.
     pub async fn send_urgent(&self, update: UrgentUpdate) {
         let Some(view) = self.own_view() else { return };
         let peers = self.random_members(&view, URGENT_FANOUT_MAX);
@@ -209,7 +212,7 @@
             ControlResponse::Elsewhere { peers } => return Ok(ExchangeOutcome::Referred(peers)),
             _ => return Err(ExchangeError::UnexpectedResponse),
         };
-        let missing = reconciler.update_lacked_by(&update);
+        let missing = reconciler.missing_update_for(&update);
         let interval = Duration::from_millis(u64::from(update.pace_ms));
         reconciler.apply(update);
         if let Some(missing) = missing {
--- a/crates/yuccarackd/src/coordination/load_prober.rs
+++ b/crates/yuccarackd/src/coordination/load_prober.rs
@@ -30,6 +30,8 @@
     counters: Counters,
     rules: MeasuringRules,
     budget: MeasuringBudget,
+    /// Load that didn't come through this gate: running requests that the target reports beyond
+    /// those dispatched here. It lowers the usable slots.
     hidden: HiddenLoad,
 }
 
--- a/crates/yuccarackd/src/coordination/member_remover.rs
+++ b/crates/yuccarackd/src/coordination/member_remover.rs
@@ -33,7 +33,7 @@
 /// Most unreachable members that are pinged in one round.
 const PINGS_MAX: usize = 4;
 /// Time without a response after which a member may be considered dead.
-const SILENCE_MIN: Duration = Duration::from_secs(10);
+const UNREACHABLE_MIN: Duration = Duration::from_secs(10);
 /// Failed requests after which a member may be considered dead.
 const FAILURES_MIN: u32 = 4;
 /// Most members that are asked whether they reach an unreachable one.
@@ -42,7 +42,7 @@
 ///
 /// Connections between regions fail for minutes at a time. A member that is unreachable for longer
 /// is lost, or becomes a member again with a higher incarnation.
-const SILENCE_WITHOUT_WITNESS: Duration = Duration::from_secs(600);
+const UNREACHABLE_WITHOUT_WITNESS: Duration = Duration::from_secs(600);
 
 /// Liveness of an unreachable member according to its witnesses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -95,7 +95,7 @@
         // At most one removal a round limits the damage of a daemon that is itself cut off.
         let now = Instant::now();
         let is_due = |member: &&MemberRow| {
-            self.reachability.is_silent_for(&member.instance, SILENCE_MIN, FAILURES_MIN, now)
+            self.reachability.is_silent_for(&member.instance, UNREACHABLE_MIN, FAILURES_MIN, now)
         };
         if let Some(member) = unreachable.iter().find(is_due) {
             self.check_and_remove(&view, member).await;
@@ -112,10 +112,10 @@
 
     /// Returns the members that don't respond, in random order.
     fn unreachable_members(&self, view: &ServiceView) -> Vec<MemberRow> {
-        let is_silent = |row: &&MemberRow| {
+        let is_unreachable = |row: &&MemberRow| {
             row.instance != self.settings.instance && !self.reachability.is_reachable(&row.instance)
         };
-        let unreachable: Vec<&MemberRow> = view.members.iter().filter(is_silent).collect();
+        let unreachable: Vec<&MemberRow> = view.members.iter().filter(is_unreachable).collect();
         let shuffled = unreachable.choose_multiple(&mut generator(), unreachable.len());
         shuffled.map(|row| MemberRow::clone(row)).collect()
     }
@@ -128,7 +128,7 @@
             Liveness::Dead => true,
             Liveness::Unknown => self.reachability.is_silent_for(
                 &member.instance,
-                SILENCE_WITHOUT_WITNESS,
+                UNREACHABLE_WITHOUT_WITNESS,
                 FAILURES_MIN,
                 Instant::now(),
             ),
@@ -194,9 +194,9 @@
         let stored = self.table.member(&member.service, &member.instance).await?;
         let gone = MemberRow { state: TargetState::Gone, ..member.clone() };
         let Some((revision, row)) = stored else {
-            // The row was deleted long ago, and a daemon that had been cut off since reported the
-            // member again. If it were only dropped here, the next daemon that knows it would
-            // report it again. So it is remembered as gone, and the peers get that update.
+            // The row was deleted long ago, and a daemon that was cut off in the meantime has
+            // reported the member again. If it were only dropped here, the next daemon that knows
+            // it would report it again. So it is remembered as gone, and the peers get that update.
             self.directory.merge_members(&member.service, vec![gone]);
             self.own_service_changed.notify_one();
             return Ok(false);
--- a/crates/yuccarackd/src/coordination/membership.rs
+++ b/crates/yuccarackd/src/coordination/membership.rs
@@ -31,7 +31,8 @@
 
 /// Time between two checks whether the target still announces itself.
 const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Shortest time between two rows that outrank others' rows of this instance.
+/// Shortest time between two increases of the incarnation, each of which lets the own row override
+/// a newer row of this instance from elsewhere.
 const OUTRANK_INTERVAL_MIN: Duration = Duration::from_secs(2);
 /// First delay before a failed write is retried.
 const RETRY_DELAY_MIN: Duration = Duration::from_millis(250);
@@ -39,10 +40,10 @@
 /// that the store is available again.
 const RETRY_DELAY_MAX: Duration = Duration::from_secs(5);
 /// Longest time for which a stopping daemon tries to mark its row in the table as gone.
-const DEPARTURE_TIMEOUT: Duration = Duration::from_secs(2);
+const GONE_WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Components of a [`Membership`].
-pub struct MembershipParts {
+/// Dependencies of a [`Membership`].
+pub struct MembershipDependencies {
     /// Settings of the daemon.
     pub settings: Arc<DaemonSettings>,
     /// State of the own target.
@@ -59,21 +60,22 @@
     pub logger: Logger,
 }
 
-/// The own row as it should be in the table.
-struct OwnRow {
+/// The rows of this instance as they should be in the table.
+struct OwnRows {
+    /// Row of the service that the target serves.
     row: Option<MemberRow>,
     /// Rows of services that the target no longer serves, which aren't marked as gone in the table
     /// yet.
-    departed: Vec<MemberRow>,
+    gone_rows: Vec<MemberRow>,
     incarnation: Incarnation,
     outranked_at: Option<Instant>,
 }
 
 /// Keeps the own row up to date.
 pub struct Membership {
-    parts: MembershipParts,
+    deps: MembershipDependencies,
     draining: watch::Receiver<bool>,
-    own: Mutex<OwnRow>,
+    own: Mutex<OwnRows>,
     /// Notified when the own row changed, so that it is written to the table.
     write_needed: Notify,
     /// Notified when the own row changed, so that peers get the update.
@@ -87,14 +89,18 @@
     /// read before the first write and outranked then. The clock is sufficient while the store is
     /// unavailable at start, so that a daemon can join through its peers alone.
     pub fn new(
-        parts: MembershipParts,
+        deps: MembershipDependencies,
         draining: watch::Receiver<bool>,
         own_service_changed: Arc<Notify>,
     ) -> Self {
-        let own =
-            OwnRow { row: None, departed: Vec::new(), incarnation: unix_ms(), outranked_at: None };
+        let own = OwnRows {
+            row: None,
+            gone_rows: Vec::new(),
+            incarnation: unix_ms(),
+            outranked_at: None,
+        };
         Self {
-            parts,
+            deps,
             draining,
             own: Mutex::new(own),
             write_needed: Notify::new(),
@@ -105,13 +111,13 @@
     /// Keeps the own row up to date until `stop`, then marks it as gone.
     pub async fn run(self, stop: CancellationToken) {
         tokio::join!(self.run_updates(&stop), self.run_writer(&stop));
-        self.announce_departure().await;
+        self.announce_gone().await;
     }
 
     async fn run_updates(&self, stop: &CancellationToken) {
-        let mut target = self.parts.own_target.subscribe();
+        let mut target = self.deps.own_target.subscribe();
         let mut draining = self.draining.clone();
-        let mut directory = self.parts.directory.subscribe();
+        let mut directory = self.deps.directory.subscribe();
         let mut silence = interval(SILENCE_CHECK_INTERVAL);
         loop {
             self.update_row();
@@ -129,53 +135,53 @@
     }
 
     fn check_silence(&self) {
-        let timeout_ms = self.parts.settings.budgets.announce_timeout_ms;
+        let timeout_ms = self.deps.settings.budgets.announce_timeout_ms;
         let timeout = Duration::from_millis(u64::from(timeout_ms));
-        if !self.parts.own_target.check_silence(Instant::now(), timeout) {
+        if !self.deps.own_target.check_silence(Instant::now(), timeout) {
             return;
         }
-        self.parts.counters.add("announce.silent");
-        info!(self.parts.logger, "target stopped announcing itself; it counts as draining");
+        self.deps.counters.add("announce.silent");
+        info!(self.deps.logger, "target stopped announcing itself; it counts as draining");
     }
 
     /// Updates the own row from the target's last announcement.
     fn update_row(&self) {
-        let Some(view) = self.parts.own_target.current() else { return };
+        let Some(view) = self.deps.own_target.current() else { return };
         let mut own = self.own.lock();
         let mut row = self.build_row(&view, own.incarnation);
         match own.row.take_if(|own| own.service != row.service) {
-            Some(old) => self.mark_departed(&mut own, old),
+            Some(old) => self.mark_gone(&mut own, old),
             None => row.sequence = own.row.as_ref().map_or(0, |own| own.sequence),
         }
         if own.row.as_ref() == Some(&row) {
             return;
         }
         row.sequence += 1;
-        info!(self.parts.logger, "member row of this instance changed";
+        info!(self.deps.logger, "member row of this instance changed";
             "service" => &row.service, "state" => ?row.state, "slots" => row.slots,
             "incarnation" => row.incarnation, "sequence" => row.sequence);
-        self.parts.directory.set_own_service(&row.service);
+        self.deps.directory.set_own_service(&row.service);
         self.publish(&mut own, row);
     }
 
-    fn publish(&self, own: &mut OwnRow, row: MemberRow) {
-        self.parts.directory.merge_members(&row.service, vec![row.clone()]);
+    fn publish(&self, own: &mut OwnRows, row: MemberRow) {
+        self.deps.directory.merge_members(&row.service, vec![row.clone()]);
         own.row = Some(row);
         self.write_needed.notify_one();
         self.own_service_changed.notify_one();
     }
 
     /// Marks the row of a service that the target no longer serves as gone.
-    fn mark_departed(&self, own: &mut OwnRow, old: MemberRow) {
+    fn mark_gone(&self, own: &mut OwnRows, old: MemberRow) {
         let gone = as_gone(old);
-        self.parts.directory.merge_members(&gone.service, vec![gone.clone()]);
-        own.departed.push(gone);
+        self.deps.directory.merge_members(&gone.service, vec![gone.clone()]);
+        own.gone_rows.push(gone);
     }
 
     fn outrank_known(&self) {
         let mut own = self.own.lock();
         let Some(row) = &own.row else { return };
-        let known = self.parts.directory.member_row(&row.service, &row.instance);
+        let known = self.deps.directory.member_row(&row.service, &row.instance);
         if let Some(known) = known {
             self.outrank(&mut own, &known);
         }
@@ -189,7 +195,7 @@
     ///
     /// Two daemons with the same instance id would outrank each other without end.
     /// [`OUTRANK_INTERVAL_MIN`] limits that to a few messages a second, and the counter shows it.
-    fn outrank(&self, own: &mut OwnRow, known: &MemberRow) {
+    fn outrank(&self, own: &mut OwnRows, known: &MemberRow) {
         let Some(row) = own.row.clone() else { return };
         if !is_newer(known, &row) {
             return;
@@ -199,7 +205,7 @@
             return;
         }
         own.outranked_at = Some(now);
-        self.parts.counters.add("membership.outranked");
+        self.deps.counters.add("membership.outranked");
         own.incarnation = own.incarnation.max(known.incarnation + 1);
         let row = MemberRow { incarnation: own.incarnation, ..row };
         self.publish(own, row);
@@ -215,7 +221,7 @@
                         self.write_needed.notified().await;
                     }
                     Err(_) => {
-                        self.parts.counters.add("membership.write_retries");
+                        self.deps.counters.add("membership.write_retries");
                         sleep(jittered(retry_delay)).await;
                         retry_delay = (retry_delay * 2).min(RETRY_DELAY_MAX);
                     }
@@ -230,9 +236,9 @@
 
     async fn write_all(&self) -> Result<(), TableError> {
         loop {
-            let Some(departed) = self.own.lock().departed.first().cloned() else { break };
-            self.write(&departed).await?;
-            self.own.lock().departed.retain(|row| *row != departed);
+            let Some(gone) = self.own.lock().gone_rows.first().cloned() else { break };
+            self.write(&gone).await?;
+            self.own.lock().gone_rows.retain(|row| *row != gone);
         }
         let Some(row) = self.own.lock().row.clone() else { return Ok(()) };
         self.write(&row).await
@@ -243,9 +249,9 @@
     /// After a lost response or a conflict with a peer's write, the next attempt reads the current
     /// row. So nothing is written twice, and no unseen row is overwritten.
     async fn write(&self, row: &MemberRow) -> Result<(), TableError> {
-        let stored = self.parts.table.member(&row.service, &row.instance).await?;
+        let stored = self.deps.table.member(&row.service, &row.instance).await?;
         let Some((revision, known)) = stored else {
-            self.parts.table.put_member(row, None).await?;
+            self.deps.table.put_member(row, None).await?;
             return Ok(());
         };
         if known == *row {
@@ -253,23 +259,23 @@
         }
         if is_newer(&known, row) {
             // Publishing the row that outranks the known one notifies the writer again.
-            self.parts.directory.merge_members(&row.service, vec![known]);
+            self.deps.directory.merge_members(&row.service, vec![known]);
             self.outrank_known();
             return Ok(());
         }
-        self.parts.table.put_member(row, Some(revision)).await?;
+        self.deps.table.put_member(row, Some(revision)).await?;
         Ok(())
     }
 
-    async fn announce_departure(&self) {
+    async fn announce_gone(&self) {
         {
             let mut own = self.own.lock();
             let Some(row) = own.row.clone() else { return };
             self.publish(&mut own, as_gone(row));
         }
-        self.parts.gossip.broadcast_changes().await;
+        self.deps.gossip.exchange_changes().await;
         // An unavailable store must not delay the stop: peers remove the row of a dead member.
-        let _ = timeout(DEPARTURE_TIMEOUT, async {
+        let _ = timeout(GONE_WRITE_TIMEOUT, async {
             while self.write_all().await.is_err() {
                 sleep(jittered(RETRY_DELAY_MIN)).await;
             }
@@ -278,7 +284,7 @@
     }
 
     fn build_row(&self, view: &TargetView, incarnation: Incarnation) -> MemberRow {
-        let settings = &self.parts.settings;
+        let settings = &self.deps.settings;
         let is_draining = *self.draining.borrow();
         MemberRow {
             instance: settings.instance.clone(),
--- a/crates/yuccarackd/src/coordination/mod.rs
+++ b/crates/yuccarackd/src/coordination/mod.rs
@@ -1,8 +1,10 @@
-//! Tasks and services of the daemon: entry, gate, membership, rules, claims and suspects.
+//! Components of the daemon: entry, gate, membership, rules, claims and suspects.
+//!
+//! `routed` contains the components for calls that are routed by host and path.
 
 pub mod claims;
+mod control_components;
 pub mod control_handler;
-mod control_parts;
 pub mod control_plane;
 pub mod entry;
 mod foreign_schedule;
@@ -14,7 +16,7 @@
 pub mod membership;
 pub mod reconciler;
 pub mod routed;
-pub mod rules_sync;
 pub mod service_finder;
 pub mod suspects;
 pub mod table;
+pub mod table_sync;
--- a/crates/yuccarackd/src/coordination/reconciler.rs
+++ b/crates/yuccarackd/src/coordination/reconciler.rs
@@ -125,15 +125,15 @@
         })
     }
 
-    /// Returns what the sender of `update` lacks; `None` if it lacks nothing.
-    pub fn update_lacked_by(&self, update: &ServiceUpdate) -> Option<ServiceUpdate> {
+    /// Returns the update with what the sender of `update` lacks; `None` if it lacks nothing.
+    pub fn missing_update_for(&self, update: &ServiceUpdate) -> Option<ServiceUpdate> {
         let directory = &self.directory;
         let rules = directory.rules_row(&update.service);
         let rules = rules.filter(|(revision, _)| *revision > update.rules_revision);
         let is_own = directory.own_service().as_ref() == Some(&update.service);
         let digest = directory.members_digest(&update.service);
         let members = match is_own && digest != update.members_digest {
-            true => self.members_lacked_by(update),
+            true => self.missing_members_for(update),
             false => Vec::new(),
         };
         if rules.is_none() && members.is_empty() {
@@ -162,7 +162,7 @@
         u32::try_from(exchange_interval.as_millis()).unwrap_or(u32::MAX)
     }
 
-    fn members_lacked_by(&self, update: &ServiceUpdate) -> Vec<MemberRow> {
+    fn missing_members_for(&self, update: &ServiceUpdate) -> Vec<MemberRow> {
         let directory = &self.directory;
         let rows = match update.has_all_members {
             true => directory.member_rows(&update.service),
--- a/crates/yuccarackd/src/coordination/suspects/attempt.rs
+++ b/crates/yuccarackd/src/coordination/suspects/attempt.rs
@@ -41,7 +41,8 @@
 }
 
 impl TrialAcquisition {
-    /// Creates an acquisition of the trial of `identity`, whose end is reported to `trial_end_sender`.
+    /// Creates an acquisition of the trial of `identity`, whose end is reported to
+    /// `trial_end_sender`.
     pub fn new(
         shared: Shared,
         identity: TrialIdentity,
--- a/crates/yuccarackd/src/coordination/suspects/tracker.rs
+++ b/crates/yuccarackd/src/coordination/suspects/tracker.rs
@@ -39,8 +39,8 @@
 impl SuspectTracker {
     /// Creates a tracker and spawns its tasks on `tasks`.
     ///
-    /// Updates for other members of the service are sent to `update_sender`; their updates arrive at
-    /// `update_receiver`. `stop` must be cancelled only after the gate's last call has ended.
+    /// Updates for other members of the service are sent to `update_sender`; their updates arrive
+    /// at `update_receiver`. `stop` must be cancelled only after the gate's last call has ended.
     pub fn start(
         platform: PlatformClient,
         instance: InstanceId,
--- a/crates/yuccarackd/src/coordination/suspects/trial.rs
+++ b/crates/yuccarackd/src/coordination/suspects/trial.rs
@@ -26,8 +26,8 @@
         /// End of the quarantine.
         until: Instant,
     },
-    /// The store is unavailable, so no trial can be granted: another gate may hold it. This attempt is
-    /// confirmed not to run.
+    /// The store is unavailable, so no trial can be granted: another gate may hold it. This attempt
+    /// is confirmed not to run.
     StoreUnavailable {
         /// Time after which the caller should try again.
         retry_after: Duration,
@@ -79,8 +79,8 @@
     NotDispatched(TrialIdentity),
     /// The request is confirmed not to have run.
     NotRun(TrialIdentity),
-    /// The trial was dropped unfinished: the caller disconnected, the connection to the target broke
-    /// or the deadline passed. The request may still be running.
+    /// The trial was dropped unfinished: the caller disconnected, the connection to the target
+    /// broke or the deadline passed. The request may still be running.
     Unfinished(TrialIdentity),
 }
 
--- a/crates/yuccarackd/src/coordination/table.rs
+++ b/crates/yuccarackd/src/coordination/table.rs
@@ -1,4 +1,7 @@
 //! Table access of the control tasks, which counts each request and records failures.
+//!
+//! The store is the platform's transactional table service, which is reached through a
+//! [`PlatformClient`]; the table is the set of its rows.
 
 use serde::{Serialize, de::DeserializeOwned};
 use slog::{Logger, info, warn};
@@ -15,7 +18,7 @@
 /// Why an access to the table failed.
 #[derive(Debug, Error)]
 pub enum TableError {
-    /// The platform returned an error or didn't respond.
+    /// The store returned an error or didn't respond.
     #[error(transparent)]
     Platform(#[from] PlatformError),
     /// This version of the daemon can't parse the value of a row.
@@ -48,7 +51,7 @@
         Self { client, health, counters, logger }
     }
 
-    /// Returns whether the store didn't respond to the last request.
+    /// Returns whether the last request to the store failed; a conflict isn't a failure.
     pub fn is_unavailable(&self) -> bool {
         self.health.is_unavailable()
     }
--- a/crates/yuccarackd/src/coordination/rules_sync.rs
+++ b/crates/yuccarackd/src/coordination/table_sync.rs
@@ -1,4 +1,5 @@
-//! Loads rules and members from the table into the directory, on lookups, polls and hints.
+//! Loads rules and members from the table into the directory, on lookups, scheduled polls and
+//! requested polls, and deletes the rows of members that have long been gone.
 
 use std::{
     collections::HashMap,
@@ -40,8 +41,9 @@
 const CONCURRENT_LOOKUPS_MAX: usize = 8;
 /// Time after which a service that isn't called any more is dropped from the directory.
 const SERVICE_RETENTION: Duration = Duration::from_secs(300);
-/// Time for which removed members are remembered, so that outdated updates can't bring them back.
-const REMOVED_RETENTION: Duration = Duration::from_secs(600);
+/// Time for which members marked as gone are remembered, so that outdated updates can't bring them
+/// back.
+const GONE_RETENTION: Duration = Duration::from_secs(600);
 
 /// Time of the next poll of a service's rules, and the number of polls so far.
 struct Schedule {
@@ -51,21 +53,22 @@
 
 /// Loads rows from the table into the directory. Clones share all state.
 #[derive(Clone)]
-pub struct RulesSync {
+pub struct TableSync {
     settings: Arc<DaemonSettings>,
     directory: Directory,
     table: Table,
     gossip: Gossip,
     counters: Counters,
     logger: Logger,
-    /// Notified when a hint requests a poll.
-    hint_notify: Arc<Notify>,
+    /// Notified when an immediate poll is requested, as by an operator after new rules were
+    /// written.
+    poll_requested: Arc<Notify>,
     /// Notified when the table had changes of the own service, so that peers get them.
     own_service_changed: Arc<Notify>,
 }
 
-/// Components of a [`RulesSync`].
-pub struct RulesSyncParts {
+/// Dependencies of a [`TableSync`].
+pub struct TableSyncDependencies {
     /// Settings of the daemon.
     pub settings: Arc<DaemonSettings>,
     /// Directory into which rows are merged.
@@ -82,25 +85,25 @@
     pub own_service_changed: Arc<Notify>,
 }
 
-impl RulesSync {
-    /// Creates a sync from its components.
-    pub fn new(parts: RulesSyncParts) -> Self {
+impl TableSync {
+    /// Creates a sync from its dependencies.
+    pub fn new(deps: TableSyncDependencies) -> Self {
         Self {
-            settings: parts.settings,
-            directory: parts.directory,
-            table: parts.table,
-            gossip: parts.gossip,
-            counters: parts.counters,
-            logger: parts.logger,
-            hint_notify: Arc::default(),
-            own_service_changed: parts.own_service_changed,
+            settings: deps.settings,
+            directory: deps.directory,
+            table: deps.table,
+            gossip: deps.gossip,
+            counters: deps.counters,
+            logger: deps.logger,
+            poll_requested: Arc::default(),
+            own_service_changed: deps.own_service_changed,
         }
     }
 
     /// Requests an immediate poll of all known services.
-    pub fn hint(&self) {
+    pub fn request_poll(&self) {
         self.counters.add("rules.hints");
-        self.hint_notify.notify_one();
+        self.poll_requested.notify_one();
     }
 
     /// Serves the directory's lookups until `stop`.
@@ -132,7 +135,7 @@
         loop {
             tokio::select! {
                 () = stop.cancelled() => return,
-                () = self.hint_notify.notified() => self.poll_all().await,
+                () = self.poll_requested.notified() => self.poll_all().await,
                 () = sleep(CHECK_INTERVAL) => self.poll_due(&mut schedules).await,
             }
         }
@@ -276,13 +279,13 @@
         if !merged.is_empty() {
             self.own_service_changed.notify_one();
         }
-        for row in self.directory.forget_removed(service, REMOVED_RETENTION) {
-            self.delete_removed_row(&row, &listed).await;
+        for row in self.directory.forget_removed(service, GONE_RETENTION) {
+            self.delete_gone_row(&row, &listed).await;
         }
     }
 
-    /// Deletes the row of a member that was removed long ago, if the row is unchanged.
-    async fn delete_removed_row(&self, row: &MemberRow, listed: &[MemberRow]) {
+    /// Deletes the row of a member that was marked as gone long ago, if the row is unchanged.
+    async fn delete_gone_row(&self, row: &MemberRow, listed: &[MemberRow]) {
         if !self.is_own(&row.service) || !listed.contains(row) {
             return;
         }
--- a/crates/yuccarackd/src/daemon/assembly.rs
+++ b/crates/yuccarackd/src/daemon/assembly.rs
@@ -112,7 +112,7 @@
             self.platform.clone(),
             self.settings.instance.clone(),
             self.counters.clone(),
-            control.urgent_sender.clone(),
+            control.outgoing_urgent_sender.clone(),
             urgent_receiver,
             &self.tasks.background,
             self.stops.background.clone(),
--- a/crates/yuccarackd/tests/control/urgent.rs
+++ b/crates/yuccarackd/tests/control/urgent.rs
@@ -30,7 +30,7 @@
         event: SuspectEvent::TargetDied,
         instance: "hut-1".to_owned(),
     }]);
-    peers[0].control.urgent_sender.send(suspect.clone()).await.unwrap();
+    peers[0].control.outgoing_urgent_sender.send(suspect.clone()).await.unwrap();
     for peer in &mut peers[1..] {
         let mut receiver = peer.control.take_urgent_receiver().unwrap();
         let update = timeout(Duration::from_secs(20), receiver.recv()).await.unwrap();
