--- a/crates/yuccarack_standins/src/echo.rs
+++ b/crates/yuccarack_standins/src/echo.rs
@@ -57,9 +57,9 @@
     let mut check = EchoHash::new(path);
     check.update(body);
     let filler = filler(path);
-    let mut whole = BytesMut::with_capacity(filler.len() + body.len() + HASH_BYTES);
-    whole.put(filler);
-    whole.put(body);
-    whole.put(check.hex_suffix());
-    whole.freeze()
+    let mut response = BytesMut::with_capacity(filler.len() + body.len() + HASH_BYTES);
+    response.put(filler);
+    response.put(body);
+    response.put(check.hex_suffix());
+    response.freeze()
 }
--- a/crates/yuccarack_standins/src/fleet/process.rs
+++ b/crates/yuccarack_standins/src/fleet/process.rs
@@ -106,8 +106,8 @@
         let mut run_ns = 0;
         for thread in std::fs::read_dir(format!("/proc/{}/task", self.child.id()))? {
             let schedule = std::fs::read_to_string(thread?.path().join("schedstat"))?;
-            let first = schedule.split_whitespace().next().and_then(|word| word.parse().ok());
-            run_ns += first.unwrap_or(0);
+            let run_time_ns = schedule.split_whitespace().next().and_then(|word| word.parse().ok());
+            run_ns += run_time_ns.unwrap_or(0);
         }
         Ok(Duration::from_nanos(run_ns))
     }
--- a/crates/yuccarack_standins/src/measure/mod.rs
+++ b/crates/yuccarack_standins/src/measure/mod.rs
@@ -162,11 +162,11 @@
     let store_bytes = after_stats.received_bytes + after_stats.sent_bytes
         - before_stats.received_bytes
         - before_stats.sent_bytes;
-    let both = |usage: &Usage| usage.sent_bytes + usage.received_bytes;
+    let sent_and_received = |usage: &Usage| usage.sent_bytes + usage.received_bytes;
     CostReport {
         sent_bytes_per_s: mean_per_s(|usage| usage.sent_bytes),
         received_bytes_per_s: mean_per_s(|usage| usage.received_bytes),
-        most_bytes_per_s: usages.iter().map(both).max().unwrap_or(0) / plan.window_s,
+        most_bytes_per_s: usages.iter().map(sent_and_received).max().unwrap_or(0) / plan.window_s,
         store_bytes_per_s: store_bytes / count / plan.window_s,
         control_cpu_ppm: mean_per_s(|usage| usage.control_us),
         admin_cpu_ppm: mean_per_s(|usage| usage.admin_us),
--- a/crates/yuccarack_standins/src/platform/mod.rs
+++ b/crates/yuccarack_standins/src/platform/mod.rs
@@ -188,11 +188,11 @@
             if late_effect {
                 delay(delay_ms).await;
             }
-            let answer = shared.apply(commit);
+            let response = shared.apply(commit);
             if !late_effect {
                 delay(delay_ms).await;
             }
-            answer
+            response
         });
         task.await.map_err(|_| ConnectionAborted)?
     }
@@ -231,7 +231,7 @@
             self.objects.lock().insert(path.to_owned(), bytes);
             return respond(StatusCode::NO_CONTENT, Bytes::new());
         }
-        let found = match path {
+        let body = match path {
             "/table/row" => {
                 let row = self.table.lock().row(&query_argument(&query, "key"));
                 row.map(|row| serde_json::to_vec(&row))
@@ -244,12 +244,12 @@
         };
         let mut stats = self.stats.lock();
         stats.reads += 1;
-        let Some(found) = found else {
+        let Some(body) = body else {
             return respond(StatusCode::NOT_FOUND, "nothing there");
         };
-        let found = found.map_err(|_| ConnectionAborted)?;
-        stats.sent_bytes += found.len() as u64;
-        respond(StatusCode::OK, found)
+        let body = body.map_err(|_| ConnectionAborted)?;
+        stats.sent_bytes += body.len() as u64;
+        respond(StatusCode::OK, body)
     }
 }
 
@@ -261,9 +261,9 @@
 
 fn query_argument(query: &str, name: &str) -> String {
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
-    let found =
+    let value =
         pairs.filter(|(key, _)| *key == name).map(|(_, value)| percent_decode(value)).next();
-    found.unwrap_or_default()
+    value.unwrap_or_default()
 }
 
 fn percent_decode(text: &str) -> String {
--- a/crates/yuccarack_standins/src/target/calls.rs
+++ b/crates/yuccarack_standins/src/target/calls.rs
@@ -212,8 +212,8 @@
 }
 
 fn contains_crash_marker(body: &[u8]) -> bool {
-    let mark = CRASH_MARKER.as_bytes();
-    body.windows(mark.len()).any(|part| part == mark)
+    let marker = CRASH_MARKER.as_bytes();
+    body.windows(marker.len()).any(|part| part == marker)
 }
 
 /// State of a streamed echo.
