--- a/crates/yuccarack_standins/src/bin/yuccarack-load.rs
+++ b/crates/yuccarack_standins/src/bin/yuccarack-load.rs
@@ -4,7 +4,7 @@
 
 use bpaf::Bpaf;
 use http::Method;
-use yuccarack_standins::load::{LoadPlan, RequestKind, run_load};
+use yuccarack_standins::load::{LoadPlan, RequestSpec, run_load};
 
 /// Exit code when a response was wrong, truncated, missing or untyped.
 const EXIT_UNSOUND: u8 = 1;
@@ -59,14 +59,14 @@
         })
     }
 
-    fn parse_kind(&self, kind: &str) -> Option<RequestKind> {
+    fn parse_kind(&self, kind: &str) -> Option<RequestSpec> {
         let mut parts = kind.split(':');
         let service = parts.next()?.to_owned();
         let method: Method = parts.next()?.parse().ok()?;
         let path = parts.next()?.to_owned();
         let has_idempotency_key = parts.next() == Some("keyed");
         let is_get = method == Method::GET;
-        Some(RequestKind {
+        Some(RequestSpec {
             service,
             method,
             path,
--- a/crates/yuccarack_standins/src/load/mod.rs
+++ b/crates/yuccarack_standins/src/load/mod.rs
@@ -24,7 +24,7 @@
 
 /// One kind of request in the load.
 #[derive(Clone, Debug)]
-pub struct RequestKind {
+pub struct RequestSpec {
     /// Service that is called.
     pub service: String,
     /// HTTP method.
@@ -51,7 +51,7 @@
     /// Seed of the bodies, send times and choice of kind.
     pub seed: u64,
     /// Kinds of requests, chosen with equal probability.
-    pub kinds: Vec<RequestKind>,
+    pub kinds: Vec<RequestSpec>,
     /// Deadline that each request carries, in ms.
     pub deadline_ms: Option<u64>,
     /// Caller name that each request carries.
@@ -125,7 +125,7 @@
     }
 }
 
-fn build_request(plan: &LoadPlan, kind: &RequestKind, random: &mut StdRng) -> ClientRequest {
+fn build_request(plan: &LoadPlan, kind: &RequestSpec, random: &mut StdRng) -> ClientRequest {
     let nonce = random.random::<u64>();
     let mut path = format!("{}?n={nonce:016x}", kind.path);
     if kind.response_bytes > 0 {
--- a/crates/yuccarackd/tests/point_9_reads_and_orders.rs
+++ b/crates/yuccarackd/tests/point_9_reads_and_orders.rs
@@ -7,7 +7,7 @@
 use yuccarack_standins::{
     client::ClientRequest,
     fleet::{DOMAINS, Fleet, FleetPlan, StressLoad, check_stress_calls, wait_until},
-    load::{LoadPlan, LoadReport, RequestKind, run_load},
+    load::{LoadPlan, LoadReport, RequestSpec, run_load},
     platform::{PlatformFaults, PlatformMode},
 };
 
@@ -34,7 +34,7 @@
 /// Sends reads to all running daemons.
 async fn reads(fleet: &Fleet, seed: u64) -> LoadReport {
     let running = fleet.nodes.iter().filter(|node| node.daemon.is_some());
-    let mix = RequestKind {
+    let mix = RequestSpec {
         service: SERVICE.to_owned(),
         method: Method::GET,
         path: "/read".to_owned(),
--- a/crates/yuccarackd/tests/routed/rolls.rs
+++ b/crates/yuccarackd/tests/routed/rolls.rs
@@ -13,7 +13,7 @@
 };
 use tokio_util::sync::CancellationToken;
 use yuccarack_platform_standin::{
-    caller::{Call, CallError, KeepAliveConnection},
+    caller::{Call, CallFailure, KeepAliveConnection},
     deployment::wait_until,
     store::StoreServerMode,
     target::Behaviour,
@@ -73,8 +73,8 @@
             None => KeepAliveConnection::open(self.calls).await.ok_or("not sent")?,
         };
         let response = connection.try_send(call).await.map_err(|unanswered| match unanswered {
-            CallError::NotSent => "not sent",
-            CallError::NoResponse => "lost",
+            CallFailure::NotSent => "not sent",
+            CallFailure::NoResponse => "lost",
         })?;
         if response.header("connection") != "close" {
             self.connection = Some(connection);
--- a/crates/yuccarackd/tests/routed/soak/callers.rs
+++ b/crates/yuccarackd/tests/routed/soak/callers.rs
@@ -13,7 +13,7 @@
     time::{sleep, timeout},
 };
 use tokio_util::sync::CancellationToken;
-use yuccarack_platform_standin::caller::{Call, CallError, CallResponse, KeepAliveConnection};
+use yuccarack_platform_standin::caller::{Call, CallFailure, CallResponse, KeepAliveConnection};
 use yuccarack_standins::client::{ClientRequest, HttpClient};
 
 use super::{pipelining_callers::PipeliningCaller, plan::Plan};
@@ -64,7 +64,7 @@
     /// Time at which the caller had its result.
     pub ended_at: Instant,
     /// Response, or the reason why there was none.
-    pub result: Result<CallResponse, CallError>,
+    pub result: Result<CallResponse, CallFailure>,
     /// Whether the daemon's readiness check succeeded just before the call; false without such a
     /// check.
     pub was_ready: bool,
@@ -188,24 +188,25 @@
         &mut self,
         call: &Call,
         abandon_after: Duration,
-    ) -> (Result<CallResponse, CallError>, bool) {
+    ) -> (Result<CallResponse, CallFailure>, bool) {
         match timeout(abandon_after, self.send(call)).await {
             Ok(result) => (result, false),
-            Err(_) => (Err(CallError::NoResponse), true),
+            Err(_) => (Err(CallFailure::NoResponse), true),
         }
     }
 
-    async fn send(&mut self, call: &Call) -> Result<CallResponse, CallError> {
+    async fn send(&mut self, call: &Call) -> Result<CallResponse, CallFailure> {
         let wait = Duration::from_millis(call.deadline_ms) + RESPONSE_GRACE;
         let mut connection = match self.connection.take() {
             Some(connection) => connection,
             None => match timeout(wait, KeepAliveConnection::open(self.address)).await {
                 Ok(Some(connection)) => connection,
-                _ => return Err(CallError::NotSent),
+                _ => return Err(CallFailure::NotSent),
             },
         };
-        let response =
-            timeout(wait, connection.try_send(call)).await.unwrap_or(Err(CallError::NoResponse))?;
+        let response = timeout(wait, connection.try_send(call))
+            .await
+            .unwrap_or(Err(CallFailure::NoResponse))?;
         if !response.header("connection").eq_ignore_ascii_case("close") {
             self.connection = Some(connection);
         }
--- a/crates/yuccarackd/tests/routed/soak/pipelining_callers.rs
+++ b/crates/yuccarackd/tests/routed/soak/pipelining_callers.rs
@@ -9,7 +9,7 @@
 use tokio::time::{sleep, timeout_at};
 use tokio_util::sync::CancellationToken;
 use yuccarack_platform_standin::{
-    caller::{Call, CallError, CallResponse},
+    caller::{Call, CallFailure, CallResponse},
     pipelined_caller::PipelinedCaller,
 };
 
@@ -90,8 +90,8 @@
             let is_after_close = matches!(outcome, RequestResult::AfterClose);
             let result = match outcome {
                 RequestResult::Response(response) => Ok(response),
-                RequestResult::Lost => Err(CallError::NoResponse),
-                RequestResult::NotSent | RequestResult::AfterClose => Err(CallError::NotSent),
+                RequestResult::Lost => Err(CallFailure::NoResponse),
+                RequestResult::NotSent | RequestResult::AfterClose => Err(CallFailure::NotSent),
             };
             records.push(CallRecord {
                 id: call.1.id.clone(),
--- a/crates/yuccarackd/tests/routed/soak/violations.rs
+++ b/crates/yuccarackd/tests/routed/soak/violations.rs
@@ -6,7 +6,7 @@
 };
 
 use http::StatusCode;
-use yuccarack_platform_standin::caller::CallError;
+use yuccarack_platform_standin::caller::CallFailure;
 
 use super::{
     callers::{CallRecord, RequestKind, RouteVersion},
@@ -56,7 +56,7 @@
     /// The body of a response belongs to another request or is incomplete.
     WrongResponse { id: String, body: String },
     /// A call got no response though its daemon was undisturbed.
-    NoResponse { id: String, instance: usize, result: CallError, run_count: usize },
+    NoResponse { id: String, instance: usize, result: CallFailure, run_count: usize },
     /// An order didn't run and its outcome was reported as unknown, though nothing but planned
     /// maintenance and faults of the store affected it.
     UnknownOutcome { id: String, instance: usize, reason: String },
@@ -176,7 +176,7 @@
 
     /// Whether a call may have got no response: its daemon was killed or frozen, or it was stopped
     /// and had not accepted the call when its connections closed.
-    fn may_lack_response(&self, call: &CallRecord, result: CallError, run_count: usize) -> bool {
+    fn may_lack_response(&self, call: &CallRecord, result: CallFailure, run_count: usize) -> bool {
         if call.is_abandoned {
             return true;
         }
@@ -194,7 +194,7 @@
                 && span.from + STOP_NOTICE <= call.ended_at
                 && span.until.is_none_or(|until| until >= call.sent_at)
         });
-        is_closing && (result == CallError::NotSent || run_count == 0)
+        is_closing && (result == CallFailure::NotSent || run_count == 0)
     }
 
     /// Whether a fault for which `affects` holds was active at some time during a call.
