--- a/crates/yuccarackd/src/coordination/routed/gate/work_slots.rs
+++ b/crates/yuccarackd/src/coordination/routed/gate/work_slots.rs
@@ -44,7 +44,8 @@
 }
 
 impl WorkSlots {
-    /// Creates the queue of a target that runs `slots` requests at once.
+    /// Creates the queue of a target that runs `slots` requests at once; `decisions` are the
+    /// feature switches of the queue.
     pub fn new(slots: u16, cold_rate: ColdRate, decisions: FeatureSwitches) -> Self {
         let queue = WorkQueue::new(slots).with_decisions(decisions).with_cold_rate(cold_rate);
         let state = State { queue, waiting: HashMap::new() };
--- a/crates/yuccarackd/src/coordination/routed/peers/intake.rs
+++ b/crates/yuccarackd/src/coordination/routed/peers/intake.rs
@@ -63,7 +63,7 @@
         }
         if let Some((revision, listed)) = listed {
             parts.members.drop_unlisted(revision, &listed);
-            parts.sync_state.set_members_listed(revision);
+            parts.sync_state.set_members_fully_read(revision);
         }
     }
 
--- a/crates/yuccarackd/src/coordination/routed/store_follower/intake.rs
+++ b/crates/yuccarackd/src/coordination/routed/store_follower/intake.rs
@@ -26,7 +26,7 @@
         let listed: Vec<_> = snapshot.rows.iter().map(|row| row.key.clone()).collect();
         snapshot.rows.into_iter().for_each(|row| self.apply_member_row(row));
         self.members.drop_unlisted(snapshot.revision, &listed);
-        self.sync_state.set_members_listed(snapshot.revision);
+        self.sync_state.set_members_fully_read(snapshot.revision);
         self.members.mark_loaded();
     }
 
--- a/crates/yuccarackd/src/state/routed/evacuations.rs
+++ b/crates/yuccarackd/src/state/routed/evacuations.rs
@@ -75,7 +75,7 @@
         is_change
     }
 
-    /// Returns cancellations for the evacuations that are missing from `listed`, a full listing of
+    /// Returns cancellations for the evacuations that are missing from `listed`, a full read of
     /// the store at `revision`.
     pub fn find_cancelled(
         &self,
--- a/crates/yuccarackd/src/state/routed/members.rs
+++ b/crates/yuccarackd/src/state/routed/members.rs
@@ -65,7 +65,7 @@
         true
     }
 
-    /// Removes the members that are missing from `listed`, a full listing of the table at
+    /// Removes the members that are missing from `listed`, a full read of the table at
     /// `revision`.
     pub fn drop_unlisted(&self, revision: Revision, listed: &[InstanceId]) {
         let mut table = self.inner.table.write();
--- a/crates/yuccarackd/src/state/routed/update_source.rs
+++ b/crates/yuccarackd/src/state/routed/update_source.rs
@@ -39,15 +39,15 @@
 pub struct SyncedTables {
     routing: Option<Revision>,
     members: Option<Revision>,
-    /// Revision of the latest full listing of members. Rows that were removed before it are not
+    /// Revision of the latest full read of the members. Rows that were deleted before it are not
     /// known.
-    members_listed_at: Revision,
+    members_fully_read_at: Revision,
 }
 
 /// A table of the store that daemons follow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FollowedTable {
-    /// The operators' document, which contains the routing table.
+    /// The routing rows: the routing table that operators set, and the evacuations.
     Routing,
     /// The members.
     Members,
@@ -140,14 +140,14 @@
         }
     }
 
-    /// Notes that all members were listed at `revision`.
-    pub fn set_members_listed(&self, revision: Revision) {
-        self.inner.synced.send_modify(|synced| synced.members_listed_at = revision);
+    /// Notes a full read of the members at `revision`.
+    pub fn set_members_fully_read(&self, revision: Revision) {
+        self.inner.synced.send_modify(|synced| synced.members_fully_read_at = revision);
     }
 
     /// Returns whether this daemon knows all member rows that were removed after `revision`.
     pub fn knows_removals_after(&self, revision: Revision) -> bool {
-        revision >= self.inner.synced.borrow().members_listed_at
+        revision >= self.inner.synced.borrow().members_fully_read_at
     }
 
     /// Subscribes to changes of the synced revisions.
