--- a/crates/yuccarackctl/src/commands/check.rs
+++ b/crates/yuccarackctl/src/commands/check.rs
@@ -25,7 +25,7 @@
     let rules = RulesFile::parse(content)?;
     let (services, removed) = (rules.services.len(), rules.removed.len());
     Ok(Report::new(
-        format!("{}: accepted, {services} service(s), {removed} removed", file.display()),
+        format!("{}: valid, {services} service(s), {removed} removed", file.display()),
         json!({"services": services, "removed": removed, "based_on": rules.based_on}),
     ))
 }
@@ -35,7 +35,7 @@
     let (routes, services) = (routing.routes.len(), routing.services.len());
     Ok(Report::new(
         format!(
-            "{}: accepted, version {}, {routes} route(s) to {services} service(s)",
+            "{}: valid, version {}, {routes} route(s) to {services} service(s)",
             file.display(),
             routing.version
         ),
--- a/crates/yuccarackctl/src/logs/cause.rs
+++ b/crates/yuccarackctl/src/logs/cause.rs
@@ -24,7 +24,8 @@
     TargetDisconnected,
     /// The target rejected the request without running it.
     TargetShed,
-    /// No response arrived before the deadline.
+    /// No response arrived before the deadline. A call that was answered slowly isn't a failure;
+    /// the report counts it as `slow`.
     TooSlow,
     /// The targets are draining or not ready yet.
     #[serde(rename = "target_away")]
@@ -105,7 +106,7 @@
             }
             Self::Unreachable => {
                 "the daemons or targets that the call was sent to were unreachable: check the logs \
-                 for their stops, losses and starts."
+                 for instances that stopped, were lost or started at that time."
             }
             Self::NoTarget => "no instance of the service was known: check the members.",
             Self::NoRoute => {
--- a/crates/yuccarackctl/src/logs/chart.rs
+++ b/crates/yuccarackctl/src/logs/chart.rs
@@ -30,7 +30,7 @@
 #[error("the chart can't be written: {0}")]
 pub struct ChartError(#[from] DrawingAreaErrorKind<io::Error>);
 
-/// Draws a stacked bar for each time interval, with one segment per cause.
+/// Draws a stacked bar for each time bucket, with one segment per cause.
 ///
 /// # Errors
 ///
--- a/crates/yuccarackctl/src/logs/mod.rs
+++ b/crates/yuccarackctl/src/logs/mod.rs
@@ -1,4 +1,4 @@
-//! Analysis of the log files of daemons on the users' platform: parsing, order, causes.
+//! Analysis of the log files of daemons for routed calls: parsing, order, causes.
 
 mod cause;
 mod chart;
--- a/crates/yuccarackctl/src/logs/summary.rs
+++ b/crates/yuccarackctl/src/logs/summary.rs
@@ -1,4 +1,4 @@
-//! Counts of failed and slow calls by cause and time interval.
+//! Counts of failed and slow calls by cause and time bucket.
 
 use std::collections::BTreeMap;
 
@@ -7,13 +7,13 @@
 
 use super::{Cause, Event, EventKind};
 
-/// Maximum number of time intervals, which bounds memory for logs of any length.
+/// Maximum number of time buckets, which bounds memory for logs of any length.
 const BUCKETS_MAX: usize = 2_000;
 
 /// Number of calls by cause.
 pub type Counts = BTreeMap<String, u64>;
 
-/// Failed and slow calls, counted by cause in equal time intervals.
+/// Failed and slow calls, counted by cause in time buckets of equal length.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Summary {
     bucket_s: i64,
@@ -24,7 +24,7 @@
 }
 
 impl Summary {
-    /// Creates a summary with intervals of `bucket_s` seconds, in which answered calls of more than
+    /// Creates a summary with buckets of `bucket_s` seconds, in which answered calls of more than
     /// `slow_ms` count as slow.
     pub fn new(bucket_s: u32, slow_ms: u64) -> Self {
         Self {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Doubles the length of the intervals and merges their counts.
+    /// Doubles the length of the buckets and merges their counts.
     fn double_bucket_length(&mut self) {
         self.bucket_s *= 2;
         for (start, counts) in std::mem::take(&mut self.buckets) {
@@ -69,12 +69,12 @@
         }
     }
 
-    /// Returns the length of an interval, in s.
+    /// Returns the length of a bucket, in s.
     pub fn bucket_s(&self) -> i64 {
         self.bucket_s
     }
 
-    /// Returns the counts by the start of the interval, in Unix seconds.
+    /// Returns the counts by the start of the bucket, in Unix seconds.
     pub fn buckets(&self) -> &BTreeMap<i64, Counts> {
         &self.buckets
     }
--- a/crates/yuccarackctl/src/options.rs
+++ b/crates/yuccarackctl/src/options.rs
@@ -161,8 +161,8 @@
     },
     /// Explain the outcome of a request
     ///
-    /// With --logs, the outcome is derived from log files of daemons on the users' platform, whose
-    /// clocks may differ. Otherwise the daemons are queried for the steps they recorded.
+    /// With --logs, the outcome is derived from log files of daemons for routed calls, whose clocks
+    /// may differ. Otherwise the daemons are queried for the steps they recorded.
     #[bpaf(command)]
     Explain {
         #[bpaf(external)]
@@ -176,7 +176,7 @@
         #[bpaf(positional("REQUEST"))]
         request: String,
     },
-    /// Count refused, failed and slow calls by cause and time interval
+    /// Count refused, failed and slow calls by cause and time bucket
     #[bpaf(command)]
     Report {
         #[bpaf(external)]
@@ -184,7 +184,7 @@
         /// Log file of a daemon, plain or gzip, may be given several times
         #[bpaf(long, argument("FILE"), some("name at least one log file with --logs FILE"))]
         logs: Vec<PathBuf>,
-        /// Length of a time interval, in s; doubled until there are at most 2,000 intervals
+        /// Length of a time bucket, in s; doubled until there are at most 2,000 buckets
         #[bpaf(long, argument("S"), fallback(10), display_fallback)]
         bucket_s: u32,
         /// Duration above which an answered call counts as slow, in ms
--- a/crates/yuccarackd/src/daemon/lifetimes.rs
+++ b/crates/yuccarackd/src/daemon/lifetimes.rs
@@ -16,9 +16,12 @@
 /// Tokens that stop parts of a daemon; a stop cancels them in this order.
 #[derive(Clone, Default)]
 pub struct StopTokens {
-    /// Callers should send their next call elsewhere: responses close their connections.
+    /// The daemon is draining. Callers should send their next call elsewhere: responses close their
+    /// connections.
     pub leaving: CancellationToken,
-    /// Other daemons should send their next request elsewhere: the gate refuses them.
+    /// The gate is draining. Other daemons should send their next request elsewhere: the gate refuses
+    /// them. Used for routed calls only; [`Daemon::stop`](super::Daemon::stop) calls the gate's
+    /// `drain` instead.
     pub gate_leaving: CancellationToken,
     /// No call is accepted any more.
     pub calls: CancellationToken,
--- a/crates/yuccarackd/src/daemon/mod.rs
+++ b/crates/yuccarackd/src/daemon/mod.rs
@@ -31,7 +31,8 @@
 /// are still to be written, and connections that are closing.
 const BACKGROUND_STOP_MAX: Duration = Duration::from_secs(10);
 
-/// Running daemon that serves calls by service.
+/// Running daemon for calls that name their service, as opposed to routed calls, which
+/// [`RoutedDaemon`](routed::RoutedDaemon) serves.
 pub struct Daemon {
     assembly: Assembly,
     control: ControlPlane,
@@ -106,7 +107,8 @@
         upstream.close_idle();
         stops.background.cancel();
         self.control.stop().await?;
-        // Also if calls were cut off: outcomes of claims that have ended are still to be written.
+        // Waits even if calls were cut off, because outcomes of claims that have ended may still have
+        // to be written.
         let background_ended =
             join_until(&tasks.background, Instant::now() + BACKGROUND_STOP_MAX).await;
         if !(calls_ended && gate_ended && background_ended) {
--- a/crates/yuccarackd/src/daemon/routed.rs
+++ b/crates/yuccarackd/src/daemon/routed.rs
@@ -55,7 +55,7 @@
 /// the log can be closed in order. That takes up to half a second on a tenth of a core.
 const CLOSE_RESERVE: Duration = Duration::from_millis(800);
 
-/// Running daemon for routed calls.
+/// Running daemon for routed calls, whose service the routing table gives.
 pub struct RoutedDaemon {
     settings: LiveSettings,
     routing: RoutingState,
@@ -71,6 +71,7 @@
 struct Listeners {
     calls: TcpListener,
     gate: TcpListener,
+    /// Listener for the heartbeats of the target, on the `liveness_address` of the settings.
     heartbeats: TcpListener,
     readiness: TcpListener,
     metrics: TcpListener,
--- a/crates/yuccarackd/src/daemon/routed/wiring.rs
+++ b/crates/yuccarackd/src/daemon/routed/wiring.rs
@@ -40,7 +40,7 @@
     transport::{call_server::CallServer, upstream::Upstream},
 };
 
-/// Largest accepted request head, in bytes; operators accept 16 kB.
+/// Largest accepted request head, in bytes; twice the 16 kB that operators accept as the limit.
 const HEAD_MAX_BYTES: usize = 32 * 1024;
 
 /// Delay of the first read of the members when the whole fleet starts for the first time; by then
@@ -94,7 +94,8 @@
         let platform = PlatformClient::new(self.settings.current().store_address, RESPONSE_TIMEOUT);
         let store = StoreClient::new(platform, self.counters.clone());
         let (sync_state, transfers) = (SyncState::new(), Transfers::new());
-        // Whether a relay provides updates is known once the members are loaded.
+        // The store isn't queried yet: only the loaded members show whether a relay provides the
+        // updates instead.
         sync_state.set_queries_store(false);
         let settings = self.settings.current();
         let peers = Peers::new(PeersParts {
@@ -140,6 +141,13 @@
     }
 
     /// Registers gauges for the known state and its age.
+    ///
+    /// Some help texts refer to the gauge before them, and they stay because operators see them:
+    /// `routing_age_seconds` is -1 without a routing table, `target_evacuated` is 1 if this
+    /// instance's target gets no requests because its failure domain is evacuated, `store_served`
+    /// is 1 if updates from the store are received directly or through a relay, `news_relayed` is 1
+    /// if they come through a relay, and `store_silence_seconds` is the time since the last
+    /// response of the store.
     fn register_state_gauges(&self, follower: &StoreFollower) {
         let (metrics, routing, in_force) =
             (&self.metrics, self.routing.clone(), self.routing.clone());
@@ -259,6 +267,7 @@
         self.metrics.register_gauge("gates_unreachable", help, move || {
             gauge_value(gauge_entry.unreachable_gates())
         });
+        // Counts the members whose service is known.
         let help = "Instances that say what they serve.";
         self.metrics
             .register_gauge("members_serving", help, move || gauge_value(members.serving_count()));
--- a/crates/yuccarackd/src/transport/admin_server.rs
+++ b/crates/yuccarackd/src/transport/admin_server.rs
@@ -62,7 +62,7 @@
     pub draining: tokio::sync::watch::Receiver<bool>,
     /// Looks a request up in the call log.
     pub explain: Explain,
-    /// Triggers an immediate poll of the store for all known services.
+    /// Triggers an immediate poll of the store for all known services, on a request for `/hint`.
     pub hint: Arc<dyn Fn() + Send + Sync>,
 }
 
--- a/crates/yuccarackd/src/transport/drained_body.rs
+++ b/crates/yuccarackd/src/transport/drained_body.rs
@@ -1,4 +1,4 @@
-//! Request body whose unread rest is drained when its consumer drops it.
+//! Request body whose unread rest is read and discarded when its consumer drops it.
 
 use std::{
     pin::Pin,
@@ -15,17 +15,17 @@
 
 use crate::protocol::body::BodyError;
 
-/// Longest time for which a dropped body is drained.
+/// Longest time for which the rest of a dropped body is read.
 const DRAIN_MAX: Duration = Duration::from_secs(5);
 
-/// Most bytes of a dropped body that are drained.
+/// Most bytes of a dropped body that are read and discarded.
 const DRAIN_MAX_BYTES: usize = 64 * 1024 * 1024;
 
 /// Request body whose rest is read and discarded when it is dropped before its end.
 ///
 /// When a gate refuses an upload whose body is still arriving, the server closes a connection with
 /// unread bytes. The kernel then resets it, and the reset overtakes the refusal: the entry sees a
-/// broken connection and has to report `unknown` for a request that did not run. Draining the body
+/// broken connection and has to report `unknown` for a request that did not run. Discarding the rest
 /// leaves nothing unread when the connection closes.
 #[derive(Debug)]
 pub struct DrainedBody {
@@ -36,13 +36,13 @@
 }
 
 impl DrainedBody {
-    /// Wraps `body`; a dropped rest is drained in a task under `tracker`.
+    /// Wraps `body`; a task under `tracker` discards its rest if it is dropped before its end.
     pub fn new(body: Incoming, tracker: TaskTracker) -> Self {
         Self { body: Some(body), expects_continue: false, tracker }
     }
 
-    /// Sets whether the sender waits for `100 Continue`. Such a body isn't drained if it was never
-    /// read, because its sender hasn't begun to send it.
+    /// Sets whether the sender waits for `100 Continue`. The rest of such a body isn't read if
+    /// nothing of it was read before, because its sender hasn't begun to send it.
     pub fn with_expect_continue(mut self, expects_continue: bool) -> Self {
         self.expects_continue = expects_continue;
         self
--- a/crates/yuccarackd/src/transport/load_probe.rs
+++ b/crates/yuccarackd/src/transport/load_probe.rs
@@ -24,8 +24,8 @@
     time::timeout_at,
 };
 
-/// Receive buffer of a probe's socket, in bytes. It is small because the target has already paid
-/// for whatever an oversized response puts into it, even if it is never read.
+/// Receive buffer of a probe's socket, in bytes. It is small because the target spends CPU time and
+/// bandwidth on each byte of an oversized response that fits into it, even if it is never read.
 const RECEIVE_BUFFER_BYTES: u32 = 4 * 1024;
 
 /// Load that a target reports.
--- a/crates/yuccarackd/src/transport/pipelining/early_calls.rs
+++ b/crates/yuccarackd/src/transport/pipelining/early_calls.rs
@@ -1,4 +1,4 @@
-//! Reads that are started before their turn on the connection.
+//! Reads (GET and HEAD requests) that are started before their turn on the connection.
 
 use std::{net::SocketAddr, sync::Arc, time::Instant};
 
@@ -26,7 +26,7 @@
     pipeline: Arc<Pipeline>,
 }
 
-/// Read that was started early; dropping it cancels the call.
+/// Early read, running or completed; dropping it cancels the call.
 pub struct EarlyCall {
     head: Parts,
     call: AbortOnDropHandle<Response<CallBody>>,
--- a/crates/yuccarackd/src/transport/pipelining/pipeline.rs
+++ b/crates/yuccarackd/src/transport/pipelining/pipeline.rs
@@ -39,7 +39,7 @@
 pub(super) struct PassedRequest {
     /// Time at which its complete head had arrived.
     pub received_at: Instant,
-    /// Running call, if it was started early.
+    /// Early read, if the request was started as one.
     pub early: Option<EarlyCall>,
 }
 
@@ -47,7 +47,7 @@
 pub struct Turn {
     /// Time at which its complete head had arrived.
     pub received_at: Instant,
-    /// Running call, if it was started early.
+    /// Early read, if the request was started as one.
     pub early: Option<EarlyCall>,
     /// Held until the response is sent.
     pub guard: ResponseGuard,
@@ -149,14 +149,14 @@
     }
 }
 
-/// Response body that holds its turn; the next one begins when hyper has sent or dropped it.
+/// Response body that keeps its request marked as in progress until hyper has sent or dropped it.
 pub struct TurnBody {
     body: CallBody,
     _guard: ResponseGuard,
 }
 
 impl ResponseGuard {
-    /// Attaches the turn to `body`, so that it lasts until the body has been sent.
+    /// Attaches the guard to `body`, so that it lasts until the body has been sent or dropped.
     pub fn hold_until_sent(self, body: CallBody) -> TurnBody {
         TurnBody { body, _guard: self }
     }
--- a/crates/yuccarackd/src/transport/pipelining/stream.rs
+++ b/crates/yuccarackd/src/transport/pipelining/stream.rs
@@ -23,16 +23,16 @@
 };
 use crate::transport::call_server::CallHandler;
 
-/// Buffer space reserved for one read of the socket; most heads fit.
+/// Buffer space reserved for one receive from the socket; most heads fit.
 const READ_BYTES: usize = 4 * 1024;
 
-/// Most bytes that are read ahead; TCP flow control stops a client that sends more.
+/// Most bytes that are received ahead; TCP flow control stops a client that sends more.
 const READ_AHEAD_MAX_BYTES: usize = 64 * 1024;
 
 /// Connection of a caller, between its socket and hyper.
 pub struct PipelinedStream<H> {
     stream: TcpStream,
-    /// Bytes read from the socket and not yet passed to hyper.
+    /// Bytes received from the socket and not yet passed to hyper.
     unread: BytesMut,
     /// Bytes at the start of `unread` that belong to the head that hyper is reading.
     head_remaining_bytes: usize,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Reads available bytes from the socket into `unread`; `Ready` after one read, also at EOF.
+    /// Receives available bytes from the socket into `unread`; `Ready` after one receive or at EOF.
     fn fill(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         // An idle connection holds no buffer.
         ready!(self.stream.poll_read_ready(cx))?;
@@ -158,7 +158,8 @@
                 Framing::Partial if self.unread.len() <= self.head_max_bytes && !self.is_eof => {
                     ready!(self.fill(cx))?;
                 }
-                // hyper rejects it or has to interpret it alone.
+                // hyper rejects this head, or only hyper can determine where the request ends. No
+                // later request of the connection can be told apart then.
                 Framing::Partial | Framing::Ambiguous => {
                     self.is_passthrough = true;
                     return Poll::Ready(Ok(()));
