--- a/crates/yuccarack_platform/src/rows.rs
+++ b/crates/yuccarack_platform/src/rows.rs
@@ -207,9 +207,9 @@
 
 /// Returns the key prefix of the files that were applied on the day of `unix_ms`.
 ///
-/// Rows of applied files are never deleted, so the history is split by day: a query for the latest files
-/// reads a few days instead of all years. The day is that of the operator's clock; no decision
-/// depends on it.
+/// Rows of applied files are never deleted, so the history is split by day: a query for the latest
+/// files reads a few days instead of all years. The day is that of the operator's clock; no
+/// decision depends on it.
 pub fn history_prefix(unix_ms: u64) -> String {
     format!("history/{}/", unix_ms / HISTORY_SPAN_MS)
 }
--- a/crates/yuccarack_player/src/entry.rs
+++ b/crates/yuccarack_player/src/entry.rs
@@ -113,7 +113,7 @@
     }
 
     /// Takes one hedge from the budget; returns `false` if none is left, or under a baseline.
-    pub fn spend_hedge(&mut self, now: Instant) -> bool {
+    pub fn try_take_hedge(&mut self, now: Instant) -> bool {
         let Balancer::Yuccarack(balancer) = &mut self.balancer else { return false };
         balancer.hedge.spend(now)
     }
--- a/crates/yuccarack_player/src/gate.rs
+++ b/crates/yuccarack_player/src/gate.rs
@@ -1,5 +1,5 @@
-//! Admission in front of a target: that of `yuccarack_policy`, or the target's own FIFO queue under a
-//! baseline.
+//! Admission in front of a target: that of `yuccarack_policy`, or the target's own FIFO queue under
+//! a baseline.
 
 use std::{
     collections::{HashMap, VecDeque},
--- a/crates/yuccarack_player/src/player/mod.rs
+++ b/crates/yuccarack_player/src/player/mod.rs
@@ -23,7 +23,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Interval at which gates probe the load of their targets; only the cost in bytes is simulated.
-const HEALTH_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+const LOAD_PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// One-way delay within a failure domain.
 const LOCAL_LINK_DELAY: Duration = Duration::from_micros(100);
@@ -55,7 +55,7 @@
     Hedge(CallKey),
     Deadline(CallKey),
     Poll,
-    HealthCheck,
+    LoadProbe,
     DomainLoss,
     LostTargetsRemoved,
 }
@@ -104,7 +104,7 @@
     let mut player = Player::new(scenario, policy, seed);
     player.clock.schedule_after(Duration::ZERO, Event::Arrive);
     match policy {
-        Policy::Yuccarack => player.clock.schedule_after(HEALTH_CHECK_INTERVAL, Event::HealthCheck),
+        Policy::Yuccarack => player.clock.schedule_after(LOAD_PROBE_INTERVAL, Event::LoadProbe),
         Policy::LeastInFlight | Policy::PowerOfTwo => {
             player.clock.schedule_after(POLL_INTERVAL, Event::Poll);
         }
@@ -171,7 +171,7 @@
             Event::Hedge(call) => self.hedge(call),
             Event::Deadline(call) => self.handle_deadline(call),
             Event::Poll => self.poll_reports(),
-            Event::HealthCheck => self.check_health(),
+            Event::LoadProbe => self.count_load_probes(),
             Event::DomainLoss => self.lose_domain(),
             Event::LostTargetsRemoved => self.remove_lost_targets(),
         }
@@ -251,7 +251,7 @@
     fn hedge(&mut self, key: CallKey) {
         let now = self.clock.now();
         let Some(call) = self.calls.get(key) else { return };
-        if self.entries[call.entry].spend_hedge(now) && self.send_attempt(key) {
+        if self.entries[call.entry].try_take_hedge(now) && self.send_attempt(key) {
             self.tally.hedges += 1;
         }
     }
@@ -334,10 +334,10 @@
         }
     }
 
-    fn check_health(&mut self) {
+    fn count_load_probes(&mut self) {
         self.tally.measuring_bytes += self.targets.len() as u64 * POLL_BYTES;
         if self.clock.elapsed() < self.scenario.duration {
-            self.clock.schedule_after(HEALTH_CHECK_INTERVAL, Event::HealthCheck);
+            self.clock.schedule_after(LOAD_PROBE_INTERVAL, Event::LoadProbe);
         }
     }
 }
--- a/crates/yuccarack_player/src/routed/chain.rs
+++ b/crates/yuccarack_player/src/routed/chain.rs
@@ -64,7 +64,7 @@
 const SERVICE_TIME_SPREAD: (f64, f64) = (0.7, 1.3);
 
 /// An instance: a gate with its queue, and the state of its target.
-struct Gate {
+struct Instance {
     domain: usize,
     queue: Queue,
     slowdown: f64,
@@ -73,7 +73,7 @@
     /// Start times of the runs of the last second that started while the target was cold.
     cold_runs: VecDeque<Instant>,
     /// Whether the target is lost for good, or has crashed and is restarting.
-    is_lost: bool,
+    is_down: bool,
 }
 
 struct Entry {
@@ -126,7 +126,7 @@
     rng: SmallRng,
     clock: Clock<Event>,
     started_at: Instant,
-    gates: Vec<Gate>,
+    gates: Vec<Instance>,
     gates_by_service: Vec<Vec<usize>>,
     entries: Vec<Entry>,
     requests: Vec<Request>,
@@ -149,14 +149,14 @@
         for (service, targets) in TARGETS.into_iter().enumerate() {
             for _ in 0..targets {
                 gates_by_service[service].push(gates.len());
-                gates.push(Gate {
+                gates.push(Instance {
                     domain: gates.len() % DOMAINS,
                     queue: Queue::new(policy, SLOTS),
                     slowdown: 1.0,
                     running: 0,
                     cold_until: None,
                     cold_runs: VecDeque::new(),
-                    is_lost: false,
+                    is_down: false,
                 });
             }
         }
@@ -205,8 +205,8 @@
             Event::ReachGate(request_id) => self.reach_gate(request_id),
             Event::Refusal(request_id) => self.handle_refusal(request_id),
             Event::Wake(gate) => {
-                let verdicts = self.gates[gate].queue.poll(self.clock.now());
-                self.apply_verdicts(gate, verdicts);
+                let decisions = self.gates[gate].queue.poll(self.clock.now());
+                self.apply_decisions(gate, decisions);
             }
             Event::StartWork(request_id) => self.start_work(request_id),
             Event::RunEnd(request_id) => self.handle_run_end(request_id, true),
@@ -215,7 +215,7 @@
             Event::SlowdownChange(gate) => self.change_slowdown(gate),
             Event::FaultsStart => self.start_faults(),
             Event::Restart(gate) => {
-                self.gates[gate].is_lost = false;
+                self.gates[gate].is_down = false;
                 self.set_cold(gate);
             }
             Event::HealthCheck(gate) => self.check_health(gate),
@@ -239,7 +239,7 @@
             }
             if service > 0 {
                 for &gate in gates.iter().take(self.load.lost_targets) {
-                    self.gates[gate].is_lost = true;
+                    self.gates[gate].is_down = true;
                 }
             }
         }
@@ -261,7 +261,7 @@
     fn check_health(&mut self, gate: usize) {
         let now = self.clock.now();
         let state = &mut self.gates[gate];
-        if state.is_lost || state.cold_until.is_some_and(|until| until > now) {
+        if state.is_down || state.cold_until.is_some_and(|until| until > now) {
             return;
         }
         state.queue.set_warm(now);
@@ -286,7 +286,7 @@
     /// Crashes the target of `gate`: its runs fail, its queue is refused, and it restarts cold.
     fn crash(&mut self, gate: usize) {
         let state = &mut self.gates[gate];
-        state.is_lost = true;
+        state.is_down = true;
         state.running = 0;
         let waiting = std::mem::replace(&mut state.queue, Queue::new(self.policy, SLOTS)).waiting();
         for request_id in waiting {
--- a/crates/yuccarack_player/src/routed/chain/calls.rs
+++ b/crates/yuccarack_player/src/routed/chain/calls.rs
@@ -58,7 +58,7 @@
             return;
         }
         let Some((gate, key)) = self.choose(request_id) else {
-            return self.end_attempt(request_id, RequestOutcome::Refused);
+            return self.finish_request(request_id, RequestOutcome::Refused);
         };
         self.requests[request_id].gate = Some((gate, key));
         let link_delay = self.link_delay(self.requests[request_id].entry, gate);
@@ -69,7 +69,7 @@
         let request = &self.requests[request_id];
         let service = REQUEST_KINDS[request.kind].service;
         let available =
-            || self.gates_by_service[service].iter().copied().filter(|&at| !self.gates[at].is_lost);
+            || self.gates_by_service[service].iter().copied().filter(|&at| !self.gates[at].is_down);
         if self.policy == Policy::Yuccarack {
             let entry = &mut self.entries[request.entry];
             let (now, service_time) = (self.clock.now(), REQUEST_KINDS[request.kind].service_time);
@@ -101,7 +101,7 @@
             if is_success { GateAttemptOutcome::Answered } else { GateAttemptOutcome::Failed },
         );
         let response_time = self.clock.now() - self.requests[request_id].arrived_at;
-        self.end_attempt(
+        self.finish_request(
             request_id,
             if is_success {
                 RequestOutcome::Answered(response_time)
@@ -119,14 +119,14 @@
         let request = &mut self.requests[request_id];
         match request.gate.take() {
             Some((gate, Some(key))) => {
-                let reply = match (self.gates[gate].is_lost, request.may_wait) {
+                let reply = match (self.gates[gate].is_down, request.may_wait) {
                     (true, _) => GateReply::Unavailable,
                     (false, true) => GateReply::NoQueueSpace,
                     (false, false) => GateReply::NoFreeSlot,
                 };
                 request.history.record(key, reply);
             }
-            _ => return self.end_attempt(request_id, RequestOutcome::Refused),
+            _ => return self.finish_request(request_id, RequestOutcome::Refused),
         }
         self.start_attempt(request_id);
     }
@@ -141,15 +141,15 @@
         let request = &self.requests[request_id];
         let Some((gate, Some(key))) = request.gate else { return };
         let service = REQUEST_KINDS[request.kind].service;
-        let is_lost = self.gates[gate].is_lost;
+        let is_down = self.gates[gate].is_down;
         let load = self.gates[gate].queue.load(now);
         let placement = &mut self.entries[request.entry].placements[service];
         placement.record_outcome(
             now,
             key,
-            if is_lost { GateAttemptOutcome::Unreachable } else { outcome },
+            if is_down { GateAttemptOutcome::Unreachable } else { outcome },
         );
-        if let Some(load) = load.filter(|_| !is_lost) {
+        if let Some(load) = load.filter(|_| !is_down) {
             placement.record_load(now, key, load);
         }
     }
@@ -163,12 +163,12 @@
             self.credit.wasted_runs += 1;
             self.release_slot(request_id, WorkOutcome::Aborted);
         } else if let Some((gate, _)) = self.requests[request_id].gate {
-            let verdicts = self.gates[gate].queue.cancel(now, request_id);
-            self.apply_verdicts(gate, verdicts);
+            let decisions = self.gates[gate].queue.cancel(now, request_id);
+            self.apply_decisions(gate, decisions);
         }
         self.record_gate_outcome(request_id, GateAttemptOutcome::Cancelled);
         self.requests[request_id].retries_left = 0;
-        self.end_attempt(request_id, RequestOutcome::Failed);
+        self.finish_request(request_id, RequestOutcome::Failed);
     }
 
     /// Ends a request after its attempts at gates.
@@ -176,7 +176,7 @@
     /// A caller retries a refused request while it has retries left, as a new request, and records
     /// the outcome otherwise. A run that made the request as a call continues after a response and
     /// fails otherwise.
-    pub(super) fn end_attempt(&mut self, request_id: RequestId, outcome: RequestOutcome) {
+    pub(super) fn finish_request(&mut self, request_id: RequestId, outcome: RequestOutcome) {
         let now = self.clock.now();
         let request = &mut self.requests[request_id];
         request.has_ended = true;
--- a/crates/yuccarack_player/src/routed/chain/runs.rs
+++ b/crates/yuccarack_player/src/routed/chain/runs.rs
@@ -13,7 +13,7 @@
 };
 use crate::routed::{
     load::{REQUEST_KINDS, SLOTS},
-    queue::{RequestId, Verdict},
+    queue::{RequestDecision, RequestId},
 };
 
 impl Chain {
@@ -23,7 +23,7 @@
         if request.has_ended {
             return self.record_gate_outcome(request_id, GateAttemptOutcome::Cancelled);
         }
-        if self.gates[gate].is_lost {
+        if self.gates[gate].is_down {
             let link_delay = self.link_delay(self.requests[request_id].entry, gate);
             return self.clock.schedule_after(link_delay, Event::Refusal(request_id));
         }
@@ -35,15 +35,15 @@
             deadline: request.deadline,
             may_wait: request.may_wait,
         };
-        let verdicts = self.gates[gate].queue.offer(self.clock.now(), request_id, work);
-        self.apply_verdicts(gate, verdicts);
+        let decisions = self.gates[gate].queue.offer(self.clock.now(), request_id, work);
+        self.apply_decisions(gate, decisions);
     }
 
-    pub(super) fn apply_verdicts(&mut self, gate: usize, verdicts: Vec<Verdict>) {
-        for verdict in verdicts {
+    pub(super) fn apply_decisions(&mut self, gate: usize, decisions: Vec<RequestDecision>) {
+        for verdict in decisions {
             match verdict {
-                Verdict::Run(request_id) => self.start_run(request_id),
-                Verdict::Refused(request_id) => {
+                RequestDecision::Run(request_id) => self.start_run(request_id),
+                RequestDecision::Refused(request_id) => {
                     let link_delay = self.link_delay(self.requests[request_id].entry, gate);
                     self.clock.schedule_after(link_delay, Event::Refusal(request_id));
                 }
@@ -124,7 +124,7 @@
         let gate = &mut self.gates[gate_index];
         gate.running -= 1;
         gate.queue.record_slowdown(now, gate.slowdown);
-        let verdicts = gate.queue.release(now, request_id, outcome);
-        self.apply_verdicts(gate_index, verdicts);
+        let decisions = gate.queue.release(now, request_id, outcome);
+        self.apply_decisions(gate_index, decisions);
     }
 }
--- a/crates/yuccarack_player/src/routed/queue.rs
+++ b/crates/yuccarack_player/src/routed/queue.rs
@@ -18,7 +18,7 @@
 /// Decision of a queue on one request, under any policy: a `QueueDecision` or `WaitResult` of the
 /// work queue with the request in place of its key.
 #[derive(Clone, Copy, Debug)]
-pub enum Verdict {
+pub enum RequestDecision {
     /// The request starts to run.
     Run(RequestId),
     /// The request is refused at this gate.
@@ -56,16 +56,16 @@
         now: Instant,
         request_id: RequestId,
         work: WorkRequest,
-    ) -> Vec<Verdict> {
+    ) -> Vec<RequestDecision> {
         match self {
             Self::Yuccarack { queue, waiting, running } => {
                 match queue.offer(now, work) {
                     QueueDecision::Run(key) => {
                         running.push((key, request_id));
-                        return vec![Verdict::Run(request_id)];
+                        return vec![RequestDecision::Run(request_id)];
                     }
                     QueueDecision::Wait(key) => waiting.push((key, request_id)),
-                    QueueDecision::Refused(_) => return vec![Verdict::Refused(request_id)],
+                    QueueDecision::Refused(_) => return vec![RequestDecision::Refused(request_id)],
                 }
                 self.poll(now)
             }
@@ -97,7 +97,7 @@
         now: Instant,
         request_id: RequestId,
         outcome: WorkOutcome,
-    ) -> Vec<Verdict> {
+    ) -> Vec<RequestDecision> {
         match self {
             Self::Yuccarack { queue, running, .. } => {
                 if let Some(index) = running.iter().position(|(_, other)| *other == request_id) {
@@ -111,7 +111,7 @@
     }
 
     /// Removes a waiting request and returns the decisions that follow.
-    pub fn cancel(&mut self, now: Instant, request_id: RequestId) -> Vec<Verdict> {
+    pub fn cancel(&mut self, now: Instant, request_id: RequestId) -> Vec<RequestDecision> {
         match self {
             Self::Yuccarack { queue, waiting, .. } => {
                 if let Some(index) = waiting.iter().position(|(_, other)| *other == request_id) {
@@ -137,10 +137,10 @@
     }
 
     /// Returns the decisions that are due at `now`.
-    pub fn poll(&mut self, now: Instant) -> Vec<Verdict> {
+    pub fn poll(&mut self, now: Instant) -> Vec<RequestDecision> {
         match self {
             Self::Yuccarack { queue, waiting, running } => {
-                let mut verdicts = Vec::new();
+                let mut decisions = Vec::new();
                 for result in queue.poll(now) {
                     let (WaitResult::Run(key, _) | WaitResult::Refused(key, _)) = result;
                     let Some(index) = waiting.iter().position(|(other, _)| *other == key) else {
@@ -150,23 +150,25 @@
                     match result {
                         WaitResult::Run(_, run) => {
                             running.push((run, request_id));
-                            verdicts.push(Verdict::Run(request_id));
+                            decisions.push(RequestDecision::Run(request_id));
+                        }
+                        WaitResult::Refused(..) => {
+                            decisions.push(RequestDecision::Refused(request_id))
                         }
-                        WaitResult::Refused(..) => verdicts.push(Verdict::Refused(request_id)),
                     }
                 }
-                verdicts
+                decisions
             }
             Self::Fifo { slots, running, waiting } => {
-                let mut verdicts = Vec::new();
+                let mut decisions = Vec::new();
                 while *running < *slots {
                     let Some((request_id, deadline)) = waiting.pop_front() else { break };
                     if deadline > now {
                         *running += 1;
-                        verdicts.push(Verdict::Run(request_id));
+                        decisions.push(RequestDecision::Run(request_id));
                     }
                 }
-                verdicts
+                decisions
             }
         }
     }
--- a/crates/yuccarack_player/src/scenarios.rs
+++ b/crates/yuccarack_player/src/scenarios.rs
@@ -70,7 +70,7 @@
 }
 
 /// A noisy neighbour moves to the next target every 300 ms and slows it down by a factor of four.
-pub fn shifts(fleet: Fleet) -> Scenario {
+pub fn noisy_neighbour(fleet: Fleet) -> Scenario {
     let neighbour = Fault::NoisyNeighbour { duration: ms(300), factor: 4.0 };
     Scenario { name: "shifts", faults: vec![neighbour], ..steady(fleet, 0.6) }
 }
@@ -130,7 +130,7 @@
 }
 
 /// Targets announce 10 slots but slow down above 4 concurrent requests.
-pub fn overpromised(fleet: Fleet) -> Scenario {
+pub fn overstated_slots(fleet: Fleet) -> Scenario {
     let fault = Fault::OverstatedSlots { real_slots: 4 };
     Scenario { name: "overpromised", faults: vec![fault], ..steady(fleet, 0.6) }
 }
@@ -150,7 +150,7 @@
 pub fn all(fleet: Fleet) -> Vec<Scenario> {
     vec![
         stragglers(fleet),
-        shifts(fleet),
+        noisy_neighbour(fleet),
         bursts(fleet),
         slow_target(fleet),
         blip(fleet),
@@ -160,7 +160,7 @@
         false_reports(fleet),
         all_cold(fleet),
         domain_loss(fleet),
-        overpromised(fleet),
+        overstated_slots(fleet),
         saturation(fleet, "load_0.5", 0.5),
         saturation(fleet, "load_0.9", 0.9),
         saturation(fleet, "load_1.2", 1.2),
--- a/crates/yuccarack_policy/tests/loads.rs
+++ b/crates/yuccarack_policy/tests/loads.rs
@@ -47,7 +47,7 @@
 /// avoided and chosen again within that time, or the others are overloaded.
 #[test]
 fn shifts() {
-    let scenario = shortened(scenarios::shifts(HOKKAIDO_READ));
+    let scenario = shortened(scenarios::noisy_neighbour(HOKKAIDO_READ));
     let tally = simulate(&scenario);
     let best = best_baseline(&scenario, tally.in_time());
     let p999 = tally.percentile(99.9);
@@ -175,7 +175,7 @@
 #[test]
 fn a_run_can_be_repeated() {
     let scenario =
-        Scenario { duration: Duration::from_secs(1), ..scenarios::shifts(HOKKAIDO_READ) };
+        Scenario { duration: Duration::from_secs(1), ..scenarios::noisy_neighbour(HOKKAIDO_READ) };
     let [first, second] = [simulate(&scenario), simulate(&scenario)];
     assert_eq!(first.response_times, second.response_times);
     assert_eq!(first.measuring_bytes, second.measuring_bytes);
