--- a/crates/yuccarackctl/src/commands/daemons.rs
+++ b/crates/yuccarackctl/src/commands/daemons.rs
@@ -11,7 +11,7 @@
 use crate::{
     admin_client::AdminClient,
     errors::CtlError,
-    options::{Common, Members},
+    options::{Common, DaemonSelection},
     report::{Report, format_fields, format_table},
 };
 
@@ -26,13 +26,19 @@
     failed: Vec<(SocketAddr, CtlError)>,
 }
 
-pub(super) async fn status(common: &Common, members: &Members) -> Result<Report, CtlError> {
-    let responses = query_daemons::<Value>(common, members, "/status").await?;
+pub(super) async fn status(
+    common: &Common,
+    selection: &DaemonSelection,
+) -> Result<Report, CtlError> {
+    let responses = query_daemons::<Value>(common, selection, "/status").await?;
     responses.not_found_as_failed().into_report(format_status)
 }
 
-pub(super) async fn targets(common: &Common, members: &Members) -> Result<Report, CtlError> {
-    let responses = query_daemons::<Vec<MemberRow>>(common, members, "/targets").await?;
+pub(super) async fn targets(
+    common: &Common,
+    selection: &DaemonSelection,
+) -> Result<Report, CtlError> {
+    let responses = query_daemons::<Vec<MemberRow>>(common, selection, "/targets").await?;
     let header = ["service", "instance", "domain", "state", "slots", "gate", "admin"];
     responses
         .not_found_as_failed()
@@ -41,11 +47,11 @@
 
 pub(super) async fn counters(
     common: &Common,
-    members: &Members,
+    selection: &DaemonSelection,
     prefix: &str,
 ) -> Result<Report, CtlError> {
     let mut responses =
-        query_daemons::<BTreeMap<String, u64>>(common, members, "/counters").await?;
+        query_daemons::<BTreeMap<String, u64>>(common, selection, "/counters").await?;
     for (_, counters) in &mut responses.received {
         counters.retain(|name, _| name.starts_with(prefix));
     }
@@ -58,10 +64,11 @@
 /// Each daemon records only its own steps, so daemons that don't know the request are left out.
 pub(super) async fn explain(
     common: &Common,
-    members: &Members,
+    selection: &DaemonSelection,
     request: &str,
 ) -> Result<Report, CtlError> {
-    let responses = query_daemons::<Value>(common, members, &format!("/explain/{request}")).await?;
+    let responses =
+        query_daemons::<Value>(common, selection, &format!("/explain/{request}")).await?;
     if responses.received.is_empty() && responses.failed.is_empty() {
         return Err(CtlError::NotFound { what: format!("request {request}") });
     }
@@ -70,11 +77,11 @@
 
 async fn query_daemons<T: DeserializeOwned>(
     common: &Common,
-    members: &Members,
+    selection: &DaemonSelection,
     path: &str,
 ) -> Result<DaemonResponses<T>, CtlError> {
     let client = &AdminClient::new(common.timeout());
-    let daemons = resolve_daemons(common, members).await?;
+    let daemons = resolve_daemons(common, selection).await?;
     let requests = daemons.into_iter().map(async |daemon| (daemon, client.get(daemon, path).await));
     let results: Vec<_> = stream::iter(requests).buffered(CONCURRENT_REQUESTS_MAX).collect().await;
     let mut responses =
--- a/crates/yuccarackctl/src/commands/mod.rs
+++ b/crates/yuccarackctl/src/commands/mod.rs
@@ -18,7 +18,7 @@
 
 use crate::{
     errors::CtlError,
-    options::{Command, Common, Members},
+    options::{Command, Common, DaemonSelection},
     report::Report,
 };
 
@@ -39,14 +39,18 @@
         }
         Command::Show { common, services, .. } => show::show(&common, &services).await,
         Command::History { common, limit, days } => history::history(&common, limit, days).await,
-        Command::Status { common, members } => daemons::status(&common, &members).await,
-        Command::Targets { common, members } => daemons::targets(&common, &members).await,
-        Command::Counters { common, members, prefix } => {
-            daemons::counters(&common, &members, &prefix).await
+        Command::Status { common, daemon_selection } => {
+            daemons::status(&common, &daemon_selection).await
+        }
+        Command::Targets { common, daemon_selection } => {
+            daemons::targets(&common, &daemon_selection).await
+        }
+        Command::Counters { common, daemon_selection, prefix } => {
+            daemons::counters(&common, &daemon_selection, &prefix).await
         }
         Command::Claim { claim_command } => claim::claim(claim_command).await,
-        Command::Explain { common, members, logs, request } if logs.is_empty() => {
-            daemons::explain(&common, &members, &request).await
+        Command::Explain { common, daemon_selection, logs, request } if logs.is_empty() => {
+            daemons::explain(&common, &daemon_selection, &request).await
         }
         Command::Explain { logs, request, .. } => logs::explain(&logs, &request),
         Command::Report { logs, bucket_s, slow_ms, svg, .. } => {
@@ -64,9 +68,12 @@
 
 /// Returns the daemons given on the command line and the members of the service in the table.
 /// Malformed member rows are skipped.
-async fn resolve_daemons(common: &Common, members: &Members) -> Result<Vec<SocketAddr>, CtlError> {
+async fn resolve_daemons(
+    common: &Common,
+    selection: &DaemonSelection,
+) -> Result<Vec<SocketAddr>, CtlError> {
     let mut daemons = common.daemons.clone();
-    if let Some(service) = &members.members_of {
+    if let Some(service) = &selection.members_of {
         let rows = platform_client(common)?.rows(&member_prefix(service)).await?;
         for row in rows.rows {
             let Ok(member) = serde_json::from_value::<MemberRow>(row.value) else { continue };
--- a/crates/yuccarackctl/src/logs/cause.rs
+++ b/crates/yuccarackctl/src/logs/cause.rs
@@ -16,7 +16,8 @@
     /// The call was answered successfully.
     None,
     /// The service had no capacity before the deadline of the caller.
-    Load,
+    #[serde(rename = "load")]
+    NoCapacity,
     /// The target responded with a failure.
     TargetFailed,
     /// The target closed the connection or sent no complete response.
@@ -26,7 +27,8 @@
     TargetShed,
     /// No response arrived before the deadline. A call that was answered slowly isn't a failure;
     /// the report counts it as `slow`.
-    TooSlow,
+    #[serde(rename = "too_slow")]
+    DeadlinePassed,
     /// The targets are draining or not ready yet.
     #[serde(rename = "target_away")]
     TargetUnavailable,
@@ -54,7 +56,7 @@
         let is_not_run = end.outcome.as_deref() == Some("not_run");
         match (end.reason.as_deref(), end.status) {
             // One gate without capacity decides, even if others were unreachable.
-            (Some(_), _) if is_not_run && has_gate_without_capacity(end) => Self::Load,
+            (Some(_), _) if is_not_run && has_gate_without_capacity(end) => Self::NoCapacity,
             (Some(reason), _) => Self::from_reason(reason),
             (None, Some(_)) => Self::TargetFailed,
             (None, None) => Self::Undetermined,
@@ -63,10 +65,10 @@
 
     fn from_reason(reason: &str) -> Self {
         match reason {
-            reason if NO_CAPACITY_REASONS.contains(&reason) => Self::Load,
+            reason if NO_CAPACITY_REASONS.contains(&reason) => Self::NoCapacity,
             "broken" | "target_died" => Self::TargetDisconnected,
             "shed" => Self::TargetShed,
-            "deadline_passed" => Self::TooSlow,
+            "deadline_passed" => Self::DeadlinePassed,
             "draining" | "leaving" | "not_ready" | "other_service" => Self::TargetUnavailable,
             "no_connection" | "unreachable" => Self::Unreachable,
             "no_target" => Self::NoTarget,
@@ -81,7 +83,7 @@
     pub fn explanation(self) -> &'static str {
         match self {
             Self::None => "the target answered the call.",
-            Self::Load => {
+            Self::NoCapacity => {
                 "the service had no capacity before the deadline: check running, limit and \
                  slowness of the gates, and whether targets were lost at that time."
             }
@@ -96,7 +98,7 @@
             Self::TargetShed => {
                 "the target rejected the request without running it: check the target."
             }
-            Self::TooSlow => {
+            Self::DeadlinePassed => {
                 "no response arrived before the deadline: the line of the gate has the time in its \
                  queue (queued_ms) and the total time at it (here_ms); if there is none, check the \
                  network and the daemon."
@@ -135,11 +137,11 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let name = match self {
             Self::None => "none",
-            Self::Load => "load",
+            Self::NoCapacity => "load",
             Self::TargetFailed => "target_failed",
             Self::TargetDisconnected => "target_broke",
             Self::TargetShed => "target_shed",
-            Self::TooSlow => "too_slow",
+            Self::DeadlinePassed => "too_slow",
             Self::TargetUnavailable => "target_away",
             Self::Unreachable => "unreachable",
             Self::NoTarget => "no_target",
--- a/crates/yuccarackctl/src/logs/request_trace.rs
+++ b/crates/yuccarackctl/src/logs/request_trace.rs
@@ -30,8 +30,8 @@
             .filter_map(|event| Some((event.instance.clone(), event.left_ms?)))
             .collect();
         let time_left_at = |gate: &str| {
-            let gate_entries = times_left.iter().filter(|(name, _)| name == gate);
-            gate_entries.map(|(_, left_ms)| *left_ms).min()
+            let times_at_gate = times_left.iter().filter(|(name, _)| name == gate);
+            times_at_gate.map(|(_, left_ms)| *left_ms).min()
         };
         self.events.sort_by_cached_key(|event| {
             let (left_ms, rank) = match event.event {
@@ -67,13 +67,13 @@
     /// a gate that lost the connection to its target with the request on it gives the cause.
     fn refined_cause(&self, end: &Event) -> Cause {
         let cause = Cause::from_end(end);
-        if cause != Cause::TooSlow {
+        if cause != Cause::DeadlinePassed {
             return cause;
         }
         let has_unknown_outcome = |event: &&Event| event.outcome.as_deref() == Some("unknown");
-        let gate_events =
+        let other_events =
             self.events.iter().filter(|event| !event.is_call_end()).filter(has_unknown_outcome);
-        gate_events
+        other_events
             .map(Cause::from_end)
             .find(|other| *other == Cause::TargetDisconnected)
             .unwrap_or(cause)
@@ -94,7 +94,7 @@
         let end = self.call_end()?;
         match self.cause() {
             // These concern the whole service, not one instance.
-            Cause::Load | Cause::NoTarget | Cause::CrashesTargets => return None,
+            Cause::NoCapacity | Cause::NoTarget | Cause::CrashesTargets => return None,
             Cause::NoRoute | Cause::Caller => return Some(&end.instance),
             _ => {}
         }
--- a/crates/yuccarackctl/src/options.rs
+++ b/crates/yuccarackctl/src/options.rs
@@ -132,7 +132,7 @@
         #[bpaf(external)]
         common: Common,
         #[bpaf(external)]
-        members: Members,
+        daemon_selection: DaemonSelection,
     },
     /// List the targets known to daemons
     #[bpaf(command)]
@@ -140,7 +140,7 @@
         #[bpaf(external)]
         common: Common,
         #[bpaf(external)]
-        members: Members,
+        daemon_selection: DaemonSelection,
     },
     /// Show the counters of daemons
     #[bpaf(command)]
@@ -148,7 +148,7 @@
         #[bpaf(external)]
         common: Common,
         #[bpaf(external)]
-        members: Members,
+        daemon_selection: DaemonSelection,
         /// Show only counters whose names start with this prefix
         #[bpaf(long, argument("TEXT"), fallback(String::new()))]
         prefix: String,
@@ -168,7 +168,7 @@
         #[bpaf(external)]
         common: Common,
         #[bpaf(external)]
-        members: Members,
+        daemon_selection: DaemonSelection,
         /// Log file of a daemon, plain or gzip, may be given several times
         #[bpaf(long, argument("FILE"))]
         logs: Vec<PathBuf>,
@@ -198,7 +198,7 @@
 
 /// Daemon selection:
 #[derive(Bpaf, Clone, Debug, PartialEq, Eq)]
-pub struct Members {
+pub struct DaemonSelection {
     /// Also query the daemons of all targets of this service, as listed in the platform's table
     #[bpaf(long, argument("SERVICE"), optional)]
     pub members_of: Option<ServiceName>,
--- a/crates/yuccarackd/src/coordination/control_components.rs
+++ b/crates/yuccarackd/src/coordination/control_components.rs
@@ -23,7 +23,7 @@
         byte_budget::ByteBudget, counters::Counters, directory::Directory, own_target::OwnTarget,
         reachability::Reachability, store_health::StoreHealth,
     },
-    transport::control_channel::ControlClient,
+    transport::control_channel::ControlChannelClient,
 };
 
 /// Components that the control tasks share.
@@ -67,7 +67,7 @@
         let gossip = Gossip::new(GossipDependencies {
             settings: Arc::clone(&settings),
             directory: directory.clone(),
-            client: ControlClient::new(budget.clone()),
+            client: ControlChannelClient::new(budget.clone()),
             budget,
             counters: counters.clone(),
             reconciler: reconciler.clone(),
--- a/crates/yuccarackd/src/coordination/control_plane.rs
+++ b/crates/yuccarackd/src/coordination/control_plane.rs
@@ -26,7 +26,7 @@
     },
     transport::{
         admin_server::{AdminServer, AdminState, Explain},
-        control_channel::ControlServer,
+        control_channel::ControlChannelServer,
     },
 };
 
@@ -96,7 +96,7 @@
             .map_err(ControlError::Thread)?;
         let budget = ByteBudget::new(counters.clone(), Instant::now());
         let address = settings.control_address;
-        let server = ControlServer::listen(address, budget.clone())
+        let server = ControlChannelServer::listen(address, budget.clone())
             .await
             .map_err(|source| ControlError::Listen { address, source })?;
         let admin_listener =
@@ -122,7 +122,7 @@
             store_health: store_health.clone(),
             draining: is_draining.clone(),
             explain,
-            hint: Arc::new(move || poll_requester.request_poll()),
+            request_poll: Arc::new(move || poll_requester.request_poll()),
         };
         let control_address = components.settings.control_address;
         let admin = AdminServer::start(admin_state, admin_listener).map_err(ControlError::Admin)?;
@@ -205,7 +205,7 @@
 /// to the kernel.
 fn with_bound_addresses(
     settings: &DaemonSettings,
-    server: &ControlServer,
+    server: &ControlChannelServer,
     admin: &TcpListener,
 ) -> Result<Arc<DaemonSettings>, ControlError> {
     let mut settings = settings.clone();
@@ -218,7 +218,7 @@
 fn run(
     runtime: Runtime,
     components: ControlComponents,
-    server: ControlServer,
+    server: ControlChannelServer,
     table_sync: TableSync,
     draining: watch::Receiver<bool>,
     outgoing_urgent_receiver: mpsc::Receiver<UrgentUpdate>,
--- a/crates/yuccarackd/src/coordination/gossip.rs
+++ b/crates/yuccarackd/src/coordination/gossip.rs
@@ -29,7 +29,7 @@
         directory::{Directory, ServiceView},
         reachability::Reachability,
     },
-    transport::control_channel::{ChannelError, ControlClient},
+    transport::control_channel::{ChannelError, ControlChannelClient},
 };
 
 /// Longest wait for the response of another daemon.
@@ -74,7 +74,7 @@
 struct Shared {
     settings: Arc<DaemonSettings>,
     directory: Directory,
-    client: ControlClient,
+    client: ControlChannelClient,
     budget: ByteBudget,
     counters: Counters,
     reconciler: Reconciler,
@@ -113,7 +113,7 @@
     /// Services and members that this daemon knows.
     pub directory: Directory,
     /// Client for requests to other daemons.
-    pub client: ControlClient,
+    pub client: ControlChannelClient,
     /// Limit of the bytes that exchanges may use.
     pub budget: ByteBudget,
     /// Counters of the daemon.
--- a/crates/yuccarackd/src/daemon/lifetimes.rs
+++ b/crates/yuccarackd/src/daemon/lifetimes.rs
@@ -19,9 +19,9 @@
     /// The daemon is draining. Callers should send their next call elsewhere: responses close their
     /// connections.
     pub leaving: CancellationToken,
-    /// The gate is draining. Other daemons should send their next request elsewhere: the gate refuses
-    /// them. Used for routed calls only; [`Daemon::stop`](super::Daemon::stop) calls the gate's
-    /// `drain` instead.
+    /// The gate is draining. Other daemons should send their next request elsewhere: the gate
+    /// refuses them. Used for routed calls only; [`Daemon::stop`](super::Daemon::stop) calls the
+    /// gate's `drain` instead.
     pub gate_leaving: CancellationToken,
     /// No call is accepted any more.
     pub calls: CancellationToken,
--- a/crates/yuccarackd/src/daemon/mod.rs
+++ b/crates/yuccarackd/src/daemon/mod.rs
@@ -107,8 +107,8 @@
         upstream.close_idle();
         stops.background.cancel();
         self.control.stop().await?;
-        // Waits even if calls were cut off, because outcomes of claims that have ended may still have
-        // to be written.
+        // Waits even if calls were cut off, because outcomes of claims that have ended may still
+        // have to be written.
         let background_ended =
             join_until(&tasks.background, Instant::now() + BACKGROUND_STOP_MAX).await;
         if !(calls_ended && gate_ended && background_ended) {
--- a/crates/yuccarackd/src/daemon/routed.rs
+++ b/crates/yuccarackd/src/daemon/routed.rs
@@ -1,6 +1,6 @@
 //! Start and graceful stop of a daemon for routed calls.
 
-mod wiring;
+mod assembly;
 
 use std::{path::Path, sync::Arc, time::Duration};
 
@@ -11,7 +11,7 @@
 };
 use yuccarack_config::routed_settings::RoutedSettings;
 
-use self::wiring::Wiring;
+use self::assembly::RoutedAssembly;
 use super::{
     DaemonError, join_until,
     lifetimes::{StopTokens, Tasks},
@@ -72,7 +72,7 @@
     calls: TcpListener,
     gate: TcpListener,
     /// Listener for the heartbeats of the target, on the `liveness_address` of the settings.
-    heartbeats: TcpListener,
+    liveness: TcpListener,
     readiness: TcpListener,
     metrics: TcpListener,
 }
@@ -87,7 +87,7 @@
         let listeners = Listeners {
             calls: listen(&mut settings.call_address).await?,
             gate: listen(&mut settings.gate_address).await?,
-            heartbeats: listen(&mut settings.liveness_address).await?,
+            liveness: listen(&mut settings.liveness_address).await?,
             readiness: listen(&mut settings.readiness_address).await?,
             metrics: listen(&mut settings.metrics_address).await?,
         };
@@ -95,7 +95,7 @@
         let tasks = Tasks::default();
         let upstream = Upstream::new(tasks.background.clone());
         let (routing, members) = (RoutingState::new(), Members::new());
-        let wiring = Wiring {
+        let assembly = RoutedAssembly {
             events: EventLog::new(logger, counters.clone(), settings.log_lines_percent),
             metrics: Metrics::new(counters.clone()),
             routing,
@@ -108,10 +108,10 @@
             stops: StopTokens::default(),
             settings: LiveSettings::new(settings),
         };
-        let gate = wiring.start_gate();
-        let (peers, publisher) = wiring.start_sync();
-        wiring.serve(listeners, &gate, peers);
-        let Wiring { settings, routing, events, upstream, tasks, stops, .. } = wiring;
+        let gate = assembly.start_gate();
+        let (peers, publisher) = assembly.start_sync();
+        assembly.serve(listeners, &gate, peers);
+        let RoutedAssembly { settings, routing, events, upstream, tasks, stops, .. } = assembly;
         let started = settings.current();
         events.write(|| Serving {
             service: started.service.clone(),
--- a/crates/yuccarackd/src/daemon/routed/wiring.rs
+++ b/crates/yuccarackd/src/daemon/routed/assembly.rs
@@ -48,7 +48,7 @@
 const FIRST_ROWS_DELAY: Duration = Duration::from_millis(2_500);
 
 /// Dependencies that the components share while they are built.
-pub(super) struct Wiring {
+pub(super) struct RoutedAssembly {
     pub(super) settings: LiveSettings,
     pub(super) events: EventLog,
     pub(super) counters: Counters,
@@ -62,7 +62,7 @@
     pub(super) stops: StopTokens,
 }
 
-impl Wiring {
+impl RoutedAssembly {
     pub(super) fn start_gate(&self) -> Arc<Gate> {
         let gate = Arc::new(Gate::new(GateParts {
             target: self.target.clone(),
@@ -290,7 +290,7 @@
             tasks.background.clone(),
             stops.background.clone(),
         ));
-        for listener in [listeners.heartbeats, listeners.readiness] {
+        for listener in [listeners.liveness, listeners.readiness] {
             let server = self.server(listener, "control");
             let (handler, stop) = (Arc::clone(&control), stops.background.clone());
             tasks.background.spawn(server.run(handler, tasks.background.clone(), stop));
--- a/crates/yuccarackd/src/transport/admin_server.rs
+++ b/crates/yuccarackd/src/transport/admin_server.rs
@@ -63,7 +63,7 @@
     /// Looks a request up in the call log.
     pub explain: Explain,
     /// Triggers an immediate poll of the store for all known services, on a request for `/hint`.
-    pub hint: Arc<dyn Fn() + Send + Sync>,
+    pub request_poll: Arc<dyn Fn() + Send + Sync>,
 }
 
 /// Running admin endpoint; [`AdminServer::stop`] ends it.
@@ -174,7 +174,7 @@
 }
 
 async fn hint(ctx: &Context<'_>) -> WebResponse {
-    (ctx.state().hint)();
+    (ctx.state().request_poll)();
     empty_response(StatusCode::NO_CONTENT)
 }
 
--- a/crates/yuccarackd/src/transport/call_server.rs
+++ b/crates/yuccarackd/src/transport/call_server.rs
@@ -18,7 +18,7 @@
 use tokio_util::{sync::CancellationToken, task::TaskTracker};
 
 use super::{
-    drained_body::DrainedBody,
+    discard_on_drop_body::DiscardOnDropBody,
     pipelining::{EarlyCalls, Pipeline, PipelinedStream, Turn},
 };
 use crate::{protocol::body::CallBody, state::counters::Counters};
@@ -160,7 +160,7 @@
             service_fn(move |request: Request<Incoming>| {
                 let expects_continue = request.headers().contains_key(header::EXPECT);
                 let request = request.map(|body| {
-                    DrainedBody::new(body, tracker.clone())
+                    DiscardOnDropBody::new(body, tracker.clone())
                         .with_expect_continue(expects_continue)
                         .boxed_unsync()
                 });
--- a/crates/yuccarackd/src/transport/control_channel.rs
+++ b/crates/yuccarackd/src/transport/control_channel.rs
@@ -71,13 +71,13 @@
 }
 
 /// Receives requests of other daemons and sends the responses.
-pub struct ControlServer {
+pub struct ControlChannelServer {
     socket: Arc<Socket<Rep0>>,
     address: SocketAddr,
     budget: ByteBudget,
 }
 
-impl ControlServer {
+impl ControlChannelServer {
     /// Listens on `address`.
     ///
     /// # Errors
@@ -142,12 +142,12 @@
 
 /// Sends requests to other daemons; clones share their connections.
 #[derive(Clone)]
-pub struct ControlClient {
+pub struct ControlChannelClient {
     pooled: Arc<Mutex<Vec<PooledConnection>>>,
     budget: ByteBudget,
 }
 
-impl ControlClient {
+impl ControlChannelClient {
     /// Creates a client without connections.
     pub fn new(budget: ByteBudget) -> Self {
         limit_threads();
--- a/crates/yuccarackd/src/transport/drained_body.rs
+++ b/crates/yuccarackd/src/transport/discard_on_drop_body.rs
@@ -16,26 +16,26 @@
 use crate::protocol::body::BodyError;
 
 /// Longest time for which the rest of a dropped body is read.
-const DRAIN_MAX: Duration = Duration::from_secs(5);
+const DISCARD_MAX: Duration = Duration::from_secs(5);
 
 /// Most bytes of a dropped body that are read and discarded.
-const DRAIN_MAX_BYTES: usize = 64 * 1024 * 1024;
+const DISCARD_MAX_BYTES: usize = 64 * 1024 * 1024;
 
 /// Request body whose rest is read and discarded when it is dropped before its end.
 ///
 /// When a gate refuses an upload whose body is still arriving, the server closes a connection with
 /// unread bytes. The kernel then resets it, and the reset overtakes the refusal: the entry sees a
-/// broken connection and has to report `unknown` for a request that did not run. Discarding the rest
-/// leaves nothing unread when the connection closes.
+/// broken connection and has to report `unknown` for a request that did not run. Discarding the
+/// rest leaves nothing unread when the connection closes.
 #[derive(Debug)]
-pub struct DrainedBody {
+pub struct DiscardOnDropBody {
     body: Option<Incoming>,
     /// Whether the sender waits for `100 Continue`, which hyper sends on the first read.
     expects_continue: bool,
     tracker: TaskTracker,
 }
 
-impl DrainedBody {
+impl DiscardOnDropBody {
     /// Wraps `body`; a task under `tracker` discards its rest if it is dropped before its end.
     pub fn new(body: Incoming, tracker: TaskTracker) -> Self {
         Self { body: Some(body), expects_continue: false, tracker }
@@ -49,7 +49,7 @@
     }
 }
 
-impl Body for DrainedBody {
+impl Body for DiscardOnDropBody {
     type Data = Bytes;
     type Error = BodyError;
 
@@ -73,25 +73,25 @@
     }
 }
 
-impl Drop for DrainedBody {
+impl Drop for DiscardOnDropBody {
     fn drop(&mut self) {
         let expects_continue = self.expects_continue;
         let unread = self.body.take().filter(|body| !body.is_end_stream() && !expects_continue);
         // Without a runtime the process is exiting, and its connections close with it.
         if let (Some(body), Ok(runtime)) = (unread, Handle::try_current()) {
-            self.tracker.spawn_on(drain(body), &runtime);
+            self.tracker.spawn_on(discard(body), &runtime);
         }
     }
 }
 
-async fn drain(body: Incoming) {
+async fn discard(body: Incoming) {
     // After the timeout the sender is deliberately slow or has vanished, and the connection may be
     // reset.
-    let _ = timeout(DRAIN_MAX, discard(body)).await;
+    let _ = timeout(DISCARD_MAX, read_to_end(body)).await;
 }
 
-async fn discard(mut body: Incoming) {
-    let mut remaining_bytes = DRAIN_MAX_BYTES;
+async fn read_to_end(mut body: Incoming) {
+    let mut remaining_bytes = DISCARD_MAX_BYTES;
     while let Some(Ok(frame)) = body.frame().await {
         let read = frame.data_ref().map_or(0, Bytes::len);
         if read > remaining_bytes {
--- a/crates/yuccarackd/src/transport/mod.rs
+++ b/crates/yuccarackd/src/transport/mod.rs
@@ -5,7 +5,7 @@
 pub mod connection;
 pub mod control_channel;
 pub mod counted_stream;
-pub mod drained_body;
+pub mod discard_on_drop_body;
 pub mod load_probe;
 pub mod pipelining;
 pub mod tcp_probe;
--- a/crates/yuccarackd/src/transport/pipelining/pipeline.rs
+++ b/crates/yuccarackd/src/transport/pipelining/pipeline.rs
@@ -150,19 +150,19 @@
 }
 
 /// Response body that keeps its request marked as in progress until hyper has sent or dropped it.
-pub struct TurnBody {
+pub struct GuardedBody {
     body: CallBody,
     _guard: ResponseGuard,
 }
 
 impl ResponseGuard {
     /// Attaches the guard to `body`, so that it lasts until the body has been sent or dropped.
-    pub fn hold_until_sent(self, body: CallBody) -> TurnBody {
-        TurnBody { body, _guard: self }
+    pub fn hold_until_sent(self, body: CallBody) -> GuardedBody {
+        GuardedBody { body, _guard: self }
     }
 }
 
-impl Body for TurnBody {
+impl Body for GuardedBody {
     type Data = Bytes;
     type Error = BodyError;
 
--- a/crates/yuccarackd/tests/routed/explained.rs
+++ b/crates/yuccarackd/tests/routed/explained.rs
@@ -62,7 +62,8 @@
         let fill = many("fill", read);
         let full = async {
             sleep(LONG_SERVICE_TIME / 4).await;
-            self.collect_failures(Cause::Load, |id| Call { deadline_ms: 700, ..order(id) }).await;
+            self.collect_failures(Cause::NoCapacity, |id| Call { deadline_ms: 700, ..order(id) })
+                .await;
         };
         tokio::join!(fill, full);
     }
@@ -111,7 +112,9 @@
     injected.behave(Behaviour::Shed);
     injected.collect_failures(Cause::TargetShed, order).await;
     injected.behave(Behaviour::Hang);
-    injected.collect_failures(Cause::TooSlow, |id| Call { deadline_ms: 300, ..order(id) }).await;
+    injected
+        .collect_failures(Cause::DeadlinePassed, |id| Call { deadline_ms: 300, ..order(id) })
+        .await;
     for instance in &mut injected.deployment.instances {
         instance.stop_heartbeats();
         instance.send_heartbeat("draining").await;
