--- a/crates/yuccarack_player/src/main.rs
+++ b/crates/yuccarack_player/src/main.rs
@@ -12,7 +12,7 @@
 use thiserror::Error;
 use yuccarack_player::{Policy, Scenario, Summary, Tally, play, scenarios};
 
-/// Simulates load scenarios and compares the decisions with baseline policies.
+/// Simulates load scenarios and compares the project's policies with baseline policies.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options)]
 struct Options {
@@ -27,10 +27,11 @@
     /// Only this fleet: hok_read, hok_order, kem_read, kem_order or hundred.
     fleet: Option<String>,
     /// Only this scenario.
-    story: Option<String>,
+    #[bpaf(long("story"))]
+    scenario: Option<String>,
     /// Only this policy.
     policy: Option<String>,
-    /// Play the chain of services against the decisions on routed calls instead.
+    /// Play the scenarios of a chain of services, with the policies for routed calls, instead.
     chain: bool,
 }
 
@@ -67,7 +68,7 @@
             continue;
         }
         for scenario in scenarios::all(fleet) {
-            if is_selected(&options.story, scenario.name) {
+            if is_selected(&options.scenario, scenario.name) {
                 play_scenario(options, &scenario, services, &mut out)?;
             }
         }
@@ -139,7 +140,7 @@
         out,
         "{:9} {:16} {:15} {:8} {:6.2} {:7.1} {:7.1} {:7.1} {:7.1} {:6.2} {:6.2} {:6.2} {:6.2} {:6.2} {:7.0} {:6.1} {:8.0}",
         row.fleet,
-        row.story,
+        row.scenario,
         row.policy,
         row.offered,
         row.in_time_percent,
--- a/crates/yuccarack_player/src/routed/chain.rs
+++ b/crates/yuccarack_player/src/routed/chain.rs
@@ -18,8 +18,8 @@
 
 use super::{
     Policy,
-    credit::Credit,
-    load::{COLD_RATE_PER_S, DOMAINS, Load, REQUEST_KINDS, SERVICES, SLOTS, TARGETS},
+    credit::EarnedValue,
+    load::{COLD_RATE_PER_S, ChainScenario, DOMAINS, REQUEST_KINDS, SERVICES, SLOTS, TARGETS},
     queue::{Queue, RequestId},
 };
 use crate::clock::Clock;
@@ -121,7 +121,7 @@
 }
 
 struct Chain {
-    load: Load,
+    scenario: ChainScenario,
     policy: Policy,
     rng: SmallRng,
     clock: Clock<Event>,
@@ -130,20 +130,20 @@
     gates_by_service: Vec<Vec<usize>>,
     entries: Vec<Entry>,
     requests: Vec<Request>,
-    credit: Credit,
+    earned_value: EarnedValue,
 }
 
-/// Plays `load` under `policy`; equal seeds give equal runs.
-pub fn play_chain(load: &Load, policy: Policy, seed: u64) -> Credit {
-    let mut chain = Chain::new(*load, policy, seed);
+/// Plays `scenario` under `policy`; equal seeds give equal runs.
+pub fn play_chain(scenario: &ChainScenario, policy: Policy, seed: u64) -> EarnedValue {
+    let mut chain = Chain::new(*scenario, policy, seed);
     while let Some(event) = chain.clock.next() {
         chain.handle(event);
     }
-    chain.credit
+    chain.earned_value
 }
 
 impl Chain {
-    fn new(load: Load, policy: Policy, seed: u64) -> Self {
+    fn new(scenario: ChainScenario, policy: Policy, seed: u64) -> Self {
         let clock = Clock::new();
         let (mut gates, mut gates_by_service) = (Vec::new(), vec![Vec::new(); SERVICES]);
         for (service, targets) in TARGETS.into_iter().enumerate() {
@@ -175,7 +175,7 @@
         };
         let entries = (0..gates.len()).map(entry).collect();
         let mut chain = Self {
-            load,
+            scenario,
             policy,
             rng: SmallRng::seed_from_u64(seed),
             started_at: clock.now(),
@@ -184,7 +184,7 @@
             gates_by_service,
             entries,
             requests: Vec::new(),
-            credit: Credit::default(),
+            earned_value: EarnedValue::default(),
         };
         let caller_kinds =
             REQUEST_KINDS.iter().enumerate().filter(|(_, kind)| kind.rate_per_s > 0.0);
@@ -226,7 +226,7 @@
         let is_slow = self.rng.random_bool(SLOW_SHARE);
         self.gates[gate].slowdown =
             if is_slow { SLOW_FACTOR } else { self.rng.random_range(1.0..1.3) };
-        if self.clock.elapsed() < self.load.duration {
+        if self.clock.elapsed() < self.scenario.duration {
             let interval = SLOWDOWN_INTERVAL.mul_f64(self.rng.random_range(0.5..1.5));
             self.clock.schedule_after(interval, Event::SlowdownChange(gate));
         }
@@ -234,11 +234,11 @@
 
     fn start_faults(&mut self) {
         for (service, gates) in self.gates_by_service.clone().into_iter().enumerate() {
-            for &gate in gates.iter().take(self.load.cold_targets) {
+            for &gate in gates.iter().take(self.scenario.cold_targets) {
                 self.set_cold(gate);
             }
             if service > 0 {
-                for &gate in gates.iter().take(self.load.lost_targets) {
+                for &gate in gates.iter().take(self.scenario.lost_targets) {
                     self.gates[gate].is_down = true;
                 }
             }
@@ -250,7 +250,7 @@
         let cold_until = self.clock.now() + COLD_DURATION;
         self.gates[gate].cold_until = Some(cold_until);
         self.gates[gate].cold_runs.clear();
-        if self.load.crash_threshold.is_some() {
+        if self.scenario.crash_threshold.is_some() {
             // Exactly that rate per second: no excess, and no further requests.
             let bound = ColdBound::new(COLD_RATE_PER_S * 1_000, 100, 0);
             self.gates[gate].queue.set_cold_until(cold_until, bound);
@@ -265,7 +265,7 @@
             return;
         }
         state.queue.set_warm(now);
-        if self.clock.elapsed() < self.load.duration {
+        if self.clock.elapsed() < self.scenario.duration {
             self.clock.schedule_after(HEALTH_CHECK_INTERVAL, Event::HealthCheck(gate));
         }
     }
@@ -274,7 +274,7 @@
     fn record_cold_run(&mut self, gate: usize) -> bool {
         let now = self.clock.now();
         let state = &mut self.gates[gate];
-        let Some(threshold) = self.load.crash_threshold else { return false };
+        let Some(threshold) = self.scenario.crash_threshold else { return false };
         if state.cold_until.is_none_or(|until| until <= now) {
             return false;
         }
--- a/crates/yuccarack_player/src/routed/chain/calls.rs
+++ b/crates/yuccarack_player/src/routed/chain/calls.rs
@@ -12,10 +12,10 @@
 impl Chain {
     pub(super) fn arrive(&mut self, kind: usize) {
         let elapsed = self.clock.elapsed();
-        if elapsed >= self.load.duration {
+        if elapsed >= self.scenario.duration {
             return;
         }
-        let factor = match self.load.burst {
+        let factor = match self.scenario.burst {
             Some((factor, from, until)) => {
                 let offset = Duration::from_micros((elapsed.as_micros() % 10_000_000) as u64);
                 if (from..until).contains(&offset) { factor } else { 1.0 }
@@ -27,7 +27,7 @@
         self.clock.schedule_after(Duration::from_secs_f64(gap), Event::Arrive(kind));
         let now = self.clock.now();
         let entry = self.rng.random_range(0..self.entries.len());
-        let has_immediate_retries = self.rng.random_bool(self.load.immediate_retry_share);
+        let has_immediate_retries = self.rng.random_bool(self.scenario.immediate_retry_share);
         let retries_left = if has_immediate_retries { IMMEDIATE_RETRIES } else { DELAYED_RETRIES };
         let deadline = now + REQUEST_KINDS[kind].deadline;
         self.start_request(Request {
@@ -160,7 +160,7 @@
         }
         let now = self.clock.now();
         if self.requests[request_id].is_running {
-            self.credit.wasted_runs += 1;
+            self.earned_value.wasted_runs += 1;
             self.release_slot(request_id, WorkOutcome::Aborted);
         } else if let Some((gate, _)) = self.requests[request_id].gate {
             let decisions = self.gates[gate].queue.cancel(now, request_id);
@@ -189,7 +189,7 @@
                     self.clock.schedule_after(Duration::ZERO, Event::StartWork(parent))
                 }
                 RequestOutcome::Refused | RequestOutcome::Failed => {
-                    self.credit.wasted_runs += 1;
+                    self.earned_value.wasted_runs += 1;
                     self.handle_run_end(parent, false);
                 }
             }
@@ -214,6 +214,6 @@
             return self.clock.schedule_after(wait, Event::Attempt(request_id));
         }
         let (kind, arrived_at) = (request.kind, request.arrived_at);
-        self.credit.record(kind, arrived_at - self.started_at, outcome);
+        self.earned_value.record(kind, arrived_at - self.started_at, outcome);
     }
 }
--- a/crates/yuccarack_player/src/routed/chain/runs.rs
+++ b/crates/yuccarack_player/src/routed/chain/runs.rs
@@ -59,7 +59,7 @@
         let Some((gate, _)) = self.requests[request_id].gate else { return };
         self.requests[request_id].is_running = true;
         self.gates[gate].running += 1;
-        self.credit.runs += 1;
+        self.earned_value.runs += 1;
         if self.record_cold_run(gate) {
             return self.crash(gate);
         }
--- a/crates/yuccarack_player/src/routed/credit.rs
+++ b/crates/yuccarack_player/src/routed/credit.rs
@@ -20,9 +20,9 @@
     pub failed: u64,
 }
 
-/// Value earned with one load under one policy; a response earns value by its kind and time.
+/// Value earned in one scenario under one policy; a response earns value by its kind and time.
 #[derive(Clone, Debug, Default)]
-pub struct Credit {
+pub struct EarnedValue {
     /// Outcomes by request kind.
     pub outcomes: [OutcomeCounts; REQUEST_KINDS.len()],
     /// Earned and attainable value of the requests that arrived in each window.
@@ -44,7 +44,7 @@
     Failed,
 }
 
-impl Credit {
+impl EarnedValue {
     /// Records the outcome of a request that arrived `at` after the start.
     pub fn record(&mut self, kind: usize, at: Duration, outcome: RequestOutcome) {
         let RequestKind { soft_deadline, value, .. } = REQUEST_KINDS[kind];
--- a/crates/yuccarack_player/src/routed/load.rs
+++ b/crates/yuccarack_player/src/routed/load.rs
@@ -105,7 +105,7 @@
 
 /// A scenario on the chain: the load and the faults during it.
 #[derive(Clone, Copy, Debug)]
-pub struct Load {
+pub struct ChainScenario {
     /// Name in tables.
     pub name: &'static str,
     /// Time in which requests arrive.
@@ -123,7 +123,7 @@
     pub crash_threshold: Option<usize>,
 }
 
-const CALM: Load = Load {
+const CALM: ChainScenario = ChainScenario {
     name: "calm",
     duration: ms(20_000),
     burst: None,
@@ -133,25 +133,26 @@
     crash_threshold: None,
 };
 
-/// Requests per second that a cold target runs without crashing, if the load has a crash threshold.
+/// Requests per second that a cold target runs without crashing, if the scenario has a crash
+/// threshold.
 pub const COLD_RATE_PER_S: u32 = 7;
 
-/// All loads. In each of them, targets slow down at random and when their slots are nearly full.
-pub const LOADS: [Load; 8] = [
+/// All scenarios. In each, targets slow down at random and when their slots are nearly full.
+pub const SCENARIOS: [ChainScenario; 8] = [
     CALM,
-    Load { name: "burst 1.4", burst: Some((1.4, ms(3_000), ms(8_000))), ..CALM },
-    Load { name: "burst 2.0", burst: Some((2.0, ms(3_000), ms(5_000))), ..CALM },
-    Load { name: "saturated", burst: Some((2.0, ms(0), ms(10_000))), ..CALM },
+    ChainScenario { name: "burst 1.4", burst: Some((1.4, ms(3_000), ms(8_000))), ..CALM },
+    ChainScenario { name: "burst 2.0", burst: Some((2.0, ms(3_000), ms(5_000))), ..CALM },
+    ChainScenario { name: "saturated", burst: Some((2.0, ms(0), ms(10_000))), ..CALM },
     // Some callers retry a refused request at once, earlier than they are asked to.
-    Load {
+    ChainScenario {
         name: "early",
         burst: Some((1.6, ms(2_000), ms(7_000))),
         immediate_retry_share: 0.4,
         ..CALM
     },
-    Load { name: "cold", cold_targets: 2, ..CALM },
-    Load { name: "lost", lost_targets: 1, ..CALM },
-    Load {
+    ChainScenario { name: "cold", cold_targets: 2, ..CALM },
+    ChainScenario { name: "lost", lost_targets: 1, ..CALM },
+    ChainScenario {
         name: "all cold",
         cold_targets: 6,
         crash_threshold: Some(COLD_RATE_PER_S as usize + 1),
--- a/crates/yuccarack_player/src/routed/mod.rs
+++ b/crates/yuccarack_player/src/routed/mod.rs
@@ -11,8 +11,8 @@
 
 pub use self::{
     chain::play_chain,
-    credit::{Credit, OutcomeCounts, RequestOutcome},
-    load::{LOADS, Load, REQUEST_KINDS},
+    credit::{EarnedValue, OutcomeCounts, RequestOutcome},
+    load::{ChainScenario, REQUEST_KINDS, SCENARIOS},
 };
 
 /// Queueing and placement policy.
--- a/crates/yuccarack_player/src/tally.rs
+++ b/crates/yuccarack_player/src/tally.rs
@@ -55,7 +55,8 @@
     /// Name of the fleet.
     pub fleet: &'static str,
     /// Name of the scenario.
-    pub story: &'static str,
+    #[serde(rename = "story")]
+    pub scenario: &'static str,
     /// Name of the policy.
     pub policy: &'static str,
     /// Calls offered.
@@ -186,7 +187,7 @@
     pub fn summary(
         &self,
         fleet: &'static str,
-        story: &'static str,
+        scenario: &'static str,
         policy: &'static str,
     ) -> Summary {
         let percent = |count| 100.0 * share(count, self.offered);
@@ -196,7 +197,7 @@
         let polling_bytes = polls_per_pair_s * POLL_BYTES as f64 * self.pair_s;
         Summary {
             fleet,
-            story,
+            scenario,
             policy,
             offered: self.offered,
             in_time_percent: 100.0 * self.in_time(),
