--- a/crates/yuccarackd/src/state/routed/members.rs
+++ b/crates/yuccarackd/src/state/routed/members.rs
@@ -1,4 +1,4 @@
-//! All instances and what they serve.
+//! Membership table: all instances and the services that they serve.
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc};
 
@@ -6,9 +6,9 @@
 use tokio::sync::watch;
 use yuccarack_config::ids::{InstanceId, Revision};
 
-use crate::protocol::peer_news::{DatedMember, RoutedMember};
+use crate::protocol::peer_update::{RoutedMember, VersionedMember};
 
-/// All instances and what they serve; clones share it.
+/// All instances and the services that they serve; clones share the table.
 #[derive(Clone, Debug, Default)]
 pub struct Members {
     inner: Arc<Inner>,
@@ -18,175 +18,179 @@
 struct Inner {
     table: RwLock<Table>,
     generation: watch::Sender<u64>,
-    /// Whether the whole table has been read once.
-    is_read: watch::Sender<bool>,
+    /// Whether the full table has been read once.
+    is_loaded: watch::Sender<bool>,
 }
 
-/// The rows, and who is at each gate's address.
+/// The rows, and the instance at each gate address.
 #[derive(Debug, Default)]
 struct Table {
-    known: HashMap<InstanceId, Known>,
-    /// The latest one of the instances whose rows name an address.
+    rows: HashMap<InstanceId, TableRow>,
+    /// The instance with the latest row among those whose rows name the address.
     ///
-    /// Failure: an instance is lost, another one of a different service gets its address, and the row of
-    /// the lost one stands. All that is sent by that row is refused by the other one's gate.
+    /// Guards against an instance that is lost while its row remains, and whose address is then
+    /// assigned to an instance of another service. The gate there would refuse all requests sent by
+    /// the old row.
     at_address: HashMap<SocketAddr, InstanceId>,
 }
 
-/// What is known of an instance, and the revision that says so.
+/// Row of an instance and its revision; no member after the removal of the row.
 #[derive(Clone, Debug)]
-struct Known {
+struct TableRow {
     revision: Revision,
     member: Option<Arc<RoutedMember>>,
 }
 
 impl Members {
-    /// Starts without any.
+    /// Starts without members.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Rises with each change.
+    /// Returns a number that rises with each change.
     pub fn generation(&self) -> u64 {
         *self.inner.generation.borrow()
     }
 
-    /// Takes a row in unless a newer one is known; none means that the row has gone.
+    /// Applies a row unless a newer one is known; `None` stands for a removed row. Returns whether
+    /// it was applied.
     pub fn merge(&self, instance: &str, revision: Revision, member: Option<RoutedMember>) -> bool {
         let mut table = self.inner.table.write();
-        if table.known.get(instance).is_some_and(|known| known.revision >= revision) {
+        if table.rows.get(instance).is_some_and(|row| row.revision >= revision) {
             return false;
         }
-        table.set(instance, Known { revision, member: member.map(Arc::new) });
+        table.set(instance, TableRow { revision, member: member.map(Arc::new) });
         drop(table);
         self.inner.generation.send_modify(|generation| *generation += 1);
         true
     }
 
-    /// Drops whoever isn't among `listed` of a whole reading of the table at `revision`.
+    /// Removes the members that are missing from `listed`, a full listing of the table at
+    /// `revision`.
     pub fn drop_unlisted(&self, revision: Revision, listed: &[InstanceId]) {
         let mut table = self.inner.table.write();
-        let is_gone = |instance: &InstanceId, known: &Known| {
-            known.member.is_some() && known.revision <= revision && !listed.contains(instance)
+        let is_removed = |instance: &InstanceId, row: &TableRow| {
+            row.member.is_some() && row.revision <= revision && !listed.contains(instance)
         };
-        let gone: Vec<InstanceId> = table
-            .known
+        let removed: Vec<InstanceId> = table
+            .rows
             .iter()
-            .filter(|(instance, known)| is_gone(instance, known))
+            .filter(|(instance, row)| is_removed(instance, row))
             .map(|(instance, _)| instance.clone())
             .collect();
-        for instance in &gone {
-            table.set(instance, Known { revision, member: None });
+        for instance in &removed {
+            table.set(instance, TableRow { revision, member: None });
         }
         drop(table);
-        if !gone.is_empty() {
+        if !removed.is_empty() {
             self.inner.generation.send_modify(|generation| *generation += 1);
         }
     }
 
-    /// Notes that the whole table has been read.
-    pub fn set_read(&self) {
-        self.inner.is_read.send_replace(true);
+    /// Notes that the full table has been read.
+    pub fn mark_loaded(&self) {
+        self.inner.is_loaded.send_replace(true);
     }
 
-    /// Waits until the whole table has been read once.
-    pub async fn wait_read(&self) {
-        // The sender lives as long as these members.
-        let _ = self.inner.is_read.subscribe().wait_for(|is_read| *is_read).await;
+    /// Waits until the full table has been read once.
+    pub async fn wait_loaded(&self) {
+        // The sender lives as long as `self`, so this can't fail.
+        let _ = self.inner.is_loaded.subscribe().wait_for(|is_loaded| *is_loaded).await;
     }
 
-    /// The row of `instance`, with its revision; 0 without one.
+    /// Returns the row of `instance` and its revision; 0 and `None` without a row.
     pub fn row(&self, instance: &str) -> (Revision, Option<Arc<RoutedMember>>) {
         let table = self.inner.table.read();
-        match table.known.get(instance) {
-            Some(Known { revision, member: Some(member) }) => (*revision, Some(member.clone())),
+        match table.rows.get(instance) {
+            Some(TableRow { revision, member: Some(member) }) => (*revision, Some(member.clone())),
             _ => (0, None),
         }
     }
 
-    /// Those that serve `service`.
+    /// Returns the members that serve `service`.
     pub fn of_service(&self, service: &str) -> Vec<Arc<RoutedMember>> {
         let serves = |member: &Arc<RoutedMember>| member.service.as_deref() == Some(service);
         self.all().into_iter().filter(serves).collect()
     }
 
-    /// All that are there, without those whose address another one has got since.
+    /// Returns all members, except those whose address belongs to another instance by a later row.
     pub fn all(&self) -> Vec<Arc<RoutedMember>> {
         self.inner.table.read().present().cloned().collect()
     }
 
-    /// How many are there.
+    /// Returns the number of members.
     pub fn count(&self) -> usize {
         self.inner.table.read().present().count()
     }
 
-    /// Instances other than `own` whose rows name the address of its gate, and the revisions of those.
-    pub fn others_at(&self, address: SocketAddr, own: &str) -> Vec<(InstanceId, Revision)> {
+    /// Returns the instances other than `own` whose rows name the gate address `address`, with the
+    /// revisions of the rows.
+    pub fn others_at_address(&self, address: SocketAddr, own: &str) -> Vec<(InstanceId, Revision)> {
         let table = self.inner.table.read();
-        let is_there = |known: &Known| {
-            known.member.as_ref().is_some_and(|member| member.gate_address == address)
+        let is_at_address = |row: &TableRow| {
+            row.member.as_ref().is_some_and(|member| member.gate_address == address)
         };
-        let others = table.known.iter().filter(|(instance, _)| *instance != own);
-        let there = others.filter(|(_, known)| is_there(known));
-        there.map(|(instance, known)| (instance.clone(), known.revision)).collect()
+        let others = table.rows.iter().filter(|(instance, _)| *instance != own);
+        let matching = others.filter(|(_, row)| is_at_address(row));
+        matching.map(|(instance, row)| (instance.clone(), row.revision)).collect()
     }
 
-    /// How many of them say what they serve.
-    pub fn serving(&self) -> usize {
+    /// Returns the number of members that have a service.
+    pub fn serving_count(&self) -> usize {
         self.all().iter().filter(|member| member.service.is_some()).count()
     }
 
-    /// All rows that changed after `revision`, as another daemon is told.
-    pub fn changed_after(&self, revision: Revision) -> Vec<DatedMember> {
+    /// Returns all rows that changed after `revision`, as sent to other daemons.
+    pub fn changed_after(&self, revision: Revision) -> Vec<VersionedMember> {
         let table = self.inner.table.read();
-        let changed = table.known.iter().filter(|(_, known)| known.revision > revision);
-        let dated = changed.map(|(instance, known)| DatedMember {
+        let changed = table.rows.iter().filter(|(_, row)| row.revision > revision);
+        let versioned = changed.map(|(instance, row)| VersionedMember {
             instance: instance.clone(),
-            revision: known.revision,
-            member: known.member.as_deref().cloned(),
+            revision: row.revision,
+            member: row.member.as_deref().cloned(),
         });
-        dated.collect()
+        versioned.collect()
     }
 
-    /// Tells of each change.
+    /// Subscribes to changes of the generation.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.inner.generation.subscribe()
     }
 }
 
 impl Table {
-    fn set(&mut self, instance: &str, known: Known) {
-        let new_address = known.member.as_ref().map(|member| member.gate_address);
-        let revision = known.revision;
-        let old = self.known.insert(instance.to_owned(), known);
+    fn set(&mut self, instance: &str, row: TableRow) {
+        let new_address = row.member.as_ref().map(|member| member.gate_address);
+        let revision = row.revision;
+        let old = self.rows.insert(instance.to_owned(), row);
         let old_address = old.and_then(|old| old.member).map(|member| member.gate_address);
         if let Some(address) = old_address.filter(|address| Some(*address) != new_address)
-            && self.at_address.get(&address).is_some_and(|there| there == instance)
+            && self.at_address.get(&address).is_some_and(|occupant| occupant == instance)
         {
             self.find_latest_at(address);
         }
         let Some(address) = new_address else { return };
-        let there = self.at_address.get(&address).and_then(|there| self.known.get(there));
-        if there.is_none_or(|there| there.revision <= revision) {
+        let occupant = self.at_address.get(&address).and_then(|occupant| self.rows.get(occupant));
+        if occupant.is_none_or(|occupant| occupant.revision <= revision) {
             self.at_address.insert(address, instance.to_owned());
         }
     }
 
     fn find_latest_at(&mut self, address: SocketAddr) {
-        let is_there = |known: &Known| {
-            known.member.as_ref().is_some_and(|member| member.gate_address == address)
+        let is_at_address = |row: &TableRow| {
+            row.member.as_ref().is_some_and(|member| member.gate_address == address)
         };
-        let there = self.known.iter().filter(|(_, known)| is_there(known));
-        match there.max_by_key(|(_, known)| known.revision) {
+        let matching = self.rows.iter().filter(|(_, row)| is_at_address(row));
+        match matching.max_by_key(|(_, row)| row.revision) {
             Some((instance, _)) => self.at_address.insert(address, instance.clone()),
             None => self.at_address.remove(&address),
         };
     }
 
     fn present(&self) -> impl Iterator<Item = &Arc<RoutedMember>> {
-        let members = self.known.values().filter_map(|known| known.member.as_ref());
+        let members = self.rows.values().filter_map(|row| row.member.as_ref());
         members.filter(|member| {
-            self.at_address.get(&member.gate_address).is_none_or(|there| *there == member.instance)
+            self.at_address.get(&member.gate_address).is_none_or(|found| *found == member.instance)
         })
     }
 }
--- a/crates/yuccarackd/src/state/routed/target.rs
+++ b/crates/yuccarackd/src/state/routed/target.rs
@@ -1,4 +1,4 @@
-//! The target on this instance, by what it says of itself.
+//! State of the target on this instance, by its heartbeats and leave notices.
 
 use std::{
     net::SocketAddr,
@@ -9,7 +9,7 @@
 use parking_lot::Mutex;
 use tokio::sync::watch;
 use yuccarack_config::{
-    heartbeat::{Heartbeat, Leave, TargetId, TargetLife, TargetPhase},
+    heartbeat::{Heartbeat, Leave, TargetId, TargetIncarnation, TargetPhase},
     ids::ServiceName,
 };
 
@@ -22,124 +22,130 @@
 
 #[derive(Debug, Default)]
 struct State {
-    /// Life and name of the latest process that was heard of.
-    latest: Option<(TargetLife, TargetId)>,
-    /// Highest number of a heartbeat of that process.
+    /// Incarnation and id of the latest accepted process.
+    latest: Option<(TargetIncarnation, TargetId)>,
+    /// Highest sequence number among the heartbeats of that process.
     sequence: u64,
-    /// Whether that process said that it leaves; it doesn't come back.
+    /// Whether that process sent its leave notice; it never becomes ready again.
     has_left: bool,
-    /// When that process was heard of last.
-    heard_at: Option<Instant>,
-    /// A process that seems to be an older one and goes on speaking.
-    claimant: Option<Claimant>,
-    departed: Option<Departed>,
-    /// Whether it is known, as far as it can be, what an earlier process of this daemon was told.
-    is_settled: bool,
+    /// Time of its latest heartbeat.
+    last_heartbeat_at: Option<Instant>,
+    /// A process with an earlier start that keeps sending heartbeats.
+    candidate: Option<CandidateProcess>,
+    departed: Option<DepartedTarget>,
+    /// Whether the leave notices to earlier processes of this daemon are known as far as possible.
+    is_restored: bool,
 }
 
-/// A target that said that it leaves, to this process or to an earlier one of this daemon.
+/// A target that sent its leave notice to this process or to an earlier one of this daemon.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Departed {
-    /// Its name.
+pub struct DepartedTarget {
+    /// Id of the target.
     pub target: TargetId,
-    /// Processes that started up to then are gone; target and daemon share their machine's clock.
-    pub last_life: TargetLife,
+    /// Latest start of a process that counts as exited. Target and daemon share the clock of their
+    /// machine.
+    pub last_incarnation: TargetIncarnation,
 }
 
-/// A process whose start seems to lie before that of the known one.
+/// A process whose start seems to precede that of the latest accepted process.
 #[derive(Debug)]
-struct Claimant {
-    life: TargetLife,
+struct CandidateProcess {
+    incarnation: TargetIncarnation,
     target: TargetId,
     sequence: u64,
-    /// Heartbeats of it, each newer than the one before.
-    heard: u32,
+    /// Number of its heartbeats, each newer than the one before.
+    heartbeats: u32,
 }
 
-/// Heartbeats of a process with an earlier start after which it is believed to live.
+/// Heartbeats after which a process with an earlier start is accepted as the running one.
 ///
-/// Heartbeats that were held up come in a burst and end; those of a living process go on.
-const CLAIMS_MIN: u32 = 3;
+/// Delayed heartbeats arrive in a burst that ends; a running process keeps sending them.
+const CANDIDATE_HEARTBEATS_MIN: u32 = 3;
 
-/// Silence of the known process after which another with an earlier start may be believed: three
-/// heartbeats of today's targets.
+/// Silence of the accepted process after which one with an earlier start may replace it: three
+/// heartbeat intervals of current targets.
 const SILENCE_MIN: Duration = Duration::from_millis(4_500);
 
-/// Time by which two heartbeats may differ in the end of one cold time, for their time on the way.
+/// Largest difference between two heartbeats in the end of the same cold period, due to their
+/// transit times.
 const COLD_JITTER: Duration = Duration::from_millis(250);
 
-/// The target as it stands.
+/// Current view of the target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetView {
-    /// Its name.
+    /// Id of the target.
     pub target: TargetId,
-    /// Its process.
-    pub life: TargetLife,
-    /// Service that it serves.
+    /// Incarnation of its process.
+    pub incarnation: TargetIncarnation,
+    /// Service that the target serves.
     pub service: ServiceName,
-    /// Where it takes requests.
+    /// Address on which the target accepts requests.
     pub address: SocketAddr,
-    /// Requests that it runs at once.
+    /// Number of requests that the target runs at once.
     pub slots: u16,
-    /// Whether it takes work.
+    /// Lifecycle phase, which tells whether the target accepts requests.
     pub phase: TargetPhase,
-    /// Whether it is cold by its latest word.
+    /// Whether the target was cold at its latest heartbeat.
     pub is_cold: bool,
-    /// Until when it is cold, as it was or will be.
+    /// End of the latest cold period, which may lie in the past.
     pub cold_until: Instant,
 }
 
-/// What a word of a target changes.
+/// Effect of a heartbeat on the state. The log writes the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
-    /// A process that wasn't known.
+pub enum HeartbeatEffect {
+    /// The heartbeat comes from a new process.
     NewLife,
-    /// The same process says something else.
+    /// The same process reports a change.
     Changed,
-    /// The same process says the same.
+    /// The same process reports no change.
     Same,
-    /// An older heartbeat of the process that is known.
+    /// The heartbeat is not newer than the latest one, or its process has left.
     Older,
-    /// A heartbeat of a process that has been replaced.
+    /// The heartbeat comes from a process that has been replaced.
     OlderLife,
-    /// It isn't known yet whether the target had said before that it leaves.
+    /// It isn't known yet whether the target has sent a leave notice to an earlier process of this
+    /// daemon.
     TooSoon,
 }
 
 impl RoutedTarget {
-    /// Starts without a target: whatever an earlier process of this daemon was told counts no more.
+    /// Starts without a target, whatever earlier processes of this daemon were told.
     ///
-    /// Failure: a daemon restarts beside a target that had said that it leaves, takes it for ready
-    /// and sends it work. So nothing is sent before the target has spoken to this process.
+    /// Guards against a daemon that restarts next to a target which has sent its leave notice, and
+    /// that would take the target for ready. So no requests are sent before the target's first
+    /// heartbeat to this process.
     pub fn new() -> Self {
         Self { state: Arc::default(), view: Arc::new(watch::Sender::new(None)) }
     }
 
-    /// The target, if one has spoken and has not left.
+    /// Returns the target, if one has sent a heartbeat and has not left.
     pub fn current(&self) -> Option<Arc<TargetView>> {
         self.view.borrow().clone()
     }
 
-    /// Takes in what an earlier process of this daemon was told; heartbeats count from then on.
-    pub fn settle(&self, departed: Option<Departed>) {
+    /// Restores the leave notice received by an earlier process of this daemon. Heartbeats are
+    /// accepted from then on.
+    pub fn restore_departed(&self, departed: Option<DepartedTarget>) {
         let mut state = self.state.lock();
-        state.is_settled = true;
+        state.is_restored = true;
         if state.departed.is_none() {
             state.departed = departed;
         }
     }
 
-    /// The target that leaves or has left, as a later process of this daemon has to know it.
-    pub fn departed(&self) -> Option<Departed> {
+    /// Returns the target that is leaving or has left, to be stored for a later process of this
+    /// daemon.
+    pub fn departed(&self) -> Option<DepartedTarget> {
         if !self.is_leaving() {
             return None;
         }
         let state = self.state.lock();
-        let (last_life, target) = state.latest.clone()?;
-        Some(Departed { target, last_life })
+        let (last_incarnation, target) = state.latest.clone()?;
+        Some(DepartedTarget { target, last_incarnation })
     }
 
-    /// Whether a target was here and leaves or has left.
+    /// Returns whether a target was known and is leaving or has left.
     pub fn is_leaving(&self) -> bool {
         match self.current() {
             Some(view) => view.phase == TargetPhase::Draining,
@@ -150,49 +156,50 @@
         }
     }
 
-    /// Tells of changes.
+    /// Subscribes to changes of the view.
     pub fn subscribe(&self) -> watch::Receiver<Option<Arc<TargetView>>> {
         self.view.subscribe()
     }
 
-    /// Takes a heartbeat in.
+    /// Applies a heartbeat.
     ///
-    /// Failure: a heartbeat is held up on its way, arrives after its sender has died and another
-    /// process has taken its place, and brings the dead one back. The start of the process tells
-    /// which one is the later, and the number of the heartbeat orders those of one process.
-    pub fn heard(&self, now: Instant, heartbeat: Heartbeat) -> Heard {
+    /// Guards against a delayed heartbeat that arrives after its sender has died and another
+    /// process has replaced it, and that would restore the dead process. The start time orders
+    /// processes, and the sequence number orders the heartbeats of one process.
+    pub fn apply_heartbeat(&self, now: Instant, heartbeat: Heartbeat) -> HeartbeatEffect {
         let mut state = self.state.lock();
-        if !state.is_settled {
-            return Heard::TooSoon;
+        if !state.is_restored {
+            return HeartbeatEffect::TooSoon;
         }
-        let heard = state.judge(now, &heartbeat);
-        if matches!(heard, Heard::Older | Heard::OlderLife) {
-            return heard;
+        let effect = state.classify(now, &heartbeat);
+        if matches!(effect, HeartbeatEffect::Older | HeartbeatEffect::OlderLife) {
+            return effect;
         }
         let view = TargetView::new(now, heartbeat);
         let old = self.current();
         let is_same =
-            old.is_some_and(|old| old.is_same_but_for_cold(&view) && !old.is_cold_anew(&view));
-        if heard == Heard::Same && is_same {
-            return Heard::Same;
+            old.is_some_and(|old| old.is_same_except_cold(&view) && !old.is_newly_cold(&view));
+        if effect == HeartbeatEffect::Same && is_same {
+            return HeartbeatEffect::Same;
         }
         self.view.send_replace(Some(Arc::new(view)));
-        if heard == Heard::Same { Heard::Changed } else { heard }
+        if effect == HeartbeatEffect::Same { HeartbeatEffect::Changed } else { effect }
     }
 
-    /// Takes in that the target leaves, at `unix_ms` of this machine's clock; says whether that is
-    /// word of the present one.
-    pub fn left(&self, unix_ms: u64, leave: &Leave) -> bool {
+    /// Applies a leave notice that arrived at `unix_ms` of this machine's clock; returns whether it
+    /// comes from the current process.
+    pub fn apply_leave(&self, unix_ms: u64, leave: &Leave) -> bool {
         let mut state = self.state.lock();
-        let is_present = state.latest.as_ref().is_some_and(|(life, target)| {
-            *target == leave.target && leave.life.is_none_or(|left| left >= *life)
+        let is_present = state.latest.as_ref().is_some_and(|(start, target)| {
+            *target == leave.target && leave.life.is_none_or(|left| left >= *start)
         });
         if is_present {
             state.has_left = true;
             self.view.send_replace(None);
         } else if state.latest.is_none() {
-            let last_life = leave.life.unwrap_or(unix_ms);
-            state.departed = Some(Departed { target: leave.target.clone(), last_life });
+            let last_incarnation = leave.life.unwrap_or(unix_ms);
+            state.departed =
+                Some(DepartedTarget { target: leave.target.clone(), last_incarnation });
         }
         is_present
     }
@@ -205,68 +212,71 @@
 }
 
 impl State {
-    fn judge(&mut self, now: Instant, heartbeat: &Heartbeat) -> Heard {
+    fn classify(&mut self, now: Instant, heartbeat: &Heartbeat) -> HeartbeatEffect {
         let is_same = self
             .latest
             .as_ref()
-            .is_some_and(|(life, target)| *life == heartbeat.life && *target == heartbeat.target);
+            .is_some_and(|(start, target)| *start == heartbeat.life && *target == heartbeat.target);
         if is_same {
             if self.has_left || heartbeat.sequence <= self.sequence {
-                return Heard::Older;
+                return HeartbeatEffect::Older;
             }
             self.sequence = heartbeat.sequence;
-            self.heard_at = Some(now);
-            return Heard::Same;
+            self.last_heartbeat_at = Some(now);
+            return HeartbeatEffect::Same;
         }
-        let is_older = self.latest.as_ref().is_some_and(|(life, _)| *life > heartbeat.life);
+        let is_older = self.latest.as_ref().is_some_and(|(start, _)| *start > heartbeat.life);
         if self.is_departed(heartbeat) {
-            return Heard::Older;
+            return HeartbeatEffect::Older;
         }
-        if is_older && !self.is_believed(now, heartbeat) {
-            return Heard::OlderLife;
+        if is_older && !self.is_accepted(now, heartbeat) {
+            return HeartbeatEffect::OlderLife;
         }
-        self.heard_at = Some(now);
-        self.claimant = None;
+        self.last_heartbeat_at = Some(now);
+        self.candidate = None;
         self.latest = Some((heartbeat.life, heartbeat.target.clone()));
         self.sequence = heartbeat.sequence;
         self.has_left = false;
-        Heard::NewLife
+        HeartbeatEffect::NewLife
     }
 }
 
 impl State {
-    /// Whether the heartbeat is of a process that had said that it leaves.
+    /// Returns whether the heartbeat comes from a process that has sent its leave notice.
     ///
-    /// Failure: a daemon restarts, the first that it hears of its target is that it leaves, and a
-    /// heartbeat from before arrives after that. Taken for a new target it would get work again.
+    /// Guards against a restarted daemon that receives the leave notice first and a delayed
+    /// heartbeat from before it afterwards, which would look like a new target that gets requests
+    /// again.
     fn is_departed(&self, heartbeat: &Heartbeat) -> bool {
         let is_known = self.latest.is_some();
         !is_known
             && self.departed.as_ref().is_some_and(|departed| {
-                departed.target == heartbeat.target && heartbeat.life <= departed.last_life
+                departed.target == heartbeat.target && heartbeat.life <= departed.last_incarnation
             })
     }
 
-    /// Whether a process with an earlier start is the living one all the same.
+    /// Returns whether a process with an earlier start is nevertheless the running one.
     ///
-    /// Failure: a machine's clock is set back, its target starts again, and its daemon takes the
-    /// living process for a dead one for as long as the clock was set back.
-    fn is_believed(&mut self, now: Instant, heartbeat: &Heartbeat) -> bool {
-        let is_silent = self.heard_at.is_none_or(|at| now.duration_since(at) >= SILENCE_MIN);
-        let known = self.claimant.take().filter(|claimant| {
-            claimant.life == heartbeat.life && claimant.target == heartbeat.target
+    /// Guards against a machine whose clock is set back before its target restarts. The daemon
+    /// would take the running process for a dead one for as long as the clock was set back.
+    fn is_accepted(&mut self, now: Instant, heartbeat: &Heartbeat) -> bool {
+        let is_silent =
+            self.last_heartbeat_at.is_none_or(|at| now.duration_since(at) >= SILENCE_MIN);
+        let known = self.candidate.take().filter(|candidate| {
+            candidate.incarnation == heartbeat.life && candidate.target == heartbeat.target
         });
-        let (before, heard) = known.map_or((0, 0), |known| (known.sequence, known.heard));
-        let is_newer = heard == 0 || heartbeat.sequence > before;
-        let claimant = Claimant {
-            life: heartbeat.life,
+        let (last_sequence, heartbeats) =
+            known.map_or((0, 0), |known| (known.sequence, known.heartbeats));
+        let is_newer = heartbeats == 0 || heartbeat.sequence > last_sequence;
+        let candidate = CandidateProcess {
+            incarnation: heartbeat.life,
             target: heartbeat.target.clone(),
-            sequence: heartbeat.sequence.max(before),
-            heard: heard + u32::from(is_newer),
+            sequence: heartbeat.sequence.max(last_sequence),
+            heartbeats: heartbeats + u32::from(is_newer),
         };
-        let is_believed = is_silent && claimant.heard >= CLAIMS_MIN;
-        self.claimant = Some(claimant);
-        is_believed
+        let is_accepted = is_silent && candidate.heartbeats >= CANDIDATE_HEARTBEATS_MIN;
+        self.candidate = Some(candidate);
+        is_accepted
     }
 }
 
@@ -275,7 +285,7 @@
         let cold_for = Duration::from_millis(heartbeat.cold_for_ms.into());
         Self {
             target: heartbeat.target,
-            life: heartbeat.life,
+            incarnation: heartbeat.life,
             service: heartbeat.service,
             address: heartbeat.address,
             slots: heartbeat.slots.max(1),
@@ -285,17 +295,17 @@
         }
     }
 
-    /// Whether both are the same process.
-    pub fn is_same_life(&self, other: &Self) -> bool {
-        self.life == other.life && self.target == other.target
+    /// Returns whether both views are of the same process.
+    pub fn is_same_process(&self, other: &Self) -> bool {
+        self.incarnation == other.incarnation && self.target == other.target
     }
 
-    /// Whether `later` tells of a cold time that isn't known.
-    fn is_cold_anew(&self, later: &Self) -> bool {
+    /// Returns whether `later` reports a cold period that isn't known yet.
+    fn is_newly_cold(&self, later: &Self) -> bool {
         later.is_cold && later.cold_until > self.cold_until + COLD_JITTER
     }
 
-    fn is_same_but_for_cold(&self, other: &Self) -> bool {
+    fn is_same_except_cold(&self, other: &Self) -> bool {
         Self { is_cold: other.is_cold, cold_until: other.cold_until, ..self.clone() } == *other
     }
 }
